--- a/examples/tier/main.go
+++ b/examples/tier/main.go
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 const (
@@ -53,7 +53,7 @@
 		defer os.RemoveAll(made)
 		folder = made
 	}
-	tier, err := standin.NewTier(standin.Layout{
+	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: folder, Subnet: o.Subnet, Zones: []string{"north", "south", "west"},
 		Edges: 2, Coordinators: 3, TurnStores: 3, Tolerated: 1, Launch: o.launch, Log: os.Stderr,
 	})
@@ -79,18 +79,18 @@
 }
 
 // surround starts the toy stores, sends the configuration and waits until the edges take clients.
-func surround(ctx context.Context, tier *standin.Tier) error {
+func surround(ctx context.Context, tier *testbed.Tier) error {
 	ctx, cancel := context.WithTimeout(ctx, startPatience)
 	defer cancel()
 	for range storesOfService {
-		for _, service := range []string{standin.PlainService, standin.EngineService} {
+		for _, service := range []string{testbed.PlainService, testbed.EngineService} {
 			if _, err := tier.AddStore(ctx, service, slots); err != nil {
 				return err
 			}
 		}
 	}
-	operator := standin.NewOperator(tier.Controls())
-	answer, err := operator.PutConfiguration(ctx, 0, standin.ExampleConfiguration(1).Body())
+	operator := testbed.NewOperator(tier.Controls())
+	answer, err := operator.PutConfiguration(ctx, 0, testbed.ExampleConfiguration(1).Body())
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func terminate(tier *standin.Tier) {
+func terminate(tier *testbed.Tier) {
 	for _, machine := range slices.Backward(tier.Machines()) { // edges first, coordinators last
 		if err := machine.Terminate(); err != nil {
 			fmt.Fprintln(os.Stderr, "tier:", err)
@@ -117,9 +117,9 @@
 	}
 }
 
-func tell(tier *standin.Tier, folder string) {
-	fmt.Printf("clients:  %v, Host: %s\n", tier.Fronts(), standin.Host)
-	fmt.Printf("routes:   %s %s %s %s\n", standin.FetchPrefix, standin.OrderPrefix, standin.DraftPrefix, standin.TalkPrefix)
+func tell(tier *testbed.Tier, folder string) {
+	fmt.Printf("clients:  %v, Host: %s\n", tier.Fronts(), testbed.Host)
+	fmt.Printf("routes:   %s %s %s %s\n", testbed.FetchPrefix, testbed.OrderPrefix, testbed.DraftPrefix, testbed.TalkPrefix)
 	fmt.Printf("operator: %v\n", tier.Controls())
 	fmt.Printf("files:    %s\n", folder)
 }
--- a/internal/tier/admission/core.go
+++ b/internal/tier/admission/core.go
@@ -249,6 +249,6 @@
 	s.forget(g)
 	s.out--
 	v.out--
-	invariant.Check(s.out >= 0 && v.out >= 0, invariant.PlacesNotNegative, s.out, 0)
+	invariant.Check(s.out >= 0 && v.out >= 0, invariant.InFlightNotNegative, s.out, 0)
 	c.release(v, now)
 }
--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -131,7 +131,7 @@
 func (a *Agent) countStores() storeCounts {
 	return storeCounts{
 		ready:    a.state.Count(tierpb.InstanceState_INSTANCE_READY),
-		silent:   a.state.Count(tierpb.InstanceState_INSTANCE_SILENT),
+		silent:   a.state.Count(tierpb.InstanceState_INSTANCE_SUSPECT),
 		draining: a.state.Count(tierpb.InstanceState_INSTANCE_DRAINING),
 	}
 }
--- a/internal/tier/budget/client.go
+++ b/internal/tier/budget/client.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	if !first || anyInTwoRounds(known) {
-		claim = &tierpb.BudgetEntry{Request: request, Tokens: most, Stage: StageReserved, TwoRounds: true}
+		claim = &tierpb.BudgetEntry{Request: request, Tokens: most, Stage: StageReserved, Confirmed: true}
 		if _, err := c.write(ctx, known, claim); err != nil {
 			return err
 		}
@@ -125,15 +125,15 @@
 	ctx context.Context, known *tierpb.ProgramBudget, claim *tierpb.BudgetEntry,
 ) (first bool, err error) {
 	written := &tierpb.ProgramBudget{
-		Program:       known.Program,
-		Entries:       []*tierpb.BudgetEntry{claim},
-		TouchedUnixMs: c.replicas.Now().UnixMilli(),
+		Program:        known.Program,
+		Entries:        []*tierpb.BudgetEntry{claim},
+		LastUsedUnixMs: c.replicas.Now().UnixMilli(),
 	}
 	outcome, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
 		Key:    known.Program,
 		Quorum: replica.WriteQuorum,
 		Ranked: true,
-		Call: func(ctx context.Context, address string, header *tierpb.StoreHeader) (*tierpb.BudgetReply, error) {
+		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.BudgetReply, error) {
 			request := &tierpb.ReserveBudgetRequest{Header: header, Budget: written}
 			reply := &tierpb.BudgetReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodReserveBudget, request, reply)
@@ -152,7 +152,7 @@
 		Key:    known.Program,
 		Quorum: replica.ReadQuorum,
 		Fresh:  true,
-		Call: func(ctx context.Context, address string, header *tierpb.StoreHeader) (*tierpb.BudgetReply, error) {
+		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.BudgetReply, error) {
 			request := &tierpb.ReadBudgetRequest{Header: header, Program: known.Program}
 			reply := &tierpb.BudgetReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodReadBudget, request, reply)
--- a/internal/tier/budget/merge.go
+++ b/internal/tier/budget/merge.go
@@ -39,9 +39,9 @@
 	if entry.Stage > known.Stage || entry.Stage == known.Stage && entry.Tokens > known.Tokens {
 		newest = entry
 	}
-	if twoRounds := known.TwoRounds || entry.TwoRounds; twoRounds != newest.TwoRounds {
+	if twoRounds := known.Confirmed || entry.Confirmed; twoRounds != newest.Confirmed {
 		newest = &tierpb.BudgetEntry{
-			Request: newest.Request, Tokens: newest.Tokens, Stage: newest.Stage, TwoRounds: twoRounds,
+			Request: newest.Request, Tokens: newest.Tokens, Stage: newest.Stage, Confirmed: twoRounds,
 		}
 	}
 	return newest
@@ -71,7 +71,7 @@
 
 // anyInTwoRounds says whether a claim of the program was written past its first members.
 func anyInTwoRounds(known *tierpb.ProgramBudget) bool {
-	return slices.ContainsFunc(known.Entries, (*tierpb.BudgetEntry).GetTwoRounds)
+	return slices.ContainsFunc(known.Entries, (*tierpb.BudgetEntry).GetConfirmed)
 }
 
 // isSettled says whether a request's claim was settled or withdrawn.
@@ -107,8 +107,8 @@
 // Copy copies a program's claims. Entries are shared: they never change.
 func Copy(known *tierpb.ProgramBudget) *tierpb.ProgramBudget {
 	return &tierpb.ProgramBudget{
-		Program:       known.Program,
-		Entries:       slices.Clone(known.Entries),
-		TouchedUnixMs: known.TouchedUnixMs,
+		Program:        known.Program,
+		Entries:        slices.Clone(known.Entries),
+		LastUsedUnixMs: known.LastUsedUnixMs,
 	}
 }
--- a/internal/tier/budget/merge_test.go
+++ b/internal/tier/budget/merge_test.go
@@ -17,7 +17,7 @@
 			Request:   fmt.Sprintf("turn%d", random.IntN(4)),
 			Tokens:    random.Uint64N(50),
 			Stage:     random.Uint32N(2),
-			TwoRounds: random.IntN(4) == 0,
+			Confirmed: random.IntN(4) == 0,
 		}
 	}
 	return entries
--- a/internal/tier/orders/orders.go
+++ b/internal/tier/changelog/changelog.go
@@ -1,11 +1,11 @@
-// Package orders remembers which configuration changes were taken, so that one that is sent again is known. Orders are
+// Package changelog remembers which configuration changes were taken, so that one that is sent again is known. Orders are
 // taken one on top of the other: each one's If-Match is the generation of the one before. So at most one order was ever
 // taken on top of a generation, and an order is known never to have been taken where another one was taken on top of its
 // If-Match, or none at all.
 //
 // The control state holds the newest orders and the names of runs of older ones. A run never changes and is named by its
 // digest; coordinators keep the runs beside the register and get them from each other.
-package orders
+package changelog
 
 import (
 	"bytes"
@@ -55,7 +55,7 @@
 
 // Runs finds a run by its digest, nil where it is not at hand.
 type Runs interface {
-	Run(digest []byte) *tierpb.OrderRun
+	Run(digest []byte) *tierpb.ChangeSegment
 }
 
 // Judge says what a control state and the runs that it names tell of an order.
@@ -67,10 +67,10 @@
 	case sent.IfMatch > generation:
 		return NotTaken
 	}
-	if newest := state.GetTaken(); len(newest) > 0 && sent.IfMatch >= newest[0].IfMatch {
+	if newest := state.GetCommittedChanges(); len(newest) > 0 && sent.IfMatch >= newest[0].IfMatch {
 		return judgeNewest(newest, sent)
 	}
-	name := nameOf(state.GetOlderOrders(), sent.IfMatch)
+	name := nameOf(state.GetOlderChanges(), sent.IfMatch)
 	if name == nil {
 		return Forgotten
 	}
@@ -81,7 +81,7 @@
 	return judgeRun(run, sent)
 }
 
-func judgeNewest(newest []*tierpb.TakenOrder, sent Order) Verdict {
+func judgeNewest(newest []*tierpb.CommittedChange, sent Order) Verdict {
 	place := sort.Search(len(newest), func(i int) bool { return newest[i].IfMatch >= sent.IfMatch })
 	if place == len(newest) || newest[place].IfMatch != sent.IfMatch {
 		return NotTaken
@@ -90,7 +90,7 @@
 }
 
 // nameOf finds the run that an order with this If-Match would be in, nil where it is older than all.
-func nameOf(names []*tierpb.OrderRunName, ifMatch uint64) *tierpb.OrderRunName {
+func nameOf(names []*tierpb.ChangeSegmentRef, ifMatch uint64) *tierpb.ChangeSegmentRef {
 	after := sort.Search(len(names), func(i int) bool { return names[i].First > ifMatch })
 	if after == 0 {
 		return nil
@@ -98,7 +98,7 @@
 	return names[after-1]
 }
 
-func judgeRun(run *tierpb.OrderRun, sent Order) Verdict {
+func judgeRun(run *tierpb.ChangeSegment, sent Order) Verdict {
 	ifMatch := run.First
 	for place, step := range run.Steps {
 		if ifMatch == sent.IfMatch {
@@ -118,30 +118,30 @@
 
 // Add notes an order that a control state takes. The oldest of the newest orders become a run where they are many.
 func Add(state *tierpb.ControlState, taken Order) {
-	state.Taken = append(state.Taken, &tierpb.TakenOrder{
+	state.CommittedChanges = append(state.CommittedChanges, &tierpb.CommittedChange{
 		IfMatch: taken.IfMatch, Generation: taken.Generation, Digest: taken.Digest,
 	})
-	for len(state.Taken) > NewestMost {
-		run := runOf(state.Taken[:RunLength])
-		state.OlderOrders = append(state.OlderOrders, &tierpb.OrderRunName{First: run.First, Digest: nameFor(run)})
-		state.Taken = slices.Clone(state.Taken[RunLength:])
+	for len(state.CommittedChanges) > NewestMost {
+		run := runOf(state.CommittedChanges[:RunLength])
+		state.OlderChanges = append(state.OlderChanges, &tierpb.ChangeSegmentRef{First: run.First, Digest: nameFor(run)})
+		state.CommittedChanges = slices.Clone(state.CommittedChanges[RunLength:])
 	}
-	if excess := len(state.OlderOrders) - RunsMost; excess > 0 {
-		state.OlderOrders = slices.Clone(state.OlderOrders[excess:])
+	if excess := len(state.OlderChanges) - RunsMost; excess > 0 {
+		state.OlderChanges = slices.Clone(state.OlderChanges[excess:])
 	}
 }
 
 // Upcoming is the run that the oldest of the newest orders will make, nil while they are too few. It is known long
 // before the control state drops them, so that all coordinators have it by then.
-func Upcoming(state *tierpb.ControlState) *tierpb.OrderRun {
-	if len(state.GetTaken()) < RunLength {
+func Upcoming(state *tierpb.ControlState) *tierpb.ChangeSegment {
+	if len(state.GetCommittedChanges()) < RunLength {
 		return nil
 	}
-	return runOf(state.Taken[:RunLength])
+	return runOf(state.CommittedChanges[:RunLength])
 }
 
-func runOf(taken []*tierpb.TakenOrder) *tierpb.OrderRun {
-	run := &tierpb.OrderRun{First: taken[0].IfMatch}
+func runOf(taken []*tierpb.CommittedChange) *tierpb.ChangeSegment {
+	run := &tierpb.ChangeSegment{First: taken[0].IfMatch}
 	for _, order := range taken {
 		run.Steps = append(run.Steps, order.Generation-order.IfMatch)
 		run.Digests = append(run.Digests, order.Digest...)
@@ -150,7 +150,7 @@
 }
 
 // nameFor is the digest by which a run is named.
-func nameFor(run *tierpb.OrderRun) []byte {
+func nameFor(run *tierpb.ChangeSegment) []byte {
 	encoded := make([]byte, run.SizeVT())
 	if _, err := run.MarshalToSizedBufferVT(encoded); err != nil {
 		return nil
@@ -159,6 +159,6 @@
 }
 
 // isWhole says that each order of a run has its digest.
-func isWhole(run *tierpb.OrderRun) bool {
+func isWhole(run *tierpb.ChangeSegment) bool {
 	return len(run.GetDigests()) == len(run.GetSteps())*DigestBytes
 }
--- a/internal/tier/orders/orders_test.go
+++ b/internal/tier/changelog/changelog_test.go
@@ -1,4 +1,4 @@
-package orders
+package changelog
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 )
 
 // memory holds runs as a History does, without a disk.
-type memory map[string]*tierpb.OrderRun
+type memory map[string]*tierpb.ChangeSegment
 
-func (m memory) Run(digest []byte) *tierpb.OrderRun { return m[string(digest)] }
+func (m memory) Run(digest []byte) *tierpb.ChangeSegment { return m[string(digest)] }
 
 // taker takes orders and remembers all of them.
 type taker struct {
@@ -31,7 +31,7 @@
 	Add(k.state, sent)
 	k.state.Configuration.Generation = sent.Generation
 	k.taken = append(k.taken, sent)
-	if length := len(k.state.Taken); length == RunLength || length == NewestMost+1-RunLength {
+	if length := len(k.state.CommittedChanges); length == RunLength || length == NewestMost+1-RunLength {
 		upcoming := Upcoming(k.state)
 		k.runs[string(nameFor(upcoming))] = upcoming
 	}
@@ -78,8 +78,8 @@
 func TestWithoutItsRunAnOrderGetsNoVerdict(t *testing.T) {
 	k := newTaker()
 	k.takeMany(3*RunLength+NewestMost, rand.New(rand.NewPCG(1, 1)))
-	assert.Equal(t, len(k.state.OlderOrders), 3)
-	delete(k.runs, string(k.state.OlderOrders[1].Digest))
+	assert.Equal(t, len(k.state.OlderChanges), 3)
+	delete(k.runs, string(k.state.OlderChanges[1].Digest))
 	for place, order := range k.taken {
 		wanted := Taken
 		if place/RunLength == 1 {
@@ -87,7 +87,7 @@
 		}
 		assert.Equal(t, Judge(k.state, k.runs, order), wanted, "%d", place)
 	}
-	k.state.OlderOrders = k.state.OlderOrders[2:]
+	k.state.OlderChanges = k.state.OlderChanges[2:]
 	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Forgotten)
 	assert.Equal(t, Judge(k.state, k.runs, k.taken[2*RunLength]), Taken)
 }
@@ -98,17 +98,17 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, count := range []int{90, 1024, 5000, 13000, RunsMost*RunLength + NewestMost + 1000} {
 		k.takeMany(count-len(k.taken), random)
-		history := &tierpb.OrderRuns{}
-		for _, name := range k.state.OlderOrders {
-			history.Runs = append(history.Runs, k.runs.Run(name.Digest))
+		history := &tierpb.ChangeSegments{}
+		for _, name := range k.state.OlderChanges {
+			history.Segments = append(history.Segments, k.runs.Run(name.Digest))
 		}
 		t.Logf("%d orders: %d bytes in the control state, %d bytes in a history", count, k.state.SizeVT(), history.SizeVT())
 		assert.Assert(t, k.state.SizeVT() < 24<<10)
 		assert.Assert(t, history.SizeVT() < 1300<<10)
 	}
-	assert.Equal(t, len(k.state.OlderOrders), RunsMost)
+	assert.Equal(t, len(k.state.OlderChanges), RunsMost)
 	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Forgotten)
-	oldest := len(k.taken) - len(k.state.Taken) - RunsMost*RunLength
+	oldest := len(k.taken) - len(k.state.CommittedChanges) - RunsMost*RunLength
 	assert.Equal(t, Judge(k.state, k.runs, k.taken[oldest]), Taken)
 }
 
@@ -117,17 +117,17 @@
 	k := newTaker()
 	for generation := uint64(1); generation <= 1024; generation++ {
 		sent := New(generation-1, generation, nil)
-		k.state.Taken = append(k.state.Taken, &tierpb.TakenOrder{IfMatch: sent.IfMatch, Generation: sent.Generation, Digest: sent.Digest})
+		k.state.CommittedChanges = append(k.state.CommittedChanges, &tierpb.CommittedChange{IfMatch: sent.IfMatch, Generation: sent.Generation, Digest: sent.Digest})
 		k.taken = append(k.taken, sent)
 	}
 	k.state.Configuration.Generation = 1024
 	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Taken)
 	for first := 0; first+RunLength <= len(k.taken); first += RunLength {
-		run := runOf(k.state.Taken[first : first+RunLength])
+		run := runOf(k.state.CommittedChanges[first : first+RunLength])
 		k.runs[string(nameFor(run))] = run
 	}
 	k.take(New(1024, 1025, nil))
-	assert.Assert(t, len(k.state.Taken) <= NewestMost)
+	assert.Assert(t, len(k.state.CommittedChanges) <= NewestMost)
 	for _, order := range k.taken {
 		assert.Equal(t, Judge(k.state, k.runs, order), Taken)
 	}
@@ -154,8 +154,8 @@
 	assert.Equal(t, len(names), 1)
 	empty, err := OpenHistory(storage.OS{}, t.TempDir())
 	assert.NilError(t, err)
-	assert.Equal(t, len(empty.Lacking(k.state)), len(k.state.OlderOrders))
-	var found []*tierpb.OrderRun
+	assert.Equal(t, len(empty.Lacking(k.state)), len(k.state.OlderChanges))
+	var found []*tierpb.ChangeSegment
 	for _, digest := range empty.Lacking(k.state) {
 		found = append(found, history.Run(digest))
 	}
--- a/internal/tier/orders/history.go
+++ b/internal/tier/changelog/history.go
@@ -1,4 +1,4 @@
-package orders
+package changelog
 
 import (
 	"cmp"
@@ -21,22 +21,22 @@
 	saved  []string // digests of the runs on disk; guarded by saving
 
 	mu    sync.Mutex
-	runs  map[string]*tierpb.OrderRun // by digest
-	noted uint64                      // one more than the If-Match at which the run noted last begins
+	runs  map[string]*tierpb.ChangeSegment // by digest
+	noted uint64                           // one more than the If-Match at which the run noted last begins
 }
 
 // OpenHistory reads the runs in a folder. A file that is not whole counts as none.
 func OpenHistory(disk storage.Disk, folder string) (*History, error) {
-	stored := &tierpb.OrderRuns{}
+	stored := &tierpb.ChangeSegments{}
 	files, found, err := storage.OpenMessages(disk, folder, series, stored)
 	if err != nil {
 		return nil, err
 	}
-	history := &History{files: files, runs: make(map[string]*tierpb.OrderRun)}
+	history := &History{files: files, runs: make(map[string]*tierpb.ChangeSegment)}
 	if !found {
 		return history, nil
 	}
-	for _, run := range stored.Runs {
+	for _, run := range stored.Segments {
 		history.put(run)
 	}
 	_, history.saved = history.all()
@@ -44,7 +44,7 @@
 }
 
 // put takes a run in and says whether it was not known.
-func (h *History) put(run *tierpb.OrderRun) bool {
+func (h *History) put(run *tierpb.ChangeSegment) bool {
 	if !isWhole(run) {
 		return false
 	}
@@ -60,13 +60,13 @@
 
 // Note takes in the run that a chosen control state is about to name. It is cheap where there is nothing new.
 func (h *History) Note(state *tierpb.ControlState) {
-	if len(state.GetTaken()) < RunLength || h.isNoted(state.Taken[0].IfMatch) {
+	if len(state.GetCommittedChanges()) < RunLength || h.isNoted(state.CommittedChanges[0].IfMatch) {
 		return
 	}
 	h.put(Upcoming(state))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noted = state.Taken[0].IfMatch + 1
+	h.noted = state.CommittedChanges[0].IfMatch + 1
 }
 
 func (h *History) isNoted(first uint64) bool {
@@ -76,7 +76,7 @@
 }
 
 // Run implements Runs.
-func (h *History) Run(digest []byte) *tierpb.OrderRun {
+func (h *History) Run(digest []byte) *tierpb.ChangeSegment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.runs[string(digest)]
@@ -85,7 +85,7 @@
 // Lacking returns the digests of runs that a control state names and that are not here, oldest first.
 func (h *History) Lacking(state *tierpb.ControlState) [][]byte {
 	var lacking [][]byte
-	for _, name := range state.GetOlderOrders() {
+	for _, name := range state.GetOlderChanges() {
 		if h.Run(name.Digest) == nil {
 			lacking = append(lacking, name.Digest)
 		}
@@ -95,12 +95,12 @@
 
 // Keep takes in runs that a control state names and the one that it is about to name, drops those from before all that it
 // remembers, and saves what is left where that has changed.
-func (h *History) Keep(state *tierpb.ControlState, found []*tierpb.OrderRun) error {
+func (h *History) Keep(state *tierpb.ControlState, found []*tierpb.ChangeSegment) error {
 	h.saving.Lock()
 	defer h.saving.Unlock()
 	h.Note(state)
 	named := make(map[string]bool)
-	for _, name := range state.GetOlderOrders() {
+	for _, name := range state.GetOlderChanges() {
 		named[string(name.Digest)] = true
 	}
 	for _, run := range found {
@@ -122,10 +122,10 @@
 
 // oldest is the If-Match of the oldest order that a control state remembers.
 func oldest(state *tierpb.ControlState) uint64 {
-	if names := state.GetOlderOrders(); len(names) > 0 {
+	if names := state.GetOlderChanges(); len(names) > 0 {
 		return names[0].First
 	}
-	if newest := state.GetTaken(); len(newest) > 0 {
+	if newest := state.GetCommittedChanges(); len(newest) > 0 {
 		return newest[0].IfMatch
 	}
 	return 0
@@ -142,15 +142,15 @@
 }
 
 // all returns the runs and their digests, oldest first.
-func (h *History) all() (*tierpb.OrderRuns, []string) {
+func (h *History) all() (*tierpb.ChangeSegments, []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	digests := slices.SortedFunc(maps.Keys(h.runs), func(a, b string) int {
 		return cmp.Or(cmp.Compare(h.runs[a].First, h.runs[b].First), cmp.Compare(a, b))
 	})
-	stored := &tierpb.OrderRuns{}
+	stored := &tierpb.ChangeSegments{}
 	for _, digest := range digests {
-		stored.Runs = append(stored.Runs, h.runs[digest])
+		stored.Segments = append(stored.Segments, h.runs[digest])
 	}
 	return stored, digests
 }
--- a/internal/tier/pause/pause_test.go
+++ b/internal/tier/clock/sleep_test.go
@@ -1,4 +1,4 @@
-package pause
+package clock
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestForEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
-		assert.Assert(t, For(t.Context(), time.Minute))
+		assert.Assert(t, Sleep(t.Context(), time.Minute))
 		assert.Equal(t, time.Since(started), time.Minute)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.Assert(t, !For(ctx, time.Hour))
+		assert.Assert(t, !Sleep(ctx, time.Hour))
 		assert.Equal(t, time.Since(started), time.Minute+time.Second)
 	})
 }
--- a/internal/tier/command/role.go
+++ b/internal/tier/command/role.go
@@ -14,7 +14,7 @@
 
 	"pulleygw.example/pulleygw/internal/tier/invariant"
 	"pulleygw.example/pulleygw/internal/tier/metrics"
-	"pulleygw.example/pulleygw/internal/tier/process"
+	"pulleygw.example/pulleygw/internal/tier/runtimelimits"
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
@@ -54,7 +54,7 @@
 	if r.role.Run == nil {
 		return errNotBuilt
 	}
-	process.Fit(live.Current().Limits)
+	runtimelimits.Apply(live.Current().Limits)
 	invariant.UseLog(log)
 	r.serveMetrics(ctx, live.Current(), log)
 	ticker := time.NewTicker(pollInterval)
@@ -81,7 +81,7 @@
 	if asked == "" {
 		return
 	}
-	at, err := metrics.ParsePlace(asked)
+	at, err := metrics.ParseEndpoint(asked)
 	switch {
 	case err != nil:
 	case own.UsesPort(at.Port): // the role comes first
@@ -139,7 +139,7 @@
 	case err != nil:
 	case changed:
 		r.refused = ""
-		process.Fit(r.live.Current().Limits)
+		runtimelimits.Apply(r.live.Current().Limits)
 		r.log.Info("settings changed")
 	}
 }
--- a/internal/tier/coordinator/announce.go
+++ b/internal/tier/coordinator/announce.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -116,7 +116,7 @@
 		if err == nil {
 			return reply
 		}
-		if !pause.For(ctx, announcePause) {
+		if !clock.Sleep(ctx, announcePause) {
 			return nil
 		}
 	}
--- a/internal/tier/coordinator/api.go
+++ b/internal/tier/coordinator/api.go
@@ -158,7 +158,7 @@
 	if known := c.state.Instance(gone.Id); known != nil {
 		gone = known.CloneVT()
 	}
-	gone.State = tierpb.InstanceState_INSTANCE_GONE
+	gone.State = tierpb.InstanceState_INSTANCE_DEREGISTERED
 	c.takeInstance(w, r, gone)
 }
 
--- a/internal/tier/coordinator/catchup.go
+++ b/internal/tier/coordinator/catchup.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 )
@@ -44,7 +44,7 @@
 // learnFirst finds out at the start which value is chosen, as soon as a majority answers. Where all were killed at once,
 // those that answer cannot tell either, and agents wait.
 func (c *coordinator) learnFirst(ctx context.Context) {
-	for c.starting() && pause.For(ctx, firstLook/2+rand.N(firstLook)) {
+	for c.starting() && clock.Sleep(ctx, firstLook/2+rand.N(firstLook)) {
 		if !c.inTouch() {
 			continue
 		}
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -16,9 +16,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/lease"
-	"pulleygw.example/pulleygw/internal/tier/orders"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/settings"
@@ -74,7 +74,7 @@
 	points   *stops
 	handler  http.Handler
 	acceptor *register.Acceptor
-	grantor  *lease.Grantor
+	grantor  *lease.Lessor
 	stop     context.CancelFunc
 	done     *sync.WaitGroup
 }
@@ -138,11 +138,11 @@
 	coordinator := newCoordinator(settings.Fixed(own), c.log(m.name), self, &caller{from: m})
 	coordinator.now, coordinator.directory.now = m.now, m.now
 	coordinator.directory.started = m.now()
-	coordinator.history, err = orders.OpenHistory(disk, ordersFolder)
+	coordinator.history, err = changelog.OpenHistory(disk, ordersFolder)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
 	points := &stops{}
-	coordinator.faults = &fault.Points{Stop: points.pass}
+	coordinator.faults = &failpoint.Points{Stop: points.pass}
 	coordinator.useRegister(acceptor)
 	p := &process{coordinator: coordinator, points: points, handler: coordinator.routes(), acceptor: acceptor, done: &sync.WaitGroup{}}
 	p.grantor = coordinator.newGrantor(acceptor)
--- a/internal/tier/coordinator/contact.go
+++ b/internal/tier/coordinator/contact.go
@@ -35,12 +35,12 @@
 // answered notes the answer to a poll, and when that was sent. One that tells of later voters renews no contact until
 // this process knows them too.
 func (c *coordinator) answered(address string, reply *tierpb.WatchReply, asked time.Time) {
-	if identity := reply.GetAnswerer().GetIdentity(); identity != 0 {
-		c.directory.identify(address, reply.Feed, identity)
+	if identity := reply.GetResponder().GetIdentity(); identity != 0 {
+		c.directory.identify(address, reply.Incarnation, identity)
 	}
-	epoch := max(reply.GetAnswerer().GetEpoch(), reply.GetControl().GetEpoch())
+	epoch := max(reply.GetResponder().GetEpoch(), reply.GetControl().GetEpoch())
 	if epoch <= c.newestVoters().GetEpoch() {
-		c.directory.answered(address, reply.Feed, asked)
+		c.directory.answered(address, reply.Incarnation, asked)
 	}
 }
 
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/contact_test.go
@@ -109,7 +109,7 @@
 		c.machines["core-1"].sleepFor(20 * time.Second)
 		assert.Equal(t, one.readiness(), http.StatusServiceUnavailable)
 		assert.Equal(t, one.beat("ready", 7), http.StatusServiceUnavailable)
-		_, err = one.poll(&tierpb.WatchRequest{Follower: agent, Feed: news.Feed, Cursor: news.Cursor})
+		_, err = one.poll(&tierpb.WatchRequest{Follower: agent, Incarnation: news.Incarnation, Cursor: news.Cursor})
 		assert.ErrorIs(t, err, watch.ErrNotReady)
 		one.markSilent()
 		assert.Equal(t, one.state.Instance("i-1").State, ready, "marked by a look at old news")
@@ -131,7 +131,7 @@
 		c.directory.now = c.now
 		voters := &tierpb.VoterSet{Nodes: []*tierpb.Node{{Identity: 1}, {Identity: 2}, {Identity: 3}}}
 		c.state.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{voters}})
-		c.answered("10.0.2.1:7000", &tierpb.WatchReply{Feed: 9, Answerer: &tierpb.Answerer{Identity: 2}}, now)
+		c.answered("10.0.2.1:7000", &tierpb.WatchReply{Incarnation: 9, Responder: &tierpb.Responder{Identity: 2}}, now)
 		c.directory.answering("10.0.2.1:7000", true)
 		now = now.Add(test.age)
 		recorder := httptest.NewRecorder()
@@ -169,7 +169,7 @@
 		changed.Version, changed.Epoch = changed.Version+2, changed.Epoch+2
 		changed.Voters = []*tierpb.VoterSet{{Nodes: []*tierpb.Node{two.self, c.at("core-3").self, c.at("core-4").self}}}
 		accepted := two.acceptor.Accept(&tierpb.AcceptRequest{
-			Identity: two.self.Identity, Ballot: &tierpb.Ballot{Counter: 1000, Proposer: 3}, Value: changed,
+			Identity: two.self.Identity, Proposal: &tierpb.ProposalNumber{Counter: 1000, Proposer: 3}, Value: changed,
 		})
 		assert.Assert(t, accepted.Accepted)
 		began := time.Now()
@@ -190,7 +190,7 @@
 	const address = "10.0.2.1:7000"
 	c.directory.answering(address, true)
 	reply := func(feed, identity, epoch uint64) *tierpb.WatchReply {
-		return &tierpb.WatchReply{Feed: feed, Answerer: &tierpb.Answerer{Identity: identity, Epoch: epoch}}
+		return &tierpb.WatchReply{Incarnation: feed, Responder: &tierpb.Responder{Identity: identity, Epoch: epoch}}
 	}
 	c.answered(address, reply(5, 2, 0), now)
 	assert.Assert(t, c.hasContact(2))
@@ -220,7 +220,7 @@
 	assert.Equal(t, c.newestVoters().Epoch, uint64(2), "they may have been chosen")
 	c.state.SetControl(state(3, 1))
 	assert.Equal(t, c.newestVoters().Epoch, uint64(1))
-	assert.Equal(t, c.answerer(&tierpb.WatchRequest{Feed: 1}, &tierpb.WatchReply{Feed: 1}).GetEpoch(), uint64(0))
+	assert.Equal(t, c.answerer(&tierpb.WatchRequest{Incarnation: 1}, &tierpb.WatchReply{Incarnation: 1}).GetEpoch(), uint64(0))
 }
 
 // A freeze that is shorter than contact lasts is no silence of stores that call often.
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
-	"pulleygw.example/pulleygw/internal/tier/orders"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/peers"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/registry"
@@ -47,7 +47,7 @@
 	readiness *watch.ReadinessGate
 	directory *directory
 	register  controlRegister
-	history   *orders.History
+	history   *changelog.History
 
 	departures *departures
 	progress   progress
@@ -57,14 +57,14 @@
 	tenure     placementTenure // keepPlaced alone uses it
 	listening  *listening
 	sampler    *peers.Sampler
-	silence    *registry.Silence
+	silence    *registry.FailureDetector
 	lookedAt   time.Time // at the stores' silence; maintenance alone uses it
 	announced  *announcements
 	now        func() time.Time
 	moveMu     sync.Mutex
-	move       seenMove      // guarded by moveMu
-	stopping   atomic.Bool   // told to stop, and finishing what is in hand
-	faults     *fault.Points // tests only
+	move       seenMove          // guarded by moveMu
+	stopping   atomic.Bool       // told to stop, and finishing what is in hand
+	faults     *failpoint.Points // tests only
 
 	redundancy redundancy
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
-	history, err := orders.OpenHistory(disk, filepath.Join(current.DataDir, ordersFolder))
+	history, err := changelog.OpenHistory(disk, filepath.Join(current.DataDir, ordersFolder))
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
@@ -128,7 +128,7 @@
 	c := &coordinator{
 		live: live, log: log, self: self, caller: caller, state: watch.NewState(),
 		sampler: peers.NewSampler(self, caller, seeds), accepted: func() *tierpb.ControlState { return nil },
-		directory: newDirectory(time.Now), silence: registry.NewSilence(heartbeatPeriod(live.Current())),
+		directory: newDirectory(time.Now), silence: registry.NewFailureDetector(heartbeatPeriod(live.Current())),
 		announced: newAnnouncements(), departures: newDepartures(), now: time.Now,
 	}
 	c.listening = newListening(func() time.Time { return c.now() })
--- a/internal/tier/coordinator/fence_test.go
+++ b/internal/tier/coordinator/fence_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/lease"
 	"pulleygw.example/pulleygw/internal/tier/placement"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -19,17 +19,17 @@
 // stops decides for one process what happens at fault points.
 type stops struct {
 	mu   sync.Mutex
-	stop func(fault.Point) bool
+	stop func(failpoint.Point) bool
 }
 
-func (s *stops) pass(point fault.Point) bool {
+func (s *stops) pass(point failpoint.Point) bool {
 	s.mu.Lock()
 	stop := s.stop
 	s.mu.Unlock()
 	return stop != nil && stop(point)
 }
 
-func (s *stops) set(stop func(fault.Point) bool) {
+func (s *stops) set(stop func(failpoint.Point) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stop = stop
@@ -44,10 +44,10 @@
 }
 
 // freezeAt holds up what passes a point first at a machine.
-func (c *cluster) freezeAt(name string, point fault.Point) *sleeper {
+func (c *cluster) freezeAt(name string, point failpoint.Point) *sleeper {
 	s := &sleeper{cluster: c, name: name, asleep: make(chan struct{}), wake: make(chan struct{})}
 	once := &sync.Once{}
-	c.at(name).points.set(func(passed fault.Point) bool {
+	c.at(name).points.set(func(passed failpoint.Point) bool {
 		if passed == point {
 			once.Do(func() {
 				c.isolate(name, true)
@@ -95,7 +95,7 @@
 	c.t.Helper()
 	for range 100 {
 		for name := range c.machines {
-			if p := c.at(name); p != nil && p.lease.Held() {
+			if p := c.at(name); p != nil && p.lease.OwnsLease() {
 				return name
 			}
 		}
@@ -106,7 +106,7 @@
 }
 
 // candidacy is a machine's part in the competition for the lease.
-func (c *cluster) candidacy(name string, holder *lease.Holder) func(context.Context) {
+func (c *cluster) candidacy(name string, holder *lease.Candidate) func(context.Context) {
 	leader, free := c.leader, c.free
 	return func(ctx context.Context) {
 		if leader != "" && leader != name {
@@ -136,7 +136,7 @@
 
 // A holder that slept after it had decided to replace a silent voter finds that voter back when it wakes.
 func TestFrozenHolderDoesNotReplaceAVoterThatCameBack(t *testing.T) {
-	for _, point := range []fault.Point{fault.PlacementDecided, fault.PrepareDone, fault.AcceptSending} {
+	for _, point := range []failpoint.Point{failpoint.PlacementDecided, failpoint.PrepareDone, failpoint.AcceptSending} {
 		inClusterLedBy(t, "core-4", 4, 1, func(c *cluster) {
 			c.isolate("core-2", true)
 			c.pass(500 * time.Millisecond)
@@ -156,7 +156,7 @@
 
 // A holder that slept after it had decided to abandon a silent turn store finds it calling when it wakes.
 func TestFrozenHolderDoesNotAbandonATurnStoreThatCameBack(t *testing.T) {
-	for _, point := range []fault.Point{fault.PlacementDecided, fault.PrepareDone, fault.AcceptSending} {
+	for _, point := range []failpoint.Point{failpoint.PlacementDecided, failpoint.PrepareDone, failpoint.AcceptSending} {
 		inClusterLedBy(t, "core-1", 3, 1, func(c *cluster) {
 			stores := []*tierpb.Node{storeNode(1), storeNode(2), storeNode(3), storeNode(4)}
 			c.storesRun(3*time.Second, "core-1", stores...)
@@ -180,14 +180,14 @@
 	inClusterLedBy(t, "core-4", 4, 1, func(c *cluster) {
 		before := c.term("core-1")
 		c.isolate("core-2", true)
-		frozen := c.freezeAt("core-4", fault.PlacementDecided)
+		frozen := c.freezeAt("core-4", failpoint.PlacementDecided)
 		frozen.awaitSleep(5 * time.Second)
 		c.isolate("core-2", false)
 		c.isolate("core-4", true)
 		c.pass(5 * time.Second)
 		c.isolate("core-4", false)
 		c.pass(3 * time.Second)
-		assert.Assert(t, c.at("core-4").lease.Held(), "acquired anew")
+		assert.Assert(t, c.at("core-4").lease.OwnsLease(), "acquired anew")
 		frozen.thaw()
 		c.pass(5 * time.Second)
 		assert.DeepEqual(t, c.voterNames("core-1"), []string{"core-1", "core-2", "core-3"})
@@ -201,16 +201,16 @@
 	inClusterLedBy(t, "core-1", 3, 1, func(c *cluster) {
 		stranger := c.at("core-2")
 		chosen, err := stranger.register.Change(context.Background(), func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-			placement.TermOf(current).Next(stranger.self.Identity).Mark(current)
+			placement.TermOf(current).Next(stranger.self.Identity).Stamp(current)
 			return current, nil
 		})
 		assert.NilError(t, err)
-		tenure := c.at("core-1").lease.Tenure()
+		tenure := c.at("core-1").lease.Acquisition()
 		c.storesRun(2*time.Second, "core-1", storeNode(1), storeNode(2), storeNode(3))
 		c.storesRun(3*time.Second, "core-1", storeNode(1), storeNode(2), storeNode(3))
 		current, _ := c.members("core-2")
 		assert.DeepEqual(t, current, []string{"store-1", "store-2", "store-3"})
-		assert.Assert(t, c.at("core-1").lease.Tenure() > tenure)
+		assert.Assert(t, c.at("core-1").lease.Acquisition() > tenure)
 		assert.Equal(t, c.term("core-2"), placement.TermOf(chosen).Next(c.at("core-1").self.Identity))
 	})
 }
@@ -219,9 +219,9 @@
 func TestChangeFromAnOldViewIsRefused(t *testing.T) {
 	inClusterLedBy(t, "core-1", 3, 1, func(c *cluster) {
 		p, once, ages := c.at("core-1"), &sync.Once{}, 0
-		tenure := p.lease.Tenure()
-		p.points.set(func(passed fault.Point) bool {
-			if passed == fault.PlacementDecided {
+		tenure := p.lease.Acquisition()
+		p.points.set(func(passed failpoint.Point) bool {
+			if passed == failpoint.PlacementDecided {
 				ages++
 				once.Do(func() { c.machines["core-1"].sleepFor(placement.OldestView + time.Millisecond) })
 			}
@@ -232,13 +232,13 @@
 		current, _ := c.members("core-2")
 		assert.DeepEqual(t, current, []string{"store-1", "store-2", "store-3"})
 		assert.Equal(t, ages, 2, "the first was refused")
-		assert.Equal(t, p.lease.Tenure(), tenure, "the lease was not lost")
+		assert.Equal(t, p.lease.Acquisition(), tenure, "the lease was not lost")
 	})
 }
 
 // A holder is frozen while it raises the term; another raises it meanwhile.
 func TestHolderThatIsFrozenWhileItRaisesTheTermComesTooLate(t *testing.T) {
-	for _, point := range []fault.Point{fault.PrepareSending, fault.PrepareDone, fault.AcceptSending, fault.AcceptDone} {
+	for _, point := range []failpoint.Point{failpoint.PrepareSending, failpoint.PrepareDone, failpoint.AcceptSending, failpoint.AcceptDone} {
 		inClusterLedBy(t, "core-1", 3, 1, func(c *cluster) {
 			before := c.term("core-2")
 			c.kill("core-1")
--- a/internal/tier/coordinator/followers_test.go
+++ b/internal/tier/coordinator/followers_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
@@ -127,7 +127,7 @@
 			break
 		}
 		running.Go(func() {
-			for number := 0; pause.For(ctx, gap); {
+			for number := 0; clock.Sleep(ctx, gap); {
 				number++
 				told := &tierpb.Instance{Id: fmt.Sprintf("i-%d-%s", number, name), Backend: "s", Address: "10.9.0.9:80", Sequence: 1}
 				c.at(name).state.Upsert(told)
--- a/internal/tier/coordinator/heartbeat_test.go
+++ b/internal/tier/coordinator/heartbeat_test.go
@@ -63,7 +63,7 @@
 		for _, name := range []string{"core-1", "core-2", "core-3"} {
 			known := c.at(name).state.Instance("i-1")
 			assert.Equal(t, known.Sequence, uint64(7), name)
-			assert.Equal(t, known.ColdRemainingMs, uint32(0), name)
+			assert.Equal(t, known.SlowStartRemainingMs, uint32(0), name)
 			assert.Equal(t, known.Address, "10.9.0.1:80", name)
 		}
 	})
--- a/internal/tier/coordinator/history.go
+++ b/internal/tier/coordinator/history.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -22,7 +22,7 @@
 func (c *coordinator) keepOrders(ctx context.Context) {
 	var kept *tierpb.ControlState
 	wait := ordersInterval
-	for pause.For(ctx, wait) {
+	for clock.Sleep(ctx, wait) {
 		known := c.state.Control()
 		if known == kept {
 			continue
@@ -64,30 +64,30 @@
 }
 
 // fetchRuns asks the other coordinators, one after the other, for runs; it returns those that were found.
-func (c *coordinator) fetchRuns(ctx context.Context, lacking [][]byte) []*tierpb.OrderRun {
+func (c *coordinator) fetchRuns(ctx context.Context, lacking [][]byte) []*tierpb.ChangeSegment {
 	if len(lacking) == 0 {
 		return nil
 	}
 	first := rand.N(max(1, len(lacking)-runsOfACall+1)) // some may be lost for good
-	request := &tierpb.OrderRunsRequest{Digests: lacking[first:min(first+runsOfACall, len(lacking))]}
+	request := &tierpb.ChangeSegmentsRequest{Digests: lacking[first:min(first+runsOfACall, len(lacking))]}
 	for _, target := range c.targets() {
 		limited, cancel := context.WithTimeout(ctx, ordersCall)
-		reply := &tierpb.OrderRunsReply{}
-		err := c.caller.Call(limited, target.Address, rpc.MethodOrderRuns, request, reply)
+		reply := &tierpb.ChangeSegmentsReply{}
+		err := c.caller.Call(limited, target.Address, rpc.MethodChangeSegments, request, reply)
 		cancel()
-		if err == nil && len(reply.Runs) > 0 {
-			return reply.Runs
+		if err == nil && len(reply.Segments) > 0 {
+			return reply.Segments
 		}
 	}
 	return nil
 }
 
 // takeOrderRuns answers another coordinator that lacks runs.
-func (c *coordinator) takeOrderRuns(_ context.Context, request *tierpb.OrderRunsRequest) (*tierpb.OrderRunsReply, error) {
-	reply := &tierpb.OrderRunsReply{}
+func (c *coordinator) takeOrderRuns(_ context.Context, request *tierpb.ChangeSegmentsRequest) (*tierpb.ChangeSegmentsReply, error) {
+	reply := &tierpb.ChangeSegmentsReply{}
 	for _, digest := range request.Digests[:min(len(request.Digests), runsOfACall)] {
 		if run := c.history.Run(digest); run != nil {
-			reply.Runs = append(reply.Runs, run)
+			reply.Segments = append(reply.Segments, run)
 		}
 	}
 	return reply, nil
--- a/internal/tier/coordinator/instances_test.go
+++ b/internal/tier/coordinator/instances_test.go
@@ -14,9 +14,9 @@
 
 const (
 	ready    = tierpb.InstanceState_INSTANCE_READY
-	silent   = tierpb.InstanceState_INSTANCE_SILENT
+	silent   = tierpb.InstanceState_INSTANCE_SUSPECT
 	draining = tierpb.InstanceState_INSTANCE_DRAINING
-	gone     = tierpb.InstanceState_INSTANCE_GONE
+	gone     = tierpb.InstanceState_INSTANCE_DEREGISTERED
 )
 
 func heartbeat(state string, sequence int) string {
@@ -144,9 +144,9 @@
 		news, err := c.at("core-1").poll(&tierpb.WatchRequest{Follower: agent, WaitMs: 700, ControlVersion: version})
 		assert.NilError(t, err)
 		assert.Equal(t, len(news.Instances), 1)
-		assert.Assert(t, news.Answerer.NotReady)
+		assert.Assert(t, news.Responder.NotReady)
 		_, err = c.at("core-1").poll(&tierpb.WatchRequest{
-			Follower: agent, WaitMs: 700, ControlVersion: version, Feed: news.Feed, Cursor: news.Cursor,
+			Follower: agent, WaitMs: 700, ControlVersion: version, Incarnation: news.Incarnation, Cursor: news.Cursor,
 		})
 		assert.ErrorIs(t, err, watch.ErrNotReady)
 		c.isolate("core-1", false)
--- a/internal/tier/coordinator/joint_test.go
+++ b/internal/tier/coordinator/joint_test.go
@@ -11,15 +11,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 )
 
 // atJoint lets something happen once a machine's proposer comes to the point between the two steps of a change of
 // voters: the joint ones are chosen, the final ones are not proposed. The function says whether that has been.
 func (c *cluster) atJoint(name string, strike func() (dies bool)) (struck func() bool) {
 	once, mu, done := &sync.Once{}, &sync.Mutex{}, false
-	c.at(name).points.set(func(passed fault.Point) (dies bool) {
-		if passed == fault.VotersJoint {
+	c.at(name).points.set(func(passed failpoint.Point) (dies bool) {
+		if passed == failpoint.VotersJoint {
 			once.Do(func() {
 				dies = strike()
 				mu.Lock()
--- a/internal/tier/coordinator/listening.go
+++ b/internal/tier/coordinator/listening.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"sync"
 	"time"
 )
@@ -26,7 +26,7 @@
 
 // keep looks again and again until ctx ends.
 func (l *listening) keep(ctx context.Context) {
-	for pause.For(ctx, maintenanceInterval) {
+	for clock.Sleep(ctx, maintenanceInterval) {
 		l.since()
 	}
 }
--- a/internal/tier/coordinator/maintenance.go
+++ b/internal/tier/coordinator/maintenance.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -92,7 +92,7 @@
 
 // learnChosen finds out which value is chosen. The others may be about to do the same.
 func (c *coordinator) learnChosen(ctx context.Context) {
-	if !pause.For(ctx, rand.N(maintenanceInterval)) || !c.holdsUnknown() {
+	if !clock.Sleep(ctx, rand.N(maintenanceInterval)) || !c.holdsUnknown() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, readPatience)
@@ -106,7 +106,7 @@
 		if !register.IsVoter(c.state.Control(), c.self.Identity) && !c.votesFromStart() {
 			c.join(ctx)
 		}
-		if !pause.For(ctx, joinInterval/2+rand.N(joinInterval)) {
+		if !clock.Sleep(ctx, joinInterval/2+rand.N(joinInterval)) {
 			return
 		}
 	}
--- a/internal/tier/coordinator/network_test.go
+++ b/internal/tier/coordinator/network_test.go
@@ -122,8 +122,8 @@
 		return p.watch(ctx, decoded(&tierpb.WatchRequest{}, payload))
 	case rpc.MethodAnnounce:
 		return p.takeAnnounce(ctx, decoded(&tierpb.AnnounceRequest{}, payload))
-	case rpc.MethodOrderRuns:
-		return p.takeOrderRuns(ctx, decoded(&tierpb.OrderRunsRequest{}, payload))
+	case rpc.MethodChangeSegments:
+		return p.takeOrderRuns(ctx, decoded(&tierpb.ChangeSegmentsRequest{}, payload))
 	case rpc.MethodJoin:
 		return p.takeJoin(ctx, decoded(&tierpb.JoinRequest{}, payload))
 	}
--- a/internal/tier/coordinator/orders.go
+++ b/internal/tier/coordinator/orders.go
@@ -3,34 +3,34 @@
 import (
 	"fmt"
 
-	"pulleygw.example/pulleygw/internal/tier/orders"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
 	"pulleygw.example/pulleygw/internal/tier/result"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
 // order is a configuration that an operator sent.
 type order struct {
-	orders.Order
+	changelog.Order
 	body []byte
-	runs orders.Runs // older orders that were taken
+	runs changelog.Runs // older orders that were taken
 }
 
-func newOrder(ifMatch, generation uint64, body []byte, runs orders.Runs) *order {
-	return &order{Order: orders.New(ifMatch, generation, body), body: body, runs: runs}
+func newOrder(ifMatch, generation uint64, body []byte, runs changelog.Runs) *order {
+	return &order{Order: changelog.New(ifMatch, generation, body), body: body, runs: runs}
 }
 
 // change takes the order where it builds on the current version. One that was taken before changes nothing; any other
 // ends with a *result.Error, which is a refusal only where the order is known not to have been taken.
 func (o *order) change(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	generation := current.GetConfiguration().GetGeneration()
-	switch orders.Judge(current, o.runs, o.Order) {
-	case orders.Taken:
+	switch changelog.Judge(current, o.runs, o.Order) {
+	case changelog.Taken:
 		return current, nil
-	case orders.NotTaken:
+	case changelog.NotTaken:
 		return nil, result.New(result.VersionConflict, fmt.Sprintf("version %d is current", generation))
-	case orders.Missing:
+	case changelog.Missing:
 		return nil, result.New(result.OrderLookedUp, "")
-	case orders.Forgotten:
+	case changelog.Forgotten:
 		return nil, result.New(result.ForgottenOrder, "")
 	}
 	if o.Generation <= generation {
@@ -38,7 +38,7 @@
 			fmt.Sprintf("%d is not above the current %d", o.Generation, generation))
 	}
 	current.Configuration = &tierpb.Configuration{Generation: o.Generation, Body: o.body}
-	orders.Add(current, o.Order)
+	changelog.Add(current, o.Order)
 	return current, nil
 }
 
@@ -48,6 +48,6 @@
 	if o.IfMatch >= chosen.GetConfiguration().GetGeneration() {
 		return false
 	}
-	verdict := orders.Judge(chosen, o.runs, o.Order)
-	return verdict == orders.Taken || verdict == orders.NotTaken
+	verdict := changelog.Judge(chosen, o.runs, o.Order)
+	return verdict == changelog.Taken || verdict == changelog.NotTaken
 }
--- a/internal/tier/coordinator/orders_test.go
+++ b/internal/tier/coordinator/orders_test.go
@@ -228,7 +228,7 @@
 		c.rate = thinLink
 		c.mu.Unlock()
 		for _, m := range c.machines {
-			m.hardware.Disk.SetTrouble(simulation.Trouble{Delay: 10 * usualSync})
+			m.hardware.Disk.SetFault(simulation.DiskFault{Delay: 10 * usualSync})
 		}
 		began := time.Now()
 		statuses := make(chan int, operators)
--- a/internal/tier/coordinator/place.go
+++ b/internal/tier/coordinator/place.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/placement"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -22,9 +22,9 @@
 	listening.Go(func() { c.listening.keep(ctx) })
 	defer listening.Wait()
 	wait := maintenanceInterval
-	for pause.For(ctx, wait) {
+	for clock.Sleep(ctx, wait) {
 		wait = maintenanceInterval
-		if !c.lease.Held() {
+		if !c.lease.OwnsLease() {
 			c.redundancy = redundancy{} // another one measures
 			continue
 		}
--- a/internal/tier/coordinator/random_placement_test.go
+++ b/internal/tier/coordinator/random_placement_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/placement"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -146,7 +146,7 @@
 		}
 	case 5, 6:
 		name = s.holderAmong(name)
-		points := []fault.Point{fault.PlacementDecided, fault.PrepareDone, fault.AcceptSending, fault.VotersJoint}
+		points := []failpoint.Point{failpoint.PlacementDecided, failpoint.PrepareDone, failpoint.AcceptSending, failpoint.VotersJoint}
 		s.frozen[name] = s.freezeAt(name, points[s.random.IntN(len(points))])
 		s.away[name] = back.Add(sleepLonger)
 	}
@@ -155,7 +155,7 @@
 // holderAmong is the machine that holds the lease where it is not in trouble, else another.
 func (s *placementSchedule) holderAmong(other string) string {
 	for _, name := range s.runningMachines() {
-		if _, found := s.away[name]; !found && s.at(name).lease.Held() {
+		if _, found := s.away[name]; !found && s.at(name).lease.OwnsLease() {
 			return name
 		}
 	}
--- a/internal/tier/coordinator/serve.go
+++ b/internal/tier/coordinator/serve.go
@@ -66,17 +66,17 @@
 }
 
 // newGrantor grants leases on behalf of the acceptor's voter. It holds back where it may have granted some before.
-func (c *coordinator) newGrantor(acceptor *register.Acceptor) *lease.Grantor {
-	holdBack := lease.LongestTerm
+func (c *coordinator) newGrantor(acceptor *register.Acceptor) *lease.Lessor {
+	holdBack := lease.MaxTTL
 	if acceptor.Fresh() && c.live.Current().Bootstrap {
 		holdBack = 0
 	}
-	return lease.NewGrantor(c.self.Identity, holdBack)
+	return lease.NewLessor(c.self.Identity, holdBack)
 }
 
 // newHolder tries to hold the lease for placement.
-func (c *coordinator) newHolder(local *lease.Grantor) *lease.Holder {
-	holder := lease.NewHolder(lease.HolderOptions{
+func (c *coordinator) newHolder(local *lease.Lessor) *lease.Candidate {
+	holder := lease.NewCandidate(lease.CandidateOptions{
 		Role: placementRole, Self: c.self.Identity, Caller: c.caller, Local: local, Voters: c.voters,
 		Changed: func(held bool) { c.log.Info("lease", "role", placementRole, "held", held) },
 	})
@@ -114,7 +114,7 @@
 	rpc.Handle(server, rpc.MethodAnnounce, c.takeAnnounce)
 	rpc.Handle(server, rpc.MethodJoin, c.takeJoin)
 	rpc.Handle(server, rpc.MethodPing, c.takePing)
-	rpc.Handle(server, rpc.MethodOrderRuns, c.takeOrderRuns)
+	rpc.Handle(server, rpc.MethodChangeSegments, c.takeOrderRuns)
 	c.sampler.Serve(server)
 }
 
@@ -132,15 +132,15 @@
 	if err != nil {
 		return nil, err
 	}
-	reply.Answerer = c.answerer(request, reply)
+	reply.Responder = c.answerer(request, reply)
 	return reply, nil
 }
 
 // answerer tells another coordinator what it needs to count this one's vote, nil where it knows: a feed belongs to one
 // life of a process, and most often the newest voters are those of the control state that the reply brings it up to.
-func (c *coordinator) answerer(request *tierpb.WatchRequest, reply *tierpb.WatchReply) *tierpb.Answerer {
-	told := &tierpb.Answerer{}
-	if request.Feed != reply.Feed {
+func (c *coordinator) answerer(request *tierpb.WatchRequest, reply *tierpb.WatchReply) *tierpb.Responder {
+	told := &tierpb.Responder{}
+	if request.Incarnation != reply.Incarnation {
 		told.Identity = c.self.Identity
 	}
 	if epoch := c.newestVoters().GetEpoch(); epoch > c.state.Control().GetEpoch() {
--- a/internal/tier/coordinator/tenure.go
+++ b/internal/tier/coordinator/tenure.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/placement"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -12,10 +12,10 @@
 
 // placementLease is what placement needs of the lease's holder.
 type placementLease interface {
-	Held() bool
-	HeldBy(voters []*tierpb.VoterSet) bool
-	Tenure() uint64
-	Forfeit()
+	OwnsLease() bool
+	OwnsLeaseOf(voters []*tierpb.VoterSet) bool
+	Acquisition() uint64
+	Resign()
 }
 
 // placementTenure is the holding of the lease under which this process makes changes.
@@ -27,7 +27,7 @@
 // beginTenure raises the term once after each acquisition of the lease, before anything is changed under it. When that
 // is chosen, nothing that an earlier holder has under way can be chosen any more: it has a lower ballot.
 func (c *coordinator) beginTenure(ctx context.Context) error {
-	number := c.lease.Tenure()
+	number := c.lease.Acquisition()
 	if number == c.tenure.number {
 		return nil
 	}
@@ -39,7 +39,7 @@
 			return nil, placement.ErrLeaseLost
 		}
 		term = placement.TermOf(current).Next(c.self.Identity)
-		term.Mark(current)
+		term.Stamp(current)
 		return current, nil
 	})
 	if err != nil {
@@ -52,8 +52,8 @@
 
 // holds says whether the voters of a value grant the lease to this process, as they did since an acquisition.
 func (c *coordinator) holds(current *tierpb.ControlState, number uint64) bool {
-	held := c.lease.HeldBy(current.GetVoters())
-	return held && c.lease.Tenure() == number // in this order: it may be lost and acquired in between
+	held := c.lease.OwnsLeaseOf(current.GetVoters())
+	return held && c.lease.Acquisition() == number // in this order: it may be lost and acquired in between
 }
 
 // decideFunc computes the next value, nil where nothing is to be done. It may alter the current one.
@@ -68,11 +68,11 @@
 		if next == nil {
 			return nil, nil
 		}
-		if err := c.faults.At(fault.PlacementDecided); err != nil {
+		if err := c.faults.At(failpoint.PlacementDecided); err != nil {
 			return nil, err
 		}
 		claim := placement.Claim{
-			Term: c.tenure.term, Held: c.holds(current, c.tenure.number), ViewAge: c.now().Sub(view.Now),
+			Term: c.tenure.term, LeaseOwned: c.holds(current, c.tenure.number), ViewAge: c.now().Sub(view.Now),
 		}
 		if err := placement.Admit(placement.TermOf(current), claim); err != nil {
 			return nil, err
@@ -91,7 +91,7 @@
 	newest := placement.TermOf(c.state.Control())
 	c.log.Info("stale holder refused", "reason", reason, "own", c.tenure.term.Number, "term", newest.Number, "holder", newest.Holder)
 	if errors.Is(reason, placement.ErrFenced) {
-		c.lease.Forfeit()
+		c.lease.Resign()
 	}
 }
 
--- a/internal/tier/coordinator/trouble_test.go
+++ b/internal/tier/coordinator/trouble_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/orders"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
@@ -55,7 +55,7 @@
 }
 
 type sentOrder struct {
-	order      orders.Order
+	order      changelog.Order
 	generation uint64
 	status     int
 	at         time.Time
@@ -208,7 +208,9 @@
 	}
 	assert.Equal(t, r.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
 	r.pass(2 * time.Second)
-	slices.SortStableFunc(r.names, func(a, b string) int { return boolRank(r.at(b).lease.Held()) - boolRank(r.at(a).lease.Held()) })
+	slices.SortStableFunc(r.names, func(a, b string) int {
+		return boolRank(r.at(b).lease.OwnsLease()) - boolRank(r.at(a).lease.OwnsLease())
+	})
 	r.apart = slices.Clone(r.names[:apart])
 	for i := range edgeCount {
 		r.restartEdge(i)
@@ -268,8 +270,8 @@
 		t.Error(problem)
 	}
 	control := r.at(r.apart[0]).state.Control()
-	isTaken := func(sent orders.Order) bool {
-		return orders.Judge(control.CloneVT(), r.at(r.apart[0]).history, sent) == orders.Taken
+	isTaken := func(sent changelog.Order) bool {
+		return changelog.Judge(control.CloneVT(), r.at(r.apart[0]).history, sent) == changelog.Taken
 	}
 	taken := 0
 	for _, sent := range r.orders {
--- a/internal/tier/endtoend/faults_test.go
+++ b/internal/tier/endtoend/faults_test.go
@@ -8,12 +8,12 @@
 	"github.com/rotisserie/eris"
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // withFetchRemoved is the example configuration without its first route.
-func withFetchRemoved(generation uint64) *standin.Configuration {
-	changed := standin.ExampleConfiguration(generation)
+func withFetchRemoved(generation uint64) *testbed.Configuration {
+	changed := testbed.ExampleConfiguration(generation)
 	changed.Routes = changed.Routes[1:]
 	return changed
 }
@@ -23,7 +23,7 @@
 	w.t.Helper()
 	for _, edge := range w.Edges {
 		w.until("the change is in force", func() error {
-			call := standin.Call{Method: "GET", Path: standin.FetchPrefix + "x"}
+			call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + "x"}
 			reply := w.client.Try(w.ctx, edge.Settings.Listen.Front, call)
 			if reply.Status != status {
 				return eris.Errorf("status %d, want %d", reply.Status, status)
@@ -54,7 +54,7 @@
 			w.configure(1, changed) // the same order again is acknowledged again
 
 			assert.NilError(t, w.Coordinators[victim].Start())
-			back := standin.ExampleConfiguration(9).Body()
+			back := testbed.ExampleConfiguration(9).Body()
 			w.configure(5, back)
 			w.untilRouteIs(200)
 			w.readBack(back)
@@ -66,10 +66,10 @@
 
 func TestOneOfTwoOperatorsWins(t *testing.T) {
 	w := newWorld(t)
-	bodies := [][]byte{withFetchRemoved(7).Body(), standin.ExampleConfiguration(8).Body()}
-	answers := make([]standin.OrderAnswer, len(bodies))
+	bodies := [][]byte{withFetchRemoved(7).Body(), testbed.ExampleConfiguration(8).Body()}
+	answers := make([]testbed.OrderAnswer, len(bodies))
 	w.inParallel(len(bodies), func(number int) error {
-		operator := standin.NewOperator(w.Controls()[number:])
+		operator := testbed.NewOperator(w.Controls()[number:])
 		answer, err := operator.PutConfiguration(w.ctx, 1, bodies[number])
 		answers[number] = answer
 		return err
@@ -85,13 +85,13 @@
 
 func TestInvalidConfigurationsAreRefusedAndNeverInForce(t *testing.T) {
 	w := newWorld(t)
-	unknown := standin.ExampleConfiguration(4)
+	unknown := testbed.ExampleConfiguration(4)
 	unknown.Routes[0].Backend = "nobody"
-	same := standin.ExampleConfiguration(4)
+	same := testbed.ExampleConfiguration(4)
 	same.Routes[1].PathPrefix = same.Routes[0].PathPrefix
-	noTimeout := standin.ExampleConfiguration(4)
+	noTimeout := testbed.ExampleConfiguration(4)
 	noTimeout.Routes[2].TimeoutMs = 0
-	whole := standin.ExampleConfiguration(4).Body()
+	whole := testbed.ExampleConfiguration(4).Body()
 	bodies := map[string][]byte{
 		"unknown service": unknown.Body(), "two routes at one place": same.Body(), "no time-out": noTimeout.Body(),
 		"cut short": whole[:len(whole)/2], "not above the current one": withFetchRemoved(1).Body(),
@@ -101,7 +101,7 @@
 		assert.NilError(t, err, name)
 		assert.Equal(t, answer.Status/100, 4, "%s: %d %s", name, answer.Status, answer.Body)
 	}
-	w.readBack(standin.ExampleConfiguration(1).Body())
+	w.readBack(testbed.ExampleConfiguration(1).Body())
 }
 
 func TestAWipedTurnStoreLosesNoTurn(t *testing.T) {
@@ -143,7 +143,7 @@
 
 func TestADrainedStoreGetsNothingMore(t *testing.T) {
 	w := newWorld(t)
-	replacement := w.addStore(standin.EngineService)
+	replacement := w.addStore(testbed.EngineService)
 	leaving := w.engines[0]
 	w.engines = append(w.engines, replacement)
 	assert.NilError(t, leaving.Drain(w.ctx))
@@ -175,7 +175,7 @@
 	release := w.plain[0].Hold()
 	releaseOther := w.plain[1].Hold()
 	answered := make(chan error, 1)
-	call := standin.Call{Method: "POST", Path: standin.OrderPrefix + "o", Body: []byte("held")}
+	call := testbed.Call{Method: "POST", Path: testbed.OrderPrefix + "o", Body: []byte("held")}
 	go func() { answered <- w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call) }()
 	w.untilRunning(w.plain, call.Body)
 	stopped := make(chan error, 1)
@@ -194,9 +194,9 @@
 }
 
 // untilRunning waits until one of the stores works on a request with this body and returns it.
-func (w *world) untilRunning(stores []*standin.Store, body []byte) *standin.Store {
+func (w *world) untilRunning(stores []*testbed.Store, body []byte) *testbed.Store {
 	w.t.Helper()
-	var busy *standin.Store
+	var busy *testbed.Store
 	w.until("a store works on the request", func() error {
 		for _, store := range stores {
 			for _, run := range store.Runs() {
@@ -229,7 +229,7 @@
 	releases := []func(){w.engines[0].Hold(), w.engines[1].Hold()}
 	call := talk("to break off", 12)
 	call.Program, call.Session, call.Budget = "p", "s", 100
-	answered := make(chan standin.Reply, 1)
+	answered := make(chan testbed.Reply, 1)
 	go func() { answered <- w.client.Try(w.ctx, w.Fronts()[0], call) }()
 	w.untilRunning(w.engines, call.Body).Kill()
 	for _, release := range releases {
--- a/internal/tier/endtoend/leaving_test.go
+++ b/internal/tier/endtoend/leaving_test.go
@@ -8,11 +8,11 @@
 	"github.com/rotisserie/eris"
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // untilPassedBy waits until requests sent to every edge, one after the other, no longer come to a store.
-func (w *world) untilPassedBy(leaving *standin.Store) {
+func (w *world) untilPassedBy(leaving *testbed.Store) {
 	w.t.Helper()
 	w.until("the store is passed by", func() error {
 		before := len(leaving.Runs())
@@ -81,7 +81,7 @@
 	const budget, most = 36, 12
 	w := newWorld(t)
 	var last *turn
-	next := func(front int, text string) (*turn, standin.Reply) {
+	next := func(front int, text string) (*turn, testbed.Reply) {
 		call := talk(text, most)
 		call.Program, call.Session, call.Budget = "looping", "s", budget
 		if last != nil {
--- a/internal/tier/endtoend/main_test.go
+++ b/internal/tier/endtoend/main_test.go
@@ -18,7 +18,7 @@
 	"gotest.tools/v3/poll"
 
 	"pulleygw.example/pulleygw/internal/tier/command"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // roleVariable turns this test's binary into the tier's.
@@ -51,13 +51,13 @@
 
 // world is a tier with all that surrounds it.
 type world struct {
-	*standin.Tier
+	*testbed.Tier
 	t        *testing.T
 	ctx      context.Context
-	operator *standin.Operator
-	client   *standin.Client
-	engines  []*standin.Store
-	plain    []*standin.Store
+	operator *testbed.Operator
+	client   *testbed.Client
+	engines  []*testbed.Store
+	plain    []*testbed.Store
 }
 
 // safeBuffer collects the logs of all processes.
@@ -85,13 +85,13 @@
 func newWorld(t *testing.T) *world {
 	t.Helper()
 	log := &safeBuffer{}
-	tier, err := standin.NewTier(standin.Layout{
+	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: t.TempDir(), Subnet: subnet(), Zones: []string{"north", "south", "west"}, Edges: 2, Coordinators: 3,
 		TurnStores: 3, Tolerated: 1, Launch: launch, Log: log,
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	w := &world{Tier: tier, t: t, ctx: ctx, operator: standin.NewOperator(tier.Controls()), client: standin.NewClient()}
+	w := &world{Tier: tier, t: t, ctx: ctx, operator: testbed.NewOperator(tier.Controls()), client: testbed.NewClient()}
 	t.Cleanup(func() {
 		cancel()
 		w.client.Close()
@@ -105,10 +105,10 @@
 	})
 	assert.NilError(t, tier.Start())
 	for range 2 {
-		w.engines = append(w.engines, w.addStore(standin.EngineService))
-		w.plain = append(w.plain, w.addStore(standin.PlainService))
+		w.engines = append(w.engines, w.addStore(testbed.EngineService))
+		w.plain = append(w.plain, w.addStore(testbed.PlainService))
 	}
-	w.configure(0, standin.ExampleConfiguration(1).Body())
+	w.configure(0, testbed.ExampleConfiguration(1).Body())
 	for _, edge := range tier.Edges {
 		w.until("an edge is ready", func() error { return tier.Ready(ctx, edge) })
 		w.untilServed(edge)
@@ -118,7 +118,7 @@
 
 const slots = 32
 
-func (w *world) addStore(service string) *standin.Store {
+func (w *world) addStore(service string) *testbed.Store {
 	w.t.Helper()
 	store, err := w.AddStore(w.ctx, service, slots)
 	assert.NilError(w.t, err)
@@ -154,10 +154,10 @@
 }
 
 // untilServed waits until an edge knows the configuration, the stores of both services and the turn stores.
-func (w *world) untilServed(edge *standin.Machine) {
+func (w *world) untilServed(edge *testbed.Machine) {
 	w.t.Helper()
 	w.until("a plain request is served", func() error {
-		call := standin.Call{Method: "GET", Path: standin.FetchPrefix + "first"}
+		call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + "first"}
 		return w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call)
 	})
 	w.until("a stream is served", func() error {
--- a/internal/tier/endtoend/traffic_test.go
+++ b/internal/tier/endtoend/traffic_test.go
@@ -8,17 +8,17 @@
 	"github.com/rotisserie/eris"
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // draft is a call of the route whose streams may be resumed.
-func draft(text string, tokens int) standin.Call {
-	return standin.Call{Method: "POST", Path: standin.DraftPrefix + "d", Body: []byte(text), TokensOut: tokens}
+func draft(text string, tokens int) testbed.Call {
+	return testbed.Call{Method: "POST", Path: testbed.DraftPrefix + "d", Body: []byte(text), TokensOut: tokens}
 }
 
 // talk is a turn of the route that keeps turns.
-func talk(text string, tokens int) standin.Call {
-	return standin.Call{Method: "POST", Path: standin.TalkPrefix + "t", Body: []byte(text), TokensOut: tokens}
+func talk(text string, tokens int) testbed.Call {
+	return testbed.Call{Method: "POST", Path: testbed.TalkPrefix + "t", Body: []byte(text), TokensOut: tokens}
 }
 
 // turn is one turn of a program that was answered whole.
@@ -34,18 +34,18 @@
 		return input
 	}
 	prompt := append([]byte{}, t.prompt...)
-	prompt = append(prompt, standin.Output(standin.EventData(t.prompt, standin.EventCount(t.tokens)))...)
+	prompt = append(prompt, testbed.Output(testbed.EventData(t.prompt, testbed.EventCount(t.tokens)))...)
 	return append(prompt, input...)
 }
 
 // take takes one turn and checks that its answer is whole, in order and follows from the whole chain. Refusals and
 // broken-off answers are tried again, as clients do, at the next edge.
-func (w *world) take(before *turn, call standin.Call) (*turn, error) {
+func (w *world) take(before *turn, call testbed.Call) (*turn, error) {
 	return w.takeFrom(0, before, call)
 }
 
 // takeFrom is take with the edge that gets the first try.
-func (w *world) takeFrom(edge int, before *turn, call standin.Call) (*turn, error) {
+func (w *world) takeFrom(edge int, before *turn, call testbed.Call) (*turn, error) {
 	if before != nil {
 		call.Previous = before.id
 	}
@@ -80,7 +80,7 @@
 
 // order sends a request that may run once; it is sent again only after a promise.
 func (w *world) order(text string) error {
-	call := standin.Call{Method: "POST", Path: standin.OrderPrefix + "o", Body: []byte(text)}
+	call := testbed.Call{Method: "POST", Path: testbed.OrderPrefix + "o", Body: []byte(text)}
 	for attempt := 0; ; attempt++ {
 		reply := w.client.Try(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
 		if reply.Promised() && w.ctx.Err() == nil {
@@ -92,7 +92,7 @@
 
 // fetch sends a request that may be repeated until it is served.
 func (w *world) fetch(path string) error {
-	call := standin.Call{Method: "GET", Path: standin.FetchPrefix + path}
+	call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + path}
 	for attempt := 0; ; attempt++ {
 		reply := w.client.Try(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
 		if reply.Err == nil && reply.Status == 200 || w.ctx.Err() != nil {
@@ -153,7 +153,7 @@
 		return err
 	})
 	w.checkOnce()
-	w.readBack(standin.ExampleConfiguration(1).Body())
+	w.readBack(testbed.ExampleConfiguration(1).Body())
 }
 
 func TestSeveralTurnsGoOnFromOne(t *testing.T) {
@@ -193,7 +193,7 @@
 				if err := reply.CheckEvents(call, call.Body); err != nil {
 					return err
 				}
-				handed[number] += standin.EventCount(most) * standin.Stride
+				handed[number] += testbed.EventCount(most) * testbed.Stride
 			case !reply.Promised():
 				return eris.Errorf("status %d: %v", reply.Status, reply.Err)
 			}
--- a/internal/tier/fault/fault.go
+++ b/internal/tier/failpoint/failpoint.go
@@ -1,6 +1,6 @@
-// Package fault numbers the points at which tests stop a process. Outside tests no Points exist, and At on a nil
+// Package failpoint numbers the points at which tests stop a process. Outside tests no Points exist, and At on a nil
 // Points does nothing.
-package fault
+package failpoint
 
 import "github.com/rotisserie/eris"
 
@@ -10,8 +10,8 @@
 // The points, in the order in which a change passes them.
 const (
 	PrepareSending      Point = iota + 1 // proposer: before the first prepare leaves
-	PromiseUnsaved                       // acceptor: a promise was granted, nothing is written
-	PromiseSaved                         // acceptor: the promise is on disk, the answer is not sent
+	PrepareUnsaved                       // acceptor: a promise was granted, nothing is written
+	PrepareSaved                         // acceptor: the promise is on disk, the answer is not sent
 	PrepareDone                          // proposer: a quorum has promised, no accept has left
 	AcceptSending                        // proposer: before each single accept leaves
 	AcceptUnsaved                        // acceptor: nothing of an acceptance is written
--- a/internal/tier/fleet/coordinator_test.go
+++ b/internal/tier/fleet/coordinator_test.go
@@ -19,12 +19,12 @@
 	machine *simulation.Machine
 	self    *tierpb.Node
 	state   *watch.State
-	silence *registry.Silence
+	silence *registry.FailureDetector
 	cancel  context.CancelFunc
 	listed  int
 
 	mu       sync.Mutex
-	life     *simulation.Life
+	life     *simulation.Incarnation
 	dark     bool // its machine is without power: no connection is reset
 	answers  map[string]bool
 	startsAt []time.Time // first polls of agents: those that are not to be held
@@ -45,7 +45,7 @@
 // start begins a life that knows nothing.
 func (c *coordinator) start() {
 	life, state := c.machine.Start(), watch.NewState()
-	c.state, c.silence, c.listed = state, registry.NewSilence(heartbeat), 0
+	c.state, c.silence, c.listed = state, registry.NewFailureDetector(heartbeat), 0
 	c.mu.Lock()
 	c.life, c.dark, c.answers = life, false, make(map[string]bool)
 	c.mu.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // current is the newest life, and whether the machine is without power.
-func (c *coordinator) current() (*simulation.Life, bool) {
+func (c *coordinator) current() (*simulation.Incarnation, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.life, c.dark
--- a/internal/tier/fleet/trouble_test.go
+++ b/internal/tier/fleet/trouble_test.go
@@ -166,7 +166,7 @@
 func TestFreshCoordinatorsEmptyNoList(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, f *fleet) {
 		gone := f.stores[3]
-		f.end(gone, tierpb.InstanceState_INSTANCE_GONE)
+		f.end(gone, tierpb.InstanceState_INSTANCE_DEREGISTERED)
 		f.stores = append(f.stores[:3:3], f.stores[4:]...)
 		f.pass(time.Second)
 		f.forget()
@@ -215,8 +215,8 @@
 	for _, minority := range []int{0, 2} {
 		for _, majority := range []int{1, 3, 4} {
 			from, to := f.coordinators[minority].self.Address, f.coordinators[majority].self.Address
-			f.network.Cut(from, to, cut)
-			f.network.Cut(to, from, cut)
+			f.network.Partition(from, to, cut)
+			f.network.Partition(to, from, cut)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 		for range rounds {
 			for i := range flapping {
 				old := f.stores[i]
-				f.end(old, tierpb.InstanceState_INSTANCE_GONE)
+				f.end(old, tierpb.InstanceState_INSTANCE_DEREGISTERED)
 				f.stores[i] = f.newStore(i)
 				stale := old.instance.CloneVT() // a heartbeat sent before the end that arrives after it
 				stale.Sequence, stale.State = stale.Sequence+1, tierpb.InstanceState_INSTANCE_READY
--- a/internal/tier/lease/grantor.go
+++ b/internal/tier/lease/grantor.go
@@ -11,12 +11,12 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// LongestTerm bounds the terms that are granted. A grantor that has started holds back for as long, because it does
+// MaxTTL bounds the terms that are granted. A grantor that has started holds back for as long, because it does
 // not know what it granted before.
-const LongestTerm = 2 * time.Second
+const MaxTTL = 2 * time.Second
 
-// Grantor grants leases on behalf of one voter. It keeps nothing on disk.
-type Grantor struct {
+// Lessor grants leases on behalf of one voter. It keeps nothing on disk.
+type Lessor struct {
 	identity uint64
 	opens    time.Time // nothing is granted before
 	mu       sync.Mutex
@@ -29,14 +29,14 @@
 	expires  time.Time
 }
 
-// NewGrantor makes the grantor of a voter with this identity; holdBack is LongestTerm except at the first start of the
+// NewLessor makes the grantor of a voter with this identity; holdBack is LongestTerm except at the first start of the
 // whole system.
-func NewGrantor(identity uint64, holdBack time.Duration) *Grantor {
-	return &Grantor{identity: identity, opens: time.Now().Add(holdBack), grants: make(map[string]grant)}
+func NewLessor(identity uint64, holdBack time.Duration) *Lessor {
+	return &Lessor{identity: identity, opens: time.Now().Add(holdBack), grants: make(map[string]grant)}
 }
 
 // Answer grants, renews or releases a lease.
-func (g *Grantor) Answer(request *tierpb.LeaseRequest) *tierpb.LeaseReply {
+func (g *Lessor) Answer(request *tierpb.LeaseRequest) *tierpb.LeaseReply {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +59,7 @@
 	case now.Before(g.opens):
 		return &tierpb.LeaseReply{RemainingMs: milliseconds(g.opens.Sub(now))}
 	}
-	term := min(time.Duration(request.GetTtlMs())*time.Millisecond, LongestTerm)
+	term := min(time.Duration(request.GetTtlMs())*time.Millisecond, MaxTTL)
 	g.grants[request.GetRole()] = grant{
 		holder: request.GetHolder(), sequence: max(held.sequence, request.GetSequence()), expires: now.Add(term),
 	}
@@ -67,7 +67,7 @@
 }
 
 // Serve registers the grantor's call.
-func (g *Grantor) Serve(server *rpc.Server) {
+func (g *Lessor) Serve(server *rpc.Server) {
 	rpc.Handle(server, rpc.MethodLease, func(_ context.Context, request *tierpb.LeaseRequest) (*tierpb.LeaseReply, error) {
 		return g.Answer(request), nil
 	})
--- a/internal/tier/lease/holder.go
+++ b/internal/tier/lease/holder.go
@@ -15,21 +15,21 @@
 // release has arrived by then.
 const contestedWait = 100 * time.Millisecond
 
-// HolderOptions describe a candidate for a role.
-type HolderOptions struct {
+// CandidateOptions describe a candidate for a role.
+type CandidateOptions struct {
 	Role    string
 	Self    uint64 // identity
 	Caller  rpc.Caller
-	Local   *Grantor                            // called without the network where its identity is a voter's; may be nil
+	Local   *Lessor                             // called without the network where its identity is a voter's; may be nil
 	Voters  func() []*tierpb.VoterSet           // as the control state has them; nil or empty while it is not known
-	Term    time.Duration                       // 0 for LongestTerm
+	TTL     time.Duration                       // 0 for LongestTerm
 	Changed func(held bool)                     // called by Run at each change; may be nil
 	Random  func(n time.Duration) time.Duration // from 0 to n, which is not included; nil for a random one
 }
 
-// Holder tries to hold the lease of a role for as long as Run runs.
-type Holder struct {
-	options HolderOptions
+// Candidate tries to hold the lease of a role for as long as Run runs.
+type Candidate struct {
+	options CandidateOptions
 
 	mu       sync.Mutex
 	sequence uint64               // of the last round
@@ -40,56 +40,56 @@
 	held     bool                 // as last reported by Changed
 }
 
-// NewHolder makes a holder that holds nothing yet.
-func NewHolder(options HolderOptions) *Holder {
-	if options.Term <= 0 || options.Term > LongestTerm {
-		options.Term = LongestTerm
+// NewCandidate makes a holder that holds nothing yet.
+func NewCandidate(options CandidateOptions) *Candidate {
+	if options.TTL <= 0 || options.TTL > MaxTTL {
+		options.TTL = MaxTTL
 	}
 	if options.Random == nil {
 		options.Random = rand.N[time.Duration]
 	}
-	return &Holder{options: options, sequence: uint64(time.Now().UnixNano()), grants: make(map[uint64]time.Time)}
+	return &Candidate{options: options, sequence: uint64(time.Now().UnixNano()), grants: make(map[uint64]time.Time)}
 }
 
-// Held says whether a majority of the voters that are known grants the lease. It turns false a margin before their
+// OwnsLease says whether a majority of the voters that are known grants the lease. It turns false a margin before their
 // grants expire.
-func (h *Holder) Held() bool { return h.HeldBy(h.options.Voters()) }
+func (h *Candidate) OwnsLease() bool { return h.OwnsLeaseOf(h.options.Voters()) }
 
-// HeldBy says whether a majority of each of these voter sets grants the lease now. Of two holders at most one is held
+// OwnsLeaseOf says whether a majority of each of these voter sets grants the lease now. Of two holders at most one is held
 // by the same sets at a time, whatever sets each of them knows.
-func (h *Holder) HeldBy(voters []*tierpb.VoterSet) bool {
+func (h *Candidate) OwnsLeaseOf(voters []*tierpb.VoterSet) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.heldBy(voters, time.Now())
 }
 
-func (h *Holder) heldBy(voters []*tierpb.VoterSet, now time.Time) bool {
+func (h *Candidate) heldBy(voters []*tierpb.VoterSet, now time.Time) bool {
 	return now.Before(h.until) && register.Quorum(voters, func(identity uint64) bool { return now.Before(h.grants[identity]) })
 }
 
-// Tenure numbers the acquisitions: as long as it stays the same, the lease was not lost in between.
-func (h *Holder) Tenure() uint64 {
+// Acquisition numbers the acquisitions: as long as it stays the same, the lease was not lost in between.
+func (h *Candidate) Acquisition() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tenure
 }
 
-// Forfeit ends the tenure at its holder; the next round may acquire the lease anew.
-func (h *Holder) Forfeit() {
+// Resign ends the tenure at its holder; the next round may acquire the lease anew.
+func (h *Candidate) Resign() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.drop()
 }
 
 // drop forgets all grants, also those that are on their way.
-func (h *Holder) drop() {
+func (h *Candidate) drop() {
 	h.until = time.Time{}
 	h.returned = h.sequence
 	clear(h.grants)
 }
 
 // Run acquires and renews the lease until ctx ends, then gives it back.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Candidate) Run(ctx context.Context) {
 	defer h.stop()
 	for {
 		wait := h.round(ctx)
@@ -104,14 +104,14 @@
 }
 
 // round asks all voters once and says how long to wait before the next time.
-func (h *Holder) round(ctx context.Context) time.Duration {
-	term := h.options.Term
+func (h *Candidate) round(ctx context.Context) time.Duration {
+	term := h.options.TTL
 	voters := h.options.Voters()
 	result := h.askAll(ctx, voters, false)
 	if result.quorum && h.acquired(result) {
 		return term / 3
 	}
-	if h.Held() {
+	if h.OwnsLease() {
 		return term / 8
 	}
 	h.lost()
@@ -124,7 +124,7 @@
 
 // acquired takes over the end of a round with a quorum. Where the lease was not held without a break until now, another
 // may have had it, and a new tenure begins.
-func (h *Holder) acquired(result roundResult) bool {
+func (h *Candidate) acquired(result roundResult) bool {
 	h.mu.Lock()
 	now := time.Now()
 	if result.sequence <= h.returned || !now.Before(result.until) {
@@ -141,13 +141,13 @@
 }
 
 // lost forgets all grants and reports it.
-func (h *Holder) lost() {
-	h.Forfeit()
+func (h *Candidate) lost() {
+	h.Resign()
 	h.report(false)
 }
 
 // report tells of a change.
-func (h *Holder) report(held bool) {
+func (h *Candidate) report(held bool) {
 	h.mu.Lock()
 	changed := held != h.held
 	h.held = held
@@ -158,15 +158,15 @@
 }
 
 // stop ends the lease at its holder first, then at the grantors.
-func (h *Holder) stop() {
-	held := h.Held()
+func (h *Candidate) stop() {
+	held := h.OwnsLease()
 	h.lost()
 	if held {
 		h.release(context.Background())
 	}
 }
 
-func (h *Holder) release(ctx context.Context) { h.askAll(ctx, h.options.Voters(), true) }
+func (h *Candidate) release(ctx context.Context) { h.askAll(ctx, h.options.Voters(), true) }
 
 // begunRound is a round of calls to all voters.
 type begunRound struct {
@@ -190,8 +190,8 @@
 // askAll calls all voters at once and returns at the first quorum, or when all have answered or the time is over. Grants
 // that come later are noted all the same. A candidate that has grants and can have no quorum any more does not wait for
 // voters that are silent: another candidate needs those grants.
-func (h *Holder) askAll(ctx context.Context, voters []*tierpb.VoterSet, release bool) roundResult {
-	ctx, cancel := context.WithTimeout(ctx, h.options.Term/4)
+func (h *Candidate) askAll(ctx context.Context, voters []*tierpb.VoterSet, release bool) roundResult {
+	ctx, cancel := context.WithTimeout(ctx, h.options.TTL/4)
 	begun := h.begin(voters)
 	result := roundResult{begunRound: begun}
 	nodes := register.Voters(&tierpb.ControlState{Voters: voters})
@@ -233,7 +233,7 @@
 
 // begin numbers a round. Its grants end a margin before the grantors end them, counted from before they are asked. A
 // tenure that the present voters do not grant is over: one that they grant may be another's.
-func (h *Holder) begin(voters []*tierpb.VoterSet) begunRound {
+func (h *Candidate) begin(voters []*tierpb.VoterSet) begunRound {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -246,12 +246,12 @@
 		}
 	}
 	h.sequence++
-	term := h.options.Term
+	term := h.options.TTL
 	return begunRound{sequence: h.sequence, until: now.Add(term - term/8)}
 }
 
 // note keeps a grant unless the lease was given up since the round began.
-func (h *Holder) note(grantor uint64, reply *tierpb.LeaseReply, round begunRound) {
+func (h *Candidate) note(grantor uint64, reply *tierpb.LeaseReply, round begunRound) {
 	if !reply.GetGranted() {
 		return
 	}
@@ -262,11 +262,11 @@
 	}
 }
 
-func (h *Holder) call(ctx context.Context, node *tierpb.Node, sequence uint64, release bool) *tierpb.LeaseReply {
+func (h *Candidate) call(ctx context.Context, node *tierpb.Node, sequence uint64, release bool) *tierpb.LeaseReply {
 	request := &tierpb.LeaseRequest{
 		Role:     h.options.Role,
 		Holder:   h.options.Self,
-		TtlMs:    uint32(h.options.Term / time.Millisecond),
+		TtlMs:    uint32(h.options.TTL / time.Millisecond),
 		Release:  release,
 		Identity: node.GetIdentity(),
 		Sequence: sequence,
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -22,8 +22,8 @@
 	mu       sync.Mutex
 	network  *simulation.Network
 	machines []*simulation.Machine
-	grantors []*Grantor
-	holders  []*Holder
+	grantors []*Lessor
+	holders  []*Candidate
 	voters   []*tierpb.VoterSet
 	stale    map[int][]*tierpb.VoterSet // what single candidates know instead
 	runs     sync.WaitGroup
@@ -47,8 +47,8 @@
 		h.machines = append(h.machines, h.network.NewMachine(address, rand.New(rand.NewPCG(seed, uint64(i+1)))))
 	}
 	h.voters = []*tierpb.VoterSet{set}
-	h.grantors = make([]*Grantor, count)
-	h.holders = make([]*Holder, count)
+	h.grantors = make([]*Lessor, count)
+	h.holders = make([]*Candidate, count)
 	h.cancels = make([]context.CancelFunc, count)
 	for i := range count {
 		h.start(i, 0)
@@ -59,10 +59,10 @@
 
 func (h *election) start(i int, holdBack time.Duration) {
 	life := h.machines[i].Start()
-	h.grantors[i] = NewGrantor(uint64(i+1), holdBack)
+	h.grantors[i] = NewLessor(uint64(i+1), holdBack)
 	h.grantors[i].Serve(life.Server)
 	life.Listen()
-	h.holders[i] = NewHolder(HolderOptions{
+	h.holders[i] = NewCandidate(CandidateOptions{
 		Role: role, Self: uint64(100 + i), Caller: life.Caller(), Local: h.grantors[i],
 		Voters: func() []*tierpb.VoterSet { return h.votersKnownTo(i) },
 	})
@@ -113,7 +113,7 @@
 
 func (h *election) holding() (numbers []int) {
 	for i, holder := range h.holders {
-		if holder.HeldBy(h.votersKnownTo(-1)) {
+		if holder.OwnsLeaseOf(h.votersKnownTo(-1)) {
 			numbers = append(numbers, i)
 		}
 	}
@@ -154,19 +154,19 @@
 		frozen bool
 		lost   float64
 		most   time.Duration
-	}{{true, 0, 5 * time.Second}, {false, 0, 5 * time.Second}, {true, lostShare, 5 * LongestTerm}, {false, lostShare, 5 * LongestTerm}} {
+	}{{true, 0, 5 * time.Second}, {false, 0, 5 * time.Second}, {true, lostShare, 5 * MaxTTL}, {false, lostShare, 5 * MaxTTL}} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newLossyElection(t, 2, 3, c.lost)
 			first := h.watchUntilHeld(t, 5*time.Second)[0]
 			for i := range 3 {
-				h.network.Cut(h.machines[first].Address(), h.machines[i].Address(), i != first)
-				h.network.Cut(h.machines[i].Address(), h.machines[first].Address(), i != first)
+				h.network.Partition(h.machines[first].Address(), h.machines[i].Address(), i != first)
+				h.network.Partition(h.machines[i].Address(), h.machines[first].Address(), i != first)
 			}
 			if c.frozen {
 				h.machines[first].Freeze()
 			}
-			h.watch(t, LongestTerm)
-			second := h.watchUntilHeld(t, c.most-LongestTerm)
+			h.watch(t, MaxTTL)
+			second := h.watchUntilHeld(t, c.most-MaxTTL)
 			assert.Assert(t, len(second) == 1 && second[0] != first)
 			h.network.Heal()
 			h.machines[first].Thaw()
@@ -180,7 +180,7 @@
 		h := newElection(t, 3, 3)
 		first := h.watch(t, 5*time.Second)[0]
 		h.cancels[first]()
-		second := h.watch(t, LongestTerm)
+		second := h.watch(t, MaxTTL)
 		assert.Assert(t, len(second) == 1 && second[0] != first)
 	})
 }
@@ -192,20 +192,20 @@
 	for _, c := range []struct {
 		lost float64
 		most time.Duration
-	}{{0, 3 * LongestTerm}, {lostShare, 4 * LongestTerm}} {
+	}{{0, 3 * MaxTTL}, {lostShare, 4 * MaxTTL}} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newLossyElection(t, seed, 3, c.lost)
 				first := h.watchUntilHeld(t, 5*time.Second)[0]
 				for i := range 3 {
-					h.network.Cut(h.machines[first].Address(), h.machines[i].Address(), i != first)
+					h.network.Partition(h.machines[first].Address(), h.machines[i].Address(), i != first)
 					if i != first {
 						h.stop(i)
-						h.start(i, LongestTerm)
+						h.start(i, MaxTTL)
 					}
 				}
-				h.watch(t, LongestTerm) // in which the first one's lease ends
-				second := h.watchUntilHeld(t, c.most-LongestTerm)
+				h.watch(t, MaxTTL) // in which the first one's lease ends
+				second := h.watchUntilHeld(t, c.most-MaxTTL)
 				assert.Assert(t, len(second) == 1 && second[0] != first, "%v after %d, seed %d", second, first, seed)
 			})
 		}
@@ -214,7 +214,7 @@
 
 func TestGrantorAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		grantor := NewGrantor(7, 0)
+		grantor := NewLessor(7, 0)
 		sequence := uint64(0)
 		ask := func(holder uint64, release bool) *tierpb.LeaseReply {
 			sequence++
@@ -239,7 +239,7 @@
 		other.Identity = 8
 		assert.Assert(t, !grantor.Answer(other).Granted, "another grantor is meant")
 		long := grantor.Answer(&tierpb.LeaseRequest{Role: "long", Holder: 2, TtlMs: 1 << 30, Identity: 7})
-		assert.Equal(t, long.RemainingMs, uint32(LongestTerm/time.Millisecond))
+		assert.Equal(t, long.RemainingMs, uint32(MaxTTL/time.Millisecond))
 	})
 }
 
@@ -254,13 +254,13 @@
 				switch random.IntN(7) {
 				case 0:
 					h.stop(i)
-					h.start(i, LongestTerm)
+					h.start(i, MaxTTL)
 				case 1:
 					h.machines[i].Freeze()
 				case 2:
 					h.machines[i].Thaw()
 				case 3, 4:
-					h.network.Cut(h.machines[i].Address(), h.machines[j].Address(), true)
+					h.network.Partition(h.machines[i].Address(), h.machines[j].Address(), true)
 				case 5:
 					h.network.Heal()
 				}
@@ -270,7 +270,7 @@
 			for _, machine := range h.machines {
 				machine.Thaw()
 			}
-			assert.Equal(t, len(h.watch(t, 4*LongestTerm)), 1)
+			assert.Equal(t, len(h.watch(t, 4*MaxTTL)), 1)
 		})
 	}
 }
@@ -293,17 +293,17 @@
 					stays = first
 				}
 				for _, other := range []int{(first + 2) % 3, 3} {
-					h.network.Cut(h.machines[first].Address(), h.machines[other].Address(), true)
+					h.network.Partition(h.machines[first].Address(), h.machines[other].Address(), true)
 				}
 				if held := h.watch(t, 3*time.Second); len(held) != 1 || held[0] != first {
 					return // lost messages cost it the lease
 				}
 				scenes++
 				h.setVoters([]int{stays, (first + 2) % 3, 3}, others(unheard, first)...)
-				h.watch(t, 2*LongestTerm)
+				h.watch(t, 2*MaxTTL)
 				h.network.Heal()
 				h.setVoters([]int{stays, (first + 2) % 3, 3})
-				assert.Equal(t, len(h.watch(t, 4*LongestTerm)), 1)
+				assert.Equal(t, len(h.watch(t, 4*MaxTTL)), 1)
 			})
 		}
 	}
@@ -325,15 +325,15 @@
 			h := newElection(t, 4, 3)
 			first := h.watch(t, 5*time.Second)[0]
 			holder := h.holders[first]
-			tenure := holder.Tenure()
+			tenure := holder.Acquisition()
 			h.watch(t, 10*time.Second)
-			assert.Equal(t, holder.Tenure(), tenure, "it was renewed only")
+			assert.Equal(t, holder.Acquisition(), tenure, "it was renewed only")
 			for i := range 3 {
 				if i == first {
 					continue
 				}
 				h.stop(i) // nobody takes the lease over
-				h.start(i, LongestTerm)
+				h.start(i, MaxTTL)
 				h.cancels[i]()
 			}
 			if frozen {
@@ -342,13 +342,13 @@
 				h.machines[(first+1)%3].Freeze()
 				h.machines[(first+2)%3].Freeze()
 			}
-			h.watch(t, 2*LongestTerm)
-			assert.Assert(t, !holder.Held())
+			h.watch(t, 2*MaxTTL)
+			assert.Assert(t, !holder.OwnsLease())
 			for _, machine := range h.machines {
 				machine.Thaw()
 			}
-			assert.DeepEqual(t, h.watch(t, 2*LongestTerm), []int{first})
-			assert.Assert(t, holder.Tenure() > tenure)
+			assert.DeepEqual(t, h.watch(t, 2*MaxTTL), []int{first})
+			assert.Assert(t, holder.Acquisition() > tenure)
 		})
 	}
 }
@@ -358,20 +358,20 @@
 		h := newLossyElection(t, 5, 3, 0)
 		first := h.watchUntilHeld(t, 5*time.Second)[0]
 		holder := h.holders[first]
-		tenure := holder.Tenure()
-		holder.Forfeit()
-		assert.Assert(t, !holder.Held())
+		tenure := holder.Acquisition()
+		holder.Resign()
+		assert.Assert(t, !holder.OwnsLease())
 		<-time.After(20 * time.Millisecond)
-		assert.Assert(t, !holder.Held() || holder.Tenure() > tenure, "a grant that was under way counts no more")
-		assert.DeepEqual(t, h.watch(t, LongestTerm), []int{first})
-		assert.Assert(t, holder.Tenure() > tenure)
+		assert.Assert(t, !holder.OwnsLease() || holder.Acquisition() > tenure, "a grant that was under way counts no more")
+		assert.DeepEqual(t, h.watch(t, MaxTTL), []int{first})
+		assert.Assert(t, holder.Acquisition() > tenure)
 	})
 }
 
 // TestWipedGrantorAtTheSameAddressGrantsNothing: it is another node, which the voters do not name.
 func TestWipedGrantorAtTheSameAddressGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wiped := NewGrantor(20, 0)
+		wiped := NewLessor(20, 0)
 		request := &tierpb.LeaseRequest{Role: role, Holder: 2, TtlMs: 1000, Identity: 2, Sequence: 1}
 		assert.Assert(t, !wiped.Answer(request).Granted)
 	})
--- a/internal/tier/lease/repeat_test.go
+++ b/internal/tier/lease/repeat_test.go
@@ -20,14 +20,14 @@
 			h := newElection(t, seed, 3)
 			calm := simulation.Traits{Shortest: time.Millisecond, Longest: 5 * time.Millisecond}
 			traits := calm
-			traits.Doubled, traits.Late, traits.Latest = 0.33, 0.33, 2*LongestTerm
+			traits.Doubled, traits.Late, traits.Latest = 0.33, 0.33, 2*MaxTTL
 			h.network.Set(traits)
 			for range 30 {
 				i := random.IntN(len(h.machines))
 				switch random.IntN(4) {
 				case 0: // its calls are under way still when it starts again
 					h.stop(i)
-					h.start(i, LongestTerm)
+					h.start(i, MaxTTL)
 				case 1:
 					h.machines[i].Freeze()
 				case 2:
@@ -37,7 +37,7 @@
 					h.watch(t, 10*time.Millisecond)
 					h.machines[i].Thaw()
 					h.stop(i)
-					h.start(i, LongestTerm)
+					h.start(i, MaxTTL)
 				}
 				h.watch(t, time.Duration(random.IntN(1500))*time.Millisecond)
 			}
@@ -45,7 +45,7 @@
 			for _, machine := range h.machines {
 				machine.Thaw()
 			}
-			assert.Equal(t, len(h.watch(t, 5*LongestTerm)), 1)
+			assert.Equal(t, len(h.watch(t, 5*MaxTTL)), 1)
 		})
 	}
 }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -40,14 +40,14 @@
 }
 
 func TestPlaceOfMetrics(t *testing.T) {
-	place, err := ParsePlace("9464/metrics")
+	place, err := ParseEndpoint("9464/metrics")
 	assert.NilError(t, err)
-	assert.Equal(t, place, Place{Port: 9464, Path: "/metrics"})
-	place, err = ParsePlace("9464")
+	assert.Equal(t, place, Endpoint{Port: 9464, Path: "/metrics"})
+	place, err = ParseEndpoint("9464")
 	assert.NilError(t, err)
 	assert.Equal(t, place.Path, "/")
 	for _, wrong := range []string{"", "/metrics", "metrics", "0/metrics", "65536/m", "-1/m"} {
-		_, err := ParsePlace(wrong)
+		_, err := ParseEndpoint(wrong)
 		assert.ErrorContains(t, err, "want PORT/PATH", wrong)
 	}
 }
@@ -59,7 +59,7 @@
 	assert.NilError(t, err)
 	port := free.Addr().(*net.TCPAddr).Port
 	assert.NilError(t, free.Close())
-	assert.NilError(t, Serve(ctx, "127.0.0.1", Place{Port: port, Path: "/metrics"}))
+	assert.NilError(t, Serve(ctx, "127.0.0.1", Endpoint{Port: port, Path: "/metrics"}))
 	address := fmt.Sprintf("http://127.0.0.1:%d", port)
 	answer, err := http.Get(address + "/metrics")
 	assert.NilError(t, err)
@@ -71,5 +71,5 @@
 	assert.NilError(t, err)
 	defer other.Body.Close()
 	assert.Equal(t, other.StatusCode, http.StatusNotFound)
-	assert.ErrorContains(t, Serve(ctx, "127.0.0.1", Place{Port: port}), "address already in use")
+	assert.ErrorContains(t, Serve(ctx, "127.0.0.1", Endpoint{Port: port}), "address already in use")
 }
--- a/internal/tier/metrics/serve.go
+++ b/internal/tier/metrics/serve.go
@@ -27,24 +27,24 @@
 	silent = log.New(io.Discard, "", 0)
 )
 
-// Place is where metrics are told.
-type Place struct {
+// Endpoint is where metrics are told.
+type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParsePlace reads "PORT/PATH".
-func ParsePlace(text string) (Place, error) {
+// ParseEndpoint reads "PORT/PATH".
+func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, _ := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
 	if err != nil || number < 1 || number > largestPort {
-		return Place{}, eris.Errorf("metrics %q: want PORT/PATH, such as 9464/metrics", text)
+		return Endpoint{}, eris.Errorf("metrics %q: want PORT/PATH, such as 9464/metrics", text)
 	}
-	return Place{Port: number, Path: "/" + path}, nil
+	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
 // Serve tells the metrics at a place on a machine's address until ctx ends.
-func Serve(ctx context.Context, ip string, at Place) error {
+func Serve(ctx context.Context, ip string, at Endpoint) error {
 	listener, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(at.Port)))
 	if err != nil {
 		return eris.Wrap(err, "metrics")
--- a/internal/tier/modelcheck/act.go
+++ b/internal/tier/modelcheck/act.go
@@ -28,7 +28,7 @@
 		return nil, register.ErrUnavailable
 	}
 	defer func() { p.acting <- struct{}{} }()
-	for !p.holder.Held() {
+	for !p.holder.OwnsLease() {
 		select {
 		case <-time.After(actPause):
 		case <-ctx.Done():
@@ -42,7 +42,7 @@
 		began := time.Now()
 		p.decide()
 		claim := placement.Claim{
-			Term: p.tenure.term, Held: p.holds(current, p.tenure.number), ViewAge: time.Since(began),
+			Term: p.tenure.term, LeaseOwned: p.holds(current, p.tenure.number), ViewAge: time.Since(began),
 		}
 		if err := placement.Admit(placement.TermOf(current), claim); err != nil {
 			return nil, err
@@ -60,7 +60,7 @@
 
 // beginTenure raises the term once after each acquisition of the lease.
 func (p *process) beginTenure(ctx context.Context) error {
-	number := p.holder.Tenure()
+	number := p.holder.Acquisition()
 	if number == p.tenure.number {
 		return nil
 	}
@@ -70,7 +70,7 @@
 			return nil, placement.ErrLeaseLost
 		}
 		term = placement.TermOf(current).Next(p.acceptor.Identity())
-		term.Mark(current)
+		term.Stamp(current)
 		return current, nil
 	})
 	if err == nil {
@@ -80,8 +80,8 @@
 }
 
 func (p *process) holds(current *tierpb.ControlState, number uint64) bool {
-	held := p.holder.HeldBy(current.GetVoters())
-	return held && p.holder.Tenure() == number
+	held := p.holder.OwnsLeaseOf(current.GetVoters())
+	return held && p.holder.Acquisition() == number
 }
 
 // decide takes the time of a decision, which ends with an event.
--- a/internal/tier/modelcheck/check.go
+++ b/internal/tier/modelcheck/check.go
@@ -17,7 +17,7 @@
 // ballot is a ballot as a key of maps.
 type ballot struct{ counter, proposer uint64 }
 
-func keyOf(b *tierpb.Ballot) ballot { return ballot{b.GetCounter(), b.GetProposer()} }
+func keyOf(b *tierpb.ProposalNumber) ballot { return ballot{b.GetCounter(), b.GetProposer()} }
 
 // acceptances are the identities that have accepted the value of a ballot, at any time.
 type acceptances struct {
@@ -115,7 +115,7 @@
 	for epoch, voters := range c.voters {
 		holders := 0
 		for _, node := range c.world.nodes {
-			if p := node.process; p != nil && p.holder != nil && p.holder.HeldBy(voters) {
+			if p := node.process; p != nil && p.holder != nil && p.holder.OwnsLeaseOf(voters) {
 				holders++
 			}
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func sameBallot(one, other *tierpb.Ballot) bool { return keyOf(one) == keyOf(other) }
+func sameBallot(one, other *tierpb.ProposalNumber) bool { return keyOf(one) == keyOf(other) }
 
 // called notes that an operation begins.
 func (c *checks) called(o *operation) {
--- a/internal/tier/modelcheck/fact.go
+++ b/internal/tier/modelcheck/fact.go
@@ -32,7 +32,7 @@
 	flags    uint64
 	identity uint64
 	number   uint64
-	ballots  []*tierpb.Ballot
+	ballots  []*tierpb.ProposalNumber
 	state    *tierpb.ControlState
 }
 
@@ -49,16 +49,16 @@
 func (w *world) factOf(message rpc.Message) fact {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
-		return fact{kind: factPrepare, identity: m.Identity, ballots: []*tierpb.Ballot{m.Ballot, m.Known}}
+		return fact{kind: factPrepare, identity: m.Identity, ballots: []*tierpb.ProposalNumber{m.Proposal, m.KnownAccepted}}
 	case *tierpb.PrepareReply:
 		return fact{
-			kind: factPromise, flags: flags(m.Promised, m.WrongIdentity), state: m.Value,
-			ballots: []*tierpb.Ballot{m.Accepted, m.Highest},
+			kind: factPromise, flags: flags(m.Prepared, m.WrongIdentity), state: m.Value,
+			ballots: []*tierpb.ProposalNumber{m.Accepted, m.HighestPrepared},
 		}
 	case *tierpb.AcceptRequest:
-		return fact{kind: factAccept, identity: m.Identity, ballots: []*tierpb.Ballot{m.Ballot}, state: m.Value}
+		return fact{kind: factAccept, identity: m.Identity, ballots: []*tierpb.ProposalNumber{m.Proposal}, state: m.Value}
 	case *tierpb.AcceptReply:
-		return fact{kind: factAccepted, flags: flags(m.Accepted, m.WrongIdentity), ballots: []*tierpb.Ballot{m.Highest}}
+		return fact{kind: factAccepted, flags: flags(m.Accepted, m.WrongIdentity), ballots: []*tierpb.ProposalNumber{m.HighestPrepared}}
 	case *tierpb.LeaseRequest:
 		return fact{kind: factLease, flags: flags(m.Release), identity: m.Identity, number: m.Holder ^ m.Sequence}
 	case *tierpb.LeaseReply:
@@ -71,26 +71,26 @@
 func (w *world) describe(message rpc.Message) string {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
-		if m.Ballot.GetCounter() == 0 {
+		if m.Proposal.GetCounter() == 0 {
 			return "peek" + w.to(m.Identity)
 		}
-		return "prepare " + w.ballotName(m.Ballot) + w.to(m.Identity)
+		return "prepare " + w.ballotName(m.Proposal) + w.to(m.Identity)
 	case *tierpb.PrepareReply:
 		switch {
 		case m.WrongIdentity:
 			return "wrong identity"
-		case !m.Promised:
-			return "refuse, promised " + w.ballotName(m.Highest)
+		case !m.Prepared:
+			return "refuse, promised " + w.ballotName(m.HighestPrepared)
 		}
 		return "promise, has " + w.ballotName(m.Accepted) + " " + w.stateName(m.Value)
 	case *tierpb.AcceptRequest:
-		return "accept " + w.ballotName(m.Ballot) + " " + w.stateName(m.Value) + w.to(m.Identity)
+		return "accept " + w.ballotName(m.Proposal) + " " + w.stateName(m.Value) + w.to(m.Identity)
 	case *tierpb.AcceptReply:
 		switch {
 		case m.WrongIdentity:
 			return "wrong identity"
 		case !m.Accepted:
-			return "refuse, promised " + w.ballotName(m.Highest)
+			return "refuse, promised " + w.ballotName(m.HighestPrepared)
 		}
 		return "accepted"
 	case *tierpb.LeaseRequest:
@@ -116,7 +116,7 @@
 }
 
 // ballotName is the counter and a letter for the proposer, in the order in which they were met.
-func (w *world) ballotName(ballot *tierpb.Ballot) string {
+func (w *world) ballotName(ballot *tierpb.ProposalNumber) string {
 	if ballot.GetCounter() == 0 {
 		return "0"
 	}
--- a/internal/tier/modelcheck/fingerprint.go
+++ b/internal/tier/modelcheck/fingerprint.go
@@ -61,12 +61,12 @@
 
 // durable is what the acceptor of a process has accepted.
 func (p *process) durable() *tierpb.PrepareReply {
-	return p.acceptor.Prepare(&tierpb.PrepareRequest{Identity: p.acceptor.Identity(), Ballot: &tierpb.Ballot{}})
+	return p.acceptor.Prepare(&tierpb.PrepareRequest{Identity: p.acceptor.Identity(), Proposal: &tierpb.ProposalNumber{}})
 }
 
 func (p *process) durableFact() fact {
 	reply := p.durable()
-	return fact{ballots: []*tierpb.Ballot{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
+	return fact{ballots: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
 }
 
 // rank numbers the ballots of the state by their order.
@@ -145,8 +145,8 @@
 
 func (p *printer) state(state *tierpb.ControlState) {
 	p.number(state.GetVersion(), state.GetEpoch(), state.GetPlacementTerm(), uint64(len(state.GetRetirements())))
-	p.number(uint64(len(state.GetTaken())))
-	for _, taken := range state.GetTaken() {
+	p.number(uint64(len(state.GetCommittedChanges())))
+	for _, taken := range state.GetCommittedChanges() {
 		p.number(taken.Generation)
 	}
 	for _, set := range state.GetVoters() {
--- a/internal/tier/modelcheck/operation.go
+++ b/internal/tier/modelcheck/operation.go
@@ -178,13 +178,13 @@
 			return nil, errConflict
 		}
 		current.Configuration = &tierpb.Configuration{Generation: to}
-		current.Taken = append(current.Taken, &tierpb.TakenOrder{IfMatch: from, Generation: to})
+		current.CommittedChanges = append(current.CommittedChanges, &tierpb.CommittedChange{IfMatch: from, Generation: to})
 		return current, nil
 	}
 }
 
 func wasTaken(state *tierpb.ControlState, generation uint64) bool {
-	for _, taken := range state.GetTaken() {
+	for _, taken := range state.GetCommittedChanges() {
 		if taken.Generation == generation {
 			return true
 		}
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -33,17 +33,17 @@
 type process struct {
 	world    *world
 	node     *node
-	life     *simulation.Life
+	life     *simulation.Incarnation
 	ctx      context.Context
 	cancel   context.CancelFunc
 	acceptor *register.Acceptor
 	proposer *register.Proposer
-	holder   *lease.Holder
+	holder   *lease.Candidate
 	acting   chan struct{} // holds one token; its owner acts under the lease
 	tenure   tenure        // used by that owner
 	serving  bool
 	seen     *tierpb.ControlState // accepted value that was checked last, and its ballot
-	seenAt   *tierpb.Ballot
+	seenAt   *tierpb.ProposalNumber
 
 	mu    sync.Mutex
 	known *tierpb.ControlState
@@ -82,16 +82,16 @@
 
 // startLease adds the grantor, and on the candidates a holder that runs as long as the process.
 func (p *process) startLease(bootstrap bool) {
-	holdBack := lease.LongestTerm
+	holdBack := lease.MaxTTL
 	if bootstrap {
 		holdBack = 0
 	}
-	grantor := lease.NewGrantor(p.acceptor.Identity(), holdBack)
+	grantor := lease.NewLessor(p.acceptor.Identity(), holdBack)
 	grantor.Serve(p.life.Server)
 	if p.node.number >= p.world.scenario.Candidates {
 		return
 	}
-	p.holder = lease.NewHolder(lease.HolderOptions{
+	p.holder = lease.NewCandidate(lease.CandidateOptions{
 		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Random: half,
 		Voters: p.voters,
 	})
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -9,13 +9,13 @@
 	},
 	{
 		name: "acceptance answered before it is saved", file: "register/acceptor.go",
-		old:     "if err := a.saveValue(request.Ballot, request.Value); err != nil {",
-		changed: "go func() { _ = a.saveValue(request.Ballot, request.Value) }()\n\tif err := error(nil); err != nil {",
+		old:     "if err := a.saveValue(request.Proposal, request.Value); err != nil {",
+		changed: "go func() { _ = a.saveValue(request.Proposal, request.Value) }()\n\tif err := error(nil); err != nil {",
 	},
 	{
 		name: "version counts without a sync of its folder", file: "storage/versions.go",
-		old:     "if err := s.faults.At(fault.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncFolder(s.folder); err != nil {",
-		changed: "if err := s.faults.At(fault.VersionRenamed); err != nil {",
+		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncFolder(s.folder); err != nil {",
+		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
 		name: "restart forgets that an acceptance is a promise", file: "register/acceptor.go",
@@ -34,12 +34,12 @@
 	},
 	{
 		name: "accept does not look at the promise", file: "register/acceptor.go",
-		old:     "if higher(state.promised, request.Ballot) {\n\t\treturn &tierpb.AcceptReply{",
+		old:     "if higher(state.promised, request.Proposal) {\n\t\treturn &tierpb.AcceptReply{",
 		changed: "if false {\n\t\treturn &tierpb.AcceptReply{",
 	},
 	{
 		name: "promise does not look at the one before", file: "register/acceptor.go",
-		old:     "if higher(state.promised, request.Ballot) {\n\t\treturn &tierpb.PrepareReply{",
+		old:     "if higher(state.promised, request.Proposal) {\n\t\treturn &tierpb.PrepareReply{",
 		changed: "if false {\n\t\treturn &tierpb.PrepareReply{",
 	},
 	{
--- a/internal/tier/placement/fence.go
+++ b/internal/tier/placement/fence.go
@@ -35,16 +35,16 @@
 // Next is the term that a holder raises this one to.
 func (t Term) Next(holder uint64) Term { return Term{Number: t.Number + 1, Holder: holder} }
 
-// Mark writes the term into a state.
-func (t Term) Mark(state *tierpb.ControlState) {
+// Stamp writes the term into a state.
+func (t Term) Stamp(state *tierpb.ControlState) {
 	state.PlacementTerm, state.PlacementHolder = t.Number, t.Holder
 }
 
 // Claim is what a holder brings forward for a change.
 type Claim struct {
-	Term    Term          // raised by the holder when it acquired the lease
-	Held    bool          // the lease is held since then, by a majority of the voters of the value to be changed
-	ViewAge time.Duration // of the view from which the change was computed
+	Term       Term          // raised by the holder when it acquired the lease
+	LeaseOwned bool          // the lease is held since then, by a majority of the voters of the value to be changed
+	ViewAge    time.Duration // of the view from which the change was computed
 }
 
 // Admit is the fence: it decides whether a change by placement may follow a value with this term. Nil admits it.
@@ -52,7 +52,7 @@
 	switch {
 	case current != claim.Term:
 		return ErrFenced
-	case !claim.Held:
+	case !claim.LeaseOwned:
 		return ErrLeaseLost
 	case claim.ViewAge > OldestView:
 		return ErrOldView
--- a/internal/tier/placement/fence_test.go
+++ b/internal/tier/placement/fence_test.go
@@ -10,7 +10,7 @@
 
 func TestFenceAdmitsOnlyTheNewestTerm(t *testing.T) {
 	term := Term{Number: 3, Holder: 7}
-	claim := Claim{Term: term, Held: true}
+	claim := Claim{Term: term, LeaseOwned: true}
 	for current, refusal := range map[Term]error{
 		term:                   nil,
 		{Number: 4, Holder: 8}: ErrFenced,
@@ -32,7 +32,7 @@
 	state := &tierpb.ControlState{}
 	assert.Equal(t, TermOf(state), Term{})
 	assert.Equal(t, TermOf(nil), Term{})
-	TermOf(state).Next(8).Mark(state)
+	TermOf(state).Next(8).Stamp(state)
 	assert.Equal(t, TermOf(state), Term{Number: 1, Holder: 8})
 	assert.Equal(t, TermOf(state).Next(8), Term{Number: 2, Holder: 8}, "another holding by the same process")
 }
--- a/internal/tier/placement/voters.go
+++ b/internal/tier/placement/voters.go
@@ -88,9 +88,9 @@
 	return place
 }
 
-// HandOver returns the voters with a standby in the place of one that stops, nil where it has no vote or nobody stands
+// ReplaceLeavingVoter returns the voters with a standby in the place of one that stops, nil where it has no vote or nobody stands
 // by. It takes no other vote away.
-func HandOver(current *tierpb.ControlState, view *View, leaver uint64) []*tierpb.Node {
+func ReplaceLeavingVoter(current *tierpb.ControlState, view *View, leaver uint64) []*tierpb.Node {
 	sets := current.GetVoters()
 	if len(sets) != 1 {
 		return nil
--- a/internal/tier/placement/voters_test.go
+++ b/internal/tier/placement/voters_test.go
@@ -143,7 +143,7 @@
 		join.Request.Node.Name = coordinator(2).Name
 	}
 	assert.Assert(t, Voters(state, view) == nil, "both run")
-	assert.DeepEqual(t, identities(HandOver(state, view, 2)), []uint64{1, 4, 3})
+	assert.DeepEqual(t, identities(ReplaceLeavingVoter(state, view, 2)), []uint64{1, 4, 3})
 	silence["10.0.0.2"] = time.Millisecond
 	assert.DeepEqual(t, identities(Voters(state, view)), []uint64{1, 4, 3})
 }
@@ -151,11 +151,11 @@
 func TestHandOverGivesAwayOneVoteOnly(t *testing.T) {
 	state, view, silence := votersScene(5, 2, 6, 7)
 	silence["10.0.0.1"] = 5 * time.Second
-	assert.DeepEqual(t, identities(HandOver(state, view, 3)), []uint64{1, 2, 6, 4, 5})
-	assert.Assert(t, HandOver(state, view, 6) == nil, "no voter")
+	assert.DeepEqual(t, identities(ReplaceLeavingVoter(state, view, 3)), []uint64{1, 2, 6, 4, 5})
+	assert.Assert(t, ReplaceLeavingVoter(state, view, 6) == nil, "no voter")
 	state, view, _ = votersScene(3, 1)
-	assert.Assert(t, HandOver(state, view, 3) == nil, "nobody stands by")
+	assert.Assert(t, ReplaceLeavingVoter(state, view, 3) == nil, "nobody stands by")
 	state, view, _ = votersScene(3, 1, 4)
 	state.Voters = append(state.Voters, state.Voters[0])
-	assert.Assert(t, HandOver(state, view, 3) == nil, "a change under way is finished first")
+	assert.Assert(t, ReplaceLeavingVoter(state, view, 3) == nil, "a change under way is finished first")
 }
--- a/internal/tier/proxy/listing.go
+++ b/internal/tier/proxy/listing.go
@@ -29,7 +29,7 @@
 			delete(l.services[before.Backend], instance.Id)
 		}
 		stores := l.services[instance.Backend]
-		if instance.State == tierpb.InstanceState_INSTANCE_GONE {
+		if instance.State == tierpb.InstanceState_INSTANCE_DEREGISTERED {
 			delete(stores, instance.Id)
 			delete(l.instances, instance.Id)
 			continue
@@ -68,8 +68,8 @@
 			Instance: instance.Id, Address: instance.Address, Zone: instance.Zone,
 			Slots: int(instance.Slots), State: admission.State(instance.State),
 		}
-		if instance.ColdRemainingMs > 0 {
-			store.ColdUntil = now.Add(time.Duration(instance.ColdRemainingMs) * time.Millisecond)
+		if instance.SlowStartRemainingMs > 0 {
+			store.ColdUntil = now.Add(time.Duration(instance.SlowStartRemainingMs) * time.Millisecond)
 		}
 		listed = append(listed, store)
 	}
--- a/internal/tier/proxy/listing_test.go
+++ b/internal/tier/proxy/listing_test.go
@@ -30,7 +30,7 @@
 	answered := make(chan answer)
 	go func() { answered <- b.send("POST", "/s/x", "id-1", "in") }()
 	<-begun
-	b.proxy.state.Upsert(&tierpb.Instance{Id: "a", State: tierpb.InstanceState_INSTANCE_GONE})
+	b.proxy.state.Upsert(&tierpb.Instance{Id: "a", State: tierpb.InstanceState_INSTANCE_DEREGISTERED})
 	other := newStandIn(t, "b", events(true, numbered(1, 1)...))
 	b.proxy.state.Upsert(other.instance("model"))
 	b.proxy.refresh()
--- a/internal/tier/proxy/refuse.go
+++ b/internal/tier/proxy/refuse.go
@@ -30,13 +30,13 @@
 
 // promise answers that the request has not run and will not.
 func (x *exchange) promise(status int) {
-	invariant.Check(x.ran == 0, invariant.PromiseOfNoRun, x.ran, 0)
+	invariant.Check(x.ran == 0, invariant.NotExecutedGuarantee, x.ran, 0)
 	x.proxy.respond(x.w, x.id, status)
 }
 
 // promiseLater is promise, and tells when to come again.
 func (x *exchange) promiseLater(after time.Duration) {
-	invariant.Check(x.ran == 0, invariant.PromiseOfNoRun, x.ran, 0)
+	invariant.Check(x.ran == 0, invariant.NotExecutedGuarantee, x.ran, 0)
 	x.proxy.respondLater(x.w, x.id, after)
 }
 
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -65,7 +65,7 @@
 		err = x.completeTurn(ctx)
 	}
 	if err == nil {
-		invariant.Check(!x.turn.retained || x.turn.saved, invariant.SavedBeforeEnd, "not saved", x.id)
+		invariant.Check(!x.turn.retained || x.turn.saved, invariant.PersistedBeforeEnd, "not saved", x.id)
 		x.sendHead(answer)
 		answer.Finish()
 		granted.Finish(admission.OK)
--- a/internal/tier/proxy/view.go
+++ b/internal/tier/proxy/view.go
@@ -40,7 +40,7 @@
 	}
 	next := &view{version: control.Version, configuration: known.configuration, membership: control.Stores}
 	sent := control.Configuration
-	if !invariant.Check(sent.GetGeneration() >= known.generation(), invariant.NeverBack, sent.GetGeneration(), known.generation()) {
+	if !invariant.Check(sent.GetGeneration() >= known.generation(), invariant.GenerationMonotonic, sent.GetGeneration(), known.generation()) {
 		sent = nil // what is in force stays
 	}
 	if sent.GetGeneration() > 0 && next.generation() != sent.Generation {
--- a/internal/tier/register/accept.go
+++ b/internal/tier/register/accept.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
@@ -54,7 +54,7 @@
 	targets := Voters(&tierpb.ControlState{Voters: count.voters})
 	count.answers = make(chan vote, len(targets))
 	for _, node := range targets {
-		if result.err = r.proposer.options.Faults.At(fault.AcceptSending); result.err != nil {
+		if result.err = r.proposer.options.Faults.At(failpoint.AcceptSending); result.err != nil {
 			return result
 		}
 		result.sent = true
@@ -73,7 +73,7 @@
 		c.accepted.add(answer.from)
 		return 0
 	}
-	return answer.reply.GetHighest().GetCounter()
+	return answer.reply.GetHighestPrepared().GetCounter()
 }
 
 // decided says whether there is a quorum, or cannot be one.
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -7,7 +7,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/invariant"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/storage"
@@ -32,14 +32,14 @@
 	Address   string   // inner address of this coordinator
 	Bootstrap bool     // first start of the whole system
 	Seeds     []string // inner addresses of the first coordinators; used where Bootstrap is set
-	Faults    *fault.Points
+	Faults    *failpoint.Points
 }
 
 // Acceptor keeps promises and the accepted value of one identity. It is safe for concurrent use.
 type Acceptor struct {
 	identity uint64
 	fresh    bool
-	faults   *fault.Points
+	faults   *failpoint.Points
 	promises *storage.Series
 	values   *storage.Series
 	waiting  atomic.Int32
@@ -50,8 +50,8 @@
 
 // acceptorState is what an acceptor has promised and accepted, all of it on disk; it is replaced, never changed.
 type acceptorState struct {
-	promised *tierpb.Ballot
-	accepted *tierpb.Ballot
+	promised *tierpb.ProposalNumber
+	accepted *tierpb.ProposalNumber
 	value    *tierpb.ControlState
 }
 
@@ -128,20 +128,20 @@
 	if a.identity, err = decodeIdentity(identity); err != nil {
 		return err
 	}
-	state := &acceptorState{promised: &tierpb.Ballot{}, accepted: &tierpb.Ballot{}}
+	state := &acceptorState{promised: &tierpb.ProposalNumber{}, accepted: &tierpb.ProposalNumber{}}
 	if payload, found := a.values.Newest(); found {
 		stored := &tierpb.AcceptRequest{}
 		if err := stored.UnmarshalVT(payload); err != nil {
 			return eris.Wrap(err, "accepted value")
 		}
-		if stored.Ballot != nil {
-			state.accepted = stored.Ballot
+		if stored.Proposal != nil {
+			state.accepted = stored.Proposal
 		}
 		state.value = stored.Value
 		state.promised = state.accepted
 	}
 	if payload, found := a.promises.Newest(); found {
-		promised := &tierpb.Ballot{}
+		promised := &tierpb.ProposalNumber{}
 		if err := promised.UnmarshalVT(payload); err != nil {
 			return eris.Wrap(err, "promise")
 		}
@@ -161,7 +161,7 @@
 			return eris.Wrap(err, "acceptor")
 		}
 	}
-	state := &acceptorState{promised: &tierpb.Ballot{}, accepted: &tierpb.Ballot{}}
+	state := &acceptorState{promised: &tierpb.ProposalNumber{}, accepted: &tierpb.ProposalNumber{}}
 	a.identity = DrawIdentity(options.Address)
 	if options.Bootstrap && !lost {
 		a.identity = InitialIdentity(options.Address)
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	if err := a.faults.At(fault.IdentityUnsaved); err != nil {
+	if err := a.faults.At(failpoint.IdentityUnsaved); err != nil {
 		return err
 	}
 	a.state.Store(state)
@@ -187,7 +187,7 @@
 func (a *Acceptor) Value() *tierpb.ControlState { return a.state.Load().value }
 
 // Promised returns the highest ballot promised.
-func (a *Acceptor) Promised() *tierpb.Ballot { return a.state.Load().promised }
+func (a *Acceptor) Promised() *tierpb.ProposalNumber { return a.state.Load().promised }
 
 // Prepare promises to accept nothing below the ballot, which is on disk when it returns, and tells what was
 // accepted. A ballot of zero asks for that alone.
@@ -195,27 +195,27 @@
 	if request.GetIdentity() != a.identity {
 		return &tierpb.PrepareReply{WrongIdentity: true}
 	}
-	if request.GetBallot().GetCounter() == 0 {
+	if request.GetProposal().GetCounter() == 0 {
 		state := a.state.Load()
-		return state.tell(request.GetKnown())
+		return state.tell(request.GetKnownAccepted())
 	}
 	if !a.take() {
 		return &tierpb.PrepareReply{}
 	}
 	defer a.give()
 	state := a.state.Load()
-	if higher(state.promised, request.Ballot) {
-		return &tierpb.PrepareReply{Highest: state.promised}
+	if higher(state.promised, request.Proposal) {
+		return &tierpb.PrepareReply{HighestPrepared: state.promised}
 	}
-	if err := a.promise(state, request.Ballot); err != nil {
+	if err := a.promise(state, request.Proposal); err != nil {
 		return &tierpb.PrepareReply{}
 	}
-	return state.tell(request.GetKnown())
+	return state.tell(request.GetKnownAccepted())
 }
 
 // tell is the answer that goes with a promise. A value is left out where the caller has it: a ballot has one value.
-func (s *acceptorState) tell(known *tierpb.Ballot) *tierpb.PrepareReply {
-	reply := &tierpb.PrepareReply{Promised: true, Accepted: s.accepted, Value: s.value}
+func (s *acceptorState) tell(known *tierpb.ProposalNumber) *tierpb.PrepareReply {
+	reply := &tierpb.PrepareReply{Prepared: true, Accepted: s.accepted, Value: s.value}
 	if known.GetCounter() > 0 && sameBallot(known, s.accepted) {
 		reply.Value = nil
 	}
@@ -223,21 +223,21 @@
 }
 
 // promise saves a promise, unless it is on disk already.
-func (a *Acceptor) promise(state *acceptorState, ballot *tierpb.Ballot) error {
+func (a *Acceptor) promise(state *acceptorState, ballot *tierpb.ProposalNumber) error {
 	if err := a.settle(state); err != nil {
 		return err
 	}
 	if sameBallot(ballot, state.promised) {
 		return nil
 	}
-	if err := a.faults.At(fault.PromiseUnsaved); err != nil {
+	if err := a.faults.At(failpoint.PrepareUnsaved); err != nil {
 		return err
 	}
 	if err := a.savePromise(ballot); err != nil {
 		return err
 	}
 	a.keep(&acceptorState{promised: ballot, accepted: state.accepted, value: state.value})
-	return a.faults.At(fault.PromiseSaved)
+	return a.faults.At(failpoint.PrepareSaved)
 }
 
 // settle writes the known state again after a save that failed: until then the disk may hold a value that would
@@ -258,7 +258,7 @@
 	if request.GetIdentity() != a.identity {
 		return &tierpb.AcceptReply{WrongIdentity: true}
 	}
-	if request.GetBallot().GetCounter() == 0 || len(request.GetValue().GetVoters()) == 0 {
+	if request.GetProposal().GetCounter() == 0 || len(request.GetValue().GetVoters()) == 0 {
 		return &tierpb.AcceptReply{}
 	}
 	if !a.take() {
@@ -266,10 +266,10 @@
 	}
 	defer a.give()
 	state := a.state.Load()
-	if higher(state.promised, request.Ballot) {
-		return &tierpb.AcceptReply{Highest: state.promised}
+	if higher(state.promised, request.Proposal) {
+		return &tierpb.AcceptReply{HighestPrepared: state.promised}
 	}
-	if sameBallot(request.Ballot, state.accepted) {
+	if sameBallot(request.Proposal, state.accepted) {
 		return &tierpb.AcceptReply{Accepted: true}
 	}
 	if err := a.accept(request); err != nil {
@@ -280,30 +280,32 @@
 
 // accept saves the value and takes it over. Nobody is told of it before it is on disk.
 func (a *Acceptor) accept(request *tierpb.AcceptRequest) error {
-	if err := a.faults.At(fault.AcceptUnsaved); err != nil {
+	if err := a.faults.At(failpoint.AcceptUnsaved); err != nil {
 		return err
 	}
 	a.unclear = true
-	if err := a.saveValue(request.Ballot, request.Value); err != nil {
+	if err := a.saveValue(request.Proposal, request.Value); err != nil {
 		return err
 	}
 	a.unclear = false
-	a.keep(&acceptorState{promised: request.Ballot, accepted: request.Ballot, value: request.Value})
-	return a.faults.At(fault.AcceptSaved)
+	a.keep(&acceptorState{promised: request.Proposal, accepted: request.Proposal, value: request.Value})
+	return a.faults.At(failpoint.AcceptSaved)
 }
 
 // keep takes over what is on disk now.
 func (a *Acceptor) keep(next *acceptorState) {
 	known := a.state.Load()
 	holds := !higher(known.promised, next.promised) && !higher(next.accepted, next.promised)
-	invariant.Check(holds, invariant.PromiseNotLowered, next.promised, known.promised)
+	invariant.Check(holds, invariant.PreparedMonotonic, next.promised, known.promised)
 	a.state.Store(next)
 }
 
-func (a *Acceptor) savePromise(ballot *tierpb.Ballot) error { return a.promises.SaveMessage(ballot) }
+func (a *Acceptor) savePromise(ballot *tierpb.ProposalNumber) error {
+	return a.promises.SaveMessage(ballot)
+}
 
-func (a *Acceptor) saveValue(ballot *tierpb.Ballot, value *tierpb.ControlState) error {
-	return a.values.SaveMessage(&tierpb.AcceptRequest{Identity: a.identity, Ballot: ballot, Value: value})
+func (a *Acceptor) saveValue(ballot *tierpb.ProposalNumber, value *tierpb.ControlState) error {
+	return a.values.SaveMessage(&tierpb.AcceptRequest{Identity: a.identity, Proposal: ballot, Value: value})
 }
 
 // take waits for the acceptor's turn, unless too many wait already.
--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -28,7 +28,7 @@
 	return acceptor
 }
 
-func openWith(machine *simulation.Machine, bootstrap bool, points *fault.Points) (*Acceptor, error) {
+func openWith(machine *simulation.Machine, bootstrap bool, points *failpoint.Points) (*Acceptor, error) {
 	return OpenAcceptor(AcceptorOptions{
 		Disk: machine.Start().Mount(), Folder: folder, Address: machine.Address(), Bootstrap: bootstrap, Seeds: testSeeds,
 		Faults: points,
@@ -42,14 +42,16 @@
 	return state
 }
 
-func ballotOf(counter uint64) *tierpb.Ballot { return &tierpb.Ballot{Counter: counter, Proposer: 7} }
+func ballotOf(counter uint64) *tierpb.ProposalNumber {
+	return &tierpb.ProposalNumber{Counter: counter, Proposer: 7}
+}
 
 func (a *Acceptor) prepareFor(counter uint64) *tierpb.PrepareReply {
-	return a.Prepare(&tierpb.PrepareRequest{Identity: a.identity, Ballot: ballotOf(counter)})
+	return a.Prepare(&tierpb.PrepareRequest{Identity: a.identity, Proposal: ballotOf(counter)})
 }
 
 func (a *Acceptor) acceptFor(counter, generation uint64) *tierpb.AcceptReply {
-	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Ballot: ballotOf(counter), Value: valueOf(generation)})
+	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Proposal: ballotOf(counter), Value: valueOf(generation)})
 }
 
 func TestIdentityOfTheFirstStartFollowsFromTheAddress(t *testing.T) {
@@ -82,10 +84,10 @@
 }
 
 func TestFirstStartThatWasStoppedIsDoneAgain(t *testing.T) {
-	for _, point := range []fault.Point{fault.VersionRenamed, fault.VersionFolderSynced, fault.IdentityUnsaved} {
+	for _, point := range []failpoint.Point{failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.IdentityUnsaved} {
 		machine := machineAlone(uint64(point))
-		_, err := openWith(machine, true, &fault.Points{Stop: func(passed fault.Point) bool { return passed == point }})
-		assert.ErrorIs(t, err, fault.ErrStopped)
+		_, err := openWith(machine, true, &failpoint.Points{Stop: func(passed failpoint.Point) bool { return passed == point }})
+		assert.ErrorIs(t, err, failpoint.ErrStopped)
 		machine.PowerLoss()
 		acceptor := openOn(t, machine, true)
 		assert.Equal(t, acceptor.Identity(), InitialIdentity(machine.Address()))
@@ -97,16 +99,16 @@
 	for seed := range uint64(50) {
 		machine := machineAlone(seed)
 		acceptor := openOn(t, machine, true)
-		assert.Assert(t, acceptor.prepareFor(5).Promised)
+		assert.Assert(t, acceptor.prepareFor(5).Prepared)
 		assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
-		assert.Assert(t, acceptor.prepareFor(9).Promised)
+		assert.Assert(t, acceptor.prepareFor(9).Prepared)
 		machine.PowerLoss()
 		acceptor = openOn(t, machine, false)
-		assert.Assert(t, !acceptor.prepareFor(8).Promised)
+		assert.Assert(t, !acceptor.prepareFor(8).Prepared)
 		assert.Assert(t, !acceptor.acceptFor(8, 2).Accepted)
-		assert.Equal(t, acceptor.prepareFor(8).Highest.Counter, uint64(9))
+		assert.Equal(t, acceptor.prepareFor(8).HighestPrepared.Counter, uint64(9))
 		reply := acceptor.prepareFor(10)
-		assert.Assert(t, reply.Promised)
+		assert.Assert(t, reply.Prepared)
 		assert.Equal(t, reply.Accepted.Counter, uint64(5))
 		assert.Equal(t, reply.Value.Configuration.Generation, uint64(1))
 	}
@@ -115,10 +117,10 @@
 // TestValueOfAFailedSaveNeverComesUp: the failed save may have left the value on disk; once a promise was given
 // without telling of it, it must not appear after a restart.
 func TestValueOfAFailedSaveNeverComesUp(t *testing.T) {
-	for _, failing := range []fault.Point{fault.VersionSynced, fault.VersionRenamed, fault.VersionFolderSynced, fault.VersionRemoved} {
+	for _, failing := range []failpoint.Point{failpoint.VersionSynced, failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.VersionRemoved} {
 		machine := machineAlone(uint64(failing))
 		stop := false
-		acceptor, err := openWith(machine, true, &fault.Points{Stop: func(point fault.Point) bool { return stop && point == failing }})
+		acceptor, err := openWith(machine, true, &failpoint.Points{Stop: func(point failpoint.Point) bool { return stop && point == failing }})
 		assert.NilError(t, err)
 		assert.Assert(t, acceptor.acceptFor(3, 1).Accepted)
 		stop = true
@@ -136,8 +138,8 @@
 	machine := machineAlone(1)
 	var acceptor *Acceptor
 	passed := 0
-	acceptor, err := openWith(machine, true, &fault.Points{Stop: func(point fault.Point) bool {
-		if acceptor != nil && point < fault.VersionFolderSynced && point >= fault.VersionCreated {
+	acceptor, err := openWith(machine, true, &failpoint.Points{Stop: func(point failpoint.Point) bool {
+		if acceptor != nil && point < failpoint.VersionFolderSynced && point >= failpoint.VersionCreated {
 			passed++
 			assert.Assert(t, acceptor.Value().Configuration == nil)
 			peeked := acceptor.Prepare(&tierpb.PrepareRequest{Identity: acceptor.identity})
@@ -154,7 +156,7 @@
 	for _, series := range []string{identitySeries, promiseSeries, acceptedSeries} {
 		machine := machineAlone(1)
 		acceptor := openOn(t, machine, true)
-		assert.Assert(t, acceptor.prepareFor(5).Promised)
+		assert.Assert(t, acceptor.prepareFor(5).Prepared)
 		assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
 		machine.Disk.Damage(series + "-")
 		reopened := openOn(t, machine, false)
@@ -172,9 +174,9 @@
 		for _, bootstrap := range []bool{true, false} {
 			machine := machineAlone(1)
 			acceptor := openOn(t, machine, bootstrap)
-			assert.Assert(t, acceptor.prepareFor(5).Promised)
+			assert.Assert(t, acceptor.prepareFor(5).Prepared)
 			assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
-			assert.Assert(t, acceptor.prepareFor(6).Promised)
+			assert.Assert(t, acceptor.prepareFor(6).Prepared)
 			machine.Disk.Lose(series + "-")
 			reopened := openOn(t, machine, false)
 			assert.Assert(t, reopened.Fresh() && reopened.Identity() != acceptor.Identity(), series)
@@ -207,7 +209,7 @@
 		machine.Freeze()
 		ended := make(chan bool, 3*maxWaiting)
 		for i := range 3 * maxWaiting {
-			go func() { ended <- acceptor.prepareFor(uint64(i + 1)).Promised }()
+			go func() { ended <- acceptor.prepareFor(uint64(i + 1)).Prepared }()
 		}
 		synctest.Wait()
 		refused := len(ended)
@@ -224,7 +226,7 @@
 	acceptor := openOn(t, machine, true)
 	longest := 0
 	for i := range uint64(500) {
-		assert.Assert(t, acceptor.prepareFor(i+1).Promised)
+		assert.Assert(t, acceptor.prepareFor(i+1).Prepared)
 		assert.Assert(t, acceptor.acceptFor(i+1, i).Accepted)
 		longest = max(longest, machine.Disk.Bytes())
 	}
--- a/internal/tier/register/ballots_test.go
+++ b/internal/tier/register/ballots_test.go
@@ -12,11 +12,11 @@
 func TestHigherBallotBesideASilentVoterDoesNotSlowAChange(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		behind, witness, ahead := c.members[0], c.members[1], c.members[2]
-		c.network.Cut(ahead.machine.Address(), behind.machine.Address(), true)
+		c.network.Partition(ahead.machine.Address(), behind.machine.Address(), true)
 		for generation := range uint64(3) {
 			ahead.mustPut(generation, generation+1)
 		}
-		c.network.Cut(ahead.machine.Address(), witness.machine.Address(), true)
+		c.network.Partition(ahead.machine.Address(), witness.machine.Address(), true)
 		assert.Assert(t, behind.current().Promised().GetCounter() < witness.current().Promised().GetCounter())
 		began := time.Now()
 		behind.mustPut(3, 4)
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -35,7 +35,7 @@
 	acceptor *Acceptor
 	proposer *Proposer
 	known    *tierpb.ControlState // newest chosen value that has come to this process
-	stop     func(fault.Point) bool
+	stop     func(failpoint.Point) bool
 }
 
 // newCluster starts count coordinators for the first time, of which the first are the seeds.
@@ -69,7 +69,7 @@
 // start begins a new life on whatever the disk holds; it says whether that life got through its start.
 func (m *member) start(bootstrap bool) bool {
 	life := m.machine.Start()
-	points := &fault.Points{Stop: func(point fault.Point) bool { return m.stopsAt(life, point) }}
+	points := &failpoint.Points{Stop: func(point failpoint.Point) bool { return m.stopsAt(life, point) }}
 	acceptor, err := OpenAcceptor(AcceptorOptions{
 		Disk: life.Mount(), Folder: folder, Address: m.machine.Address(), Bootstrap: bootstrap, Seeds: m.cluster.seeds,
 		Faults: points,
@@ -92,7 +92,7 @@
 }
 
 // stopsAt ends the life that passes a point where the test says so.
-func (m *member) stopsAt(life *simulation.Life, point fault.Point) bool {
+func (m *member) stopsAt(life *simulation.Incarnation, point failpoint.Point) bool {
 	select {
 	case <-life.Ended():
 		return true
@@ -108,7 +108,7 @@
 	return true
 }
 
-func (m *member) stopWhen(stop func(fault.Point) bool) {
+func (m *member) stopWhen(stop func(failpoint.Point) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stop = stop
@@ -161,7 +161,7 @@
 
 func putFunc(from, to uint64) ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		for _, taken := range current.Taken {
+		for _, taken := range current.CommittedChanges {
 			if taken.Generation == to {
 				return current, nil
 			}
@@ -170,7 +170,7 @@
 			return nil, errConflict
 		}
 		current.Configuration = &tierpb.Configuration{Generation: to}
-		current.Taken = append(current.Taken, &tierpb.TakenOrder{IfMatch: from, Generation: to})
+		current.CommittedChanges = append(current.CommittedChanges, &tierpb.CommittedChange{IfMatch: from, Generation: to})
 		return current, nil
 	}
 }
--- a/internal/tier/register/orders_test.go
+++ b/internal/tier/register/orders_test.go
@@ -10,22 +10,22 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
-	"pulleygw.example/pulleygw/internal/tier/orders"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
 // send sends an order as an operator does; nil is an acknowledgement and errConflict a refusal.
-func (m *member) send(limit time.Duration, sent orders.Order) error {
+func (m *member) send(limit time.Duration, sent changelog.Order) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	_, err := m.changer().Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		switch orders.Judge(current, nil, sent) {
-		case orders.Next:
+		switch changelog.Judge(current, nil, sent) {
+		case changelog.Next:
 			current.Configuration = &tierpb.Configuration{Generation: sent.Generation}
-			orders.Add(current, sent)
+			changelog.Add(current, sent)
 			return current, nil
-		case orders.Taken:
+		case changelog.Taken:
 			return current, nil
 		}
 		return nil, errConflict
@@ -89,8 +89,8 @@
 func (r rivalry) play(t *testing.T) string {
 	c := newCluster(t, 1, 3, 5, calm)
 	loser, rival := c.members[4], c.members[0]
-	first := orders.New(0, 7, []byte("one"))
-	second := orders.New(0, 7, []byte("two"))
+	first := changelog.New(0, 7, []byte("one"))
+	second := changelog.New(0, 7, []byte("two"))
 	if r.equal {
 		second = first
 	}
@@ -118,19 +118,19 @@
 func (r rivalry) change(c *cluster) {
 	manager := c.members[2]
 	if r.crossing != wholeBetween {
-		manager.stopWhen(func(point fault.Point) bool { return point == fault.VotersJoint })
+		manager.stopWhen(func(point failpoint.Point) bool { return point == failpoint.VotersJoint })
 	}
 	_ = c.changeVoters(manager)
 	manager.stopWhen(nil)
 }
 
 // lose sends an order whose accepts reach some members only and whose answers are lost.
-func (r rivalry) lose(c *cluster, loser *member, sent orders.Order) {
-	loser.stopWhen(func(point fault.Point) bool {
+func (r rivalry) lose(c *cluster, loser *member, sent changelog.Order) {
+	loser.stopWhen(func(point failpoint.Point) bool {
 		for i, m := range c.members[:4] {
-			if point == fault.AcceptSending {
-				c.network.Cut(loser.machine.Address(), m.machine.Address(), r.reached&(1<<i) == 0)
-				c.network.Cut(m.machine.Address(), loser.machine.Address(), true)
+			if point == failpoint.AcceptSending {
+				c.network.Partition(loser.machine.Address(), m.machine.Address(), r.reached&(1<<i) == 0)
+				c.network.Partition(m.machine.Address(), loser.machine.Address(), true)
 			}
 		}
 		return false
@@ -144,7 +144,7 @@
 }
 
 // judge has both operators send their orders again, to every coordinator.
-func (r rivalry) judge(t *testing.T, c *cluster, first, second orders.Order, told error) string {
+func (r rivalry) judge(t *testing.T, c *cluster, first, second changelog.Order, told error) string {
 	taken := map[string]bool{}
 	for round := range 2 {
 		for i, m := range c.members {
--- a/internal/tier/register/peek.go
+++ b/internal/tier/register/peek.go
@@ -20,7 +20,7 @@
 
 // peekInTurn is peek for the owner of the turn.
 func (p *Proposer) peekInTurn(ctx context.Context) *tierpb.ControlState {
-	round := newRound(p, &tierpb.Ballot{}, p.options.Timeout)
+	round := newRound(p, &tierpb.ProposalNumber{}, p.options.Timeout)
 	found := round.prepare(ctx, p.startingPoint())
 	p.saw(found)
 	if !found.chosen {
--- a/internal/tier/register/points_test.go
+++ b/internal/tier/register/points_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
@@ -62,7 +62,7 @@
 // strike. What was acknowledged before stays, what was acknowledged then stays too, and the same order sent again
 // is acknowledged.
 func TestEveryPointOfAChange(t *testing.T) {
-	for point := fault.PrepareSending; point <= fault.LastPoint; point++ {
+	for point := failpoint.PrepareSending; point <= failpoint.LastPoint; point++ {
 		for _, strike := range strikes {
 			for victim := range 2 {
 				t.Run(fmt.Sprintf("%d %s at member %d", point, strike.name, victim), func(t *testing.T) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func strikeAt(t *testing.T, point fault.Point, strike strike, victim int) {
+func strikeAt(t *testing.T, point failpoint.Point, strike strike, victim int) {
 	c := newCluster(t, uint64(point), 3, 4, calm)
 	c.members[0].mustPut(0, 1)
 	<-time.After(time.Second) // late accepts are over
@@ -101,10 +101,10 @@
 
 // arm lets a strike happen when a member passes a point for the first time; the function returned says whether it
 // has.
-func (c *cluster) arm(victim *member, point fault.Point, strike strike) (struck func() bool) {
+func (c *cluster) arm(victim *member, point failpoint.Point, strike strike) (struck func() bool) {
 	var mu sync.Mutex
 	done := false
-	victim.stopWhen(func(passed fault.Point) bool {
+	victim.stopWhen(func(passed failpoint.Point) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if passed != point || done {
--- a/internal/tier/register/proposer.go
+++ b/internal/tier/register/proposer.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -43,7 +43,7 @@
 	Known   func() *tierpb.ControlState         // newest chosen state known in this process; may be nil or return nil
 	Timeout time.Duration                       // of one call; 0 for the default
 	Chosen  func(*tierpb.ControlState)          // told of each value found to be chosen; may be nil
-	Faults  *fault.Points                       // tests only
+	Faults  *failpoint.Points                   // tests only
 	Random  func(n time.Duration) time.Duration // from 0 to n; nil for a random one
 }
 
@@ -112,7 +112,7 @@
 		if result.sent {
 			failure = ErrUncertain
 		}
-		if eris.Is(result.err, fault.ErrStopped) || !p.pause(ctx, p.backoff(attempt, result.outbid, time.Since(began))) {
+		if eris.Is(result.err, failpoint.ErrStopped) || !p.pause(ctx, p.backoff(attempt, result.outbid, time.Since(began))) {
 			return nil, failure
 		}
 	}
@@ -137,21 +137,21 @@
 }
 
 func (p *Proposer) attempt(ctx context.Context, change ChangeFunc) attemptResult {
-	if err := p.options.Faults.At(fault.PrepareSending); err != nil {
+	if err := p.options.Faults.At(failpoint.PrepareSending); err != nil {
 		return attemptResult{err: err}
 	}
 	if p.options.Local != nil {
 		p.counter = max(p.counter, p.options.Local.Promised().GetCounter())
 	}
 	p.counter++
-	round := newRound(p, &tierpb.Ballot{Counter: p.counter, Proposer: p.number}, p.options.Timeout)
+	round := newRound(p, &tierpb.ProposalNumber{Counter: p.counter, Proposer: p.number}, p.options.Timeout)
 	prepared := round.prepare(ctx, p.startingPoint())
 	p.counter = max(p.counter, prepared.highest)
 	p.saw(prepared)
 	if !prepared.quorum {
 		return attemptResult{outbid: prepared.highest > 0}
 	}
-	if err := p.options.Faults.At(fault.PrepareDone); err != nil {
+	if err := p.options.Faults.At(failpoint.PrepareDone); err != nil {
 		return attemptResult{err: err}
 	}
 	current := prepared.value
@@ -194,7 +194,7 @@
 	}
 	p.cached = cachedValue{ballot: round.ballot, value: next}
 	p.sawChosen(next)
-	if err := p.options.Faults.At(fault.AcceptDone); err != nil {
+	if err := p.options.Faults.At(failpoint.AcceptDone); err != nil {
 		return attemptResult{sent: true, err: err}
 	}
 	return attemptResult{done: true, value: next}
--- a/internal/tier/register/quorum.go
+++ b/internal/tier/register/quorum.go
@@ -73,13 +73,13 @@
 }
 
 // higher says whether a ballot is above another; nil is the lowest.
-func higher(ballot, than *tierpb.Ballot) bool {
+func higher(ballot, than *tierpb.ProposalNumber) bool {
 	if ballot.GetCounter() != than.GetCounter() {
 		return ballot.GetCounter() > than.GetCounter()
 	}
 	return ballot.GetProposer() > than.GetProposer()
 }
 
-func sameBallot(one, other *tierpb.Ballot) bool {
+func sameBallot(one, other *tierpb.ProposalNumber) bool {
 	return one.GetCounter() == other.GetCounter() && one.GetProposer() == other.GetProposer()
 }
--- a/internal/tier/register/random_test.go
+++ b/internal/tier/register/random_test.go
@@ -15,7 +15,7 @@
 	"github.com/anishathalye/porcupine"
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -121,7 +121,7 @@
 	for i, m := range s.members {
 		random := rand.New(rand.NewPCG(uint64(i), math.Float64bits(share)))
 		var mu sync.Mutex
-		m.stopWhen(func(fault.Point) bool {
+		m.stopWhen(func(failpoint.Point) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if random.Float64() >= share {
@@ -291,7 +291,7 @@
 		case 3:
 			s.allAtOnce(sum)
 		case 4:
-			s.network.Cut(m.machine.Address(), other.machine.Address(), true)
+			s.network.Partition(m.machine.Address(), other.machine.Address(), true)
 		case 5:
 			s.cutOff(m)
 		case 6:
@@ -299,11 +299,11 @@
 		case 7:
 			m.machine.Freeze()
 		case 8:
-			m.machine.Disk.SetTrouble(simulation.Trouble{Full: s.random.IntN(2) == 0, Failing: s.random.IntN(2) == 0})
+			m.machine.Disk.SetFault(simulation.DiskFault{Full: s.random.IntN(2) == 0, Failing: s.random.IntN(2) == 0})
 		case 9:
-			m.machine.Disk.SetTrouble(simulation.Trouble{Delay: time.Duration(s.random.IntN(400)) * time.Millisecond})
+			m.machine.Disk.SetFault(simulation.DiskFault{Delay: time.Duration(s.random.IntN(400)) * time.Millisecond})
 		case 10:
-			m.machine.Disk.SetTrouble(simulation.Trouble{})
+			m.machine.Disk.SetFault(simulation.DiskFault{})
 		case 11:
 			if state := other.newestKnown(); state != nil {
 				m.learn(state)
@@ -333,8 +333,8 @@
 // cutOff cuts one member from all others, both ways.
 func (s *schedule) cutOff(m *member) {
 	for _, other := range s.members {
-		s.network.Cut(m.machine.Address(), other.machine.Address(), true)
-		s.network.Cut(other.machine.Address(), m.machine.Address(), true)
+		s.network.Partition(m.machine.Address(), other.machine.Address(), true)
+		s.network.Partition(other.machine.Address(), m.machine.Address(), true)
 	}
 }
 
@@ -387,7 +387,7 @@
 	s.network.Heal()
 	s.network.Set(calm)
 	for _, m := range s.members {
-		m.machine.Disk.SetTrouble(simulation.Trouble{})
+		m.machine.Disk.SetFault(simulation.DiskFault{})
 		m.machine.Thaw()
 		for !m.machine.Running() || m.current() == nil {
 			m.start(false)
--- a/internal/tier/register/repeat_test.go
+++ b/internal/tier/register/repeat_test.go
@@ -43,9 +43,9 @@
 					}
 				} else {
 					reply := acceptor.prepareFor(next.counter)
-					assert.Equal(t, reply.Promised, next.counter >= promised, "seed %d: prepare %d after promise %d", seed, next.counter, promised)
+					assert.Equal(t, reply.Prepared, next.counter >= promised, "seed %d: prepare %d after promise %d", seed, next.counter, promised)
 					promised = max(promised, next.counter)
-					if reply.Promised {
+					if reply.Prepared {
 						assert.Equal(t, reply.Accepted.GetCounter(), accepted)
 					}
 				}
@@ -65,11 +65,11 @@
 // TestRepeatedAcceptIsAnsweredAlike: an accept that comes again is answered as before, and one for another node is refused.
 func TestRepeatedAcceptIsAnsweredAlike(t *testing.T) {
 	acceptor := openOn(t, machineAlone(1), true)
-	assert.Assert(t, acceptor.prepareFor(5).Promised)
+	assert.Assert(t, acceptor.prepareFor(5).Prepared)
 	for range 3 {
 		assert.Assert(t, acceptor.acceptFor(5, 9).Accepted)
 	}
-	late := acceptor.Accept(&tierpb.AcceptRequest{Identity: acceptor.Identity() + 1, Ballot: ballotOf(6), Value: valueOf(10)})
+	late := acceptor.Accept(&tierpb.AcceptRequest{Identity: acceptor.Identity() + 1, Proposal: ballotOf(6), Value: valueOf(10)})
 	assert.Assert(t, late.WrongIdentity && !late.Accepted)
 	assert.Equal(t, acceptor.Value().GetConfiguration().GetGeneration(), uint64(9))
 }
--- a/internal/tier/register/round.go
+++ b/internal/tier/register/round.go
@@ -20,28 +20,28 @@
 // round is one ballot of a proposer: a prepare phase and an accept phase.
 type round struct {
 	proposer *Proposer
-	ballot   *tierpb.Ballot
+	ballot   *tierpb.ProposalNumber
 	timeout  time.Duration // of one call
 	cached   cachedValue
 }
 
 // cachedValue is a value with the ballot at which it was accepted, so that acceptors need not send it again.
 type cachedValue struct {
-	ballot *tierpb.Ballot
+	ballot *tierpb.ProposalNumber
 	value  *tierpb.ControlState
 }
 
-func newRound(proposer *Proposer, ballot *tierpb.Ballot, timeout time.Duration) *round {
+func newRound(proposer *Proposer, ballot *tierpb.ProposalNumber, timeout time.Duration) *round {
 	return &round{proposer: proposer, ballot: ballot, timeout: timeout, cached: proposer.cached}
 }
 
 // preparation is the end of a prepare phase.
 type preparation struct {
 	quorum  bool
-	chosen  bool                 // a quorum holds the value by one and the same ballot
-	value   *tierpb.ControlState // accepted at the highest ballot among the promises
-	ballot  *tierpb.Ballot       // that ballot
-	highest uint64               // counter met in refusals
+	chosen  bool                   // a quorum holds the value by one and the same ballot
+	value   *tierpb.ControlState   // accepted at the highest ballot among the promises
+	ballot  *tierpb.ProposalNumber // that ballot
+	highest uint64                 // counter met in refusals
 }
 
 type promise struct {
@@ -55,7 +55,7 @@
 	asked    identities
 	refused  identities // have promised a higher ballot, or cannot save one
 	open     identities // asked and not answered
-	promised map[uint64]*tierpb.Ballot
+	promised map[uint64]*tierpb.ProposalNumber
 	best     *tierpb.PrepareReply // with a value, at the highest ballot
 	highest  uint64               // counter met in refusals
 }
@@ -68,7 +68,7 @@
 	answers := make(chan promise)
 	count := &ballotCount{
 		start: start.GetVoters(), asked: identities{}, open: identities{}, refused: identities{},
-		promised: map[uint64]*tierpb.Ballot{},
+		promised: map[uint64]*tierpb.ProposalNumber{},
 	}
 	r.ask(ctx, count, start, answers)
 	var outrun <-chan time.Time
@@ -118,9 +118,9 @@
 	if reply == nil || reply.WrongIdentity {
 		return false
 	}
-	if !reply.Promised {
+	if !reply.Prepared {
 		c.refused.add(answer.from)
-		c.highest = max(c.highest, reply.GetHighest().GetCounter())
+		c.highest = max(c.highest, reply.GetHighestPrepared().GetCounter())
 		return false
 	}
 	c.promised[answer.from] = reply.Accepted
@@ -169,14 +169,14 @@
 
 // callPrepare sends one prepare; nil where the call failed.
 func (r *round) callPrepare(ctx context.Context, node *tierpb.Node) *tierpb.PrepareReply {
-	request := &tierpb.PrepareRequest{Identity: node.GetIdentity(), Ballot: r.ballot, Known: r.cached.ballot}
+	request := &tierpb.PrepareRequest{Identity: node.GetIdentity(), Proposal: r.ballot, KnownAccepted: r.cached.ballot}
 	reply := &tierpb.PrepareReply{}
 	if local := r.proposer.options.Local; local != nil && local.Identity() == node.GetIdentity() {
 		reply = local.Prepare(request)
 	} else if err := r.call(ctx, node, rpc.MethodPrepare, request, reply); err != nil {
 		return nil
 	}
-	if reply.Promised && r.cached.ballot.GetCounter() > 0 && sameBallot(reply.Accepted, r.cached.ballot) {
+	if reply.Prepared && r.cached.ballot.GetCounter() > 0 && sameBallot(reply.Accepted, r.cached.ballot) {
 		reply.Value = r.cached.value
 	}
 	return reply
@@ -184,7 +184,7 @@
 
 // callAccept sends one accept; nil where the call failed.
 func (r *round) callAccept(ctx context.Context, node *tierpb.Node, value *tierpb.ControlState) *tierpb.AcceptReply {
-	request := &tierpb.AcceptRequest{Identity: node.GetIdentity(), Ballot: r.ballot, Value: value}
+	request := &tierpb.AcceptRequest{Identity: node.GetIdentity(), Proposal: r.ballot, Value: value}
 	if local := r.proposer.options.Local; local != nil && local.Identity() == node.GetIdentity() {
 		return local.Accept(request)
 	}
--- a/internal/tier/register/size_test.go
+++ b/internal/tier/register/size_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/orders"
+	"pulleygw.example/pulleygw/internal/tier/changelog"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -42,12 +42,12 @@
 		m := c.members[0]
 		value := &tierpb.ControlState{Voters: InitialState(c.seeds).Voters, Configuration: &tierpb.Configuration{}}
 		for change := uint64(1); change <= 5000; change++ {
-			orders.Add(value, orders.New(change-1, change, []byte{byte(change)}))
+			changelog.Add(value, changelog.New(change-1, change, []byte{byte(change)}))
 			value.Version, value.Configuration = change, largeConfiguration(change)
-			ballot := &tierpb.Ballot{Counter: change, Proposer: 1}
+			ballot := &tierpb.ProposalNumber{Counter: change, Proposer: 1}
 			identity := m.current().Identity()
-			assert.Assert(t, m.current().Prepare(&tierpb.PrepareRequest{Identity: identity, Ballot: ballot}).Promised)
-			accept := &tierpb.AcceptRequest{Identity: identity, Ballot: ballot, Value: value.CloneVT()}
+			assert.Assert(t, m.current().Prepare(&tierpb.PrepareRequest{Identity: identity, Proposal: ballot}).Prepared)
+			accept := &tierpb.AcceptRequest{Identity: identity, Proposal: ballot, Value: value.CloneVT()}
 			assert.Assert(t, m.current().Accept(accept).Accepted)
 			if change == 500 || change == 5000 {
 				m.checkFolder(change, value.SizeVT())
--- a/internal/tier/register/trouble_test.go
+++ b/internal/tier/register/trouble_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -23,8 +23,8 @@
 func TestFrozenProposerWakesWithAnOldBallot(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		sleeper := c.members[3]
-		sleeper.stopWhen(func(point fault.Point) bool {
-			if point == fault.PrepareDone {
+		sleeper.stopWhen(func(point failpoint.Point) bool {
+			if point == failpoint.PrepareDone {
 				sleeper.machine.Freeze()
 			}
 			return false
@@ -46,10 +46,10 @@
 func TestOrderWithLostAnswerIsAcknowledgedWhenItIsSentAgain(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		proposer := c.members[3]
-		proposer.stopWhen(func(point fault.Point) bool {
-			if point == fault.AcceptSending { // accepts arrive, their answers do not
+		proposer.stopWhen(func(point failpoint.Point) bool {
+			if point == failpoint.AcceptSending { // accepts arrive, their answers do not
 				for _, m := range c.members[:3] {
-					c.network.Cut(m.machine.Address(), proposer.machine.Address(), true)
+					c.network.Partition(m.machine.Address(), proposer.machine.Address(), true)
 				}
 			}
 			return false
@@ -70,8 +70,8 @@
 		inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 			lonely := c.members[2].machine.Address()
 			for _, m := range c.members[:2] {
-				c.network.Cut(m.machine.Address(), lonely, !hears)
-				c.network.Cut(lonely, m.machine.Address(), hears)
+				c.network.Partition(m.machine.Address(), lonely, !hears)
+				c.network.Partition(lonely, m.machine.Address(), hears)
 			}
 			c.members[0].mustPut(0, 1)
 			_, err := c.members[2].put(2*time.Second, 0, 9)
@@ -89,7 +89,7 @@
 	troubles := map[string]func(*member){
 		"frozen":    func(m *member) { m.machine.Freeze() },
 		"dark":      func(m *member) { m.machine.PowerLoss() },
-		"slow disk": func(m *member) { m.machine.Disk.SetTrouble(simulation.Trouble{Delay: 3 * time.Second}) },
+		"slow disk": func(m *member) { m.machine.Disk.SetFault(simulation.DiskFault{Delay: 3 * time.Second}) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -107,10 +107,10 @@
 func TestConflictRestsOnAChosenValue(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		writer := c.members[3]
-		writer.stopWhen(func(point fault.Point) bool {
-			if point == fault.AcceptSending { // one acceptor only gets the value
+		writer.stopWhen(func(point failpoint.Point) bool {
+			if point == failpoint.AcceptSending { // one acceptor only gets the value
 				for _, m := range c.members[1:3] {
-					c.network.Cut(writer.machine.Address(), m.machine.Address(), true)
+					c.network.Partition(writer.machine.Address(), m.machine.Address(), true)
 				}
 			}
 			return false
@@ -138,9 +138,9 @@
 		assert.Assert(t, c.members[2].start(false))
 		acceptor := c.members[2].current()
 		assert.Assert(t, acceptor.Identity() != old && acceptor.Fresh() && acceptor.Value() == nil)
-		ballot := &tierpb.Ballot{Counter: 99, Proposer: 1}
-		assert.Assert(t, acceptor.Prepare(&tierpb.PrepareRequest{Identity: old, Ballot: ballot}).WrongIdentity)
-		assert.Assert(t, acceptor.Accept(&tierpb.AcceptRequest{Identity: old, Ballot: ballot, Value: InitialState(c.seeds)}).WrongIdentity)
+		ballot := &tierpb.ProposalNumber{Counter: 99, Proposer: 1}
+		assert.Assert(t, acceptor.Prepare(&tierpb.PrepareRequest{Identity: old, Proposal: ballot}).WrongIdentity)
+		assert.Assert(t, acceptor.Accept(&tierpb.AcceptRequest{Identity: old, Proposal: ballot, Value: InitialState(c.seeds)}).WrongIdentity)
 		_, err := c.members[2].read(time.Second)
 		assert.ErrorIs(t, err, ErrUnavailable, "it knows nothing yet")
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -205,12 +205,12 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 				defer cancel()
 				_, err := m.changer().Change(ctx, func(state *tierpb.ControlState) (*tierpb.ControlState, error) {
-					for _, taken := range state.Taken {
+					for _, taken := range state.CommittedChanges {
 						if taken.Generation == uint64(i) {
 							return state, nil
 						}
 					}
-					state.Taken = append(state.Taken, &tierpb.TakenOrder{Generation: uint64(i)})
+					state.CommittedChanges = append(state.CommittedChanges, &tierpb.CommittedChange{Generation: uint64(i)})
 					return state, nil
 				})
 				ended <- err
@@ -220,23 +220,23 @@
 			assert.NilError(t, <-ended)
 		}
 		state := c.members[0].mustRead()
-		assert.Equal(t, len(state.Taken), len(c.members))
+		assert.Equal(t, len(state.CommittedChanges), len(c.members))
 		assert.Equal(t, state.Version, uint64(len(c.members)))
 	})
 }
 
 func TestFullOrFailingDiskOfOneVoterIsBorne(t *testing.T) {
-	for _, trouble := range []simulation.Trouble{{Full: true}, {Failing: true}} {
+	for _, trouble := range []simulation.DiskFault{{Full: true}, {Failing: true}} {
 		inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 			sick := c.members[2]
-			sick.machine.Disk.SetTrouble(trouble)
+			sick.machine.Disk.SetFault(trouble)
 			c.members[0].mustPut(0, 1)
 			sick.mustPut(1, 2) // as proposer, with the other two as voters
-			ballot := &tierpb.Ballot{Counter: 1000, Proposer: 1}
-			request := &tierpb.PrepareRequest{Identity: sick.current().Identity(), Ballot: ballot}
-			assert.Assert(t, !sick.current().Prepare(request).Promised, "a promise that is not on disk")
-			sick.machine.Disk.SetTrouble(simulation.Trouble{})
-			assert.Assert(t, sick.current().Prepare(request).Promised)
+			ballot := &tierpb.ProposalNumber{Counter: 1000, Proposer: 1}
+			request := &tierpb.PrepareRequest{Identity: sick.current().Identity(), Proposal: ballot}
+			assert.Assert(t, !sick.current().Prepare(request).Prepared, "a promise that is not on disk")
+			sick.machine.Disk.SetFault(simulation.DiskFault{})
+			assert.Assert(t, sick.current().Prepare(request).Prepared)
 			c.members[1].machine.PowerLoss()
 			sick.mustPut(2, 3)
 		})
@@ -266,11 +266,11 @@
 	inBubble(t, 3, 6, func(t *testing.T, c *cluster) {
 		first, second, third, joiner := c.members[0], c.members[1], c.members[2], c.members[3]
 		acceptsReachOnlyFirst := func(proposer *member) {
-			proposer.stopWhen(func(point fault.Point) bool {
+			proposer.stopWhen(func(point failpoint.Point) bool {
 				for _, m := range []*member{second, joiner} {
-					c.network.Cut(proposer.machine.Address(), m.machine.Address(), point == fault.AcceptSending)
+					c.network.Partition(proposer.machine.Address(), m.machine.Address(), point == failpoint.AcceptSending)
 				}
-				c.network.Cut(proposer.machine.Address(), third.machine.Address(), true)
+				c.network.Partition(proposer.machine.Address(), third.machine.Address(), true)
 				return false
 			})
 		}
@@ -297,8 +297,8 @@
 func separate(c *cluster, one, other []*member) {
 	for _, m := range one {
 		for _, n := range other {
-			c.network.Cut(m.machine.Address(), n.machine.Address(), true)
-			c.network.Cut(n.machine.Address(), m.machine.Address(), true)
+			c.network.Partition(m.machine.Address(), n.machine.Address(), true)
+			c.network.Partition(n.machine.Address(), m.machine.Address(), true)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 func TestSlowDisksOfAllVotersAreWaitedFor(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		for _, m := range c.members {
-			m.machine.Disk.SetTrouble(simulation.Trouble{Delay: 450 * time.Millisecond})
+			m.machine.Disk.SetFault(simulation.DiskFault{Delay: 450 * time.Millisecond})
 		}
 		_, err := c.members[0].put(4*time.Second, 0, 1)
 		assert.NilError(t, err)
--- a/internal/tier/register/voters.go
+++ b/internal/tier/register/voters.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
@@ -40,7 +40,7 @@
 	if err != nil || len(joint.GetVoters()) < 2 {
 		return joint, err
 	}
-	if err := proposer.options.Faults.At(fault.VotersJoint); err != nil {
+	if err := proposer.options.Faults.At(failpoint.VotersJoint); err != nil {
 		return joint, err
 	}
 	return FinishVoters(ctx, proposer)
--- a/internal/tier/registry/heartbeat.go
+++ b/internal/tier/registry/heartbeat.go
@@ -66,7 +66,7 @@
 	}
 	instance := &tierpb.Instance{
 		Id: id, Backend: read.Backend, Address: read.Address, Zone: read.Zone, Generation: read.Generation,
-		Slots: uint32(read.Slots), ColdRemainingMs: uint32(read.ColdRemainingMs), Sequence: uint64(*read.Sequence),
+		Slots: uint32(read.Slots), SlowStartRemainingMs: uint32(read.ColdRemainingMs), Sequence: uint64(*read.Sequence),
 	}
 	if read.State == stateDraining {
 		instance.State = tierpb.InstanceState_INSTANCE_DRAINING
--- a/internal/tier/registry/silence.go
+++ b/internal/tier/registry/silence.go
@@ -16,8 +16,8 @@
 // ForgetAfter is the time without heartbeats after which a store is taken for gone.
 const ForgetAfter = 10 * time.Minute
 
-// Silence notices stores whose sequence has stopped to rise. It is not safe for concurrent use.
-type Silence struct {
+// FailureDetector notices stores whose sequence has stopped to rise. It is not safe for concurrent use.
+type FailureDetector struct {
 	period         time.Duration
 	confidentSince time.Time // zero while the coordinator is out of touch
 	heard          map[string]heardInstance
@@ -28,14 +28,14 @@
 	at       time.Time
 }
 
-// NewSilence makes a Silence for stores that send a heartbeat in each period.
-func NewSilence(period time.Duration) *Silence {
-	return &Silence{period: period, heard: make(map[string]heardInstance)}
+// NewFailureDetector makes a Silence for stores that send a heartbeat in each period.
+func NewFailureDetector(period time.Duration) *FailureDetector {
+	return &FailureDetector{period: period, heard: make(map[string]heardInstance)}
 }
 
 // Look notes the heartbeats that arrived since the last look and returns marks for the stores that are newly silent.
 // InTouch says that the coordinator hears most of the voters, so that heartbeats sent to others reach it.
-func (s *Silence) Look(now time.Time, inTouch bool, instances []*tierpb.Instance) []*tierpb.Instance {
+func (s *FailureDetector) Look(now time.Time, inTouch bool, instances []*tierpb.Instance) []*tierpb.Instance {
 	if !inTouch {
 		s.confidentSince = time.Time{}
 	} else if s.confidentSince.IsZero() {
@@ -59,24 +59,24 @@
 }
 
 // Confident says whether every store that sends heartbeats has been heard by now, as of the last look.
-func (s *Silence) Confident(now time.Time) bool {
+func (s *FailureDetector) Confident(now time.Time) bool {
 	return !s.confidentSince.IsZero() && now.Sub(s.confidentSince) >= confidentPeriods*s.period
 }
 
 // mark is what to say of an instance that has said nothing for so long, nil for nothing new.
-func (s *Silence) mark(instance *tierpb.Instance, quiet time.Duration) *tierpb.Instance {
-	return AfterSilence(instance, quiet, time.Duration(silentAfterPeriods*float64(s.period)))
+func (s *FailureDetector) mark(instance *tierpb.Instance, quiet time.Duration) *tierpb.Instance {
+	return AsSuspect(instance, quiet, time.Duration(silentAfterPeriods*float64(s.period)))
 }
 
-// AfterSilence is what to believe of an instance without news for so long: that it is silent after silentAfter, and gone after
+// AsSuspect is what to believe of an instance without news for so long: that it is silent after silentAfter, and gone after
 // ForgetAfter. It is nil for nothing new.
-func AfterSilence(instance *tierpb.Instance, quiet, silentAfter time.Duration) *tierpb.Instance {
+func AsSuspect(instance *tierpb.Instance, quiet, silentAfter time.Duration) *tierpb.Instance {
 	state := instance.State
 	switch {
-	case state != tierpb.InstanceState_INSTANCE_GONE && quiet >= ForgetAfter:
-		state = tierpb.InstanceState_INSTANCE_GONE
+	case state != tierpb.InstanceState_INSTANCE_DEREGISTERED && quiet >= ForgetAfter:
+		state = tierpb.InstanceState_INSTANCE_DEREGISTERED
 	case state == tierpb.InstanceState_INSTANCE_READY && quiet >= silentAfter:
-		state = tierpb.InstanceState_INSTANCE_SILENT
+		state = tierpb.InstanceState_INSTANCE_SUSPECT
 	default:
 		return nil
 	}
--- a/internal/tier/registry/silence_test.go
+++ b/internal/tier/registry/silence_test.go
@@ -12,7 +12,7 @@
 const period = time.Second
 
 // look takes a look each period, at an instance with these sequences, and returns the states that were marked.
-func look(s *Silence, from time.Time, inTouch bool, sequences ...uint64) (marked []tierpb.InstanceState, until time.Time) {
+func look(s *FailureDetector, from time.Time, inTouch bool, sequences ...uint64) (marked []tierpb.InstanceState, until time.Time) {
 	now := from
 	for _, sequence := range sequences {
 		now = now.Add(period)
@@ -24,24 +24,24 @@
 }
 
 func TestSilentStoreIsMarked(t *testing.T) {
-	s := NewSilence(period)
+	s := NewFailureDetector(period)
 	marked, now := look(s, time.Unix(0, 0), true, 1, 2, 3, 4, 5, 6)
 	assert.Equal(t, len(marked), 0)
 	marked, now = look(s, now, true, 6, 6, 6)
 	assert.Equal(t, len(marked), 0)
 	marked, now = look(s, now, true, 6)
-	assert.DeepEqual(t, marked, []tierpb.InstanceState{tierpb.InstanceState_INSTANCE_SILENT})
+	assert.DeepEqual(t, marked, []tierpb.InstanceState{tierpb.InstanceState_INSTANCE_SUSPECT})
 	marked, _ = look(s, now, true, 7)
 	assert.Equal(t, len(marked), 0)
 }
 
 func TestCoordinatorThatJustStartedMarksNothing(t *testing.T) {
-	marked, _ := look(NewSilence(period), time.Unix(0, 0), true, 1, 1, 1, 1, 1)
+	marked, _ := look(NewFailureDetector(period), time.Unix(0, 0), true, 1, 1, 1, 1, 1)
 	assert.Equal(t, len(marked), 0)
 }
 
 func TestCoordinatorOutOfTouchMarksNothing(t *testing.T) {
-	s := NewSilence(period)
+	s := NewFailureDetector(period)
 	marked, now := look(s, time.Unix(0, 0), true, 1, 2, 3, 4, 5, 6, 7)
 	assert.Equal(t, len(marked), 0)
 	marked, now = look(s, now, false, 7, 7, 7, 7, 7, 7, 7, 7)
@@ -51,11 +51,11 @@
 }
 
 func TestStoreQuietForLongIsTakenForGone(t *testing.T) {
-	s := NewSilence(period)
-	instance := &tierpb.Instance{Id: "i", State: tierpb.InstanceState_INSTANCE_SILENT, Sequence: 3}
+	s := NewFailureDetector(period)
+	instance := &tierpb.Instance{Id: "i", State: tierpb.InstanceState_INSTANCE_SUSPECT, Sequence: 3}
 	start := time.Unix(0, 0)
 	s.Look(start, true, []*tierpb.Instance{instance})
 	marks := s.Look(start.Add(ForgetAfter), true, []*tierpb.Instance{instance})
 	assert.Equal(t, len(marks), 1)
-	assert.Equal(t, marks[0].State, tierpb.InstanceState_INSTANCE_GONE)
+	assert.Equal(t, marks[0].State, tierpb.InstanceState_INSTANCE_DEREGISTERED)
 }
--- a/internal/tier/replica/collect.go
+++ b/internal/tier/replica/collect.go
@@ -9,7 +9,7 @@
 
 // Reply is an answer of a turn store.
 type Reply interface {
-	GetVerdict() *tierpb.StoreVerdict
+	GetHeader() *tierpb.StoreReplyHeader
 }
 
 // Quorum says how many members of a replica set of this size are needed.
@@ -19,7 +19,7 @@
 type Operation[R Reply] struct {
 	Key    string
 	Quorum Quorum
-	Call   func(ctx context.Context, address string, header *tierpb.StoreHeader) (R, error)
+	Call   func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (R, error)
 	// Visit is called with each answer that counts, from one goroutine; true ends the operation with success.
 	Visit func(R) bool
 	// Ranked prefers members by their rank for the key, the same for all callers, instead of the near and quick ones.
@@ -264,7 +264,7 @@
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		began := r.client.options.Now()
-		header := &tierpb.StoreHeader{Identity: member.Identity, Epoch: epoch}
+		header := &tierpb.StoreRequestHeader{Identity: member.Identity, Epoch: epoch}
 		reply, err := r.operation.Call(callContext, member.Address, header)
 		got := answer[R]{node: member, placed: placed, reply: reply, err: err}
 		got.took = r.client.options.Now().Sub(began)
@@ -281,7 +281,7 @@
 		r.client.failed(got.node.Identity)
 		return false, false
 	}
-	verdict := got.reply.GetVerdict()
+	verdict := got.reply.GetHeader()
 	switch verdict.GetStatus() {
 	case tierpb.StoreStatus_STORE_OK:
 		r.client.answered(got.node.Identity, got.took)
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -24,7 +24,7 @@
 	MethodReadBudget
 	MethodMoveRecords
 	MethodOfferRecords
-	MethodOrderRuns
+	MethodChangeSegments
 )
 
 // Message is a generated protobuf message with the fast encoding.
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/runtimelimits/limits_test.go
@@ -1,4 +1,4 @@
-package process_test
+package runtimelimits_test
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/process"
+	"pulleygw.example/pulleygw/internal/tier/runtimelimits"
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
@@ -18,11 +18,11 @@
 		debug.SetGCPercent(percentBefore)
 	})
 	debug.SetMemoryLimit(math.MaxInt64)
-	process.Fit(settings.Limits{})
+	runtimelimits.Apply(settings.Limits{})
 	assert.Equal(t, debug.SetMemoryLimit(-1), int64(math.MaxInt64))
 
 	limits := settings.Limits{MemoryMb: 100}
-	process.Fit(limits)
-	assert.Equal(t, debug.SetMemoryLimit(-1), process.SoftLimit(limits))
-	assert.Assert(t, process.SoftLimit(limits) < 100<<20)
+	runtimelimits.Apply(limits)
+	assert.Equal(t, debug.SetMemoryLimit(-1), runtimelimits.MemoryLimit(limits))
+	assert.Assert(t, runtimelimits.MemoryLimit(limits) < 100<<20)
 }
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -30,11 +30,11 @@
 	durable map[string]*inode // names as the last syncs left them
 	pending []nameChange
 	Usage   Usage
-	trouble Trouble
+	trouble DiskFault
 }
 
-// Trouble is what is wrong with a disk.
-type Trouble struct {
+// DiskFault is what is wrong with a disk.
+type DiskFault struct {
 	Full    bool          // writes fail
 	Failing bool          // syncs fail
 	Delay   time.Duration // of each sync
@@ -63,8 +63,8 @@
 	return &Disk{random: random, current: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// SetTrouble replaces what is wrong with the disk.
-func (d *Disk) SetTrouble(trouble Trouble) {
+// SetFault replaces what is wrong with the disk.
+func (d *Disk) SetFault(trouble DiskFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.trouble = trouble
@@ -145,7 +145,7 @@
 }
 
 // Mount gives a life access to the disk of its machine.
-func (l *Life) Mount() storage.Disk { return &mount{disk: l.machine.Disk, life: l} }
+func (l *Incarnation) Mount() storage.Disk { return &mount{disk: l.machine.Disk, life: l} }
 
 func (i *inode) content() []byte {
 	data := slices.Clone(i.synced)
@@ -172,7 +172,7 @@
 // mount is the disk as one life sees it.
 type mount struct {
 	disk *Disk
-	life *Life
+	life *Incarnation
 }
 
 // use runs an operation unless the life has ended.
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -15,13 +15,13 @@
 	Disk    *Disk
 
 	mu     sync.Mutex
-	life   *Life
+	life   *Incarnation
 	dark   bool          // without power: says nothing, not even that a port is dead
 	thawed chan struct{} // closed while the machine is not frozen
 }
 
-// Life is one process from its start to its end.
-type Life struct {
+// Incarnation is one process from its start to its end.
+type Incarnation struct {
 	machine *Machine
 	Server  *rpc.Server
 	ended   chan struct{}
@@ -43,12 +43,12 @@
 func (m *Machine) Address() string { return m.address }
 
 // Start begins a life; one that runs ends first.
-func (m *Machine) Start() *Life {
+func (m *Machine) Start() *Incarnation {
 	m.Kill()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dark = false
-	m.life = &Life{machine: m, Server: rpc.NewServer(), ended: make(chan struct{})}
+	m.life = &Incarnation{machine: m, Server: rpc.NewServer(), ended: make(chan struct{})}
 	return m.life
 }
 
@@ -103,7 +103,7 @@
 // Running says whether a process runs, frozen or not.
 func (m *Machine) Running() bool { return m.current() != nil }
 
-func (m *Machine) current() *Life {
+func (m *Machine) current() *Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.life
@@ -122,23 +122,23 @@
 }
 
 // Ended is closed when the life ends.
-func (l *Life) Ended() <-chan struct{} { return l.ended }
+func (l *Incarnation) Ended() <-chan struct{} { return l.ended }
 
 // Listen lets calls come in; the handlers of Server are set by then.
-func (l *Life) Listen() { l.serving.Store(true) }
+func (l *Incarnation) Listen() { l.serving.Store(true) }
 
 // Stop ends this life, as a kill does, if it has not ended.
-func (l *Life) Stop() {
+func (l *Incarnation) Stop() {
 	if l.machine.current() == l {
 		l.machine.Kill()
 	}
 }
 
 // Caller returns the life's way into the network.
-func (l *Life) Caller() *Caller { return &Caller{network: l.machine.network, life: l} }
+func (l *Incarnation) Caller() *Caller { return &Caller{network: l.machine.network, life: l} }
 
 // running waits while the machine is frozen and says whether the life goes on.
-func (l *Life) running() bool {
+func (l *Incarnation) running() bool {
 	select {
 	case <-l.machine.thaw():
 	case <-l.ended:
@@ -146,7 +146,7 @@
 	return !l.hasEnded()
 }
 
-func (l *Life) hasEnded() bool {
+func (l *Incarnation) hasEnded() bool {
 	select {
 	case <-l.ended:
 		return true
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -50,8 +50,8 @@
 	n.traits = traits
 }
 
-// Cut makes one direction lose all messages, or heals it.
-func (n *Network) Cut(from, to string, cut bool) {
+// Partition makes one direction lose all messages, or heals it.
+func (n *Network) Partition(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[link{from, to}] = cut
@@ -121,7 +121,7 @@
 // Caller makes the calls of one life of a machine; it implements rpc.Caller.
 type Caller struct {
 	network *Network
-	life    *Life
+	life    *Incarnation
 }
 
 // Call implements rpc.Caller. A request may arrive after its caller has given up, and be answered all the same.
--- a/internal/tier/soak/history.go
+++ b/internal/tier/soak/history.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // Attempt is one try of a client and what it was told.
@@ -35,7 +35,7 @@
 
 // promised says whether the answer promises that the request has not run and never will.
 func (a *Attempt) promised() bool {
-	reply := standin.Reply{Status: a.Status}
+	reply := testbed.Reply{Status: a.Status}
 	return a.whole() && (reply.Promised() || a.Status == statusSpent)
 }
 
--- a/internal/tier/soak/judge.go
+++ b/internal/tier/soak/judge.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // mostRuns is how often one try may run: maxAttempts of the example's routes, and what the client's own library sends
@@ -21,9 +21,9 @@
 // judge compares what clients were told with what the stores ran.
 func (w *world) judge() {
 	attempts := w.attemptsByID()
-	runs := make(map[string][]standin.Run)
+	runs := make(map[string][]testbed.Run)
 	w.stores.mu.Lock()
-	stores := append([]*standin.Store(nil), w.stores.all...)
+	stores := append([]*testbed.Store(nil), w.stores.all...)
 	w.stores.mu.Unlock()
 	for _, store := range stores {
 		for _, run := range store.Runs() {
@@ -53,7 +53,7 @@
 }
 
 // judgeRun wants a store to have run what a client sent, unchanged, and nothing late after its leave.
-func (w *world) judgeRun(attempt *Attempt, store *standin.Store, run standin.Run) {
+func (w *world) judgeRun(attempt *Attempt, store *testbed.Store, run testbed.Run) {
 	switch {
 	case attempt == nil:
 		w.Break("UNASKED", "%s ran %s, which nobody sent", store.ID(), run.RequestID)
@@ -79,13 +79,13 @@
 // serviceOf is the service that a route's requests go to.
 func serviceOf(kind routeKind) string {
 	if kind == draftRoute || kind == talkRoute {
-		return standin.EngineService
+		return testbed.EngineService
 	}
-	return standin.PlainService
+	return testbed.PlainService
 }
 
 // judgeGone wants no run to begin long after the client has left, at an edge that could know of it.
-func (w *world) judgeGone(attempt *Attempt, store *standin.Store, run standin.Run) {
+func (w *world) judgeGone(attempt *Attempt, store *testbed.Store, run testbed.Run) {
 	if !attempt.Left || attempt.Ended.IsZero() {
 		return
 	}
@@ -100,7 +100,7 @@
 const workingAfterLeave = "store at work long after the client left"
 
 // countWorking counts stores that are still at work on what nobody waits for: of requests that may be repeated and streams.
-func (w *world) countWorking(attempt *Attempt, run standin.Run) {
+func (w *world) countWorking(attempt *Attempt, run testbed.Run) {
 	if kind := routeKind(attempt.Route); kind != fetchRoute && kind != draftRoute {
 		return
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) judgeAttempt(attempt *Attempt, runs []standin.Run) {
+func (w *world) judgeAttempt(attempt *Attempt, runs []testbed.Run) {
 	once := attempt.Route == string(orderRoute) || attempt.Route == string(talkRoute)
 	switch {
 	case once && len(runs) > 1:
@@ -135,7 +135,7 @@
 }
 
 // judgePlanned wants no request that was passed on to a store to be cut by planned work.
-func (w *world) judgePlanned(attempt *Attempt, runs []standin.Run) {
+func (w *world) judgePlanned(attempt *Attempt, runs []testbed.Run) {
 	if attempt.whole() || attempt.Left || len(runs) == 0 || !runs[len(runs)-1].Whole {
 		return
 	}
@@ -156,7 +156,7 @@
 
 // judgeOnce wants no body of a request that runs once to have run under two ids: clients send it again after a promise
 // alone.
-func (w *world) judgeOnce(attempts map[string]*Attempt, runs map[string][]standin.Run) {
+func (w *world) judgeOnce(attempts map[string]*Attempt, runs map[string][]testbed.Run) {
 	ran := make(map[string]string)
 	for id, attempt := range attempts {
 		if attempt.Route != string(orderRoute) || len(runs[id]) == 0 {
@@ -174,7 +174,7 @@
 	handed := make(map[string]int)
 	for _, attempt := range attempts {
 		if attempt.Program != "" {
-			handed[attempt.Program] += attempt.Events * standin.Stride
+			handed[attempt.Program] += attempt.Events * testbed.Stride
 		}
 	}
 	w.turns.mu.Lock()
--- a/internal/tier/soak/operator.go
+++ b/internal/tier/soak/operator.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // Bounds of the operators.
@@ -60,7 +60,7 @@
 		composed.marks = append(composed.marks, base.marks...)
 	}
 	composed.marks = append(composed.marks, generation)
-	configuration := standin.ExampleConfiguration(generation)
+	configuration := testbed.ExampleConfiguration(generation)
 	for _, mark := range composed.marks {
 		route := configuration.Routes[0]
 		route.Name, route.PathPrefix = fmt.Sprint("mark-", mark), markPath(mark)
@@ -89,7 +89,7 @@
 // operate changes the configuration until ctx ends; now and then two operators do at once.
 func (c *configurations) operate(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.world.plan.Seed, 3002))
-	for pause.For(ctx, changePause+time.Duration(random.Int64N(int64(2*changePause)))) {
+	for clock.Sleep(ctx, changePause+time.Duration(random.Int64N(int64(2*changePause)))) {
 		base := c.base()
 		generation := base.generation + 1 + uint64(random.IntN(3))
 		made := []*change{c.compose(generation, base)}
@@ -138,7 +138,7 @@
 			}
 			return
 		}
-		pause.For(ctx, orderPause)
+		clock.Sleep(ctx, orderPause)
 	}
 }
 
@@ -264,7 +264,7 @@
 // readAlong reads again and again until ctx ends.
 func (c *configurations) readAlong(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.world.plan.Seed, 3003))
-	for pause.For(ctx, 90*time.Millisecond) {
+	for clock.Sleep(ctx, 90*time.Millisecond) {
 		c.read(ctx, random)
 	}
 }
--- a/internal/tier/soak/probe.go
+++ b/internal/tier/soak/probe.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // Bounds of the probes.
@@ -28,21 +28,21 @@
 // calm times it is up to date.
 func (c *configurations) probe(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.world.plan.Seed, 3004))
-	client := standin.NewClient()
+	client := testbed.NewClient()
 	defer client.Close()
-	for pause.For(ctx, probePause) {
+	for clock.Sleep(ctx, probePause) {
 		c.probeOnce(ctx, client, random)
 	}
 }
 
-func (c *configurations) probeOnce(ctx context.Context, client *standin.Client, random *rand.Rand) {
+func (c *configurations) probeOnce(ctx context.Context, client *testbed.Client, random *rand.Rand) {
 	c.mu.Lock()
 	asked := c.sent[max(0, len(c.sent)-1-random.IntN(4))]
 	c.mu.Unlock()
 	edge := c.world.Edges[random.IntN(len(c.world.Edges))]
 	life := c.world.life(edge)
-	call := standin.Call{
-		RequestID: standin.NewRequestID(), Method: "GET", Path: markPath(asked.generation) + standin.NewRequestID(), Deadline: callTime,
+	call := testbed.Call{
+		RequestID: testbed.NewRequestID(), Method: "GET", Path: markPath(asked.generation) + testbed.NewRequestID(), Deadline: callTime,
 	}
 	attempt := c.world.try(ctx, client, edge, markRoute, call, nil)
 	if c.world.life(edge) == life && attempt.whole() {
--- a/internal/tier/soak/rude.go
+++ b/internal/tier/soak/rude.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 const (
@@ -23,7 +23,7 @@
 // runRude plays clients that misbehave on raw connections until ctx ends.
 func (w *world) runRude(ctx context.Context) {
 	random := rand.New(rand.NewPCG(w.plan.Seed, 6000))
-	for number := 0; pause.For(ctx, rudePause); number++ {
+	for number := 0; clock.Sleep(ctx, rudePause); number++ {
 		edge := w.Edges[random.IntN(len(w.Edges))]
 		connection, err := net.DialTimeout("tcp4", edge.Settings.Listen.Front, time.Second)
 		if err != nil {
@@ -46,18 +46,18 @@
 }
 
 // rudeOrder is a request of the route that runs once, and its attempt.
-func (w *world) rudeOrder(edge *standin.Machine, text string) (string, *Attempt) {
+func (w *world) rudeOrder(edge *testbed.Machine, text string) (string, *Attempt) {
 	attempt := &Attempt{
-		ID: standin.NewRequestID(), Route: string(orderRoute), Front: edge.Settings.Listen.Front, Method: "POST",
-		Path: standin.OrderPrefix + "o", Body: []byte(text), Prompt: []byte(text), Sent: time.Now(), Left: true,
+		ID: testbed.NewRequestID(), Route: string(orderRoute), Front: edge.Settings.Listen.Front, Method: "POST",
+		Path: testbed.OrderPrefix + "o", Body: []byte(text), Prompt: []byte(text), Sent: time.Now(), Left: true,
 	}
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		attempt.Path, standin.Host, attempt.ID, callTime.Milliseconds(), len(text))
+		attempt.Path, testbed.Host, attempt.ID, callTime.Milliseconds(), len(text))
 	return head + text, attempt
 }
 
 // pipeline sends two requests ahead of the first answer: answers come in order, each to its own.
-func (w *world) pipeline(connection net.Conn, edge *standin.Machine, text string) {
+func (w *world) pipeline(connection net.Conn, edge *testbed.Machine, text string) {
 	first, one := w.rudeOrder(edge, text+"-first")
 	second, two := w.rudeOrder(edge, text+"-second")
 	defer w.add(two)
@@ -81,8 +81,8 @@
 		if told := answer.Header.Get("X-Request-Id"); told != attempt.ID {
 			w.Break("MIXED", "pipelined %s got the answer of %s", attempt.ID, told)
 		}
-		reply := standin.Reply{RequestID: attempt.ID, Status: answer.StatusCode, Header: answer.Header, Body: body}
-		call := standin.Call{Method: attempt.Method, Path: attempt.Path, Body: attempt.Body}
+		reply := testbed.Reply{RequestID: attempt.ID, Status: answer.StatusCode, Header: answer.Header, Body: body}
+		call := testbed.Call{Method: attempt.Method, Path: attempt.Path, Body: attempt.Body}
 		if answer.StatusCode == http.StatusOK {
 			if err := reply.CheckPlain(call); err != nil {
 				w.Break("MIXED", "pipelined: %v", err)
@@ -96,10 +96,10 @@
 }
 
 // leaveInBody breaks off within the body: no store may run it.
-func (w *world) leaveInBody(connection net.Conn, edge *standin.Machine, text string, random *rand.Rand) {
+func (w *world) leaveInBody(connection net.Conn, edge *testbed.Machine, text string, random *rand.Rand) {
 	whole, attempt := w.rudeOrder(edge, text+strings.Repeat(" filler", 40))
-	attempt.Path = standin.OrderPrefix + "left"
-	whole = strings.Replace(whole, standin.OrderPrefix+"o ", attempt.Path+" ", 1)
+	attempt.Path = testbed.OrderPrefix + "left"
+	whole = strings.Replace(whole, testbed.OrderPrefix+"o ", attempt.Path+" ", 1)
 	attempt.Prompt = nil // whatever a store got of it is wrong
 	defer w.add(attempt)
 	if _, err := io.WriteString(connection, whole[:len(whole)-1-random.IntN(200)]); err != nil {
@@ -126,14 +126,14 @@
 }
 
 // readNothing asks for a stream, and reads none of it for a while.
-func (w *world) readNothing(ctx context.Context, connection net.Conn, edge *standin.Machine, text string, random *rand.Rand) {
+func (w *world) readNothing(ctx context.Context, connection net.Conn, edge *testbed.Machine, text string, random *rand.Rand) {
 	attempt := &Attempt{
-		ID: standin.NewRequestID(), Route: string(draftRoute), Front: edge.Settings.Listen.Front, Method: "POST",
-		Path: standin.DraftPrefix + "d", Body: []byte(text), Prompt: []byte(text), Sent: time.Now(), Left: true,
+		ID: testbed.NewRequestID(), Route: string(draftRoute), Front: edge.Settings.Listen.Front, Method: "POST",
+		Path: testbed.DraftPrefix + "d", Body: []byte(text), Prompt: []byte(text), Sent: time.Now(), Left: true,
 	}
 	defer w.add(attempt)
 	_, _ = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Token-Usage: 5,%d\r\nContent-Length: %d\r\n\r\n%s",
-		attempt.Path, standin.Host, attempt.ID, mostTokens, len(text), text)
-	pause.For(ctx, time.Duration(random.IntN(400))*time.Millisecond)
+		attempt.Path, testbed.Host, attempt.ID, mostTokens, len(text), text)
+	clock.Sleep(ctx, time.Duration(random.IntN(400))*time.Millisecond)
 	w.Count("client read nothing")
 }
--- a/internal/tier/soak/run.go
+++ b/internal/tier/soak/run.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // Sizes of the traffic.
@@ -71,7 +71,7 @@
 	stopChurn()
 	churn.Wait()
 	w.Note("calm")
-	pause.For(ctx, calmTime)
+	clock.Sleep(ctx, calmTime)
 	stop()
 	group.Wait()
 }
@@ -111,7 +111,7 @@
 			w.Count("final loss of power with a lost disk in " + lost.Class)
 		}
 	}
-	pause.For(context.Background(), backAfter)
+	clock.Sleep(context.Background(), backAfter)
 	for _, machine := range members {
 		_ = w.launch(machine)
 	}
@@ -163,7 +163,7 @@
 		if _, ok := w.config.read(ctx, random); ok {
 			return
 		}
-		if !pause.For(ctx, orderPause) {
+		if !clock.Sleep(ctx, orderPause) {
 			w.Break("RECOVER", "no coordinator tells the configuration")
 			return
 		}
@@ -172,7 +172,7 @@
 
 // verifyTurn goes on from a turn that was answered whole, in a new program.
 func (w *world) verifyTurn(ctx context.Context, random *rand.Rand, kept *turn) {
-	client := standin.NewClient()
+	client := testbed.NewClient()
 	defer client.Close()
 	for {
 		call := callOf(talkRoute, "afterwards\n")
@@ -181,7 +181,7 @@
 		if attempt.Status == 200 && attempt.whole() || attempt.Status == 404 {
 			return
 		}
-		if !pause.For(ctx, 100*time.Millisecond) {
+		if !clock.Sleep(ctx, 100*time.Millisecond) {
 			w.Break("LOST", "turn %s is not served after the last trouble: %s", kept.id, outcomeOf(attempt))
 			return
 		}
--- a/internal/tier/soak/stores.go
+++ b/internal/tier/soak/stores.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 const (
@@ -27,9 +27,9 @@
 	world *world
 
 	mu      sync.Mutex
-	all     []*standin.Store
-	well    map[string][]*standin.Store // by service
-	leaving map[*standin.Store]time.Time
+	all     []*testbed.Store
+	well    map[string][]*testbed.Store // by service
+	leaving map[*testbed.Store]time.Time
 }
 
 func (s *storeSet) add(ctx context.Context, service string) error {
@@ -53,26 +53,26 @@
 }
 
 // begin starts a store; from here on its runs are judged.
-func (s *storeSet) begin(address, service string) (*standin.Store, error) {
+func (s *storeSet) begin(address, service string) (*testbed.Store, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	start := func() (*standin.Store, error) { return s.world.NewStore(service, slots) }
+	start := func() (*testbed.Store, error) { return s.world.NewStore(service, slots) }
 	if address != "" {
-		start = func() (*standin.Store, error) { return s.world.NewStoreAt(address, service, slots) }
+		start = func() (*testbed.Store, error) { return s.world.NewStoreAt(address, service, slots) }
 	}
 	store, err := start()
 	if err != nil {
 		return nil, err
 	}
 	if s.well == nil {
-		s.well, s.leaving = make(map[string][]*standin.Store), make(map[*standin.Store]time.Time)
+		s.well, s.leaving = make(map[string][]*testbed.Store), make(map[*testbed.Store]time.Time)
 	}
 	s.all = append(s.all, store)
 	return store, nil
 }
 
 // take removes a store from those that are well, nil where too few would remain.
-func (s *storeSet) take(service string, number int) *standin.Store {
+func (s *storeSet) take(service string, number int) *testbed.Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	well := s.well[service]
@@ -80,7 +80,7 @@
 		return nil
 	}
 	taken := well[number%len(well)]
-	kept := make([]*standin.Store, 0, len(well)-1)
+	kept := make([]*testbed.Store, 0, len(well)-1)
 	for _, store := range well {
 		if store != taken {
 			kept = append(kept, store)
@@ -90,7 +90,7 @@
 	return taken
 }
 
-func (s *storeSet) giveBack(service string, store *standin.Store) {
+func (s *storeSet) giveBack(service string, store *testbed.Store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.well[service] = append(s.well[service], store)
@@ -105,7 +105,7 @@
 }
 
 // left notes when the leave of a store was acknowledged.
-func (s *storeSet) left(store *standin.Store) {
+func (s *storeSet) left(store *testbed.Store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving[store] = time.Now()
@@ -116,8 +116,8 @@
 	random := rand.New(rand.NewPCG(s.world.plan.Seed, 2000))
 	var group sync.WaitGroup
 	defer group.Wait()
-	for pause.For(ctx, churnPause) {
-		service := []string{standin.EngineService, standin.PlainService}[random.IntN(2)]
+	for clock.Sleep(ctx, churnPause) {
+		service := []string{testbed.EngineService, testbed.PlainService}[random.IntN(2)]
 		store := s.take(service, random.IntN(1<<16))
 		if store == nil {
 			if s.add(ctx, service) != nil {
@@ -125,7 +125,7 @@
 			}
 			continue
 		}
-		how, disturbance := random.IntN(6), standin.Disturbance(1+random.IntN(int(standin.LastDisturbance)))
+		how, disturbance := random.IntN(6), testbed.Disturbance(1+random.IntN(int(testbed.LastDisturbance)))
 		source := rand.New(rand.NewPCG(random.Uint64(), 0))
 		group.Go(func() { s.trouble(ctx, service, store, how, disturbance, source) })
 	}
@@ -143,32 +143,32 @@
 // leaveAlone ends, for half of the stores, the coordinator that acknowledged the leave in the same moment: the others have
 // to know of it. Else a heartbeat of before comes late.
 func (s *storeSet) leaveAlone(
-	ctx, patience context.Context, store *standin.Store, late func(context.Context, string) error, spared bool,
+	ctx, patience context.Context, store *testbed.Store, late func(context.Context, string) error, spared bool,
 ) {
 	w := s.world
 	machine := w.machineAt(store.AcknowledgedBy())
 	if machine == nil || spared || !w.claim(machine) {
 		s.deliverLate(patience, late)
-		pause.For(ctx, servesOn)
+		clock.Sleep(ctx, servesOn)
 		return
 	}
 	end := w.begin(cause{what: "coordinator " + machine.Settings.NodeName + " ends behind an acknowledgement"})
 	w.kill(machine)
-	pause.For(ctx, time.Second)
+	clock.Sleep(ctx, time.Second)
 	_ = w.launch(machine)
 	w.release(machine)
 	end()
 	w.Count("coordinator ended behind the acknowledgement of a leave")
-	pause.For(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
+	clock.Sleep(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
 }
 
 // reuse starts a store of the other service at the address of one that crashed.
 func (s *storeSet) reuse(ctx context.Context, address, service string) {
-	other := standin.EngineService
+	other := testbed.EngineService
 	if service == other {
-		other = standin.PlainService
+		other = testbed.PlainService
 	}
-	if pause.For(ctx, reuseAfter) && s.addAt(ctx, address, other) == nil {
+	if clock.Sleep(ctx, reuseAfter) && s.addAt(ctx, address, other) == nil {
 		s.world.Count("address used again by another service")
 	}
 }
@@ -177,7 +177,7 @@
 // acknowledgement that it gave by itself is known to nobody. Then the others start anew, so that they know as little of the
 // store's silence. It says whether there was an acknowledgement. Of one coordinator it is none of its own, and while that is away
 // nobody is in touch.
-func (s *storeSet) leaveCutOff(ctx, patience context.Context, store *standin.Store, random *rand.Rand) bool {
+func (s *storeSet) leaveCutOff(ctx, patience context.Context, store *testbed.Store, random *rand.Rand) bool {
 	w := s.world
 	machine := w.Coordinators[random.IntN(len(w.Coordinators))]
 	if len(w.Coordinators) == 1 || !w.claim(machine) {
@@ -198,15 +198,15 @@
 	s.left(store)
 	w.Count("leave acknowledged by a coordinator that was cut off")
 	w.killAll(w.Coordinators, 0)
-	end()                                               // away, it disturbs nobody any more
-	pause.For(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
+	end()                                                 // away, it disturbs nobody any more
+	clock.Sleep(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
 	defer w.begin(cause{what: "coordinator " + machine.Settings.NodeName + " is back"})()
 	_ = w.launch(machine)
 	return true
 }
 
 func (s *storeSet) trouble(
-	ctx context.Context, service string, store *standin.Store, how int, disturbance standin.Disturbance, random *rand.Rand,
+	ctx context.Context, service string, store *testbed.Store, how int, disturbance testbed.Disturbance, random *rand.Rand,
 ) {
 	w := s.world
 	acknowledged, cancel := context.WithTimeout(context.WithoutCancel(ctx), ackPatience)
@@ -226,7 +226,7 @@
 			s.left(store)
 			w.Count("store drained")
 			s.deliverLate(acknowledged, late)
-			pause.For(ctx, servesOn)
+			clock.Sleep(ctx, servesOn)
 			_ = store.Leave(acknowledged)
 		}
 		store.Kill()
@@ -244,8 +244,8 @@
 		defer w.begin(cause{what: "store " + store.ID() + " is disturbed"})()
 		w.Count("store disturbed")
 		store.Disturb(disturbance)
-		pause.For(ctx, disturbedTime)
-		store.Disturb(standin.NoDisturbance)
+		clock.Sleep(ctx, disturbedTime)
+		store.Disturb(testbed.NoDisturbance)
 		s.giveBack(service, store)
 	}
 }
