--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/settings"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // routeKind names a route of the configuration.
@@ -46,24 +46,24 @@
 }
 
 // callOf is a call of a route with a text of its own.
-func callOf(kind routeKind, text string) standin.Call {
-	call := standin.Call{RequestID: standin.NewRequestID(), Method: "POST", Body: []byte(text), Deadline: callTime, Lateness: lateness}
+func callOf(kind routeKind, text string) testbed.Call {
+	call := testbed.Call{RequestID: testbed.NewRequestID(), Method: "POST", Body: []byte(text), Deadline: callTime, Lateness: lateness}
 	switch kind {
 	case fetchRoute:
-		call.Method, call.Body, call.Path = "GET", nil, standin.FetchPrefix+strings.Fields(text)[0]+"?"+call.RequestID
+		call.Method, call.Body, call.Path = "GET", nil, testbed.FetchPrefix+strings.Fields(text)[0]+"?"+call.RequestID
 	case orderRoute:
-		call.Path = standin.OrderPrefix + "o"
+		call.Path = testbed.OrderPrefix + "o"
 	case draftRoute:
-		call.Path, call.TokensOut = standin.DraftPrefix+"d", mostTokens
+		call.Path, call.TokensOut = testbed.DraftPrefix+"d", mostTokens
 	case talkRoute:
-		call.Path, call.TokensOut = standin.TalkPrefix+"t", mostTokens
+		call.Path, call.TokensOut = testbed.TalkPrefix+"t", mostTokens
 	}
 	return call
 }
 
 // try sends a call once and records and checks what came of it. Before is the turn that it goes on from.
 func (w *world) try(
-	ctx context.Context, client *standin.Client, edge *standin.Machine, kind routeKind, call standin.Call, before *turn,
+	ctx context.Context, client *testbed.Client, edge *testbed.Machine, kind routeKind, call testbed.Call, before *turn,
 ) *Attempt {
 	prompt := call.Body
 	if before != nil {
@@ -89,7 +89,7 @@
 }
 
 // check judges an answer by itself.
-func (w *world) check(kind routeKind, call standin.Call, attempt *Attempt, reply standin.Reply) {
+func (w *world) check(kind routeKind, call testbed.Call, attempt *Attempt, reply testbed.Reply) {
 	var wrong error
 	switch {
 	case reply.Status == 200 && reply.Err == nil && (kind == draftRoute || kind == talkRoute):
@@ -130,7 +130,7 @@
 // next is the prompt of a turn that goes on from this one.
 func (t *turn) next(input []byte) []byte {
 	prompt := append([]byte{}, t.prompt...)
-	prompt = append(prompt, standin.Output(standin.EventData(t.prompt, standin.EventCount(mostTokens)))...)
+	prompt = append(prompt, testbed.Output(testbed.EventData(t.prompt, testbed.EventCount(mostTokens)))...)
 	return append(prompt, input...)
 }
 
@@ -175,7 +175,7 @@
 // runPrograms plays programs one after the other until ctx ends.
 func (w *world) runPrograms(ctx context.Context, worker int) {
 	random := rand.New(rand.NewPCG(w.plan.Seed, uint64(worker)))
-	client := standin.NewClient()
+	client := testbed.NewClient()
 	defer client.Close()
 	for number := 0; ctx.Err() == nil; number++ {
 		program := fmt.Sprintf("p%d-%d", worker, number)
@@ -185,7 +185,7 @@
 	}
 }
 
-func (w *world) runProgram(ctx context.Context, client *standin.Client, random *rand.Rand, program string, budget int) {
+func (w *world) runProgram(ctx context.Context, client *testbed.Client, random *rand.Rand, program string, budget int) {
 	var last *turn
 	for number := range 3 + random.IntN(8) {
 		if ctx.Err() != nil {
@@ -205,7 +205,7 @@
 }
 
 // runHelpers takes two turns at once that go on from the same one.
-func (w *world) runHelpers(ctx context.Context, client *standin.Client, program string, budget int, from *turn, seed uint64) {
+func (w *world) runHelpers(ctx context.Context, client *testbed.Client, program string, budget int, from *turn, seed uint64) {
 	var group sync.WaitGroup
 	for helper := range 2 {
 		group.Go(func() {
@@ -219,7 +219,7 @@
 // takeTurn takes a turn with the tries of a client, each at another edge. It returns the turn where it was answered whole,
 // and whether the program is to end.
 func (w *world) takeTurn(
-	ctx context.Context, client *standin.Client, random *rand.Rand, program string, budget int, before *turn, text string,
+	ctx context.Context, client *testbed.Client, random *rand.Rand, program string, budget int, before *turn, text string,
 ) (*turn, bool) {
 	first := random.IntN(len(w.Edges))
 	for number := range programTries {
@@ -240,7 +240,7 @@
 			w.Count("client left its turn")
 			return nil, false
 		}
-		if !pause.For(ctx, time.Duration(20+random.IntN(80))*time.Millisecond) {
+		if !clock.Sleep(ctx, time.Duration(20+random.IntN(80))*time.Millisecond) {
 			return nil, true
 		}
 	}
@@ -258,18 +258,18 @@
 // runPlain sends requests of the other routes until ctx ends.
 func (w *world) runPlain(ctx context.Context, worker int) {
 	random := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(worker)))
-	client := standin.NewClient()
+	client := testbed.NewClient()
 	defer client.Close()
 	kinds := []routeKind{fetchRoute, orderRoute, orderRoute, draftRoute}
 	for number := 0; ctx.Err() == nil; number++ {
 		kind := kinds[random.IntN(len(kinds))]
 		w.sendPlain(ctx, client, random, kind, fmt.Sprintf("%s-%d-%d", kind, worker, number))
-		pause.For(ctx, time.Duration(random.IntN(25))*time.Millisecond)
+		clock.Sleep(ctx, time.Duration(random.IntN(25))*time.Millisecond)
 	}
 }
 
 // sendPlain sends one request with the tries that its kind allows.
-func (w *world) sendPlain(ctx context.Context, client *standin.Client, random *rand.Rand, kind routeKind, text string) {
+func (w *world) sendPlain(ctx context.Context, client *testbed.Client, random *rand.Rand, kind routeKind, text string) {
 	first := random.IntN(len(w.Edges))
 	for number := range programTries {
 		trying, cancel := w.maybeLeaving(ctx, random)
@@ -279,7 +279,7 @@
 		if attempt.Status == 200 && attempt.whole() || !again || attempt.Left {
 			return
 		}
-		if !pause.For(ctx, time.Duration(10+random.IntN(60))*time.Millisecond) {
+		if !clock.Sleep(ctx, time.Duration(10+random.IntN(60))*time.Millisecond) {
 			return
 		}
 	}
--- a/internal/tier/soak/troubles.go
+++ b/internal/tier/soak/troubles.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/clock"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 const (
@@ -27,7 +27,7 @@
 	var group sync.WaitGroup
 	for _, trouble := range w.plan.Troubles {
 		group.Go(func() {
-			if !pause.For(ctx, time.Until(started.Add(trouble.At))) {
+			if !clock.Sleep(ctx, time.Until(started.Add(trouble.At))) {
 				return
 			}
 			end := w.begin(w.causeOf(trouble))
@@ -62,7 +62,7 @@
 	return why
 }
 
-func (w *world) machine(trouble Trouble) *standin.Machine {
+func (w *world) machine(trouble Trouble) *testbed.Machine {
 	switch trouble.Class {
 	case classEdge:
 		return w.Edges[trouble.Number%len(w.Edges)]
@@ -96,7 +96,7 @@
 	return w.applyToMachine(trouble, machine)
 }
 
-func (w *world) applyToMachine(trouble Trouble, machine *standin.Machine) bool {
+func (w *world) applyToMachine(trouble Trouble, machine *testbed.Machine) bool {
 	role := machine.Roles()[trouble.Role%len(machine.Roles())]
 	switch trouble.Kind {
 	case KillMachine:
@@ -141,13 +141,13 @@
 	return true
 }
 
-func (w *world) kill(machine *standin.Machine) {
+func (w *world) kill(machine *testbed.Machine) {
 	w.expectEnd(machine)
 	machine.Kill()
 }
 
 // terminate stops a machine in order; a process that fails to is a fault.
-func (w *world) terminate(machine *standin.Machine) {
+func (w *world) terminate(machine *testbed.Machine) {
 	w.expectEnd(machine)
 	w.mu.Lock()
 	lived := time.Since(w.started[machine])
@@ -163,7 +163,7 @@
 }
 
 // spoilSettings has processes meet a settings file that cannot be used, and then a good one.
-func (w *world) spoilSettings(machine *standin.Machine, during time.Duration) {
+func (w *world) spoilSettings(machine *testbed.Machine, during time.Duration) {
 	good := machine.Settings.Seeds
 	machine.Settings.Seeds = []string{"nowhere"}
 	_ = machine.WriteSettings()
@@ -175,7 +175,7 @@
 }
 
 // loseDisk has a machine come back without its disk, or with a spoilt file.
-func (w *world) loseDisk(machine *standin.Machine, trouble Trouble) bool {
+func (w *world) loseDisk(machine *testbed.Machine, trouble Trouble) bool {
 	w.kill(machine)
 	if trouble.Kind == Wipe {
 		_ = machine.Wipe()
@@ -220,7 +220,7 @@
 }
 
 // troubleDisk has something wrong with a running machine's disk for a while.
-func (w *world) troubleDisk(machine *standin.Machine, during time.Duration, trouble DiskTrouble) bool {
+func (w *world) troubleDisk(machine *testbed.Machine, during time.Duration, trouble DiskTrouble) bool {
 	folder := machine.Settings.DataDir
 	if !w.plan.Volatile || folder == "" || setTrouble(folder, trouble) != nil {
 		return false
@@ -231,7 +231,7 @@
 }
 
 // failDisk takes the folder of a running machine away for a while: files cannot be made, renamed or listed meanwhile.
-func failDisk(machine *standin.Machine, during time.Duration) bool {
+func failDisk(machine *testbed.Machine, during time.Duration) bool {
 	folder := machine.Settings.DataDir
 	if folder == "" || os.Rename(folder, folder+".away") != nil {
 		return false
@@ -240,8 +240,8 @@
 	return os.Rename(folder+".away", folder) == nil
 }
 
-func (w *world) killAll(machines []*standin.Machine, during time.Duration) bool {
-	var claimed []*standin.Machine
+func (w *world) killAll(machines []*testbed.Machine, during time.Duration) bool {
+	var claimed []*testbed.Machine
 	for _, machine := range machines {
 		if w.claim(machine) {
 			claimed = append(claimed, machine)
@@ -261,7 +261,7 @@
 }
 
 // replaceCore takes a coordinator away for good; an empty one starts at another address.
-func (w *world) replaceCore(machine *standin.Machine) bool {
+func (w *world) replaceCore(machine *testbed.Machine) bool {
 	if !w.claim(machine) {
 		return false
 	}
@@ -281,7 +281,7 @@
 }
 
 // retire empties a turn store and takes it away with its disk once that is completed.
-func (w *world) retire(machine *standin.Machine) bool {
+func (w *world) retire(machine *testbed.Machine) bool {
 	w.mu.Lock()
 	again := w.retired
 	w.retired = true
@@ -291,7 +291,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), retireTime)
 	defer cancel()
-	operator := standin.NewOperator(w.Controls())
+	operator := testbed.NewOperator(w.Controls())
 	answer, err := operator.Retire(ctx, machine.Settings.NodeName, retireTime)
 	if err != nil || answer.Status != 200 {
 		w.Note("retirement of %s: %d %s %v", machine.Settings.NodeName, answer.Status, answer.Body, err)
@@ -307,13 +307,13 @@
 			w.Count("retirement completed")
 			return true
 		}
-		pause.For(ctx, 100*time.Millisecond)
+		clock.Sleep(ctx, 100*time.Millisecond)
 	}
 	w.Count("retirement not completed in time")
 	return true
 }
 
-func (w *world) applyToLinks(trouble Trouble, machine *standin.Machine) bool {
+func (w *world) applyToLinks(trouble Trouble, machine *testbed.Machine) bool {
 	self := machine.Settings.IP
 	var releases []func()
 	block := func(from, to string) { releases = append(releases, w.relay.Block(from, to)) }
@@ -354,7 +354,7 @@
 }
 
 // isolate cuts a machine off from all others until the returned function is called.
-func (w *world) isolate(machine *standin.Machine) (restore func()) {
+func (w *world) isolate(machine *testbed.Machine) (restore func()) {
 	var releases []func()
 	for _, other := range w.members() {
 		if other != machine {
@@ -371,7 +371,7 @@
 
 // cutHalves cuts the machines with a disk in two; edges reach both halves.
 func (w *world) cutHalves(trouble Trouble, block func(from, to string)) {
-	var disks []*standin.Machine
+	var disks []*testbed.Machine
 	for _, machine := range w.members() {
 		if machine.Settings.CountsForQuorum {
 			disks = append(disks, machine)
--- a/internal/tier/soak/world.go
+++ b/internal/tier/soak/world.go
@@ -11,7 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/standin"
+	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
 // Options say how a plan is played.
@@ -37,7 +37,7 @@
 
 // world is a running tier with its surroundings.
 type world struct {
-	*standin.Tier
+	*testbed.Tier
 	*History
 	plan  Plan
 	timed bool
@@ -45,11 +45,11 @@
 	relay *Relay
 
 	mu       sync.Mutex
-	lives    map[*standin.Machine]int // processes started so far
-	started  map[*standin.Machine]time.Time
-	ended    map[*standin.Machine]int  // the last life that was ended on purpose
-	busy     map[*standin.Machine]bool // a trouble of its life is on
-	gone     map[*standin.Machine]bool // taken away for good
+	lives    map[*testbed.Machine]int // processes started so far
+	started  map[*testbed.Machine]time.Time
+	ended    map[*testbed.Machine]int  // the last life that was ended on purpose
+	busy     map[*testbed.Machine]bool // a trouble of its life is on
+	gone     map[*testbed.Machine]bool // taken away for good
 	replaced bool
 	retired  bool
 	grown    bool
@@ -85,7 +85,7 @@
 		}
 		return options.Launch(role, settingsPath, address, told.IP, volatile)
 	}
-	tier, err := standin.NewTier(standin.Layout{
+	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: options.Folder, Subnet: options.Subnet, Zones: []string{"north", "south", "west"}, Edges: plan.Size.Edges,
 		Coordinators: plan.Size.Coordinators, TurnStores: plan.Size.TurnStores, Spares: 1, Tolerated: plan.Size.Tolerated, Launch: launch, Log: log,
 		StorePause: storePause,
@@ -95,9 +95,9 @@
 		return nil, err
 	}
 	w := &world{
-		Tier: tier, History: NewHistory(options.Log), plan: plan, timed: options.Timed, mixed: plan.Mixed && options.Other != nil, relay: relay, lives: make(map[*standin.Machine]int),
-		started: make(map[*standin.Machine]time.Time),
-		ended:   make(map[*standin.Machine]int), busy: make(map[*standin.Machine]bool), gone: make(map[*standin.Machine]bool),
+		Tier: tier, History: NewHistory(options.Log), plan: plan, timed: options.Timed, mixed: plan.Mixed && options.Other != nil, relay: relay, lives: make(map[*testbed.Machine]int),
+		started: make(map[*testbed.Machine]time.Time),
+		ended:   make(map[*testbed.Machine]int), busy: make(map[*testbed.Machine]bool), gone: make(map[*testbed.Machine]bool),
 	}
 	w.config.world, w.turns.world, w.stores.world = w, w, w
 	log.found = func(line string) { w.Break("INVARIANT", "%s", line) }
@@ -118,10 +118,10 @@
 		}
 	}
 	for range 3 {
-		if err := w.stores.add(ctx, standin.EngineService); err != nil {
+		if err := w.stores.add(ctx, testbed.EngineService); err != nil {
 			return err
 		}
-		if err := w.stores.add(ctx, standin.PlainService); err != nil {
+		if err := w.stores.add(ctx, testbed.PlainService); err != nil {
 			return err
 		}
 	}
@@ -158,12 +158,12 @@
 }
 
 // all lists the machines with the spares.
-func (w *world) all() []*standin.Machine {
+func (w *world) all() []*testbed.Machine {
 	return append(append(w.Machines(), w.SpareCoordinators...), w.SpareTurnStores...)
 }
 
 // launch starts a machine and watches for processes that end by themselves.
-func (w *world) launch(machine *standin.Machine) error {
+func (w *world) launch(machine *testbed.Machine) error {
 	w.mu.Lock()
 	w.lives[machine]++
 	w.started[machine] = time.Now()
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (w *world) watch(machine *standin.Machine, role string, life int, exited <-chan struct{}) {
+func (w *world) watch(machine *testbed.Machine, role string, life int, exited <-chan struct{}) {
 	<-exited
 	w.mu.Lock()
 	expected := w.ended[machine] >= life
@@ -189,21 +189,21 @@
 }
 
 // expectEnd says that the processes of a machine are about to be ended.
-func (w *world) expectEnd(machine *standin.Machine) {
+func (w *world) expectEnd(machine *testbed.Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended[machine] = w.lives[machine]
 }
 
 // life numbers the starts of a machine's processes.
-func (w *world) life(machine *standin.Machine) int {
+func (w *world) life(machine *testbed.Machine) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lives[machine]
 }
 
 // claim takes a machine for a trouble of its life; false where another one is on.
-func (w *world) claim(machine *standin.Machine) bool {
+func (w *world) claim(machine *testbed.Machine) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.busy[machine] || w.gone[machine] {
@@ -213,17 +213,17 @@
 	return true
 }
 
-func (w *world) release(machine *standin.Machine) {
+func (w *world) release(machine *testbed.Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.busy[machine] = false
 }
 
 // members lists the machines that are part of the tier.
-func (w *world) members() []*standin.Machine {
+func (w *world) members() []*testbed.Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var members []*standin.Machine
+	var members []*testbed.Machine
 	for _, machine := range w.all() {
 		if w.lives[machine] > 0 && !w.gone[machine] {
 			members = append(members, machine)
@@ -233,7 +233,7 @@
 }
 
 // machineAt finds the machine at an address, nil where there is none.
-func (w *world) machineAt(address string) *standin.Machine {
+func (w *world) machineAt(address string) *testbed.Machine {
 	for _, machine := range w.members() {
 		if machine.Settings.IP == address {
 			return machine
@@ -246,7 +246,7 @@
 func (w *world) untilServed(ctx context.Context, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
-	client := standin.NewClient()
+	client := testbed.NewClient()
 	defer client.Close()
 	for _, edge := range w.Edges {
 		for _, kind := range everyRoute {
@@ -258,9 +258,9 @@
 	return nil
 }
 
-func (w *world) untilRouteServed(ctx context.Context, client *standin.Client, edge *standin.Machine, kind routeKind) error {
+func (w *world) untilRouteServed(ctx context.Context, client *testbed.Client, edge *testbed.Machine, kind routeKind) error {
 	for number := 0; ; number++ {
-		attempt := w.try(ctx, client, edge, kind, callOf(kind, fmt.Sprintf("first-%s-%d\n", standin.NewRequestID(), number)), nil)
+		attempt := w.try(ctx, client, edge, kind, callOf(kind, fmt.Sprintf("first-%s-%d\n", testbed.NewRequestID(), number)), nil)
 		if attempt.Status == 200 && attempt.whole() {
 			return nil
 		}
--- a/internal/tier/storage/versions.go
+++ b/internal/tier/storage/versions.go
@@ -11,7 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 )
 
 // Layout of a version's file: magic (4 bytes), checksum of all that follows (4), version (8), length of the
@@ -29,7 +29,7 @@
 	disk    Disk
 	folder  string
 	name    string
-	faults  *fault.Points
+	faults  *failpoint.Points
 	version uint64   // highest number ever used
 	present []uint64 // versions whose files may exist
 	payload []byte   // as read by Open
@@ -38,7 +38,7 @@
 }
 
 // Open finds the newest whole version in a folder, which must exist, and removes what is older or unfinished.
-func Open(disk Disk, folder, name string, faults *fault.Points) (*Series, error) {
+func Open(disk Disk, folder, name string, faults *failpoint.Points) (*Series, error) {
 	series := &Series{disk: disk, folder: folder, name: name, faults: faults}
 	names, err := disk.List(folder)
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 	s.payload, s.found = nil, true
 	s.removeAllBut(version)
-	return s.faults.At(fault.VersionRemoved)
+	return s.faults.At(failpoint.VersionRemoved)
 }
 
 // Clear removes all versions.
@@ -132,13 +132,13 @@
 		_ = s.disk.Remove(temporary)
 		return err
 	}
-	if err := s.faults.At(fault.VersionRenamed); err != nil {
+	if err := s.faults.At(failpoint.VersionRenamed); err != nil {
 		return err
 	}
 	if err := s.disk.SyncFolder(s.folder); err != nil {
 		return err
 	}
-	return s.faults.At(fault.VersionFolderSynced)
+	return s.faults.At(failpoint.VersionFolderSynced)
 }
 
 func (s *Series) writeAside(path string, data []byte) error {
@@ -147,19 +147,19 @@
 		return err
 	}
 	defer file.Close()
-	if err := s.faults.At(fault.VersionCreated); err != nil {
+	if err := s.faults.At(failpoint.VersionCreated); err != nil {
 		return err
 	}
 	if _, err := file.Write(data); err != nil {
 		return err
 	}
-	if err := s.faults.At(fault.VersionWritten); err != nil {
+	if err := s.faults.At(failpoint.VersionWritten); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	return s.faults.At(fault.VersionSynced)
+	return s.faults.At(failpoint.VersionSynced)
 }
 
 // removeAllBut removes the files of all other versions. One that cannot be removed is tried again later.
--- a/internal/tier/storage/versions_test.go
+++ b/internal/tier/storage/versions_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
@@ -25,7 +25,7 @@
 	return simulation.NewNetwork(random, simulation.Traits{}).NewMachine("10.0.0.1:1", random)
 }
 
-func open(t *testing.T, disk storage.Disk, points *fault.Points) *storage.Series {
+func open(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
 	t.Helper()
 	assert.NilError(t, disk.MakeFolder(folder))
 	series, err := storage.Open(disk, folder, name, points)
@@ -36,22 +36,22 @@
 // TestSaveIsAllOrNothingAtEveryPoint loses power at each point of a save, many times each: what was saved before is
 // there, or what was being saved, and nothing else.
 func TestSaveIsAllOrNothingAtEveryPoint(t *testing.T) {
-	for point := fault.VersionCreated; point <= fault.VersionRemoved; point++ {
+	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
 			m := machine(seed)
 			stop := false
-			points := &fault.Points{Stop: func(passed fault.Point) bool { return stop && passed == point }}
+			points := &failpoint.Points{Stop: func(passed failpoint.Point) bool { return stop && passed == point }}
 			series := open(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			assert.NilError(t, series.Save([]byte("two")))
 			stop = true
-			assert.ErrorIs(t, series.Save([]byte("three")), fault.ErrStopped)
+			assert.ErrorIs(t, series.Save([]byte("three")), failpoint.ErrStopped)
 			m.PowerLoss()
 			disk := m.Start().Mount()
 			reopened := open(t, disk, nil)
 			payload, found := reopened.Newest()
 			assert.Assert(t, found && !reopened.Damaged())
-			durable := point >= fault.VersionFolderSynced
+			durable := point >= failpoint.VersionFolderSynced
 			assert.Assert(t, string(payload) == "three" || !durable && string(payload) == "two", "point %d: %q", point, payload)
 			assert.NilError(t, reopened.Save([]byte("four")))
 			payload, _ = open(t, disk, nil).Newest()
@@ -64,16 +64,16 @@
 }
 
 func TestSaveAfterFailureIsTheNewest(t *testing.T) {
-	troubles := []simulation.Trouble{{Full: true}, {Failing: true}}
+	troubles := []simulation.DiskFault{{Full: true}, {Failing: true}}
 	for _, trouble := range troubles {
 		m := machine(1)
 		series := open(t, m.Start().Mount(), nil)
 		assert.NilError(t, series.Save([]byte("one")))
-		m.Disk.SetTrouble(trouble)
+		m.Disk.SetFault(trouble)
 		for range 5 {
 			assert.Assert(t, series.Save([]byte("lost")) != nil)
 		}
-		m.Disk.SetTrouble(simulation.Trouble{})
+		m.Disk.SetFault(simulation.DiskFault{})
 		assert.NilError(t, series.Save([]byte("two")))
 		m.PowerLoss()
 		disk := m.Start().Mount()
@@ -89,7 +89,7 @@
 	m := machine(1)
 	disk := m.Start().Mount()
 	series := open(t, disk, nil)
-	m.Disk.SetTrouble(simulation.Trouble{Full: true})
+	m.Disk.SetFault(simulation.DiskFault{Full: true})
 	assert.ErrorIs(t, series.Save([]byte("one")), simulation.ErrFull)
 	names, err := disk.List(folder)
 	assert.NilError(t, err)
@@ -153,15 +153,15 @@
 // TestVersionReadAfterAKillOutlastsPowerLoss kills the process at each point of a save; what the next process reads
 // it may act on, so it has to be there also after a loss of power.
 func TestVersionReadAfterAKillOutlastsPowerLoss(t *testing.T) {
-	for point := fault.VersionCreated; point <= fault.VersionRemoved; point++ {
+	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
 			m := machine(seed)
 			stop := false
-			points := &fault.Points{Stop: func(passed fault.Point) bool { return stop && passed == point }}
+			points := &failpoint.Points{Stop: func(passed failpoint.Point) bool { return stop && passed == point }}
 			series := open(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			stop = true
-			assert.ErrorIs(t, series.Save([]byte("two")), fault.ErrStopped)
+			assert.ErrorIs(t, series.Save([]byte("two")), failpoint.ErrStopped)
 			read, found := open(t, m.Start().Mount(), nil).Newest()
 			assert.Assert(t, found)
 			m.PowerLoss()
--- a/internal/tier/standin/answer.go
+++ b/internal/tier/testbed/answer.go
@@ -1,4 +1,4 @@
-package standin
+package testbed
 
 import (
 	"crypto/sha256"
--- a/internal/tier/standin/store.go
+++ b/internal/tier/testbed/store.go
@@ -1,7 +1,7 @@
-// Package standin holds what surrounds the serving tier outside production: stores of plain services and of engines,
+// Package testbed holds what surrounds the serving tier outside production: stores of plain services and of engines,
 // an operator, clients, and machines on loopback addresses whose processes it starts from written settings files.
 // Tests and examples/tier use it; no role does.
-package standin
+package testbed
 
 import (
 	"context"
--- a/internal/tier/turns/client.go
+++ b/internal/tier/turns/client.go
@@ -59,7 +59,7 @@
 	_, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.PutTurnsReply]{
 		Key:    record.Id,
 		Quorum: replica.WriteQuorum,
-		Call: func(ctx context.Context, address string, header *tierpb.StoreHeader) (*tierpb.PutTurnsReply, error) {
+		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.PutTurnsReply, error) {
 			request := &tierpb.PutTurnsRequest{Header: header, Records: []*tierpb.TurnRecord{record}}
 			reply := &tierpb.PutTurnsReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodPutTurns, request, reply)
@@ -108,7 +108,7 @@
 		Key:    id,
 		Quorum: replica.ReadQuorum,
 		Fresh:  true,
-		Call: func(ctx context.Context, address string, header *tierpb.StoreHeader) (*tierpb.GetChainReply, error) {
+		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.GetChainReply, error) {
 			request := &tierpb.GetChainRequest{Header: header, Id: id}
 			reply := &tierpb.GetChainReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodGetChain, request, reply)
--- a/internal/tier/turns/extend.go
+++ b/internal/tier/turns/extend.go
@@ -61,12 +61,12 @@
 	membership := c.replicas.Membership()
 	requests := make(map[string]*tierpb.PutTurnsRequest)
 	for _, id := range ids {
-		extension := &tierpb.Extension{Id: id, UntilUnixMs: until}
+		extension := &tierpb.RetentionExtension{Id: id, UntilUnixMs: until}
 		for _, set := range replica.Sets(membership, id, c.replicas.Tolerance()) {
 			for _, member := range set {
 				request := requests[member.Address]
 				if request == nil {
-					header := &tierpb.StoreHeader{Identity: member.Identity, Epoch: membership.GetEpoch()}
+					header := &tierpb.StoreRequestHeader{Identity: member.Identity, Epoch: membership.GetEpoch()}
 					request = &tierpb.PutTurnsRequest{Header: header}
 					requests[member.Address] = request
 				}
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/replica"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -53,8 +53,8 @@
 
 func (m *machine) goOn() { m.left.Store(-1) }
 
-func (m *machine) points() *fault.Points {
-	return &fault.Points{Stop: func(fault.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
+func (m *machine) points() *failpoint.Points {
+	return &failpoint.Points{Stop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
 }
 
 // testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
--- a/internal/tier/turnstore/damaged_test.go
+++ b/internal/tier/turnstore/damaged_test.go
@@ -36,11 +36,11 @@
 	c.setMembers(c.known().Current)
 	c.finishMove()
 	c.teach(m.store)
-	header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch - 1}
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch - 1}
 	reply, err := m.store.GetChain(context.Background(), &tierpb.GetChainRequest{Header: header, Id: "turn"})
 	assert.NilError(t, err)
-	assert.Equal(t, reply.Verdict.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
-	assert.Equal(t, len(reply.Verdict.Membership.Previous), 0)
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
+	assert.Equal(t, len(reply.Header.Membership.Previous), 0)
 	control := &tierpb.ControlState{Stores: c.older[len(c.older)-1]}
 	m.store.Learn(control)
 	known, _ := m.store.Membership()
--- a/internal/tier/turnstore/extend_test.go
+++ b/internal/tier/turnstore/extend_test.go
@@ -45,7 +45,7 @@
 // A member that has a record already may lack the time until which it is to be kept.
 func TestMoveHandsOnHowLongARecordIsKept(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
-	extension := &tierpb.Extension{Id: "turn", UntilUnixMs: c.clock.time().Add(time.Hour).UnixMilli()}
+	extension := &tierpb.RetentionExtension{Id: "turn", UntilUnixMs: c.clock.time().Add(time.Hour).UnixMilli()}
 	previous := c.known().Current
 	current := []*tierpb.Node{}
 	for _, m := range c.machines {
@@ -54,9 +54,9 @@
 			current = append(current, &tierpb.Node{Address: m.address, Zone: m.zone, Identity: m.store.Identity()})
 			continue
 		}
-		header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+		header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
 		_, err := m.store.PutTurns(context.Background(),
-			&tierpb.PutTurnsRequest{Header: header, Extensions: []*tierpb.Extension{extension}})
+			&tierpb.PutTurnsRequest{Header: header, Extensions: []*tierpb.RetentionExtension{extension}})
 		assert.NilError(t, err)
 	}
 	for i, zone := range []string{"a", "b"} {
@@ -87,8 +87,8 @@
 		m.disk.setSyncTime(func() time.Duration { return 100 * time.Millisecond })
 		until := c.clock.time().Add(time.Hour).UnixMilli()
 		extend := func() {
-			header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
-			extensions := []*tierpb.Extension{{Id: "turn", UntilUnixMs: until}}
+			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+			extensions := []*tierpb.RetentionExtension{{Id: "turn", UntilUnixMs: until}}
 			_, err := m.store.PutTurns(context.Background(), &tierpb.PutTurnsRequest{Header: header, Extensions: extensions})
 			assert.NilError(t, err)
 		}
--- a/internal/tier/turnstore/frame.go
+++ b/internal/tier/turnstore/frame.go
@@ -54,7 +54,7 @@
 type contents interface {
 	takeRecord(*tierpb.TurnRecord)
 	takeBudget(*tierpb.ProgramBudget)
-	takeExtension(*tierpb.Extension)
+	takeExtension(*tierpb.RetentionExtension)
 }
 
 // readFrames hands on the frames of a file up to its end or to the first that is not whole, and returns how many bytes
@@ -111,7 +111,7 @@
 		}
 		into.takeBudget(budget)
 	case kindExtension:
-		extension := &tierpb.Extension{}
+		extension := &tierpb.RetentionExtension{}
 		if err := extension.UnmarshalVT(payload); err != nil {
 			return eris.Wrap(err, "extension")
 		}
--- a/internal/tier/turnstore/journal.go
+++ b/internal/tier/turnstore/journal.go
@@ -10,7 +10,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
@@ -46,7 +46,7 @@
 type journal struct {
 	disk   storage.Disk
 	folder string
-	faults *fault.Points
+	faults *failpoint.Points
 	now    func() time.Time
 
 	mu       sync.Mutex
@@ -70,7 +70,7 @@
 	marksDue   time.Time // when the marks are to be synced
 }
 
-func newJournal(disk storage.Disk, folder string, segment uint64, now func() time.Time, faults *fault.Points) *journal {
+func newJournal(disk storage.Disk, folder string, segment uint64, now func() time.Time, faults *failpoint.Points) *journal {
 	j := &journal{
 		disk: disk, folder: folder, segment: segment, now: now, faults: faults,
 		finished: make(chan struct{}),
--- a/internal/tier/turnstore/merge.go
+++ b/internal/tier/turnstore/merge.go
@@ -91,7 +91,7 @@
 		if held.until <= keptUntil(held.turn) {
 			continue
 		}
-		extension := &tierpb.Extension{Id: held.turn.Id, UntilUnixMs: held.until}
+		extension := &tierpb.RetentionExtension{Id: held.turn.Id, UntilUnixMs: held.until}
 		if err := file.add(kindExtension, extension); err != nil {
 			return err
 		}
--- a/internal/tier/turnstore/merged.go
+++ b/internal/tier/turnstore/merged.go
@@ -7,7 +7,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
@@ -121,10 +121,10 @@
 	file   storage.File
 	buffer []byte
 	bytes  int64
-	faults *fault.Points
+	faults *failpoint.Points
 }
 
-func createMerged(disk storage.Disk, folder string, number uint64, faults *fault.Points) (*mergedFile, error) {
+func createMerged(disk storage.Disk, folder string, number uint64, faults *failpoint.Points) (*mergedFile, error) {
 	m := &mergedFile{disk: disk, folder: folder, number: number, faults: faults}
 	file, err := disk.Create(m.path() + asideSuffix)
 	if err != nil {
--- a/internal/tier/turnstore/mergednumber.go
+++ b/internal/tier/turnstore/mergednumber.go
@@ -5,7 +5,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
@@ -27,7 +27,7 @@
 	return binary.BigEndian.Uint64(payload), nil
 }
 
-func saveMergedNumber(disk storage.Disk, folder string, number uint64, faults *fault.Points) error {
+func saveMergedNumber(disk storage.Disk, folder string, number uint64, faults *failpoint.Points) error {
 	series, err := storage.Open(disk, folder, mergedNumberSeries, faults)
 	if err != nil {
 		return err
--- a/internal/tier/turnstore/oracle_test.go
+++ b/internal/tier/turnstore/oracle_test.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	at := slices.IndexFunc(program.budget.Entries, func(entry *tierpb.BudgetEntry) bool { return entry.Request == c.request })
-	return at >= 0 && (!c.marked || program.budget.Entries[at].TwoRounds)
+	return at >= 0 && (!c.marked || program.budget.Entries[at].Confirmed)
 }
 
 // takePassed notes of the claims that passed whether they are marked.
--- a/internal/tier/turnstore/pass.go
+++ b/internal/tier/turnstore/pass.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 
 	"pulleygw.example/pulleygw/internal/tier/budget"
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/replica"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
@@ -33,7 +33,7 @@
 	caller     rpc.Caller
 	tolerance  int
 	membership *tierpb.StoreMembership
-	faults     *fault.Points
+	faults     *failpoint.Points
 	after      func(time.Duration) <-chan time.Time
 
 	handed int // keys that were sent to members and synced there, each time counted
@@ -218,8 +218,8 @@
 		}
 		reply := &tierpb.OfferRecordsReply{}
 		err := p.call(ctx, member, rpc.MethodOfferRecords, request, reply)
-		ok, err := p.judge(reply.Verdict, err)
-		return func() { noteOffer(member, asked, reply.Lacking, ok) }, err
+		ok, err := p.judge(reply.Header, err)
+		return func() { noteOffer(member, asked, reply.Missing, ok) }, err
 	})
 }
 
@@ -279,7 +279,7 @@
 		count := fill(request, sent[done:])
 		reply := &tierpb.MoveRecordsReply{}
 		err := p.call(ctx, member, rpc.MethodMoveRecords, request, reply)
-		ok, err := p.judge(reply.Verdict, err)
+		ok, err := p.judge(reply.Header, err)
 		if err != nil || !ok {
 			return done, err
 		}
@@ -340,8 +340,8 @@
 	return failure
 }
 
-func (p *pass) header(member *tierpb.Node) *tierpb.StoreHeader {
-	return &tierpb.StoreHeader{Identity: member.Identity, Epoch: p.membership.Epoch}
+func (p *pass) header(member *tierpb.Node) *tierpb.StoreRequestHeader {
+	return &tierpb.StoreRequestHeader{Identity: member.Identity, Epoch: p.membership.Epoch}
 }
 
 func (p *pass) call(ctx context.Context, member *tierpb.Node, method rpc.Method, request, reply rpc.Message) error {
@@ -351,7 +351,7 @@
 }
 
 // judge says whether a call was served; an error ends the pass.
-func (p *pass) judge(verdict *tierpb.StoreVerdict, err error) (bool, error) {
+func (p *pass) judge(verdict *tierpb.StoreReplyHeader, err error) (bool, error) {
 	if err != nil {
 		return false, nil
 	}
--- a/internal/tier/turnstore/prolong.go
+++ b/internal/tier/turnstore/prolong.go
@@ -9,11 +9,11 @@
 )
 
 // extension says how long a record is kept where that is longer than it tells itself; else nil.
-func (c *copies) extension() *tierpb.Extension {
+func (c *copies) extension() *tierpb.RetentionExtension {
 	if c.record == nil || c.record.until <= keptUntil(c.record.turn) {
 		return nil
 	}
-	return &tierpb.Extension{Id: c.key.name, UntilUnixMs: c.record.until}
+	return &tierpb.RetentionExtension{Id: c.key.name, UntilUnixMs: c.record.until}
 }
 
 // prolong tells members that had records before how long they are kept: one that missed an extension would drop its
@@ -32,7 +32,7 @@
 		}
 		reply := &tierpb.MoveRecordsReply{}
 		err := p.call(ctx, member, rpc.MethodMoveRecords, request, reply)
-		ok, err := p.judge(reply.Verdict, err)
+		ok, err := p.judge(reply.Header, err)
 		return func() { noteProlonged(member, asked, ok) }, err
 	})
 }
--- a/internal/tier/turnstore/repeated_test.go
+++ b/internal/tier/turnstore/repeated_test.go
@@ -24,15 +24,15 @@
 
 // deliveries are calls of every kind that a store may get twice: from a proxy that tries again after a time-out, from
 // two stores that hand on the same record, or from a network that held a call up.
-func deliveries(c *cluster, header *tierpb.StoreHeader) []delivery {
+func deliveries(c *cluster, header *tierpb.StoreRequestHeader) []delivery {
 	var all []delivery
 	add := func(method rpc.Method, request rpc.Message) {
 		all = append(all, delivery{method: method, request: request})
 	}
 	claim := func(program, request string, stage uint32, tokens uint64, marked bool) *tierpb.ProgramBudget {
-		entry := &tierpb.BudgetEntry{Request: request, Stage: stage, Tokens: tokens, TwoRounds: marked}
+		entry := &tierpb.BudgetEntry{Request: request, Stage: stage, Tokens: tokens, Confirmed: marked}
 		return &tierpb.ProgramBudget{
-			Program: program, Entries: []*tierpb.BudgetEntry{entry}, TouchedUnixMs: c.clock.time().UnixMilli(),
+			Program: program, Entries: []*tierpb.BudgetEntry{entry}, LastUsedUnixMs: c.clock.time().UnixMilli(),
 		}
 	}
 	for i := range 4 {
@@ -62,7 +62,7 @@
 		})
 		add(rpc.MethodGetChain, &tierpb.GetChainRequest{Header: header, Id: id})
 		until := c.clock.time().Add(time.Duration(i+1) * time.Hour).UnixMilli()
-		extensions := []*tierpb.Extension{{Id: id, UntilUnixMs: until}}
+		extensions := []*tierpb.RetentionExtension{{Id: id, UntilUnixMs: until}}
 		all = append(all, delivery{rpc.MethodPutTurns, &tierpb.PutTurnsRequest{Header: header, Extensions: extensions}, true})
 	}
 	return all
@@ -73,7 +73,7 @@
 	c := newCluster(t, 1, "a", "b", "c")
 	defer c.close()
 	m := c.machines["10.0.0.1:1"]
-	header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
 	random := rand.New(rand.NewPCG(seed, 5))
 	for _, call := range arrange(random, deliveries(c, header)) {
 		_, err := dispatch(context.Background(), m.store, call.method, encode(call.request))
--- a/internal/tier/turnstore/schedule_test.go
+++ b/internal/tier/turnstore/schedule_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"pulleygw.example/pulleygw/internal/tier/budget"
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/replica"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 	"pulleygw.example/pulleygw/internal/tier/turns"
@@ -335,7 +335,7 @@
 	m.stopAfter(s.random.IntN(4))
 	err := m.store.Merge(context.Background())
 	m.goOn()
-	if errors.Is(err, fault.ErrStopped) || m.store.journal.isFailed() {
+	if errors.Is(err, failpoint.ErrStopped) || m.store.journal.isFailed() {
 		s.losePower(m)
 		s.start(m)
 	}
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &tierpb.PutTurnsReply{Verdict: verdict}, nil
+	return &tierpb.PutTurnsReply{Header: verdict}, nil
 }
 
 // GetChain answers with the turn and those before it that are held.
@@ -45,10 +45,10 @@
 	defer s.mu.Unlock()
 	verdict, err := s.verdict(request.Header)
 	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.GetChainReply{Verdict: verdict}, err
+		return &tierpb.GetChainReply{Header: verdict}, err
 	}
 	turns, missing := s.view.chain(request.Id)
-	return &tierpb.GetChainReply{Verdict: verdict, Records: turns, Missing: missing}, nil
+	return &tierpb.GetChainReply{Header: verdict, Records: turns, Missing: missing}, nil
 }
 
 // ReserveBudget merges claims and answers with all of the program when they are synced.
@@ -60,11 +60,11 @@
 	}
 	verdict, err := s.take(ctx, request.Header, writes{budgets: []*tierpb.ProgramBudget{request.Budget}})
 	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.BudgetReply{Verdict: verdict}, err
+		return &tierpb.BudgetReply{Header: verdict}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &tierpb.BudgetReply{Verdict: verdict, Budget: s.claims(request.Budget.Program)}, nil
+	return &tierpb.BudgetReply{Header: verdict, Budget: s.claims(request.Budget.Program)}, nil
 }
 
 // ReadBudget answers with all claims of a program.
@@ -73,9 +73,9 @@
 	defer s.mu.Unlock()
 	verdict, err := s.verdict(request.Header)
 	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.BudgetReply{Verdict: verdict}, err
+		return &tierpb.BudgetReply{Header: verdict}, err
 	}
-	return &tierpb.BudgetReply{Verdict: verdict, Budget: s.claims(request.Program)}, nil
+	return &tierpb.BudgetReply{Header: verdict, Budget: s.claims(request.Program)}, nil
 }
 
 // MoveRecords takes copies that another store hands on.
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &tierpb.MoveRecordsReply{Verdict: verdict}, nil
+	return &tierpb.MoveRecordsReply{Header: verdict}, nil
 }
 
 // OfferRecords answers with those of the records named that are not held and durable.
@@ -97,12 +97,12 @@
 	defer s.mu.Unlock()
 	verdict, err := s.verdict(request.Header)
 	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.OfferRecordsReply{Verdict: verdict}, err
+		return &tierpb.OfferRecordsReply{Header: verdict}, err
 	}
-	reply := &tierpb.OfferRecordsReply{Verdict: verdict}
+	reply := &tierpb.OfferRecordsReply{Header: verdict}
 	for i, id := range request.Ids {
 		if held := s.view.records[id]; held == nil || !s.isDurable(held.batch) {
-			reply.Lacking = append(reply.Lacking, uint32(i))
+			reply.Missing = append(reply.Missing, uint32(i))
 		}
 	}
 	return reply, nil
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/rotisserie/eris"
 
-	"pulleygw.example/pulleygw/internal/tier/fault"
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
 	"pulleygw.example/pulleygw/internal/tier/storage"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -39,7 +39,7 @@
 	MemoryMb int
 	DiskMb   int
 	Log      hclog.Logger
-	Faults   *fault.Points
+	Faults   *failpoint.Points
 	Kick     func() // told when a caller knows a newer membership; may be nil
 }
 
@@ -180,14 +180,14 @@
 }
 
 // verdict says whether a call may be served; nil error and STORE_OK when it may. The caller holds the lock.
-func (s *Store) verdict(header *tierpb.StoreHeader) (*tierpb.StoreVerdict, error) {
+func (s *Store) verdict(header *tierpb.StoreRequestHeader) (*tierpb.StoreReplyHeader, error) {
 	if header.GetIdentity() != s.identity {
 		return nil, errWrongIdentity
 	}
 	known := s.membership.GetEpoch()
 	switch {
 	case header.GetEpoch() < known:
-		return &tierpb.StoreVerdict{
+		return &tierpb.StoreReplyHeader{
 			Status:         tierpb.StoreStatus_STORE_STALE_EPOCH,
 			Membership:     s.membership,
 			ControlVersion: s.control,
@@ -196,9 +196,9 @@
 		if s.options.Kick != nil {
 			s.options.Kick()
 		}
-		return &tierpb.StoreVerdict{Status: tierpb.StoreStatus_STORE_BEHIND}, nil
+		return &tierpb.StoreReplyHeader{Status: tierpb.StoreStatus_STORE_BEHIND}, nil
 	}
-	return &tierpb.StoreVerdict{}, nil
+	return &tierpb.StoreReplyHeader{}, nil
 }
 
 // isFull says whether more records would pass the machine's limits. The caller holds the lock.
--- a/internal/tier/turnstore/synced_test.go
+++ b/internal/tier/turnstore/synced_test.go
@@ -24,11 +24,11 @@
 		go put(c, m, c.record("turn", ""))
 		copies := func() (own int, lacking int) {
 			work := &pass{store: m.store, caller: c, tolerance: 3, membership: c.known(), after: atOnce}
-			header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
 			request := &tierpb.OfferRecordsRequest{Header: header, Ids: []string{"turn"}}
 			reply, err := m.store.OfferRecords(context.Background(), request)
 			assert.NilError(t, err)
-			return len(work.look(key{name: "turn"}).holders), len(reply.Lacking)
+			return len(work.look(key{name: "turn"}).holders), len(reply.Missing)
 		}
 		time.Sleep(100 * time.Millisecond)
 		own, lacking := copies()
--- a/internal/tier/turnstore/trouble_test.go
+++ b/internal/tier/turnstore/trouble_test.go
@@ -12,11 +12,11 @@
 )
 
 func put(c *cluster, m *machine, record *tierpb.TurnRecord) tierpb.StoreStatus {
-	header := &tierpb.StoreHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
 	request := &tierpb.PutTurnsRequest{Header: header, Records: []*tierpb.TurnRecord{record}}
 	reply, err := m.store.PutTurns(context.Background(), request)
 	assert.NilError(c.t, err)
-	return reply.Verdict.Status
+	return reply.Header.Status
 }
 
 func TestStoreWhoseDiskFailsRefusesUntilAllIsSaved(t *testing.T) {
@@ -113,16 +113,16 @@
 	c := newCluster(t, 1, "a", "b", "c")
 	store := c.machines["10.0.0.1:1"].store
 	ask := func(identity, epoch uint64) (*tierpb.GetChainReply, error) {
-		header := &tierpb.StoreHeader{Identity: identity, Epoch: epoch}
+		header := &tierpb.StoreRequestHeader{Identity: identity, Epoch: epoch}
 		return store.GetChain(context.Background(), &tierpb.GetChainRequest{Header: header, Id: "turn"})
 	}
 	_, err := ask(store.Identity()+1, 1)
 	assert.ErrorIs(t, err, errWrongIdentity)
 	reply, err := ask(store.Identity(), 0)
 	assert.NilError(t, err)
-	assert.Equal(t, reply.Verdict.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
-	assert.Equal(t, reply.Verdict.Membership.Epoch, uint64(1))
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
+	assert.Equal(t, reply.Header.Membership.Epoch, uint64(1))
 	reply, err = ask(store.Identity(), 2)
 	assert.NilError(t, err)
-	assert.Equal(t, reply.Verdict.Status, tierpb.StoreStatus_STORE_BEHIND)
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_BEHIND)
 }
--- a/internal/tier/turnstore/view.go
+++ b/internal/tier/turnstore/view.go
@@ -87,7 +87,7 @@
 	}
 	before := len(held.budget.Entries)
 	changed := budget.Merge(held.budget, from.Entries)
-	held.budget.TouchedUnixMs = max(held.budget.TouchedUnixMs, from.TouchedUnixMs)
+	held.budget.LastUsedUnixMs = max(held.budget.LastUsedUnixMs, from.LastUsedUnixMs)
 	v.bytes += entryOverhead * (len(held.budget.Entries) - before)
 	return held, changed
 }
@@ -105,7 +105,7 @@
 		}
 	}
 	for name, held := range v.programs {
-		if held.budget.TouchedUnixMs+budgetKept.Milliseconds() < at {
+		if held.budget.LastUsedUnixMs+budgetKept.Milliseconds() < at {
 			v.bytes -= budgetOverhead + len(name) + entryOverhead*len(held.budget.Entries)
 			delete(v.programs, name)
 		}
@@ -135,6 +135,6 @@
 
 func (v *view) takeBudget(from *tierpb.ProgramBudget) { v.addClaims(from) }
 
-func (v *view) takeExtension(extension *tierpb.Extension) {
+func (v *view) takeExtension(extension *tierpb.RetentionExtension) {
 	v.extend(extension.Id, extension.UntilUnixMs, nil)
 }
--- a/internal/tier/turnstore/write.go
+++ b/internal/tier/turnstore/write.go
@@ -14,11 +14,11 @@
 type writes struct {
 	records    []*tierpb.TurnRecord
 	budgets    []*tierpb.ProgramBudget
-	extensions []*tierpb.Extension
+	extensions []*tierpb.RetentionExtension
 }
 
 // take makes all of it durable if the header allows; the verdict says whether it did.
-func (s *Store) take(ctx context.Context, header *tierpb.StoreHeader, asked writes) (*tierpb.StoreVerdict, error) {
+func (s *Store) take(ctx context.Context, header *tierpb.StoreRequestHeader, asked writes) (*tierpb.StoreReplyHeader, error) {
 	verdict, waiting, err := s.fold(header, asked)
 	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
 		return verdict, err
@@ -29,13 +29,13 @@
 	return verdict, nil
 }
 
-func full() *tierpb.StoreVerdict {
-	return &tierpb.StoreVerdict{Status: tierpb.StoreStatus_STORE_FULL}
+func full() *tierpb.StoreReplyHeader {
+	return &tierpb.StoreReplyHeader{Status: tierpb.StoreStatus_STORE_FULL}
 }
 
 // fold takes writes into the view and the next batch, under one lock with the check of the epoch: what a call of an
 // older epoch brings is in the view before the pass over it begins, or is refused.
-func (s *Store) fold(header *tierpb.StoreHeader, asked writes) (*tierpb.StoreVerdict, []*batch, error) {
+func (s *Store) fold(header *tierpb.StoreRequestHeader, asked writes) (*tierpb.StoreReplyHeader, []*batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	verdict, err := s.verdict(header)
@@ -64,7 +64,7 @@
 func (s *Store) news(asked writes) (frames []byte, waiting []*batch, err error) {
 	for _, turn := range asked.records {
 		if held := s.view.records[turn.Id]; held != nil {
-			invariant.Check(isSame(held.turn, turn), invariant.RecordsNeverChange, turn.Id, held.turn.Id)
+			invariant.Check(isSame(held.turn, turn), invariant.RecordsImmutable, turn.Id, held.turn.Id)
 			waiting = addBatch(waiting, held.batch)
 			continue
 		}
--- a/internal/tier/watch/cost_test.go
+++ b/internal/tier/watch/cost_test.go
@@ -26,7 +26,7 @@
 	place := &tierpb.WatchRequest{}
 	for more := true; more; {
 		reply := ask(t, s, place)
-		place.Feed, place.Cursor, more = reply.Feed, reply.Cursor, reply.More
+		place.Incarnation, place.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
 	}
 	assert.Assert(t, ask(t, s, place).SizeVT() <= 24)
 	clock.advance(time.Second)
@@ -96,7 +96,7 @@
 				clock.advance(time.Second)
 				s.Upsert(described(7, sequence, tierpb.InstanceState(sequence%2)))
 				for range followers {
-					reply, _, _ := s.poll(&tierpb.WatchRequest{Feed: s.feed, Cursor: place})
+					reply, _, _ := s.poll(&tierpb.WatchRequest{Incarnation: s.feed, Cursor: place})
 					encoded, _ := reply.MarshalVT()
 					sent += len(encoded)
 				}
--- a/internal/tier/watch/delta.go
+++ b/internal/tier/watch/delta.go
@@ -66,13 +66,13 @@
 }
 
 func makeDelta(version uint64, older, newer []byte) *tierpb.BodyDelta {
-	return &tierpb.BodyDelta{Base: version, Pieces: pieces(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
+	return &tierpb.BodyDelta{Base: version, Chunks: pieces(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
 }
 
 // pieces describes the newer body by parts of the older one, found by a rolling hash over its blocks.
-func pieces(older, newer []byte) []*tierpb.BodyPiece {
+func pieces(older, newer []byte) []*tierpb.BodyChunk {
 	blocks := blocksOf(older)
-	made := []*tierpb.BodyPiece{{}}
+	made := []*tierpb.BodyChunk{{}}
 	told, at := 0, 0 // newer[told:at] is in no piece yet
 	var rolling rollingHash
 	for at+deltaBlock <= len(newer) {
@@ -86,7 +86,7 @@
 		length := deltaBlock + commonPrefix(older[from+deltaBlock:], newer[at+deltaBlock:])
 		last := made[len(made)-1]
 		last.Added = newer[told : at-back]
-		made = append(made, &tierpb.BodyPiece{From: uint32(from - back), Length: uint32(back + length)})
+		made = append(made, &tierpb.BodyChunk{From: uint32(from - back), Length: uint32(back + length)})
 		at += length
 		told = at
 	}
@@ -97,14 +97,14 @@
 // apply makes the newer body.
 func apply(delta *tierpb.BodyDelta, older []byte) ([]byte, error) {
 	size := 0
-	for _, piece := range delta.Pieces {
+	for _, piece := range delta.Chunks {
 		if uint64(piece.From)+uint64(piece.Length) > uint64(len(older)) {
 			return nil, errDelta
 		}
 		size += int(piece.Length) + len(piece.Added)
 	}
 	newer := make([]byte, 0, size)
-	for _, piece := range delta.Pieces {
+	for _, piece := range delta.Chunks {
 		newer = append(newer, older[piece.From:piece.From+piece.Length]...)
 		newer = append(newer, piece.Added...)
 	}
--- a/internal/tier/watch/delta_test.go
+++ b/internal/tier/watch/delta_test.go
@@ -90,7 +90,7 @@
 		follower.Merge(reply)
 		assert.Assert(t, follower.Control().EqualVT(newest), "from %d", version)
 	}
-	assert.Assert(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 5, WholeBody: true}).Body == nil)
+	assert.Assert(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 5, FullBody: true}).Body == nil)
 }
 
 func TestDeltaForAnotherBaseIsNotTaken(t *testing.T) {
@@ -128,12 +128,12 @@
 // TestDeltaLeavesOutTheBodyAlone goes through all fields, so that one which is added later is not left out by mistake.
 func TestDeltaLeavesOutTheBodyAlone(t *testing.T) {
 	control := &tierpb.ControlState{
-		Voters:        []*tierpb.VoterSet{{Nodes: []*tierpb.Node{{Identity: 1}}}},
-		Stores:        &tierpb.StoreMembership{Epoch: 4},
-		Configuration: &tierpb.Configuration{Generation: 5, Body: []byte("body")},
-		Taken:         []*tierpb.TakenOrder{{Generation: 5}},
-		Retirements:   []*tierpb.Retirement{{Node: "a"}},
-		OlderOrders:   []*tierpb.OrderRunName{{First: 1}},
+		Voters:           []*tierpb.VoterSet{{Nodes: []*tierpb.Node{{Identity: 1}}}},
+		Stores:           &tierpb.StoreMembership{Epoch: 4},
+		Configuration:    &tierpb.Configuration{Generation: 5, Body: []byte("body")},
+		CommittedChanges: []*tierpb.CommittedChange{{Generation: 5}},
+		Retirements:      []*tierpb.Retirement{{Node: "a"}},
+		OlderChanges:     []*tierpb.ChangeSegmentRef{{First: 1}},
 	}
 	fields := control.ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
--- a/internal/tier/watch/follower.go
+++ b/internal/tier/watch/follower.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/tier/pause"
+	"pulleygw.example/pulleygw/internal/tier/clock"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
@@ -147,7 +147,7 @@
 			retry = retryFirst
 		}
 		f.startSlots(ctx, f.options.Targets())
-		if !pause.For(ctx, jittered(retry)) {
+		if !clock.Sleep(ctx, jittered(retry)) {
 			return
 		}
 		retry = min(2*retry, retryMost)
--- a/internal/tier/watch/join.go
+++ b/internal/tier/watch/join.go
@@ -39,7 +39,7 @@
 		merged = merged.CloneVT()
 		merged.State = state
 	}
-	invariant.Check(!Terminal(known.State) || merged.State >= known.State, invariant.FinalStateStays, merged.State, known.State)
+	invariant.Check(!Terminal(known.State) || merged.State >= known.State, invariant.TerminalStateFinal, merged.State, known.State)
 	return merged, compare(known, merged)
 }
 
@@ -57,7 +57,7 @@
 		return Unchanged
 	case known.State != merged.State || !sameDescription(known, merged):
 		return Material
-	case known.Sequence == merged.Sequence && known.ColdRemainingMs == merged.ColdRemainingMs:
+	case known.Sequence == merged.Sequence && known.SlowStartRemainingMs == merged.SlowStartRemainingMs:
 		return Unchanged
 	}
 	return Heartbeat
@@ -71,10 +71,10 @@
 
 // aged returns the instance with the rest of its cold time as it stands when this much time has passed.
 func aged(instance *tierpb.Instance, passed time.Duration) *tierpb.Instance {
-	if instance.ColdRemainingMs == 0 || passed < time.Millisecond {
+	if instance.SlowStartRemainingMs == 0 || passed < time.Millisecond {
 		return instance
 	}
 	older := instance.CloneVT()
-	older.ColdRemainingMs -= uint32(min(passed.Milliseconds(), int64(instance.ColdRemainingMs)))
+	older.SlowStartRemainingMs -= uint32(min(passed.Milliseconds(), int64(instance.SlowStartRemainingMs)))
 	return older
 }
--- a/internal/tier/watch/orphans.go
+++ b/internal/tier/watch/orphans.go
@@ -40,26 +40,26 @@
 	reply.Compared = true
 	for bucket, sum := range s.summary {
 		if request.Summary[bucket] != sum {
-			reply.Differing = append(reply.Differing, uint32(bucket))
+			reply.DifferingBuckets = append(reply.DifferingBuckets, uint32(bucket))
 		}
 	}
-	if len(reply.Differing) == 0 {
+	if len(reply.DifferingBuckets) == 0 {
 		return
 	}
 	for id, e := range s.instances {
 		if !s.summary.agrees(request.Summary, id) {
-			reply.Marks = append(reply.Marks, markOf(e.instance))
+			reply.Statuses = append(reply.Statuses, markOf(e.instance))
 		}
 	}
 }
 
 // markOrphans marks the instances that the source of a comparison does not know, and says whether there were any.
 func (s *State) markOrphans(reply *tierpb.WatchReply) bool {
-	if len(reply.Differing) == 0 {
+	if len(reply.DifferingBuckets) == 0 {
 		return false
 	}
-	named := make(map[string]bool, len(reply.Marks)+len(reply.Instances))
-	for _, mark := range reply.Marks {
+	named := make(map[string]bool, len(reply.Statuses)+len(reply.Instances))
+	for _, mark := range reply.Statuses {
 		named[mark.Id] = true
 	}
 	for _, instance := range reply.Instances {
@@ -67,10 +67,10 @@
 	}
 	var orphans []*tierpb.Instance
 	for id, e := range s.instances {
-		if named[id] || !slices.Contains(reply.Differing, uint32(bucketOf(id))) {
+		if named[id] || !slices.Contains(reply.DifferingBuckets, uint32(bucketOf(id))) {
 			continue
 		}
-		if orphan := registry.AfterSilence(e.instance, s.now().Sub(e.at), orphanAge); orphan != nil {
+		if orphan := registry.AsSuspect(e.instance, s.now().Sub(e.at), orphanAge); orphan != nil {
 			orphans = append(orphans, orphan)
 		}
 	}
@@ -90,7 +90,7 @@
 	switch {
 	case !reply.Compared:
 		p.compareAt = now.Add(jittered(compareUnanswered))
-	case len(reply.Differing) > 0:
+	case len(reply.DifferingBuckets) > 0:
 		p.compareAt = now.Add(jittered(compareDiffering))
 	default:
 		p.compareAt = now.Add(jittered(compareAgreeing))
--- a/internal/tier/watch/orphans_test.go
+++ b/internal/tier/watch/orphans_test.go
@@ -44,7 +44,7 @@
 		listenFor(source, registry.ForgetAfter+time.Minute/2)
 		assert.Equal(t, stateOf(state, 1), ready)
 		orphan := state.Instance(described(2, 0, ready).Id)
-		assert.Assert(t, orphan == nil || orphan.State == tierpb.InstanceState_INSTANCE_GONE, "it is %v", orphan.GetState())
+		assert.Assert(t, orphan == nil || orphan.State == tierpb.InstanceState_INSTANCE_DEREGISTERED, "it is %v", orphan.GetState())
 	})
 }
 
@@ -77,7 +77,7 @@
 	follower, followerClock := testState()
 	follower.Upsert(described(2, 1, ready))
 	ask := func() *tierpb.WatchReply {
-		return source.idle(&tierpb.WatchRequest{Feed: source.feed, Cursor: 1, Compare: true, Summary: follower.digests()})
+		return source.idle(&tierpb.WatchRequest{Incarnation: source.feed, Cursor: 1, Compare: true, Summary: follower.digests()})
 	}
 	followerClock.advance(orphanAge - time.Millisecond)
 	follower.Merge(ask())
@@ -98,10 +98,10 @@
 	}
 	source.Listened()
 	request := func() *tierpb.WatchRequest {
-		return &tierpb.WatchRequest{Feed: source.feed, Cursor: source.Version(), Compare: true, Summary: follower.digests()}
+		return &tierpb.WatchRequest{Incarnation: source.feed, Cursor: source.Version(), Compare: true, Summary: follower.digests()}
 	}
 	agreed := source.idle(request())
-	assert.Assert(t, agreed.Compared && len(agreed.Differing) == 0)
+	assert.Assert(t, agreed.Compared && len(agreed.DifferingBuckets) == 0)
 	assert.Assert(t, request().SizeVT()+agreed.SizeVT() < 320, "%d and %d bytes", request().SizeVT(), agreed.SizeVT())
 	follower.Upsert(described(3001, 1, ready))
 	clock.advance(orphanAge)
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -24,8 +24,8 @@
 
 // advance notes a reply that was taken in.
 func (p *place) advance(reply *tierpb.WatchReply, now time.Time) {
-	if p.feed != reply.Feed {
-		*p = place{feed: reply.Feed, compareAt: now.Add(jittered(compareUnanswered))}
+	if p.feed != reply.Incarnation {
+		*p = place{feed: reply.Incarnation, compareAt: now.Add(jittered(compareUnanswered))}
 	}
 	p.cursor, p.begins, p.whole, p.rewound = reply.Cursor, reply.More, false, 0
 	if now.Sub(p.middleAt) >= rewindTime {
@@ -40,7 +40,7 @@
 		wait = 0
 	}
 	request := f.request(address, wait, first)
-	request.Stale = f.mayBeStale()
+	request.AcceptNotReady = f.mayBeStale()
 	if request.Compare {
 		request.WaitMs = 0
 	}
@@ -53,12 +53,12 @@
 	if f.options.Answered != nil {
 		f.options.Answered(address, reply, asked)
 	}
-	if reply.GetAnswerer().GetNotReady() {
+	if reply.GetResponder().GetNotReady() {
 		return ErrNotReady
 	}
 	f.heardReady()
 	taken := f.options.State.Control().GetVersion() >= reply.Control.GetVersion()
-	if request.Brief {
+	if request.DigestsOnly {
 		taken = f.catchUp(ctx, reply)
 	}
 	f.mu.Lock()
@@ -96,18 +96,18 @@
 	if s := f.sources[address]; s != nil {
 		at = s.place
 	}
-	request.Feed, request.Cursor = at.feed, at.cursor
+	request.Incarnation, request.Cursor = at.feed, at.cursor
 	if first || at.cursor == 0 || at.begins {
 		request.Summary = f.options.State.digests()
 	}
 	if f.options.Heartbeats {
-		request.Hears = f.answering()
+		request.OtherSources = f.answering()
 	}
-	request.Brief = !f.isPrimary(address) && !at.whole
-	if f.options.Compare && !request.Brief && at.compares(time.Now()) {
+	request.DigestsOnly = !f.isPrimary(address) && !at.whole
+	if f.options.Compare && !request.DigestsOnly && at.compares(time.Now()) {
 		request.Compare, request.Summary = true, f.options.State.digests()
 	}
-	request.WholeBody = at.whole
+	request.FullBody = at.whole
 	return request
 }
 
--- a/internal/tier/watch/readiness.go
+++ b/internal/tier/watch/readiness.go
@@ -79,7 +79,7 @@
 	ready, period := g.check()
 	if !ready && g.options.Starting() {
 		if ready = g.await(ctx, period, request); !ready && g.options.Starting() {
-			return &tierpb.WatchReply{Feed: request.Feed, Cursor: request.Cursor}, ctx.Err() // no news
+			return &tierpb.WatchReply{Incarnation: request.Incarnation, Cursor: request.Cursor}, ctx.Err() // no news
 		}
 		request.WaitMs = 0
 	}
@@ -111,18 +111,18 @@
 // watchNotReady tells a follower what is newer than what it knows, and that others may have newer state still. The
 // coordinators that this process hears are left out: they are not those that there are.
 func (g *ReadinessGate) watchNotReady(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
-	if request.ControlVersion == 0 && !request.Stale {
+	if request.ControlVersion == 0 && !request.AcceptNotReady {
 		return nil, ErrNotReady
 	}
-	request.WaitMs, request.Brief = 0, false
+	request.WaitMs, request.DigestsOnly = 0, false
 	reply, err := g.options.State.Watch(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	if reply.Control == nil && len(reply.Instances) == 0 && len(reply.Marks) == 0 {
+	if reply.Control == nil && len(reply.Instances) == 0 && len(reply.Statuses) == 0 {
 		return nil, ErrNotReady
 	}
 	reply.Coordinators = nil
-	reply.Answerer = &tierpb.Answerer{NotReady: true}
+	reply.Responder = &tierpb.Responder{NotReady: true}
 	return reply, nil
 }
--- a/internal/tier/watch/readiness_test.go
+++ b/internal/tier/watch/readiness_test.go
@@ -67,12 +67,12 @@
 		assert.ErrorIs(t, err, ErrNotReady, "knows nothing")
 		_, err = g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent, ControlVersion: 4})
 		assert.ErrorIs(t, err, ErrNotReady, "lacks nothing")
-		for _, request := range []*tierpb.WatchRequest{{ControlVersion: 3, Brief: true}, {Stale: true}} {
+		for _, request := range []*tierpb.WatchRequest{{ControlVersion: 3, DigestsOnly: true}, {AcceptNotReady: true}} {
 			request.Follower = anAgent
 			reply, err := g.Watch(t.Context(), request)
 			assert.NilError(t, err)
 			assert.Equal(t, reply.Control.Version, uint64(4))
-			assert.Assert(t, reply.Answerer.NotReady)
+			assert.Assert(t, reply.Responder.NotReady)
 			assert.Equal(t, len(reply.Coordinators), 0)
 		}
 	})
--- a/internal/tier/watch/reply.go
+++ b/internal/tier/watch/reply.go
@@ -12,10 +12,10 @@
 
 // reply tells a follower what is new for it, be it anything or nothing.
 func (s *State) reply(request *tierpb.WatchRequest) *tierpb.WatchReply {
-	reply := &tierpb.WatchReply{Feed: s.feed, Cursor: s.cursor}
+	reply := &tierpb.WatchReply{Incarnation: s.feed, Cursor: s.cursor}
 	s.tellControl(request, reply)
 	cursor, summarized := request.Cursor, len(request.Summary) > 0
-	if request.Feed != s.feed {
+	if request.Incarnation != s.feed {
 		cursor = 0
 	}
 	if s.listedAt > cursor {
@@ -23,7 +23,7 @@
 	}
 	switch {
 	case !wantsInstances(request.Follower):
-	case request.Feed != s.feed && request.Cursor > 0 && !summarized:
+	case request.Incarnation != s.feed && request.Cursor > 0 && !summarized:
 		reply.Cursor, reply.More = 0, true // it followed another feed: its summary tells what it lacks
 	default:
 		s.tellInstances(request, cursor, reply)
@@ -34,7 +34,7 @@
 func (s *State) tellControl(request *tierpb.WatchRequest, reply *tierpb.WatchReply) {
 	switch {
 	case s.control == nil || s.control.Version <= request.ControlVersion:
-	case request.Brief:
+	case request.DigestsOnly:
 		reply.ControlVersion = s.control.Version
 	default:
 		reply.Control = controlFor(request.Follower, s.control)
@@ -44,7 +44,7 @@
 
 // tellDelta replaces the configuration's body by what leads to it from the one that the follower has.
 func (s *State) tellDelta(request *tierpb.WatchRequest, reply *tierpb.WatchReply) {
-	if request.WholeBody || len(reply.Control.Configuration.GetBody()) == 0 {
+	if request.FullBody || len(reply.Control.Configuration.GetBody()) == 0 {
 		return
 	}
 	if delta := s.bodies.delta(request.ControlVersion); delta != nil {
@@ -58,13 +58,13 @@
 	s.changes.since(cursor, func(id string, at uint64) bool {
 		e := s.instances[id]
 		switch {
-		case e.instance.State == tierpb.InstanceState_INSTANCE_GONE:
-			reply.Marks = append(reply.Marks, markOf(e.instance))
+		case e.instance.State == tierpb.InstanceState_INSTANCE_DEREGISTERED:
+			reply.Statuses = append(reply.Statuses, markOf(e.instance))
 		case s.summary.agrees(request.Summary, id):
-		case request.Brief:
-			reply.Marks = append(reply.Marks, briefMark(e, cursor))
+		case request.DigestsOnly:
+			reply.Statuses = append(reply.Statuses, briefMark(e, cursor))
 		case e.describedAt <= cursor:
-			reply.Marks = append(reply.Marks, markOf(e.instance))
+			reply.Statuses = append(reply.Statuses, markOf(e.instance))
 		case len(reply.Instances) == wholeMost:
 			reply.More = true
 			return false
@@ -82,13 +82,13 @@
 		s.tellDiffering(request, reply)
 	}
 	if request.Heartbeats {
-		reply.Marks = s.tellHeartbeats(request, cursor, reply.Marks)
+		reply.Statuses = s.tellHeartbeats(request, cursor, reply.Statuses)
 	}
 }
 
 // tellHeartbeats appends the heartbeats that a follower is not told of otherwise: not those of instances that it gets
 // anyway, nor what it told itself, nor what comes from sources that it hears.
-func (s *State) tellHeartbeats(request *tierpb.WatchRequest, cursor uint64, to []*tierpb.InstanceMark) []*tierpb.InstanceMark {
+func (s *State) tellHeartbeats(request *tierpb.WatchRequest, cursor uint64, to []*tierpb.InstanceStatus) []*tierpb.InstanceStatus {
 	s.heartbeats.since(cursor, func(id string, _ uint64) bool {
 		e := s.instances[id]
 		told := s.changes.newest[id] > cursor && !s.summary.agrees(request.Summary, id)
@@ -112,15 +112,15 @@
 
 // hears says that a follower is or hears the source at an address; a store's own call has none.
 func hears(request *tierpb.WatchRequest, source string) bool {
-	return source != "" && (request.GetFollower().GetAddress() == source || slices.Contains(request.Hears, source))
+	return source != "" && (request.GetFollower().GetAddress() == source || slices.Contains(request.OtherSources, source))
 }
 
-func markOf(instance *tierpb.Instance) *tierpb.InstanceMark {
-	return &tierpb.InstanceMark{Id: instance.Id, Sequence: instance.Sequence, State: instance.State}
+func markOf(instance *tierpb.Instance) *tierpb.InstanceStatus {
+	return &tierpb.InstanceStatus{Id: instance.Id, Sequence: instance.Sequence, State: instance.State}
 }
 
 // briefMark also says which description is new.
-func briefMark(e entry, cursor uint64) *tierpb.InstanceMark {
+func briefMark(e entry, cursor uint64) *tierpb.InstanceStatus {
 	mark := markOf(e.instance)
 	if e.describedAt > cursor {
 		mark.Description = descriptionDigest(e.instance)
--- a/internal/tier/watch/serve.go
+++ b/internal/tier/watch/serve.go
@@ -68,7 +68,7 @@
 		return true
 	}
 	cursor := request.Cursor
-	if request.Feed != s.feed {
+	if request.Incarnation != s.feed {
 		return len(s.instances) > 0 || len(s.coordinators) > 0
 	}
 	if !wantsInstances(request.Follower) {
--- a/internal/tier/watch/state.go
+++ b/internal/tier/watch/state.go
@@ -94,7 +94,7 @@
 			changed = true
 		}
 	}
-	for _, mark := range reply.Marks {
+	for _, mark := range reply.Statuses {
 		if s.takeMark(mark, source) == Material {
 			changed = true
 		}
@@ -223,12 +223,12 @@
 	}
 	generation, told := known.Configuration.GetGeneration(), control.Configuration.GetGeneration()
 	if control.Version == known.Version {
-		invariant.Check(told == generation, invariant.OneValueAVersion, told, generation)
+		invariant.Check(told == generation, invariant.OneValuePerVersion, told, generation)
 	}
 	if control.Version <= known.Version {
 		return false
 	}
-	return invariant.Check(told >= generation && control.Epoch >= known.Epoch, invariant.NeverBack, told, generation)
+	return invariant.Check(told >= generation && control.Epoch >= known.Epoch, invariant.GenerationMonotonic, told, generation)
 }
 
 // wholeControl is the control state of a reply, with the configuration's body made from a delta where there is one; nil
@@ -294,18 +294,18 @@
 		s.counts[known.instance.State]--
 	}
 	s.counts[next.instance.State]++
-	wasGone := known.instance.GetState() == tierpb.InstanceState_INSTANCE_GONE
-	if next.instance.State == tierpb.InstanceState_INSTANCE_GONE && !wasGone {
+	wasGone := known.instance.GetState() == tierpb.InstanceState_INSTANCE_DEREGISTERED
+	if next.instance.State == tierpb.InstanceState_INSTANCE_DEREGISTERED && !wasGone {
 		s.gone = append(s.gone, goneMark{id: next.instance.Id, at: next.at})
 	}
 	s.instances[next.instance.Id] = next
 }
 
 // takeMark merges what a mark tells of an instance. Of one that is not known only its end is noted.
-func (s *State) takeMark(mark *tierpb.InstanceMark, source string) Change {
+func (s *State) takeMark(mark *tierpb.InstanceStatus, source string) Change {
 	known := s.instances[mark.Id]
 	if known.instance == nil {
-		if mark.State != tierpb.InstanceState_INSTANCE_GONE {
+		if mark.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
 			return Unchanged
 		}
 		return s.take(&tierpb.Instance{Id: mark.Id, Sequence: mark.Sequence, State: mark.State}, source)
@@ -332,7 +332,7 @@
 	if reply.ControlVersion > s.control.GetVersion() {
 		return true
 	}
-	for _, mark := range reply.Marks {
+	for _, mark := range reply.Statuses {
 		known := s.instances[mark.Id].instance
 		if known == nil || mark.Description != 0 && mark.Description != descriptionDigest(known) {
 			return true
@@ -357,7 +357,7 @@
 		id := s.gone[0].id
 		s.gone = s.gone[1:]
 		delete(s.instances, id)
-		s.counts[tierpb.InstanceState_INSTANCE_GONE]--
+		s.counts[tierpb.InstanceState_INSTANCE_DEREGISTERED]--
 		s.changes.forget(id)
 		s.heartbeats.forget(id)
 	}
--- a/internal/tier/watch/state_test.go
+++ b/internal/tier/watch/state_test.go
@@ -52,9 +52,9 @@
 
 const (
 	ready    = tierpb.InstanceState_INSTANCE_READY
-	silent   = tierpb.InstanceState_INSTANCE_SILENT
+	silent   = tierpb.InstanceState_INSTANCE_SUSPECT
 	draining = tierpb.InstanceState_INSTANCE_DRAINING
-	gone     = tierpb.InstanceState_INSTANCE_GONE
+	gone     = tierpb.InstanceState_INSTANCE_DEREGISTERED
 )
 
 func instance(id string, sequence uint64, state tierpb.InstanceState) *tierpb.Instance {
@@ -132,11 +132,11 @@
 
 func TestOrdersTakenGoToCoordinatorsOnly(t *testing.T) {
 	s, _ := testState()
-	s.SetControl(&tierpb.ControlState{Version: 1, Taken: []*tierpb.TakenOrder{{Generation: 1}}})
+	s.SetControl(&tierpb.ControlState{Version: 1, CommittedChanges: []*tierpb.CommittedChange{{Generation: 1}}})
 	agent := ask(t, s, &tierpb.WatchRequest{Follower: &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}})
-	assert.Equal(t, len(agent.Control.Taken), 0)
+	assert.Equal(t, len(agent.Control.CommittedChanges), 0)
 	coordinator := ask(t, s, &tierpb.WatchRequest{Follower: &tierpb.Node{Role: tierpb.Role_ROLE_COORDINATOR}})
-	assert.Equal(t, len(coordinator.Control.Taken), 1)
+	assert.Equal(t, len(coordinator.Control.CommittedChanges), 1)
 }
 
 func TestPollTellsOnlyWhatChanged(t *testing.T) {
@@ -147,11 +147,11 @@
 	assert.Equal(t, len(first.Instances), 2)
 	clock.advance(time.Second)
 	s.Upsert(instance("b", 2, draining))
-	next := ask(t, s, &tierpb.WatchRequest{Feed: first.Feed, Cursor: first.Cursor})
+	next := ask(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation, Cursor: first.Cursor})
 	assert.Equal(t, len(next.Instances), 0)
-	assert.Equal(t, len(next.Marks), 1)
-	assert.Equal(t, next.Marks[0].State, draining)
-	other := ask(t, s, &tierpb.WatchRequest{Feed: first.Feed + 2})
+	assert.Equal(t, len(next.Statuses), 1)
+	assert.Equal(t, next.Statuses[0].State, draining)
+	other := ask(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation + 2})
 	assert.Equal(t, len(other.Instances), 2)
 }
 
@@ -161,13 +161,13 @@
 	first := ask(t, s, &tierpb.WatchRequest{})
 	clock.advance(time.Second)
 	s.Upsert(instance("a", 2, ready))
-	request := &tierpb.WatchRequest{Feed: first.Feed, Cursor: first.Cursor}
+	request := &tierpb.WatchRequest{Incarnation: first.Incarnation, Cursor: first.Cursor}
 	reply, changed, beat := s.poll(request)
 	assert.Assert(t, reply == nil && changed != nil && beat == nil)
 	request.Heartbeats = true
 	reply, _, _ = s.poll(request)
 	assert.Equal(t, len(reply.Instances), 0)
-	assert.Equal(t, reply.Marks[0].Sequence, uint64(2))
+	assert.Equal(t, reply.Statuses[0].Sequence, uint64(2))
 }
 
 func TestBurstOfChangesWakesOnceInAGap(t *testing.T) {
@@ -190,33 +190,33 @@
 	place := ask(t, s, &tierpb.WatchRequest{})
 	answered := make(chan *tierpb.WatchReply)
 	go func() {
-		reply, _ := s.Watch(context.Background(), &tierpb.WatchRequest{Feed: place.Feed, Cursor: place.Cursor, WaitMs: 5000})
+		reply, _ := s.Watch(context.Background(), &tierpb.WatchRequest{Incarnation: place.Incarnation, Cursor: place.Cursor, WaitMs: 5000})
 		answered <- reply
 	}()
 	s.Upsert(instance("a", 2, draining))
-	assert.Equal(t, (<-answered).Marks[0].State, draining)
+	assert.Equal(t, (<-answered).Statuses[0].State, draining)
 }
 
 func TestEmptyStateHoldsAPoll(t *testing.T) {
 	s, _ := testState()
-	reply, _, _ := s.poll(&tierpb.WatchRequest{Feed: 3, Cursor: 9, ControlVersion: 4})
+	reply, _, _ := s.poll(&tierpb.WatchRequest{Incarnation: 3, Cursor: 9, ControlVersion: 4})
 	assert.Assert(t, reply == nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := s.Watch(ctx, &tierpb.WatchRequest{Feed: 3, WaitMs: 5000})
+	_, err := s.Watch(ctx, &tierpb.WatchRequest{Incarnation: 3, WaitMs: 5000})
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
 func TestColdTimeIsToldAsItStands(t *testing.T) {
 	s, clock := testState()
 	cold := instance("a", 1, ready)
-	cold.ColdRemainingMs = 3000
+	cold.SlowStartRemainingMs = 3000
 	s.Upsert(cold)
 	clock.advance(2 * time.Second)
-	assert.Equal(t, ask(t, s, &tierpb.WatchRequest{}).Instances[0].ColdRemainingMs, uint32(1000))
+	assert.Equal(t, ask(t, s, &tierpb.WatchRequest{}).Instances[0].SlowStartRemainingMs, uint32(1000))
 	clock.advance(2 * time.Second)
-	assert.Equal(t, s.Instances()[0].ColdRemainingMs, uint32(0))
-	assert.Equal(t, cold.ColdRemainingMs, uint32(3000))
+	assert.Equal(t, s.Instances()[0].SlowStartRemainingMs, uint32(0))
+	assert.Equal(t, cold.SlowStartRemainingMs, uint32(3000))
 }
 
 func TestJournalStaysNearTheNumberOfInstances(t *testing.T) {
@@ -254,7 +254,7 @@
 	clock.advance(time.Second)
 	s.Upsert(instance("b", 1, ready))
 	clock.advance(time.Second)
-	request := &tierpb.WatchRequest{Follower: store, Feed: first.Feed, Cursor: first.Cursor, ControlVersion: 1}
+	request := &tierpb.WatchRequest{Follower: store, Incarnation: first.Incarnation, Cursor: first.Cursor, ControlVersion: 1}
 	reply, _, _ := s.poll(request)
 	assert.Assert(t, reply == nil)
 	request.Follower = nil
@@ -268,7 +268,7 @@
 	whole.Backend, whole.Slots = "b", 8
 	s.Upsert(whole)
 	s.Upsert(instance("a", 1, silent))
-	assert.Assert(t, s.Merge(&tierpb.WatchReply{Marks: []*tierpb.InstanceMark{{Id: "a", Sequence: 2}, {Id: "unknown", Sequence: 9}}}))
+	assert.Assert(t, s.Merge(&tierpb.WatchReply{Statuses: []*tierpb.InstanceStatus{{Id: "a", Sequence: 2}, {Id: "unknown", Sequence: 9}}}))
 	assert.Equal(t, s.Instance("a").State, ready)
 	assert.Equal(t, s.Instance("a").Sequence, uint64(2))
 	assert.Equal(t, s.Instance("a").Address, whole.Address)
@@ -284,13 +284,13 @@
 	clock.advance(time.Second)
 	s.Upsert(instance("own", 2, ready))
 	for _, source := range []string{"c", "d", "follower"} {
-		s.mergeFrom(&tierpb.WatchReply{Marks: []*tierpb.InstanceMark{{Id: "from-" + source, Sequence: 2}}}, source)
+		s.mergeFrom(&tierpb.WatchReply{Statuses: []*tierpb.InstanceStatus{{Id: "from-" + source, Sequence: 2}}}, source)
 	}
 	request := &tierpb.WatchRequest{
-		Feed: place.Feed, Cursor: place.Cursor, Heartbeats: true, Hears: []string{"c"},
+		Incarnation: place.Incarnation, Cursor: place.Cursor, Heartbeats: true, OtherSources: []string{"c"},
 		Follower: &tierpb.Node{Role: tierpb.Role_ROLE_COORDINATOR, Address: "follower"},
 	}
-	told := ask(t, s, request).Marks
+	told := ask(t, s, request).Statuses
 	assert.Equal(t, len(told), 2)
 	assert.Equal(t, told[0].Id, "own")
 	assert.Equal(t, told[1].Id, "from-d")
@@ -308,10 +308,10 @@
 	known.Upsert(instance("i-7", 2, draining))
 	fresh.Upsert(instance("i-8", 2, draining))
 	fresh.Upsert(&tierpb.Instance{Id: "left", State: gone})
-	request := &tierpb.WatchRequest{Feed: 3, Cursor: 9}
+	request := &tierpb.WatchRequest{Incarnation: 3, Cursor: 9}
 	first := ask(t, fresh, request)
 	assert.Assert(t, first.More && first.Cursor == 0 && len(first.Instances) == 0)
-	request.Feed, request.Cursor, request.Summary = first.Feed, first.Cursor, known.digests()
+	request.Incarnation, request.Cursor, request.Summary = first.Incarnation, first.Cursor, known.digests()
 	second := ask(t, fresh, request)
 	assert.Assert(t, !second.More)
 	assert.Assert(t, len(second.Instances) < 300/8, "%d instances told", len(second.Instances))
@@ -349,7 +349,7 @@
 		reply := ask(t, s, request)
 		assert.Assert(t, len(reply.Instances) <= wholeMost)
 		follower.Merge(reply)
-		request.Feed, request.Cursor, more = reply.Feed, reply.Cursor, reply.More
+		request.Incarnation, request.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
 	}
 	assert.Equal(t, replies, 4)
 	assert.Equal(t, len(follower.Instances()), 3*wholeMost+1)
@@ -360,7 +360,7 @@
 	s, clock := testState()
 	s.SetControl(&tierpb.ControlState{Version: 3})
 	s.Upsert(instance("a", 1, ready))
-	request := &tierpb.WatchRequest{Brief: true}
+	request := &tierpb.WatchRequest{DigestsOnly: true}
 	reply := ask(t, s, request)
 	assert.Assert(t, reply.Control == nil && len(reply.Instances) == 0)
 	follower, _ := testState()
@@ -375,7 +375,7 @@
 	moved := instance("a", 2, draining)
 	moved.Slots = 9
 	s.Upsert(moved)
-	request.Feed, request.Cursor, request.ControlVersion = reply.Feed, reply.Cursor, 3
+	request.Incarnation, request.Cursor, request.ControlVersion = reply.Incarnation, reply.Cursor, 3
 	reply = ask(t, s, request)
 	follower.Merge(reply)
 	assert.Equal(t, follower.Instance("a").State, draining)
--- a/internal/tier/watch/summary.go
+++ b/internal/tier/watch/summary.go
@@ -10,13 +10,13 @@
 type summary [summaryBuckets]uint32
 
 func (s *summary) add(instance *tierpb.Instance) {
-	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_GONE {
+	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
 		s[bucketOf(instance.Id)] += digest(instance)
 	}
 }
 
 func (s *summary) remove(instance *tierpb.Instance) {
-	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_GONE {
+	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
 		s[bucketOf(instance.Id)] -= digest(instance)
 	}
 }
--- a/tools/rounds/main.go
+++ b/tools/pairedtrials/main.go
@@ -2,7 +2,7 @@
 // each differs from the first one: the mean of the paired differences, its 95% interval by Student's t and how many pairs
 // went each way. A build is a folder that holds a checkout; see docs/experiments/README.md.
 //
-//	go run ./tools/rounds --bench PROGRAM --build base=FOLDER --build trial=FOLDER --site FILE --day scale-1 --seeds 1,2,3
+//	go run ./tools/pairedtrials --bench PROGRAM --build base=FOLDER --build trial=FOLDER --site FILE --day scale-1 --seeds 1,2,3
 package main
 
 import (
