--- a/internal/tier/changelog/changelog.go
+++ b/internal/tier/changelog/changelog.go
@@ -18,73 +18,73 @@
 
 // Bounds of what is remembered.
 const (
-	NewestMost  = 512 // orders that the control state holds itself
-	RunLength   = 256 // orders of a run
-	RunsMost    = 256 // runs that are named; orders before those are forgotten
-	DigestBytes = 16
+	MaxRecentChanges  = 512 // orders that the control state holds itself
+	SegmentLength   = 256 // orders of a run
+	MaxSegments    = 256 // runs that are named; orders before those are forgotten
+	DigestSize = 16
 )
 
-// Order is a configuration change that was sent.
-type Order struct {
+// Change is a configuration change that was sent.
+type Change struct {
 	IfMatch    uint64
 	Generation uint64
 	Digest     []byte // of the body, DigestBytes long
 }
 
-// New makes the order of a body.
-func New(ifMatch, generation uint64, body []byte) Order {
-	return Order{IfMatch: ifMatch, Generation: generation, Digest: digestOf(body)}
+// NewChange makes the order of a body.
+func NewChange(ifMatch, generation uint64, body []byte) Change {
+	return Change{IfMatch: ifMatch, Generation: generation, Digest: digestOf(body)}
 }
 
 func digestOf(body []byte) []byte {
 	sum := sha256.Sum256(body)
-	return sum[:DigestBytes]
+	return sum[:DigestSize]
 }
 
-// Verdict says what is known of an order.
-type Verdict uint8
+// Outcome says what is known of an order.
+type Outcome uint8
 
 // The verdicts. Only the first three are certain.
 const (
-	Next      Verdict = iota // it builds on the current generation
-	Taken                    // it was taken
-	NotTaken                 // it was not taken and cannot be
-	Missing                  // the run that tells is not here at present
-	Forgotten                // it builds on a generation from before all that is remembered
+	Applicable      Outcome = iota // it builds on the current generation
+	Committed                    // it was taken
+	Rejected                 // it was not taken and cannot be
+	SegmentMissing                  // the run that tells is not here at present
+	Compacted                // it builds on a generation from before all that is remembered
 )
 
-// Runs finds a run by its digest, nil where it is not at hand.
-type Runs interface {
-	Run(digest []byte) *tierpb.ChangeSegment
+// Segments finds a run by its digest, nil where it is not at hand.
+type Segments interface {
+	Segment(digest []byte) *tierpb.ChangeSegment
 }
 
-// Judge says what a control state and the runs that it names tell of an order.
-func Judge(state *tierpb.ControlState, runs Runs, sent Order) Verdict {
+// Classify says what a control state and the runs that it names tell of an order.
+func Classify(state *tierpb.ControlState, runs Segments, sent Change) Outcome {
 	generation := state.GetConfiguration().GetGeneration()
 	switch {
 	case sent.IfMatch == generation:
-		return Next
+		return Applicable
 	case sent.IfMatch > generation:
-		return NotTaken
+		return Rejected
 	}
 	if newest := state.GetCommittedChanges(); len(newest) > 0 && sent.IfMatch >= newest[0].IfMatch {
 		return judgeNewest(newest, sent)
 	}
 	name := nameOf(state.GetOlderChanges(), sent.IfMatch)
 	if name == nil {
-		return Forgotten
+		return Compacted
 	}
-	run := runs.Run(name.Digest)
+	run := runs.Segment(name.Digest)
 	if run == nil {
-		return Missing
+		return SegmentMissing
 	}
 	return judgeRun(run, sent)
 }
 
-func judgeNewest(newest []*tierpb.CommittedChange, sent Order) Verdict {
+func judgeNewest(newest []*tierpb.CommittedChange, sent Change) Outcome {
 	place := sort.Search(len(newest), func(i int) bool { return newest[i].IfMatch >= sent.IfMatch })
 	if place == len(newest) || newest[place].IfMatch != sent.IfMatch {
-		return NotTaken
+		return Rejected
 	}
 	return compare(sent, newest[place].Generation, newest[place].Digest)
 }
@@ -98,46 +98,46 @@
 	return names[after-1]
 }
 
-func judgeRun(run *tierpb.ChangeSegment, sent Order) Verdict {
+func judgeRun(run *tierpb.ChangeSegment, sent Change) Outcome {
 	ifMatch := run.First
 	for place, step := range run.Steps {
 		if ifMatch == sent.IfMatch {
-			return compare(sent, ifMatch+step, run.Digests[place*DigestBytes:(place+1)*DigestBytes])
+			return compare(sent, ifMatch+step, run.Digests[place*DigestSize:(place+1)*DigestSize])
 		}
 		ifMatch += step
 	}
-	return NotTaken
+	return Rejected
 }
 
-func compare(sent Order, generation uint64, digest []byte) Verdict {
+func compare(sent Change, generation uint64, digest []byte) Outcome {
 	if sent.Generation == generation && bytes.Equal(sent.Digest, digest) {
-		return Taken
+		return Committed
 	}
-	return NotTaken
+	return Rejected
 }
 
-// Add notes an order that a control state takes. The oldest of the newest orders become a run where they are many.
-func Add(state *tierpb.ControlState, taken Order) {
+// Append notes an order that a control state takes. The oldest of the newest orders become a run where they are many.
+func Append(state *tierpb.ControlState, taken Change) {
 	state.CommittedChanges = append(state.CommittedChanges, &tierpb.CommittedChange{
 		IfMatch: taken.IfMatch, Generation: taken.Generation, Digest: taken.Digest,
 	})
-	for len(state.CommittedChanges) > NewestMost {
-		run := runOf(state.CommittedChanges[:RunLength])
+	for len(state.CommittedChanges) > MaxRecentChanges {
+		run := runOf(state.CommittedChanges[:SegmentLength])
 		state.OlderChanges = append(state.OlderChanges, &tierpb.ChangeSegmentRef{First: run.First, Digest: nameFor(run)})
-		state.CommittedChanges = slices.Clone(state.CommittedChanges[RunLength:])
+		state.CommittedChanges = slices.Clone(state.CommittedChanges[SegmentLength:])
 	}
-	if excess := len(state.OlderChanges) - RunsMost; excess > 0 {
+	if excess := len(state.OlderChanges) - MaxSegments; excess > 0 {
 		state.OlderChanges = slices.Clone(state.OlderChanges[excess:])
 	}
 }
 
-// Upcoming is the run that the oldest of the newest orders will make, nil while they are too few. It is known long
+// NextSegment is the run that the oldest of the newest orders will make, nil while they are too few. It is known long
 // before the control state drops them, so that all coordinators have it by then.
-func Upcoming(state *tierpb.ControlState) *tierpb.ChangeSegment {
-	if len(state.GetCommittedChanges()) < RunLength {
+func NextSegment(state *tierpb.ControlState) *tierpb.ChangeSegment {
+	if len(state.GetCommittedChanges()) < SegmentLength {
 		return nil
 	}
-	return runOf(state.CommittedChanges[:RunLength])
+	return runOf(state.CommittedChanges[:SegmentLength])
 }
 
 func runOf(taken []*tierpb.CommittedChange) *tierpb.ChangeSegment {
@@ -160,5 +160,5 @@
 
 // isWhole says that each order of a run has its digest.
 func isWhole(run *tierpb.ChangeSegment) bool {
-	return len(run.GetDigests()) == len(run.GetSteps())*DigestBytes
+	return len(run.GetDigests()) == len(run.GetSteps())*DigestSize
 }
--- a/internal/tier/changelog/changelog_test.go
+++ b/internal/tier/changelog/changelog_test.go
@@ -14,25 +14,25 @@
 // memory holds runs as a History does, without a disk.
 type memory map[string]*tierpb.ChangeSegment
 
-func (m memory) Run(digest []byte) *tierpb.ChangeSegment { return m[string(digest)] }
+func (m memory) Segment(digest []byte) *tierpb.ChangeSegment { return m[string(digest)] }
 
 // taker takes orders and remembers all of them.
 type taker struct {
 	state *tierpb.ControlState
 	runs  memory
-	taken []Order
+	taken []Change
 }
 
 func newTaker() *taker {
 	return &taker{state: &tierpb.ControlState{Configuration: &tierpb.Configuration{}}, runs: memory{}}
 }
 
-func (k *taker) take(sent Order) {
-	Add(k.state, sent)
+func (k *taker) take(sent Change) {
+	Append(k.state, sent)
 	k.state.Configuration.Generation = sent.Generation
 	k.taken = append(k.taken, sent)
-	if length := len(k.state.CommittedChanges); length == RunLength || length == NewestMost+1-RunLength {
-		upcoming := Upcoming(k.state)
+	if length := len(k.state.CommittedChanges); length == SegmentLength || length == MaxRecentChanges+1-SegmentLength {
+		upcoming := NextSegment(k.state)
 		k.runs[string(nameFor(upcoming))] = upcoming
 	}
 }
@@ -42,126 +42,126 @@
 	for range count {
 		current := k.state.Configuration.Generation
 		generation := current + 1 + random.Uint64N(5)
-		k.take(New(current, generation, fmt.Append(nil, "body ", generation)))
+		k.take(NewChange(current, generation, fmt.Append(nil, "body ", generation)))
 	}
 }
 
 // TestEveryOrderIsJudgedAsByACompleteMemory holds the verdicts against a list of all that was taken: each order that was
 // taken is known, and each other one is refused.
 func TestEveryOrderIsJudgedAsByACompleteMemory(t *testing.T) {
-	for _, count := range []int{1, RunLength, RunLength + 1, NewestMost, NewestMost + 1, NewestMost + RunLength + 1, 5000} {
+	for _, count := range []int{1, SegmentLength, SegmentLength + 1, MaxRecentChanges, MaxRecentChanges + 1, MaxRecentChanges + SegmentLength + 1, 5000} {
 		random := rand.New(rand.NewPCG(uint64(count), 1))
 		k := newTaker()
 		k.takeMany(count, random)
-		byIfMatch := map[uint64]Order{}
+		byIfMatch := map[uint64]Change{}
 		for _, order := range k.taken {
 			byIfMatch[order.IfMatch] = order
-			assert.Equal(t, Judge(k.state, k.runs, order), Taken, "%d of %d", order.IfMatch, count)
-			other := New(order.IfMatch, order.Generation, []byte("other"))
-			assert.Equal(t, Judge(k.state, k.runs, other), NotTaken, "another body under the same number")
-			other = Order{IfMatch: order.IfMatch, Generation: order.Generation + 1, Digest: order.Digest}
-			assert.Equal(t, Judge(k.state, k.runs, other), NotTaken, "the same body under another number")
+			assert.Equal(t, Classify(k.state, k.runs, order), Committed, "%d of %d", order.IfMatch, count)
+			other := NewChange(order.IfMatch, order.Generation, []byte("other"))
+			assert.Equal(t, Classify(k.state, k.runs, other), Rejected, "another body under the same number")
+			other = Change{IfMatch: order.IfMatch, Generation: order.Generation + 1, Digest: order.Digest}
+			assert.Equal(t, Classify(k.state, k.runs, other), Rejected, "the same body under another number")
 		}
 		current := k.state.Configuration.Generation
 		for ifMatch := range current {
 			if _, known := byIfMatch[ifMatch]; !known {
-				stray := New(ifMatch, ifMatch+1, nil)
-				assert.Equal(t, Judge(k.state, k.runs, stray), NotTaken, "on top of a version that never was")
+				stray := NewChange(ifMatch, ifMatch+1, nil)
+				assert.Equal(t, Classify(k.state, k.runs, stray), Rejected, "on top of a version that never was")
 			}
 		}
-		assert.Equal(t, Judge(k.state, k.runs, New(current, current+1, nil)), Next)
-		assert.Equal(t, Judge(k.state, k.runs, New(current+1, current+2, nil)), NotTaken)
+		assert.Equal(t, Classify(k.state, k.runs, NewChange(current, current+1, nil)), Applicable)
+		assert.Equal(t, Classify(k.state, k.runs, NewChange(current+1, current+2, nil)), Rejected)
 	}
 }
 
 // TestWithoutItsRunAnOrderGetsNoVerdict: neither a lost run nor the end of the memory ever makes a refusal.
 func TestWithoutItsRunAnOrderGetsNoVerdict(t *testing.T) {
 	k := newTaker()
-	k.takeMany(3*RunLength+NewestMost, rand.New(rand.NewPCG(1, 1)))
+	k.takeMany(3*SegmentLength+MaxRecentChanges, rand.New(rand.NewPCG(1, 1)))
 	assert.Equal(t, len(k.state.OlderChanges), 3)
 	delete(k.runs, string(k.state.OlderChanges[1].Digest))
 	for place, order := range k.taken {
-		wanted := Taken
-		if place/RunLength == 1 {
-			wanted = Missing
+		wanted := Committed
+		if place/SegmentLength == 1 {
+			wanted = SegmentMissing
 		}
-		assert.Equal(t, Judge(k.state, k.runs, order), wanted, "%d", place)
+		assert.Equal(t, Classify(k.state, k.runs, order), wanted, "%d", place)
 	}
 	k.state.OlderChanges = k.state.OlderChanges[2:]
-	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Forgotten)
-	assert.Equal(t, Judge(k.state, k.runs, k.taken[2*RunLength]), Taken)
+	assert.Equal(t, Classify(k.state, k.runs, k.taken[0]), Compacted)
+	assert.Equal(t, Classify(k.state, k.runs, k.taken[2*SegmentLength]), Committed)
 }
 
 // TestMemoryOfOrdersIsBounded logs what the control state and a history hold, and bounds both.
 func TestMemoryOfOrdersIsBounded(t *testing.T) {
 	k := newTaker()
 	random := rand.New(rand.NewPCG(1, 1))
-	for _, count := range []int{90, 1024, 5000, 13000, RunsMost*RunLength + NewestMost + 1000} {
+	for _, count := range []int{90, 1024, 5000, 13000, MaxSegments*SegmentLength + MaxRecentChanges + 1000} {
 		k.takeMany(count-len(k.taken), random)
 		history := &tierpb.ChangeSegments{}
 		for _, name := range k.state.OlderChanges {
-			history.Segments = append(history.Segments, k.runs.Run(name.Digest))
+			history.Segments = append(history.Segments, k.runs.Segment(name.Digest))
 		}
 		t.Logf("%d orders: %d bytes in the control state, %d bytes in a history", count, k.state.SizeVT(), history.SizeVT())
 		assert.Assert(t, k.state.SizeVT() < 24<<10)
 		assert.Assert(t, history.SizeVT() < 1300<<10)
 	}
-	assert.Equal(t, len(k.state.OlderChanges), RunsMost)
-	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Forgotten)
-	oldest := len(k.taken) - len(k.state.CommittedChanges) - RunsMost*RunLength
-	assert.Equal(t, Judge(k.state, k.runs, k.taken[oldest]), Taken)
+	assert.Equal(t, len(k.state.OlderChanges), MaxSegments)
+	assert.Equal(t, Classify(k.state, k.runs, k.taken[0]), Compacted)
+	oldest := len(k.taken) - len(k.state.CommittedChanges) - MaxSegments*SegmentLength
+	assert.Equal(t, Classify(k.state, k.runs, k.taken[oldest]), Committed)
 }
 
 // TestOrdersOfAnOlderLayoutStayKnown: a control state with more of the newest orders than are kept now.
 func TestOrdersOfAnOlderLayoutStayKnown(t *testing.T) {
 	k := newTaker()
 	for generation := uint64(1); generation <= 1024; generation++ {
-		sent := New(generation-1, generation, nil)
+		sent := NewChange(generation-1, generation, nil)
 		k.state.CommittedChanges = append(k.state.CommittedChanges, &tierpb.CommittedChange{IfMatch: sent.IfMatch, Generation: sent.Generation, Digest: sent.Digest})
 		k.taken = append(k.taken, sent)
 	}
 	k.state.Configuration.Generation = 1024
-	assert.Equal(t, Judge(k.state, k.runs, k.taken[0]), Taken)
-	for first := 0; first+RunLength <= len(k.taken); first += RunLength {
-		run := runOf(k.state.CommittedChanges[first : first+RunLength])
+	assert.Equal(t, Classify(k.state, k.runs, k.taken[0]), Committed)
+	for first := 0; first+SegmentLength <= len(k.taken); first += SegmentLength {
+		run := runOf(k.state.CommittedChanges[first : first+SegmentLength])
 		k.runs[string(nameFor(run))] = run
 	}
-	k.take(New(1024, 1025, nil))
-	assert.Assert(t, len(k.state.CommittedChanges) <= NewestMost)
+	k.take(NewChange(1024, 1025, nil))
+	assert.Assert(t, len(k.state.CommittedChanges) <= MaxRecentChanges)
 	for _, order := range k.taken {
-		assert.Equal(t, Judge(k.state, k.runs, order), Taken)
+		assert.Equal(t, Classify(k.state, k.runs, order), Committed)
 	}
 }
 
 func TestHistoryIsKeptOnDiskAndFollowsTheControlState(t *testing.T) {
 	folder := t.TempDir()
-	history, err := OpenHistory(storage.OS{}, folder)
+	history, err := OpenSegmentStore(storage.OS{}, folder)
 	assert.NilError(t, err)
 	k := newTaker()
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 12 {
-		k.takeMany(RunLength/2, random)
-		assert.NilError(t, history.Keep(k.state, nil))
-		assert.Equal(t, len(history.Lacking(k.state)), 0)
+		k.takeMany(SegmentLength/2, random)
+		assert.NilError(t, history.Reconcile(k.state, nil))
+		assert.Equal(t, len(history.Missing(k.state)), 0)
 	}
-	history, err = OpenHistory(storage.OS{}, folder)
+	history, err = OpenSegmentStore(storage.OS{}, folder)
 	assert.NilError(t, err)
 	for _, order := range k.taken {
-		assert.Equal(t, Judge(k.state, history, order), Taken)
+		assert.Equal(t, Classify(k.state, history, order), Committed)
 	}
 	names, err := storage.OS{}.List(folder)
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 1)
-	empty, err := OpenHistory(storage.OS{}, t.TempDir())
+	empty, err := OpenSegmentStore(storage.OS{}, t.TempDir())
 	assert.NilError(t, err)
-	assert.Equal(t, len(empty.Lacking(k.state)), len(k.state.OlderChanges))
+	assert.Equal(t, len(empty.Missing(k.state)), len(k.state.OlderChanges))
 	var found []*tierpb.ChangeSegment
-	for _, digest := range empty.Lacking(k.state) {
-		found = append(found, history.Run(digest))
+	for _, digest := range empty.Missing(k.state) {
+		found = append(found, history.Segment(digest))
 	}
 	found[0].Digests[0] ^= 1 // spoiled on the way
-	assert.NilError(t, empty.Keep(k.state, found))
-	assert.Equal(t, len(empty.Lacking(k.state)), 1)
-	assert.Equal(t, Judge(k.state, empty, k.taken[0]), Missing)
-	assert.Equal(t, Judge(k.state, empty, k.taken[RunLength]), Taken)
+	assert.NilError(t, empty.Reconcile(k.state, found))
+	assert.Equal(t, len(empty.Missing(k.state)), 1)
+	assert.Equal(t, Classify(k.state, empty, k.taken[0]), SegmentMissing)
+	assert.Equal(t, Classify(k.state, empty, k.taken[SegmentLength]), Committed)
 }
--- a/internal/tier/changelog/history.go
+++ b/internal/tier/changelog/history.go
@@ -13,9 +13,9 @@
 // series is the name of the history's files in its folder.
 const series = "orders"
 
-// History keeps the runs that control states name, on disk and in memory. What it lacks after a loss of its disk comes
+// SegmentStore keeps the runs that control states name, on disk and in memory. What it lacks after a loss of its disk comes
 // from other coordinators; until then orders of those runs get no clear answer. It is safe for concurrent use.
-type History struct {
+type SegmentStore struct {
 	saving sync.Mutex // held while the disk is written
 	files  *storage.Series
 	saved  []string // digests of the runs on disk; guarded by saving
@@ -25,14 +25,14 @@
 	noted uint64                           // one more than the If-Match at which the run noted last begins
 }
 
-// OpenHistory reads the runs in a folder. A file that is not whole counts as none.
-func OpenHistory(disk storage.Disk, folder string) (*History, error) {
+// OpenSegmentStore reads the runs in a folder. A file that is not whole counts as none.
+func OpenSegmentStore(disk storage.Disk, folder string) (*SegmentStore, error) {
 	stored := &tierpb.ChangeSegments{}
 	files, found, err := storage.OpenMessages(disk, folder, series, stored)
 	if err != nil {
 		return nil, err
 	}
-	history := &History{files: files, runs: make(map[string]*tierpb.ChangeSegment)}
+	history := &SegmentStore{files: files, runs: make(map[string]*tierpb.ChangeSegment)}
 	if !found {
 		return history, nil
 	}
@@ -44,7 +44,7 @@
 }
 
 // put takes a run in and says whether it was not known.
-func (h *History) put(run *tierpb.ChangeSegment) bool {
+func (h *SegmentStore) put(run *tierpb.ChangeSegment) bool {
 	if !isWhole(run) {
 		return false
 	}
@@ -58,47 +58,47 @@
 	return true
 }
 
-// Note takes in the run that a chosen control state is about to name. It is cheap where there is nothing new.
-func (h *History) Note(state *tierpb.ControlState) {
-	if len(state.GetCommittedChanges()) < RunLength || h.isNoted(state.CommittedChanges[0].IfMatch) {
+// Observe takes in the run that a chosen control state is about to name. It is cheap where there is nothing new.
+func (h *SegmentStore) Observe(state *tierpb.ControlState) {
+	if len(state.GetCommittedChanges()) < SegmentLength || h.isNoted(state.CommittedChanges[0].IfMatch) {
 		return
 	}
-	h.put(Upcoming(state))
+	h.put(NextSegment(state))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.noted = state.CommittedChanges[0].IfMatch + 1
 }
 
-func (h *History) isNoted(first uint64) bool {
+func (h *SegmentStore) isNoted(first uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.noted == first+1
 }
 
-// Run implements Runs.
-func (h *History) Run(digest []byte) *tierpb.ChangeSegment {
+// Segment implements Runs.
+func (h *SegmentStore) Segment(digest []byte) *tierpb.ChangeSegment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.runs[string(digest)]
 }
 
-// Lacking returns the digests of runs that a control state names and that are not here, oldest first.
-func (h *History) Lacking(state *tierpb.ControlState) [][]byte {
+// Missing returns the digests of runs that a control state names and that are not here, oldest first.
+func (h *SegmentStore) Missing(state *tierpb.ControlState) [][]byte {
 	var lacking [][]byte
 	for _, name := range state.GetOlderChanges() {
-		if h.Run(name.Digest) == nil {
+		if h.Segment(name.Digest) == nil {
 			lacking = append(lacking, name.Digest)
 		}
 	}
 	return lacking
 }
 
-// Keep takes in runs that a control state names and the one that it is about to name, drops those from before all that it
+// Reconcile takes in runs that a control state names and the one that it is about to name, drops those from before all that it
 // remembers, and saves what is left where that has changed.
-func (h *History) Keep(state *tierpb.ControlState, found []*tierpb.ChangeSegment) error {
+func (h *SegmentStore) Reconcile(state *tierpb.ControlState, found []*tierpb.ChangeSegment) error {
 	h.saving.Lock()
 	defer h.saving.Unlock()
-	h.Note(state)
+	h.Observe(state)
 	named := make(map[string]bool)
 	for _, name := range state.GetOlderChanges() {
 		named[string(name.Digest)] = true
@@ -131,7 +131,7 @@
 	return 0
 }
 
-func (h *History) dropBefore(first uint64) {
+func (h *SegmentStore) dropBefore(first uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for digest, run := range h.runs {
@@ -142,7 +142,7 @@
 }
 
 // all returns the runs and their digests, oldest first.
-func (h *History) all() (*tierpb.ChangeSegments, []string) {
+func (h *SegmentStore) all() (*tierpb.ChangeSegments, []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	digests := slices.SortedFunc(maps.Keys(h.runs), func(a, b string) int {
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -138,7 +138,7 @@
 	coordinator := newCoordinator(settings.Fixed(own), c.log(m.name), self, &caller{from: m})
 	coordinator.now, coordinator.directory.now = m.now, m.now
 	coordinator.directory.started = m.now()
-	coordinator.history, err = changelog.OpenHistory(disk, ordersFolder)
+	coordinator.history, err = changelog.OpenSegmentStore(disk, ordersFolder)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
 	points := &stops{}
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -47,7 +47,7 @@
 	readiness *watch.ReadinessGate
 	directory *directory
 	register  controlRegister
-	history   *changelog.History
+	history   *changelog.SegmentStore
 
 	departures *departures
 	progress   progress
@@ -92,7 +92,7 @@
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
-	history, err := changelog.OpenHistory(disk, filepath.Join(current.DataDir, ordersFolder))
+	history, err := changelog.OpenSegmentStore(disk, filepath.Join(current.DataDir, ordersFolder))
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
@@ -157,7 +157,7 @@
 		Caller: c.caller, Local: acceptor, Known: c.state.Control, Faults: c.faults,
 		Chosen: func(chosen *tierpb.ControlState) {
 			c.state.SetControl(chosen)
-			c.history.Note(chosen)
+			c.history.Observe(chosen)
 		},
 	})
 	c.register = proposer
--- a/internal/tier/coordinator/history.go
+++ b/internal/tier/coordinator/history.go
@@ -40,12 +40,12 @@
 func (c *coordinator) keepRuns(ctx context.Context, known *tierpb.ControlState) bool {
 	fetched := 0
 	for before := -1; ; {
-		found := c.fetchRuns(ctx, c.history.Lacking(known))
-		if err := c.history.Keep(known, found); err != nil {
+		found := c.fetchRuns(ctx, c.history.Missing(known))
+		if err := c.history.Reconcile(known, found); err != nil {
 			c.log.Warn("older orders could not be saved", "error", err)
 			return false
 		}
-		lacking := len(c.history.Lacking(known))
+		lacking := len(c.history.Missing(known))
 		fetched += len(found)
 		if len(found) == 0 || lacking == 0 || lacking == before {
 			c.logRuns(fetched, lacking)
@@ -86,7 +86,7 @@
 func (c *coordinator) takeOrderRuns(_ context.Context, request *tierpb.ChangeSegmentsRequest) (*tierpb.ChangeSegmentsReply, error) {
 	reply := &tierpb.ChangeSegmentsReply{}
 	for _, digest := range request.Digests[:min(len(request.Digests), runsOfACall)] {
-		if run := c.history.Run(digest); run != nil {
+		if run := c.history.Segment(digest); run != nil {
 			reply.Segments = append(reply.Segments, run)
 		}
 	}
--- a/internal/tier/coordinator/orders.go
+++ b/internal/tier/coordinator/orders.go
@@ -10,27 +10,27 @@
 
 // order is a configuration that an operator sent.
 type order struct {
-	changelog.Order
+	changelog.Change
 	body []byte
-	runs changelog.Runs // older orders that were taken
+	runs changelog.Segments // older orders that were taken
 }
 
-func newOrder(ifMatch, generation uint64, body []byte, runs changelog.Runs) *order {
-	return &order{Order: changelog.New(ifMatch, generation, body), body: body, runs: runs}
+func newOrder(ifMatch, generation uint64, body []byte, runs changelog.Segments) *order {
+	return &order{Change: changelog.NewChange(ifMatch, generation, body), body: body, runs: runs}
 }
 
 // change takes the order where it builds on the current version. One that was taken before changes nothing; any other
 // ends with a *result.Error, which is a refusal only where the order is known not to have been taken.
 func (o *order) change(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	generation := current.GetConfiguration().GetGeneration()
-	switch changelog.Judge(current, o.runs, o.Order) {
-	case changelog.Taken:
+	switch changelog.Classify(current, o.runs, o.Change) {
+	case changelog.Committed:
 		return current, nil
-	case changelog.NotTaken:
+	case changelog.Rejected:
 		return nil, result.New(result.VersionConflict, fmt.Sprintf("version %d is current", generation))
-	case changelog.Missing:
+	case changelog.SegmentMissing:
 		return nil, result.New(result.OrderLookedUp, "")
-	case changelog.Forgotten:
+	case changelog.Compacted:
 		return nil, result.New(result.ForgottenOrder, "")
 	}
 	if o.Generation <= generation {
@@ -38,7 +38,7 @@
 			fmt.Sprintf("%d is not above the current %d", o.Generation, generation))
 	}
 	current.Configuration = &tierpb.Configuration{Generation: o.Generation, Body: o.body}
-	changelog.Add(current, o.Order)
+	changelog.Append(current, o.Change)
 	return current, nil
 }
 
@@ -48,6 +48,6 @@
 	if o.IfMatch >= chosen.GetConfiguration().GetGeneration() {
 		return false
 	}
-	verdict := changelog.Judge(chosen, o.runs, o.Order)
-	return verdict == changelog.Taken || verdict == changelog.NotTaken
+	verdict := changelog.Classify(chosen, o.runs, o.Change)
+	return verdict == changelog.Committed || verdict == changelog.Rejected
 }
--- a/internal/tier/coordinator/trouble_test.go
+++ b/internal/tier/coordinator/trouble_test.go
@@ -55,7 +55,7 @@
 }
 
 type sentOrder struct {
-	order      changelog.Order
+	order      changelog.Change
 	generation uint64
 	status     int
 	at         time.Time
@@ -270,8 +270,8 @@
 		t.Error(problem)
 	}
 	control := r.at(r.apart[0]).state.Control()
-	isTaken := func(sent changelog.Order) bool {
-		return changelog.Judge(control.CloneVT(), r.at(r.apart[0]).history, sent) == changelog.Taken
+	isTaken := func(sent changelog.Change) bool {
+		return changelog.Classify(control.CloneVT(), r.at(r.apart[0]).history, sent) == changelog.Committed
 	}
 	taken := 0
 	for _, sent := range r.orders {
--- a/internal/tier/coordinator/troublework_test.go
+++ b/internal/tier/coordinator/troublework_test.go
@@ -18,7 +18,7 @@
 		}
 		generation := base + 1 + uint64(r.draw(2))
 		body := configurationOf(int(generation), fmt.Sprintf("%s%d", name, number))
-		sent := sentOrder{order: changelog.New(base, generation, []byte(body)), generation: generation}
+		sent := sentOrder{order: changelog.NewChange(base, generation, []byte(body)), generation: generation}
 		for sent.status == 0 || sent.status == http.StatusServiceUnavailable {
 			sent.status, _ = r.call(http.MethodPut, "/v1/config", fmt.Sprint(base), body)
 			if !r.wait() {
--- a/internal/tier/register/orders_test.go
+++ b/internal/tier/register/orders_test.go
@@ -16,16 +16,16 @@
 )
 
 // send sends an order as an operator does; nil is an acknowledgement and errConflict a refusal.
-func (m *member) send(limit time.Duration, sent changelog.Order) error {
+func (m *member) send(limit time.Duration, sent changelog.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	_, err := m.changer().Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		switch changelog.Judge(current, nil, sent) {
-		case changelog.Next:
+		switch changelog.Classify(current, nil, sent) {
+		case changelog.Applicable:
 			current.Configuration = &tierpb.Configuration{Generation: sent.Generation}
-			changelog.Add(current, sent)
+			changelog.Append(current, sent)
 			return current, nil
-		case changelog.Taken:
+		case changelog.Committed:
 			return current, nil
 		}
 		return nil, errConflict
@@ -89,8 +89,8 @@
 func (r rivalry) play(t *testing.T) string {
 	c := newCluster(t, 1, 3, 5, calm)
 	loser, rival := c.members[4], c.members[0]
-	first := changelog.New(0, 7, []byte("one"))
-	second := changelog.New(0, 7, []byte("two"))
+	first := changelog.NewChange(0, 7, []byte("one"))
+	second := changelog.NewChange(0, 7, []byte("two"))
 	if r.equal {
 		second = first
 	}
@@ -125,7 +125,7 @@
 }
 
 // lose sends an order whose accepts reach some members only and whose answers are lost.
-func (r rivalry) lose(c *cluster, loser *member, sent changelog.Order) {
+func (r rivalry) lose(c *cluster, loser *member, sent changelog.Change) {
 	loser.stopWhen(func(point failpoint.Point) bool {
 		for i, m := range c.members[:4] {
 			if point == failpoint.AcceptSending {
@@ -144,7 +144,7 @@
 }
 
 // judge has both operators send their orders again, to every coordinator.
-func (r rivalry) judge(t *testing.T, c *cluster, first, second changelog.Order, told error) string {
+func (r rivalry) judge(t *testing.T, c *cluster, first, second changelog.Change, told error) string {
 	taken := map[string]bool{}
 	for round := range 2 {
 		for i, m := range c.members {
--- a/internal/tier/register/size_test.go
+++ b/internal/tier/register/size_test.go
@@ -42,7 +42,7 @@
 		m := c.members[0]
 		value := &tierpb.ControlState{Voters: InitialState(c.seeds).Voters, Configuration: &tierpb.Configuration{}}
 		for change := uint64(1); change <= 5000; change++ {
-			changelog.Add(value, changelog.New(change-1, change, []byte{byte(change)}))
+			changelog.Append(value, changelog.NewChange(change-1, change, []byte{byte(change)}))
 			value.Version, value.Configuration = change, largeConfiguration(change)
 			ballot := &tierpb.ProposalNumber{Counter: change, Proposer: 1}
 			identity := m.current().Identity()
