--- a/internal/tier/changelog/changelog.go
+++ b/internal/tier/changelog/changelog.go
@@ -18,10 +18,10 @@
 
 // Bounds of what is remembered.
 const (
-	MaxRecentChanges  = 512 // orders that the control state holds itself
-	SegmentLength   = 256 // orders of a run
-	MaxSegments    = 256 // runs that are named; orders before those are forgotten
-	DigestSize = 16
+	MaxRecentChanges = 512 // orders that the control state holds itself
+	SegmentLength    = 256 // orders of a run
+	MaxSegments      = 256 // runs that are named; orders before those are forgotten
+	DigestSize       = 16
 )
 
 // Change is a configuration change that was sent.
@@ -46,11 +46,11 @@
 
 // The verdicts. Only the first three are certain.
 const (
-	Applicable      Outcome = iota // it builds on the current generation
-	Committed                    // it was taken
-	Rejected                 // it was not taken and cannot be
-	SegmentMissing                  // the run that tells is not here at present
-	Compacted                // it builds on a generation from before all that is remembered
+	Applicable     Outcome = iota // it builds on the current generation
+	Committed                     // it was taken
+	Rejected                      // it was not taken and cannot be
+	SegmentMissing                // the run that tells is not here at present
+	Compacted                     // it builds on a generation from before all that is remembered
 )
 
 // Segments finds a run by its digest, nil where it is not at hand.
--- a/internal/tier/coordinator/announce.go
+++ b/internal/tier/coordinator/announce.go
@@ -96,7 +96,7 @@
 // voters does not count.
 func (c *coordinator) isQuorum(replies []*tierpb.AnnounceReply) bool {
 	newest := c.newestVoters()
-	return register.Quorum(newest.GetVoters(), func(identity uint64) bool {
+	return register.HasQuorum(newest.GetVoters(), func(identity uint64) bool {
 		return slices.ContainsFunc(replies, func(reply *tierpb.AnnounceReply) bool {
 			return reply.Identity == identity && reply.Epoch <= newest.GetEpoch()
 		})
--- a/internal/tier/coordinator/api.go
+++ b/internal/tier/coordinator/api.go
@@ -90,7 +90,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.patienceFor(len(body)))
 	defer cancel()
-	if _, err := c.register.ChangeUnless(ctx, sent.isSettled, sent.change); err != nil {
+	if _, err := c.register.ChangeUnlessDecided(ctx, sent.isSettled, sent.change); err != nil {
 		c.log.Info("configuration not taken", "generation", sent.Generation, "if-match", sent.IfMatch, "reason", err)
 		result.Write(w, resultOf(err))
 		return
--- a/internal/tier/coordinator/catchup_test.go
+++ b/internal/tier/coordinator/catchup_test.go
@@ -102,7 +102,7 @@
 		c.start("core-3", false)
 		c.pass(3 * time.Second)
 		assert.DeepEqual(c.t, c.generations("core-3"), []uint64{30})
-		assert.Equal(c.t, c.at("core-3").acceptor.Value().GetConfiguration().GetGeneration(), uint64(30))
+		assert.Equal(c.t, c.at("core-3").acceptor.AcceptedValue().GetConfiguration().GetGeneration(), uint64(30))
 		used := c.counted("core-3")
 		accepts, received := used.accepts-before.accepts, used.received-before.received
 		c.t.Logf("a value of %d bytes: %d bytes came to the member, %d accepts went between machines", size, received, accepts)
@@ -181,7 +181,7 @@
 // votesCurrent says that a machine is a voter, that its acceptor has a generation on disk and its state knows it.
 func (c *cluster) votesCurrent(name string, generation uint64) bool {
 	p := c.at(name)
-	known, accepted := p.state.Control(), p.acceptor.Value()
+	known, accepted := p.state.Control(), p.acceptor.AcceptedValue()
 	return register.IsVoter(known, p.self.Identity) && accepted.GetVersion() >= known.Version &&
 		accepted.GetConfiguration().GetGeneration() == generation
 }
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -142,7 +142,7 @@
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
 	points := &stops{}
-	coordinator.faults = &failpoint.Points{Stop: points.pass}
+	coordinator.faults = &failpoint.Points{ShouldStop: points.pass}
 	coordinator.useRegister(acceptor)
 	p := &process{coordinator: coordinator, points: points, handler: coordinator.routes(), acceptor: acceptor, done: &sync.WaitGroup{}}
 	p.grantor = coordinator.newGrantor(acceptor)
--- a/internal/tier/coordinator/contact.go
+++ b/internal/tier/coordinator/contact.go
@@ -24,7 +24,7 @@
 // this one. What it rests on is at most contactMost old. An answer of one that knows of later voters than this process
 // does not count: without a vote of a majority of the voters before them, no later voters can have been chosen by then.
 func (c *coordinator) inTouch() bool {
-	return register.Quorum(c.voters(), c.hasContact)
+	return register.HasQuorum(c.voters(), c.hasContact)
 }
 
 // hasContact says whether a node is this process or answers it.
@@ -71,7 +71,7 @@
 // missingVoters are the voters that do not answer this process.
 func (c *coordinator) missingVoters() []*tierpb.Node {
 	var missing []*tierpb.Node
-	for _, voter := range register.Voters(&tierpb.ControlState{Voters: c.voters()}) {
+	for _, voter := range register.VoterNodes(&tierpb.ControlState{Voters: c.voters()}) {
 		if !c.hasContact(voter.GetIdentity()) {
 			missing = append(missing, voter)
 		}
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/contact_test.go
@@ -165,7 +165,7 @@
 			}
 		}
 		two := c.at("core-2")
-		changed := two.acceptor.Value().CloneVT()
+		changed := two.acceptor.AcceptedValue().CloneVT()
 		changed.Version, changed.Epoch = changed.Version+2, changed.Epoch+2
 		changed.Voters = []*tierpb.VoterSet{{Nodes: []*tierpb.Node{two.self, c.at("core-3").self, c.at("core-4").self}}}
 		accepted := two.acceptor.Accept(&tierpb.AcceptRequest{
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -33,7 +33,7 @@
 // controlRegister is what the coordinator needs of the register.
 type controlRegister interface {
 	Change(context.Context, register.ChangeFunc) (*tierpb.ControlState, error)
-	ChangeUnless(context.Context, func(*tierpb.ControlState) bool, register.ChangeFunc) (*tierpb.ControlState, error)
+	ChangeUnlessDecided(context.Context, func(*tierpb.ControlState) bool, register.ChangeFunc) (*tierpb.ControlState, error)
 	Read(context.Context) (*tierpb.ControlState, error)
 }
 
@@ -151,21 +151,21 @@
 
 // useRegister makes the proposer that changes the register; whatever it finds to be chosen is brought out.
 func (c *coordinator) useRegister(acceptor *register.Acceptor) {
-	c.accepted = acceptor.Value
-	c.progress.fallBehind(c.now(), acceptor.Value().GetVersion(), 0)
-	proposer := register.NewProposer(register.Options{
-		Caller: c.caller, Local: acceptor, Known: c.state.Control, Faults: c.faults,
-		Chosen: func(chosen *tierpb.ControlState) {
+	c.accepted = acceptor.AcceptedValue
+	c.progress.fallBehind(c.now(), acceptor.AcceptedValue().GetVersion(), 0)
+	proposer := register.NewProposer(register.ProposerOptions{
+		Caller: c.caller, Local: acceptor, KnownState: c.state.Control, Failpoints: c.faults,
+		OnChosen: func(chosen *tierpb.ControlState) {
 			c.state.SetControl(chosen)
 			c.history.Observe(chosen)
 		},
 	})
 	c.register = proposer
 	c.replaceVoters = func(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
-		return register.ReplaceVoters(ctx, proposer, change)
+		return register.Reconfigure(ctx, proposer, change)
 	}
 	c.finishVoters = func(ctx context.Context) (*tierpb.ControlState, error) {
-		return register.FinishVoters(ctx, proposer)
+		return register.LeaveJoint(ctx, proposer)
 	}
 }
 
@@ -195,7 +195,7 @@
 func (c *coordinator) targets() []watch.Target {
 	known := append(c.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), c.directory.coordinators()...)
 	if c.state.Control() == nil {
-		known = append(known, register.Voters(c.accepted())...)
+		known = append(known, register.VoterNodes(c.accepted())...)
 	}
 	return watch.CoordinatorTargets(c.self, c.state, known, c.live.Current().SeedCoordinators())
 }
--- a/internal/tier/coordinator/directory.go
+++ b/internal/tier/coordinator/directory.go
@@ -67,9 +67,9 @@
 	now := d.now()
 	join, known := d.joins[request.Node.Identity]
 	if !known {
-		join.First = now
+		join.FirstSeen = now
 	}
-	join.Request, join.Heard = request, now
+	join.Request, join.LastSeen = request, now
 	d.joins[request.Node.Identity] = join
 }
 
@@ -161,7 +161,7 @@
 	defer d.mu.Unlock()
 	var joins []placement.Join
 	for identity, join := range d.joins {
-		if d.now().Sub(join.Heard) > joinKept {
+		if d.now().Sub(join.LastSeen) > joinKept {
 			delete(d.joins, identity)
 			continue
 		}
@@ -177,7 +177,7 @@
 func (d *directory) waitingStore(name string) *tierpb.Node {
 	for _, join := range d.recentJoins() {
 		node := join.Request.Node
-		if node.Role == tierpb.Role_ROLE_TURN_STORE && node.Name == name && d.now().Sub(join.Heard) <= placement.FreshJoin {
+		if node.Role == tierpb.Role_ROLE_TURN_STORE && node.Name == name && d.now().Sub(join.LastSeen) <= placement.JoinTTL {
 			return node
 		}
 	}
--- a/internal/tier/coordinator/fence_test.go
+++ b/internal/tier/coordinator/fence_test.go
@@ -223,7 +223,7 @@
 		p.points.set(func(passed failpoint.Point) bool {
 			if passed == failpoint.PlacementDecided {
 				ages++
-				once.Do(func() { c.machines["core-1"].sleepFor(placement.OldestView + time.Millisecond) })
+				once.Do(func() { c.machines["core-1"].sleepFor(placement.MaxViewAge + time.Millisecond) })
 			}
 			return false
 		})
--- a/internal/tier/coordinator/handover.go
+++ b/internal/tier/coordinator/handover.go
@@ -19,14 +19,14 @@
 // computed on the newest value and takes no vote but the own.
 func (c *coordinator) handOver(ctx context.Context) {
 	known := c.state.Control()
-	if len(c.voters()) < 2 && placement.ReplaceLeavingVoter(known, c.view(known), c.self.Identity) == nil {
+	if len(c.voters()) < 2 && placement.ReplaceDrainingVoter(known, c.view(known), c.self.Identity) == nil {
 		return
 	}
 	var next []*tierpb.Node
 	patience, cancel := context.WithTimeout(ctx, handOverPatience)
 	defer cancel()
 	_, err := c.replaceVoters(patience, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		if next = placement.ReplaceLeavingVoter(current, c.view(current), c.self.Identity); next == nil {
+		if next = placement.ReplaceDrainingVoter(current, c.view(current), c.self.Identity); next == nil {
 			return nil, nil
 		}
 		current.Voters = []*tierpb.VoterSet{{Nodes: next}}
--- a/internal/tier/coordinator/network_test.go
+++ b/internal/tier/coordinator/network_test.go
@@ -117,7 +117,7 @@
 	case rpc.MethodAccept:
 		return p.acceptor.Accept(decoded(&tierpb.AcceptRequest{}, payload)), nil
 	case rpc.MethodLease:
-		return p.grantor.Answer(decoded(&tierpb.LeaseRequest{}, payload)), nil
+		return p.grantor.Handle(decoded(&tierpb.LeaseRequest{}, payload)), nil
 	case rpc.MethodWatch:
 		return p.watch(ctx, decoded(&tierpb.WatchRequest{}, payload))
 	case rpc.MethodAnnounce:
--- a/internal/tier/coordinator/orders_test.go
+++ b/internal/tier/coordinator/orders_test.go
@@ -118,7 +118,7 @@
 func (c *cluster) replaceVoter(at, old, standby string) error {
 	p := c.at(at)
 	var nodes []*tierpb.Node
-	for _, node := range register.Voters(p.state.Control()) {
+	for _, node := range register.VoterNodes(p.state.Control()) {
 		if c.machineAt(node.Address).name != old {
 			nodes = append(nodes, node)
 		}
--- a/internal/tier/coordinator/place.go
+++ b/internal/tier/coordinator/place.go
@@ -48,14 +48,14 @@
 
 // placeVoters replaces voters. What is known only tells whether to try: the choice is made on the newest value.
 func (c *coordinator) placeVoters(ctx context.Context, known *tierpb.ControlState) error {
-	if placement.Voters(known, c.view(known)) == nil {
+	if placement.NextVoters(known, c.view(known)) == nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, placePatience)
 	defer cancel()
 	var next []*tierpb.Node
 	chosen, err := c.replaceVoters(ctx, c.fenced(func(current *tierpb.ControlState, view *placement.View) *tierpb.ControlState {
-		if next = placement.Voters(current, view); next == nil {
+		if next = placement.NextVoters(current, view); next == nil {
 			return nil
 		}
 		current.Voters = []*tierpb.VoterSet{{Nodes: next}}
@@ -73,14 +73,14 @@
 // placeStores changes the members of the turn stores, in the same way.
 func (c *coordinator) placeStores(ctx context.Context, known *tierpb.ControlState) error {
 	c.noteRedundancy(known.GetStores())
-	if _, reason := placement.Stores(known.CloneVT(), c.view(known)); reason == "" {
+	if _, reason := placement.NextStores(known.CloneVT(), c.view(known)); reason == "" {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, placePatience)
 	defer cancel()
 	reason := ""
 	chosen, err := c.register.Change(ctx, c.fenced(func(current *tierpb.ControlState, view *placement.View) *tierpb.ControlState {
-		next, why := placement.Stores(current, view)
+		next, why := placement.NextStores(current, view)
 		if reason = why; reason == "" {
 			return nil
 		}
--- a/internal/tier/coordinator/random_test.go
+++ b/internal/tier/coordinator/random_test.go
@@ -199,15 +199,15 @@
 	accepted := map[uint64]uint64{}
 	for _, name := range d.names {
 		p := d.at(name)
-		if value := p.acceptor.Value(); value.GetVersion() >= newest.GetVersion() {
+		if value := p.acceptor.AcceptedValue(); value.GetVersion() >= newest.GetVersion() {
 			newest = value
 		}
-		accepted[p.self.Identity] = p.acceptor.Value().GetVersion()
+		accepted[p.self.Identity] = p.acceptor.AcceptedValue().GetVersion()
 	}
 	if len(newest.GetVoters()) != 1 {
 		return false
 	}
-	for _, voter := range register.Voters(newest) {
+	for _, voter := range register.VoterNodes(newest) {
 		if version, runs := accepted[voter.Identity]; !runs || version < newest.Version {
 			return false
 		}
--- a/internal/tier/coordinator/serve.go
+++ b/internal/tier/coordinator/serve.go
@@ -78,7 +78,7 @@
 func (c *coordinator) newHolder(local *lease.Lessor) *lease.Candidate {
 	holder := lease.NewCandidate(lease.CandidateOptions{
 		Role: placementRole, Self: c.self.Identity, Caller: c.caller, Local: local, Voters: c.voters,
-		Changed: func(held bool) { c.log.Info("lease", "role", placementRole, "held", held) },
+		OnChange: func(held bool) { c.log.Info("lease", "role", placementRole, "held", held) },
 	})
 	c.lease = holder
 	return holder
--- a/internal/tier/coordinator/tenure.go
+++ b/internal/tier/coordinator/tenure.go
@@ -71,10 +71,10 @@
 		if err := c.faults.At(failpoint.PlacementDecided); err != nil {
 			return nil, err
 		}
-		claim := placement.Claim{
+		claim := placement.Credentials{
 			Term: c.tenure.term, LeaseOwned: c.holds(current, c.tenure.number), ViewAge: c.now().Sub(view.Now),
 		}
-		if err := placement.Admit(placement.TermOf(current), claim); err != nil {
+		if err := placement.CheckFence(placement.TermOf(current), claim); err != nil {
 			return nil, err
 		}
 		return next, nil
@@ -97,7 +97,7 @@
 
 // isStale says whether a change was refused by the fence.
 func isStale(reason error) bool {
-	for _, refusal := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrOldView} {
+	for _, refusal := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrStaleView} {
 		if errors.Is(reason, refusal) {
 			return true
 		}
--- a/internal/tier/coordinator/view.go
+++ b/internal/tier/coordinator/view.go
@@ -14,17 +14,17 @@
 	live := c.live.Current()
 	now, since := c.now(), c.listening.since()
 	return &placement.View{
-		Now: now, Since: since, Tolerance: live.FaultTolerance.Members(),
-		CatchUp: settings.Seconds(live.Bounds.CatchUpS, 0),
-		Joins:   c.directory.recentJoins(),
-		VoterSilence: func(address string) time.Duration {
+		Now: now, ListeningSince: since, Tolerance: live.FaultTolerance.Members(),
+		CatchUpTimeout: settings.Seconds(live.Bounds.CatchUpS, 0),
+		Joins:          c.directory.recentJoins(),
+		VoterUnreachableFor: func(address string) time.Duration {
 			if address == c.self.Address {
 				return c.ownSilence()
 			}
 			return min(c.directory.silentFor(address), now.Sub(since))
 		},
-		Domain:   func(node *tierpb.Node) string { return live.Domain(zones[node.Address]) },
-		MoveSeen: c.moveSeen(current.GetStores().GetEpoch()),
+		FailureDomain:  func(node *tierpb.Node) string { return live.Domain(zones[node.Address]) },
+		MembershipSeen: c.moveSeen(current.GetStores().GetEpoch()),
 	}
 }
 
--- a/internal/tier/failpoint/failpoint.go
+++ b/internal/tier/failpoint/failpoint.go
@@ -38,13 +38,13 @@
 
 // Points decides at each point whether the process stops there.
 type Points struct {
-	// Stop is asked at each point that is passed; true stops the process.
-	Stop func(Point) bool
+	// ShouldStop is asked at each point that is passed; true stops the process.
+	ShouldStop func(Point) bool
 }
 
 // At returns ErrStopped where a test stops the process, otherwise nil.
 func (p *Points) At(point Point) error {
-	if p == nil || p.Stop == nil || !p.Stop(point) {
+	if p == nil || p.ShouldStop == nil || !p.ShouldStop(point) {
 		return nil
 	}
 	return ErrStopped
--- a/internal/tier/lease/grantor.go
+++ b/internal/tier/lease/grantor.go
@@ -35,8 +35,8 @@
 	return &Lessor{identity: identity, opens: time.Now().Add(holdBack), grants: make(map[string]grant)}
 }
 
-// Answer grants, renews or releases a lease.
-func (g *Lessor) Answer(request *tierpb.LeaseRequest) *tierpb.LeaseReply {
+// Handle grants, renews or releases a lease.
+func (g *Lessor) Handle(request *tierpb.LeaseRequest) *tierpb.LeaseReply {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -69,7 +69,7 @@
 // Serve registers the grantor's call.
 func (g *Lessor) Serve(server *rpc.Server) {
 	rpc.Handle(server, rpc.MethodLease, func(_ context.Context, request *tierpb.LeaseRequest) (*tierpb.LeaseReply, error) {
-		return g.Answer(request), nil
+		return g.Handle(request), nil
 	})
 }
 
--- a/internal/tier/lease/holder.go
+++ b/internal/tier/lease/holder.go
@@ -17,14 +17,14 @@
 
 // CandidateOptions describe a candidate for a role.
 type CandidateOptions struct {
-	Role    string
-	Self    uint64 // identity
-	Caller  rpc.Caller
-	Local   *Lessor                             // called without the network where its identity is a voter's; may be nil
-	Voters  func() []*tierpb.VoterSet           // as the control state has them; nil or empty while it is not known
-	TTL     time.Duration                       // 0 for LongestTerm
-	Changed func(held bool)                     // called by Run at each change; may be nil
-	Random  func(n time.Duration) time.Duration // from 0 to n, which is not included; nil for a random one
+	Role     string
+	Self     uint64 // identity
+	Caller   rpc.Caller
+	Local    *Lessor                             // called without the network where its identity is a voter's; may be nil
+	Voters   func() []*tierpb.VoterSet           // as the control state has them; nil or empty while it is not known
+	TTL      time.Duration                       // 0 for LongestTerm
+	OnChange func(held bool)                     // called by Run at each change; may be nil
+	Jitter   func(n time.Duration) time.Duration // from 0 to n, which is not included; nil for a random one
 }
 
 // Candidate tries to hold the lease of a role for as long as Run runs.
@@ -45,8 +45,8 @@
 	if options.TTL <= 0 || options.TTL > MaxTTL {
 		options.TTL = MaxTTL
 	}
-	if options.Random == nil {
-		options.Random = rand.N[time.Duration]
+	if options.Jitter == nil {
+		options.Jitter = rand.N[time.Duration]
 	}
 	return &Candidate{options: options, sequence: uint64(time.Now().UnixNano()), grants: make(map[uint64]time.Time)}
 }
@@ -64,7 +64,7 @@
 }
 
 func (h *Candidate) heldBy(voters []*tierpb.VoterSet, now time.Time) bool {
-	return now.Before(h.until) && register.Quorum(voters, func(identity uint64) bool { return now.Before(h.grants[identity]) })
+	return now.Before(h.until) && register.HasQuorum(voters, func(identity uint64) bool { return now.Before(h.grants[identity]) })
 }
 
 // Acquisition numbers the acquisitions: as long as it stays the same, the lease was not lost in between.
@@ -116,10 +116,10 @@
 	}
 	h.lost()
 	if result.granted == 0 {
-		return max(result.remaining, term/4) + h.options.Random(term/4)
+		return max(result.remaining, term/4) + h.options.Jitter(term/4)
 	}
 	h.release(ctx)
-	return contestedWait + h.options.Random(term/4) // nobody had a quorum: the first one to ask again has it
+	return contestedWait + h.options.Jitter(term/4) // nobody had a quorum: the first one to ask again has it
 }
 
 // acquired takes over the end of a round with a quorum. Where the lease was not held without a break until now, another
@@ -152,8 +152,8 @@
 	changed := held != h.held
 	h.held = held
 	h.mu.Unlock()
-	if changed && h.options.Changed != nil {
-		h.options.Changed(held)
+	if changed && h.options.OnChange != nil {
+		h.options.OnChange(held)
 	}
 }
 
@@ -194,7 +194,7 @@
 	ctx, cancel := context.WithTimeout(ctx, h.options.TTL/4)
 	begun := h.begin(voters)
 	result := roundResult{begunRound: begun}
-	nodes := register.Voters(&tierpb.ControlState{Voters: voters})
+	nodes := register.VoterNodes(&tierpb.ControlState{Voters: voters})
 	answers := make(chan answer, len(nodes))
 	calls := &sync.WaitGroup{}
 	for _, node := range nodes {
@@ -219,11 +219,11 @@
 			denied[got.from] = true
 			result.remaining = max(result.remaining, time.Duration(got.reply.RemainingMs)*time.Millisecond)
 		}
-		if register.Quorum(voters, func(identity uint64) bool { return granted[identity] }) {
+		if register.HasQuorum(voters, func(identity uint64) bool { return granted[identity] }) {
 			result.quorum = true
 			return result
 		}
-		hopeless := !register.Quorum(voters, func(identity uint64) bool { return !denied[identity] })
+		hopeless := !register.HasQuorum(voters, func(identity uint64) bool { return !denied[identity] })
 		if hopeless && (release || result.granted > 0) {
 			return result
 		}
@@ -272,7 +272,7 @@
 		Sequence: sequence,
 	}
 	if local := h.options.Local; local != nil && local.identity == node.GetIdentity() {
-		return local.Answer(request)
+		return local.Handle(request)
 	}
 	reply := &tierpb.LeaseReply{}
 	if err := h.options.Caller.Call(ctx, node.GetAddress(), rpc.MethodLease, request, reply); err != nil {
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -218,7 +218,7 @@
 		sequence := uint64(0)
 		ask := func(holder uint64, release bool) *tierpb.LeaseReply {
 			sequence++
-			return grantor.Answer(&tierpb.LeaseRequest{
+			return grantor.Handle(&tierpb.LeaseRequest{
 				Role: role, Holder: holder, TtlMs: 1000, Identity: 7, Release: release, Sequence: sequence,
 			})
 		}
@@ -228,17 +228,17 @@
 		assert.Assert(t, !ask(2, true).Granted)
 		assert.Assert(t, !ask(2, false).Granted, "only the holder gives a lease back")
 		late := &tierpb.LeaseRequest{Role: role, Holder: 1, Identity: 7, Release: true}
-		assert.Assert(t, !grantor.Answer(late).Granted)
+		assert.Assert(t, !grantor.Handle(late).Granted)
 		assert.Assert(t, !ask(2, false).Granted, "a release from before the grant counts for nothing")
 		assert.Assert(t, !ask(1, true).Granted)
 		assert.Assert(t, ask(2, false).Granted)
 		<-time.After(time.Second)
 		assert.Assert(t, ask(1, false).Granted, "an expired lease is free")
 		other := &tierpb.LeaseRequest{Role: "other", Holder: 2, TtlMs: 1000, Identity: 7}
-		assert.Assert(t, grantor.Answer(other).Granted, "roles are apart")
+		assert.Assert(t, grantor.Handle(other).Granted, "roles are apart")
 		other.Identity = 8
-		assert.Assert(t, !grantor.Answer(other).Granted, "another grantor is meant")
-		long := grantor.Answer(&tierpb.LeaseRequest{Role: "long", Holder: 2, TtlMs: 1 << 30, Identity: 7})
+		assert.Assert(t, !grantor.Handle(other).Granted, "another grantor is meant")
+		long := grantor.Handle(&tierpb.LeaseRequest{Role: "long", Holder: 2, TtlMs: 1 << 30, Identity: 7})
 		assert.Equal(t, long.RemainingMs, uint32(MaxTTL/time.Millisecond))
 	})
 }
@@ -373,6 +373,6 @@
 	synctest.Test(t, func(t *testing.T) {
 		wiped := NewLessor(20, 0)
 		request := &tierpb.LeaseRequest{Role: role, Holder: 2, TtlMs: 1000, Identity: 2, Sequence: 1}
-		assert.Assert(t, !wiped.Answer(request).Granted)
+		assert.Assert(t, !wiped.Handle(request).Granted)
 	})
 }
--- a/internal/tier/modelcheck/act.go
+++ b/internal/tier/modelcheck/act.go
@@ -41,10 +41,10 @@
 	return p.proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		began := time.Now()
 		p.decide()
-		claim := placement.Claim{
+		claim := placement.Credentials{
 			Term: p.tenure.term, LeaseOwned: p.holds(current, p.tenure.number), ViewAge: time.Since(began),
 		}
-		if err := placement.Admit(placement.TermOf(current), claim); err != nil {
+		if err := placement.CheckFence(placement.TermOf(current), claim); err != nil {
 			return nil, err
 		}
 		current.Retirements = append(current.Retirements, &tierpb.Retirement{
@@ -98,7 +98,7 @@
 }
 
 func isRefusedByFence(err error) bool {
-	return errors.Is(err, placement.ErrFenced) || errors.Is(err, placement.ErrLeaseLost) || errors.Is(err, placement.ErrOldView)
+	return errors.Is(err, placement.ErrFenced) || errors.Is(err, placement.ErrLeaseLost) || errors.Is(err, placement.ErrStaleView)
 }
 
 // checkTerms checks that whoever acted did so under the newest term; mu is held.
--- a/internal/tier/modelcheck/check.go
+++ b/internal/tier/modelcheck/check.go
@@ -145,7 +145,7 @@
 	}
 	accepted.by[p.acceptor.Identity()] = true
 	c.mu.Unlock()
-	if register.Quorum(accepted.state.Voters, func(identity uint64) bool { return accepted.by[identity] }) {
+	if register.HasQuorum(accepted.state.Voters, func(identity uint64) bool { return accepted.by[identity] }) {
 		c.chosen(accepted.state)
 	}
 }
--- a/internal/tier/modelcheck/fingerprint.go
+++ b/internal/tier/modelcheck/fingerprint.go
@@ -66,7 +66,7 @@
 
 func (p *process) durableFact() fact {
 	reply := p.durable()
-	return fact{ballots: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
+	return fact{ballots: []*tierpb.ProposalNumber{p.acceptor.HighestPrepared(), reply.Accepted}, state: reply.Value}
 }
 
 // rank numbers the ballots of the state by their order.
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -69,8 +69,8 @@
 	}
 	w.name(p.acceptor.Identity(), n)
 	p.acceptor.Serve(life.Server)
-	p.proposer = register.NewProposer(register.Options{
-		Caller: &caller{process: p}, Local: p.acceptor, Known: p.newestKnown, Chosen: p.learn, Random: half,
+	p.proposer = register.NewProposer(register.ProposerOptions{
+		Caller: &caller{process: p}, Local: p.acceptor, KnownState: p.newestKnown, OnChosen: p.learn, Jitter: half,
 	})
 	if w.scenario.Lease {
 		p.startLease(bootstrap)
@@ -92,7 +92,7 @@
 		return
 	}
 	p.holder = lease.NewCandidate(lease.CandidateOptions{
-		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Random: half,
+		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Jitter: half,
 		Voters: p.voters,
 	})
 	holder := p.holder
--- a/internal/tier/modelcheck/run.go
+++ b/internal/tier/modelcheck/run.go
@@ -155,7 +155,7 @@
 	for _, one := range w.nodes {
 		for _, other := range w.nodes {
 			if one.process != nil && other.process != nil && one.process.newestKnown() == nil {
-				one.process.guess(other.process.acceptor.Value())
+				one.process.guess(other.process.acceptor.AcceptedValue())
 			}
 		}
 	}
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -29,7 +29,7 @@
 	},
 	{
 		name: "wiped acceptor keeps its identity", file: "register/acceptor.go",
-		old:     "a.identity = DrawIdentity(options.Address)",
+		old:     "a.identity = NewIdentity(options.Address)",
 		changed: "a.identity = InitialIdentity(options.Address)",
 	},
 	{
@@ -99,8 +99,8 @@
 	},
 	{
 		name: "holder counts grants of voters that are no more", file: "lease/holder.go",
-		old:     "return now.Before(h.until) && register.Quorum(voters,",
-		changed: "return now.Before(h.until) && register.Quorum(h.options.Voters(),",
+		old:     "return now.Before(h.until) && register.HasQuorum(voters,",
+		changed: "return now.Before(h.until) && register.HasQuorum(h.options.Voters(),",
 	},
 	{
 		name: "late release ends a later grant", file: "lease/grantor.go",
--- a/internal/tier/modelcheck/store_action.go
+++ b/internal/tier/modelcheck/store_action.go
@@ -195,7 +195,7 @@
 		add(uint64(count))
 	}
 	for _, join := range w.holder.joins {
-		add(join.Request.Node.Identity, join.Request.CopiedEpoch, uint64(join.First.UnixNano()), uint64(join.Heard.UnixNano()))
+		add(join.Request.Node.Identity, join.Request.CopiedEpoch, uint64(join.FirstSeen.UnixNano()), uint64(join.LastSeen.UnixNano()))
 	}
 	for _, e := range w.queue {
 		add(uint64(e.kind), uint64(w.column(e).number), uint64(e.due), uint64(e.life), e.call.GetCopiedEpoch())
--- a/internal/tier/modelcheck/store_event.go
+++ b/internal/tier/modelcheck/store_event.go
@@ -99,11 +99,11 @@
 	}
 	for i := range w.holder.joins {
 		if join := &w.holder.joins[i]; join.Request.Node.Identity == call.Node.Identity {
-			join.Request, join.Heard = call, w.now()
+			join.Request, join.LastSeen = call, w.now()
 			return
 		}
 	}
-	w.holder.joins = append(w.holder.joins, placement.Join{Request: call, First: w.now(), Heard: w.now()})
+	w.holder.joins = append(w.holder.joins, placement.Join{Request: call, FirstSeen: w.now(), LastSeen: w.now()})
 }
 
 func (w *storeWorld) callOf(m *storeMachine) *tierpb.JoinRequest {
@@ -157,10 +157,10 @@
 		w.holder.epoch, w.holder.moveSeen = epoch, w.now()
 	}
 	view := &placement.View{
-		Now: w.now(), Since: w.holder.since, Tolerance: w.scenario.Tolerance, Joins: slices.Clone(w.holder.joins),
-		MoveSeen: w.holder.moveSeen, VoterSilence: func(string) time.Duration { return 0 },
+		Now: w.now(), ListeningSince: w.holder.since, Tolerance: w.scenario.Tolerance, Joins: slices.Clone(w.holder.joins),
+		MembershipSeen: w.holder.moveSeen, VoterUnreachableFor: func(string) time.Duration { return 0 },
 	}
-	next, reason := placement.Stores(w.control.CloneVT(), view)
+	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason == "" {
 		return
 	}
--- a/internal/tier/placement/fence_test.go
+++ b/internal/tier/placement/fence_test.go
@@ -10,7 +10,7 @@
 
 func TestFenceAdmitsOnlyTheNewestTerm(t *testing.T) {
 	term := Term{Number: 3, Holder: 7}
-	claim := Claim{Term: term, LeaseOwned: true}
+	claim := Credentials{Term: term, LeaseOwned: true}
 	for current, refusal := range map[Term]error{
 		term:                   nil,
 		{Number: 4, Holder: 8}: ErrFenced,
@@ -19,13 +19,13 @@
 		{Number: 2, Holder: 7}: ErrFenced,
 		{}:                     ErrFenced,
 	} {
-		assert.Equal(t, Admit(current, claim), refusal, "%v", current)
+		assert.Equal(t, CheckFence(current, claim), refusal, "%v", current)
 	}
-	claim.ViewAge = OldestView
-	assert.NilError(t, Admit(term, claim))
+	claim.ViewAge = MaxViewAge
+	assert.NilError(t, CheckFence(term, claim))
 	claim.ViewAge++
-	assert.Equal(t, Admit(term, claim), ErrOldView)
-	assert.Equal(t, Admit(term, Claim{Term: term}), ErrLeaseLost)
+	assert.Equal(t, CheckFence(term, claim), ErrStaleView)
+	assert.Equal(t, CheckFence(term, Credentials{Term: term}), ErrLeaseLost)
 }
 
 func TestTermIsRaisedAndMarked(t *testing.T) {
--- a/internal/tier/placement/leaving.go
+++ b/internal/tier/placement/leaving.go
@@ -24,11 +24,11 @@
 		return view
 	}
 	changed := *view
-	changed.VoterSilence = func(address string) time.Duration {
+	changed.VoterUnreachableFor = func(address string) time.Duration {
 		if slices.Contains(hosts, hostOf(address)) {
 			return leavingSilence
 		}
-		return view.VoterSilence(address)
+		return view.VoterUnreachableFor(address)
 	}
 	return &changed
 }
--- a/internal/tier/placement/leaving_test.go
+++ b/internal/tier/placement/leaving_test.go
@@ -28,7 +28,7 @@
 			voters.Nodes = append(voters.Nodes, coordinating)
 		}
 	}
-	s.view.VoterSilence = func(string) time.Duration { return 0 }
+	s.view.VoterUnreachableFor = func(string) time.Duration { return 0 }
 	s.state.Voters = []*tierpb.VoterSet{voters}
 	s.state.Retirements = []*tierpb.Retirement{{Node: "store-1", Identity: 1}}
 	return s
@@ -36,29 +36,29 @@
 
 func TestVoteLeavesAMachineThatIsBeingEmptied(t *testing.T) {
 	s := sharedScene()
-	assert.DeepEqual(t, identities(Voters(s.state, s.view)), []uint64{14, 12, 13})
+	assert.DeepEqual(t, identities(NextVoters(s.state, s.view)), []uint64{14, 12, 13})
 }
 
 func TestMachineThatIsBeingEmptiedGetsNoVote(t *testing.T) {
 	s := sharedScene()
 	s.state.Retirements[0] = &tierpb.Retirement{Node: "store-4", Identity: 4}
-	silent := s.view.VoterSilence
-	s.view.VoterSilence = func(address string) time.Duration {
+	silent := s.view.VoterUnreachableFor
+	s.view.VoterUnreachableFor = func(address string) time.Duration {
 		if address == "10.0.0.2:700" {
 			return time.Minute
 		}
 		return silent(address)
 	}
-	assert.Assert(t, Voters(s.state, s.view) == nil)
+	assert.Assert(t, NextVoters(s.state, s.view) == nil)
 }
 
 func TestRetirementIsCompletedWhenTheVoteIsGone(t *testing.T) {
 	s := sharedScene()
-	_, reason := Stores(s.state, s.view)
+	_, reason := NextStores(s.state, s.view)
 	assert.Equal(t, reason, "")
 	assert.Assert(t, !s.state.Retirements[0].Completed)
-	s.state.Voters = []*tierpb.VoterSet{{Nodes: Voters(s.state, s.view)}}
-	_, reason = Stores(s.state, s.view)
+	s.state.Voters = []*tierpb.VoterSet{{Nodes: NextVoters(s.state, s.view)}}
+	_, reason = NextStores(s.state, s.view)
 	assert.Equal(t, reason, "retirement completed")
 	assert.Assert(t, s.state.Retirements[0].Completed)
 }
--- a/internal/tier/placement/lives_test.go
+++ b/internal/tier/placement/lives_test.go
@@ -15,7 +15,7 @@
 	before.Identity, after.Identity = 40, 41
 	s.callAs(before, 750*time.Millisecond)
 	s.callAs(after, 500*time.Millisecond)
-	next, reason := Stores(s.state, s.view)
+	next, reason := NextStores(s.state, s.view)
 	assert.Equal(t, reason, "turn stores joined")
 	assert.DeepEqual(t, identities(next.Stores.Current), []uint64{1, 2, 3, 41})
 }
--- a/internal/tier/placement/moves.go
+++ b/internal/tier/placement/moves.go
@@ -19,10 +19,10 @@
 
 // patience is how long a move waits for reports that it does not need.
 func (v *View) patience() time.Duration {
-	if v.CatchUp <= 0 {
+	if v.CatchUpTimeout <= 0 {
 		return reportPatience
 	}
-	return min(reportPatience, v.CatchUp/patienceShare)
+	return min(reportPatience, v.CatchUpTimeout/patienceShare)
 }
 
 // progress is how far a move has come.
@@ -61,7 +61,7 @@
 
 // isMoving says whether records move and the move is not late.
 func isMoving(stores *tierpb.StoreMembership, view *View) bool {
-	return len(stores.GetPrevious()) > 0 && view.Now.Sub(view.MoveSeen) < view.patience()
+	return len(stores.GetPrevious()) > 0 && view.Now.Sub(view.MembershipSeen) < view.patience()
 }
 
 // isGone says that the disk of a previous member is lost: a current one at its address has another identity.
--- a/internal/tier/placement/moving_test.go
+++ b/internal/tier/placement/moving_test.go
@@ -13,8 +13,8 @@
 func (s *scene) wipe(number, identity int) {
 	for i := range s.view.Joins {
 		if s.view.Joins[i].Request.Node.Identity == uint64(number) {
-			s.view.Joins[i].First = s.view.Since
-			s.view.Joins[i].Heard = s.view.Now.Add(-2 * FreshJoin)
+			s.view.Joins[i].FirstSeen = s.view.ListeningSince
+			s.view.Joins[i].LastSeen = s.view.Now.Add(-2 * JoinTTL)
 		}
 	}
 	node := store(number)
@@ -36,7 +36,7 @@
 
 func TestMoveDoesNotWaitBeyondTheCatchUpOfANewStore(t *testing.T) {
 	s := newScene(1, 2, 3)
-	s.view.CatchUp = 4 * time.Second
+	s.view.CatchUpTimeout = 4 * time.Second
 	s.call(4, batchQuiet)
 	assert.Equal(t, s.step(), "turn stores joined")
 	s.copied(1, 2)
--- a/internal/tier/placement/placement.go
+++ b/internal/tier/placement/placement.go
@@ -11,7 +11,7 @@
 
 // Times that decisions rest on.
 const (
-	FreshJoin      = 1300 * time.Millisecond // a node whose last join is older than this does not count as running
+	JoinTTL        = 1300 * time.Millisecond // a node whose last join is older than this does not count as running
 	firstQuiet     = 700 * time.Millisecond  // no new turn store for this long: the first members are complete
 	firstWait      = 1500 * time.Millisecond // after the first turn store: the first members are complete
 	fewWait        = 4 * time.Second         // the same, where those that came are too few to go on after as many losses
@@ -26,31 +26,31 @@
 
 // Join is a node's last call to join.
 type Join struct {
-	Request *tierpb.JoinRequest
-	First   time.Time // when the node was heard of first
-	Heard   time.Time // when it called last
+	Request   *tierpb.JoinRequest
+	FirstSeen time.Time // when the node was heard of first
+	LastSeen  time.Time // when it called last
 }
 
 // View is what the holder of the lease knows first hand.
 type View struct {
-	Now       time.Time
-	Since     time.Time     // since when this process has listened without a gap; nobody counts as silent for longer
-	Tolerance int           // members that may be lost at once
-	CatchUp   time.Duration // bound on a new machine's start; 0 where none is set
-	Joins     []Join
-	// VoterSilence is how long the coordinator at an address, voter or not, has not answered; 0 for one that answers.
-	VoterSilence func(address string) time.Duration
-	// Domain is the zone or region of a node that may be lost as a whole, empty for none; it may be nil.
-	Domain func(node *tierpb.Node) string
-	// MoveSeen is when this process heard of the newest membership of the turn stores.
-	MoveSeen time.Time
+	Now            time.Time
+	ListeningSince time.Time     // since when this process has listened without a gap; nobody counts as silent for longer
+	Tolerance      int           // members that may be lost at once
+	CatchUpTimeout time.Duration // bound on a new machine's start; 0 where none is set
+	Joins          []Join
+	// VoterUnreachableFor is how long the coordinator at an address, voter or not, has not answered; 0 for one that answers.
+	VoterUnreachableFor func(address string) time.Duration
+	// FailureDomain is the zone or region of a node that may be lost as a whole, empty for none; it may be nil.
+	FailureDomain func(node *tierpb.Node) string
+	// MembershipSeen is when this process heard of the newest membership of the turn stores.
+	MembershipSeen time.Time
 }
 
 func (v *View) domain(node *tierpb.Node) string {
-	if v.Domain == nil {
+	if v.FailureDomain == nil {
 		return ""
 	}
-	return v.Domain(node)
+	return v.FailureDomain(node)
 }
 
 // countIn is how many nodes are in a domain.
@@ -66,10 +66,10 @@
 
 // abandonAfter is how long a turn store may be silent: it is out well before its successor's catch-up time is over.
 func (v *View) abandonAfter() time.Duration {
-	if v.CatchUp <= 0 {
+	if v.CatchUpTimeout <= 0 {
 		return storeAbandoned
 	}
-	return max(storeDead, min(storeAbandoned, v.CatchUp*3/5))
+	return max(storeDead, min(storeAbandoned, v.CatchUpTimeout*3/5))
 }
 
 // least is the number of members that bears the loss of tolerance of them.
@@ -78,7 +78,7 @@
 // fresh says that a node called lately and that no other one has called from its address since: that one found the disk
 // empty. What counts is the last call of each, for the first call of an earlier life may be read late.
 func (v *View) fresh(join Join) bool {
-	return v.Now.Sub(join.Heard) <= FreshJoin && !v.superseded(join)
+	return v.Now.Sub(join.LastSeen) <= JoinTTL && !v.superseded(join)
 }
 
 func (v *View) superseded(join Join) bool {
@@ -86,16 +86,16 @@
 		if other.Request.Node.Address != join.Request.Node.Address {
 			return false
 		}
-		return other.Heard.After(join.Heard) || other.Heard.Equal(join.Heard) && other.First.After(join.First)
+		return other.LastSeen.After(join.LastSeen) || other.LastSeen.Equal(join.LastSeen) && other.FirstSeen.After(join.FirstSeen)
 	})
 }
 
 // storeSilence is how long a turn store has not called.
 func (v *View) storeSilence(identity uint64) time.Duration {
-	listened := v.Now.Sub(v.Since)
+	listened := v.Now.Sub(v.ListeningSince)
 	for _, join := range v.Joins {
 		if join.Request.Node.Identity == identity {
-			return min(v.Now.Sub(join.Heard), listened)
+			return min(v.Now.Sub(join.LastSeen), listened)
 		}
 	}
 	return listened
--- a/internal/tier/placement/stores.go
+++ b/internal/tier/placement/stores.go
@@ -7,9 +7,9 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Stores computes the next membership of the turn stores. It alters and returns the state, and says what it did; the
+// NextStores computes the next membership of the turn stores. It alters and returns the state, and says what it did; the
 // reason is empty, and the state as it was, where nothing is to be done.
-func Stores(current *tierpb.ControlState, view *View) (*tierpb.ControlState, string) {
+func NextStores(current *tierpb.ControlState, view *View) (*tierpb.ControlState, string) {
 	if current.Stores == nil {
 		current.Stores = &tierpb.StoreMembership{}
 	}
@@ -98,7 +98,7 @@
 	return slices.ContainsFunc(view.Joins, func(other Join) bool {
 		successor := other.Request.Node
 		return successor.Role == node.Role && successor.Identity != node.Identity && successor.Name == node.Name &&
-			node.Name != "" && view.fresh(other) && other.First.After(join.First)
+			node.Name != "" && view.fresh(other) && other.FirstSeen.After(join.FirstSeen)
 	})
 }
 
@@ -114,13 +114,13 @@
 
 // settled says that no new one of the nodes has come for quiet, or that the first of them came long ago.
 func settled(waiting []Join, view *View, quiet, longest time.Duration) bool {
-	first, last := waiting[0].First, waiting[0].First
+	first, last := waiting[0].FirstSeen, waiting[0].FirstSeen
 	for _, join := range waiting {
-		if join.First.Before(first) {
-			first = join.First
+		if join.FirstSeen.Before(first) {
+			first = join.FirstSeen
 		}
-		if join.First.After(last) {
-			last = join.First
+		if join.FirstSeen.After(last) {
+			last = join.FirstSeen
 		}
 	}
 	return view.Now.Sub(last) >= quiet || view.Now.Sub(first) >= longest
--- a/internal/tier/placement/stores_test.go
+++ b/internal/tier/placement/stores_test.go
@@ -21,7 +21,7 @@
 func newScene(members ...int) *scene {
 	s := &scene{
 		state: &tierpb.ControlState{Stores: &tierpb.StoreMembership{}},
-		view:  &View{Now: start, Since: start.Add(-time.Hour), Tolerance: 1, MoveSeen: start},
+		view:  &View{Now: start, ListeningSince: start.Add(-time.Hour), Tolerance: 1, MembershipSeen: start},
 	}
 	for _, number := range members {
 		s.state.Stores.Current = append(s.state.Stores.Current, store(number))
@@ -46,7 +46,7 @@
 func (s *scene) callAs(node *tierpb.Node, ago time.Duration) *tierpb.JoinRequest {
 	request := &tierpb.JoinRequest{Node: node}
 	at := s.view.Now.Add(-ago)
-	s.view.Joins = append(s.view.Joins, Join{Request: request, First: at, Heard: at})
+	s.view.Joins = append(s.view.Joins, Join{Request: request, FirstSeen: at, LastSeen: at})
 	return request
 }
 
@@ -56,7 +56,7 @@
 	for i := range s.view.Joins {
 		for _, number := range numbers {
 			if s.view.Joins[i].Request.Node.Identity == uint64(number) {
-				s.view.Joins[i].Heard = s.view.Now
+				s.view.Joins[i].LastSeen = s.view.Now
 			}
 		}
 	}
@@ -75,10 +75,10 @@
 
 // step takes the next step and says which.
 func (s *scene) step() string {
-	next, reason := Stores(s.state.CloneVT(), s.view)
+	next, reason := NextStores(s.state.CloneVT(), s.view)
 	if reason != "" {
 		s.state = next
-		s.view.MoveSeen = s.view.Now
+		s.view.MembershipSeen = s.view.Now
 	}
 	return reason
 }
@@ -192,7 +192,7 @@
 	s.expect(t, []uint64{1, 2, 3}, []uint64{1, 2, 3, 4})
 
 	s = newScene(1, 2, 3, 4)
-	s.view.CatchUp = 3 * time.Second
+	s.view.CatchUpTimeout = 3 * time.Second
 	s.lapse(2*time.Second, 1, 2, 3)
 	assert.Equal(t, s.step(), "turn store abandoned", "sooner where successors have to catch up sooner")
 
--- a/internal/tier/placement/view_test.go
+++ b/internal/tier/placement/view_test.go
@@ -11,11 +11,11 @@
 func TestSilenceBeginsNoEarlierThanTheListening(t *testing.T) {
 	s := newScene(1, 2, 3, 4)
 	s.lapse(20*time.Second, 1, 2, 3)
-	s.view.Since = s.view.Now.Add(-time.Second)
-	_, reason := Stores(s.state, s.view)
+	s.view.ListeningSince = s.view.Now.Add(-time.Second)
+	_, reason := NextStores(s.state, s.view)
 	assert.Equal(t, reason, "", "abandoned for a silence of the listener's own")
 	s.lapse(3*time.Second, 1, 2, 3)
-	_, reason = Stores(s.state, s.view)
+	_, reason = NextStores(s.state, s.view)
 	assert.Equal(t, reason, "turn store abandoned")
 }
 
--- a/internal/tier/placement/voters.go
+++ b/internal/tier/placement/voters.go
@@ -6,9 +6,9 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Voters returns the set of voters that should replace the present one, nil where nothing is to be done. A change
+// NextVoters returns the set of voters that should replace the present one, nil where nothing is to be done. A change
 // that is half done comes first: its new set is returned.
-func Voters(current *tierpb.ControlState, view *View) []*tierpb.Node {
+func NextVoters(current *tierpb.ControlState, view *View) []*tierpb.Node {
 	sets := current.GetVoters()
 	if len(sets) == 0 {
 		return nil
@@ -82,15 +82,15 @@
 // from another address is no predecessor: both run.
 func predecessorOf(voters []*tierpb.Node, standby *tierpb.Node, view *View) int {
 	place := predecessor(voters, standby)
-	if place >= 0 && voters[place].Address != standby.Address && view.VoterSilence(voters[place].Address) == 0 {
+	if place >= 0 && voters[place].Address != standby.Address && view.VoterUnreachableFor(voters[place].Address) == 0 {
 		return -1
 	}
 	return place
 }
 
-// ReplaceLeavingVoter returns the voters with a standby in the place of one that stops, nil where it has no vote or nobody stands
+// ReplaceDrainingVoter returns the voters with a standby in the place of one that stops, nil where it has no vote or nobody stands
 // by. It takes no other vote away.
-func ReplaceLeavingVoter(current *tierpb.ControlState, view *View, leaver uint64) []*tierpb.Node {
+func ReplaceDrainingVoter(current *tierpb.ControlState, view *View, leaver uint64) []*tierpb.Node {
 	sets := current.GetVoters()
 	if len(sets) != 1 {
 		return nil
@@ -114,7 +114,7 @@
 		if node.Role != tierpb.Role_ROLE_COORDINATOR || !view.fresh(join) || find(voters, node.Identity) >= 0 {
 			continue
 		}
-		if view.VoterSilence(node.Address) == 0 {
+		if view.VoterUnreachableFor(node.Address) == 0 {
 			nodes = append(nodes, node)
 		}
 	}
@@ -128,7 +128,7 @@
 func longestSilent(voters []*tierpb.Node, view *View) int {
 	place, longest := -1, voterDead
 	for i, voter := range voters {
-		if silence := view.VoterSilence(voter.Address); silence > longest {
+		if silence := view.VoterUnreachableFor(voter.Address); silence > longest {
 			place, longest = i, silence
 		}
 	}
--- a/internal/tier/register/accept.go
+++ b/internal/tier/register/accept.go
@@ -45,16 +45,16 @@
 			count.open = identities{}
 		}
 	}
-	result.quorum = Quorum(count.voters, count.accepted.has)
+	result.quorum = HasQuorum(count.voters, count.accepted.has)
 	go drain(count.answers, len(count.open), cancel)
 	return result
 }
 
 func (r *round) sendAccepts(phase context.Context, count *voteCount, value *tierpb.ControlState) (result acceptance) {
-	targets := Voters(&tierpb.ControlState{Voters: count.voters})
+	targets := VoterNodes(&tierpb.ControlState{Voters: count.voters})
 	count.answers = make(chan vote, len(targets))
 	for _, node := range targets {
-		if result.err = r.proposer.options.Faults.At(failpoint.AcceptSending); result.err != nil {
+		if result.err = r.proposer.options.Failpoints.At(failpoint.AcceptSending); result.err != nil {
 			return result
 		}
 		result.sent = true
@@ -78,10 +78,10 @@
 
 // decided says whether there is a quorum, or cannot be one.
 func (c *voteCount) decided() bool {
-	if Quorum(c.voters, c.accepted.has) {
+	if HasQuorum(c.voters, c.accepted.has) {
 		return true
 	}
-	return !Quorum(c.voters, func(identity uint64) bool { return c.accepted.has(identity) || c.open.has(identity) })
+	return !HasQuorum(c.voters, func(identity uint64) bool { return c.accepted.has(identity) || c.open.has(identity) })
 }
 
 // drain lets the calls that are under way come to their end before their context is let go.
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -27,12 +27,12 @@
 
 // AcceptorOptions say where an acceptor keeps its state and how it starts on an empty disk.
 type AcceptorOptions struct {
-	Disk      storage.Disk
-	Folder    string
-	Address   string   // inner address of this coordinator
-	Bootstrap bool     // first start of the whole system
-	Seeds     []string // inner addresses of the first coordinators; used where Bootstrap is set
-	Faults    *failpoint.Points
+	Disk       storage.Disk
+	Folder     string
+	Address    string   // inner address of this coordinator
+	Bootstrap  bool     // first start of the whole system
+	Seeds      []string // inner addresses of the first coordinators; used where Bootstrap is set
+	Failpoints *failpoint.Points
 }
 
 // Acceptor keeps promises and the accepted value of one identity. It is safe for concurrent use.
@@ -62,13 +62,13 @@
 	if err := options.Disk.MakeFolder(options.Folder); err != nil {
 		return nil, eris.Wrap(err, "acceptor")
 	}
-	acceptor := &Acceptor{faults: options.Faults, turn: make(chan struct{}, 1)}
+	acceptor := &Acceptor{faults: options.Failpoints, turn: make(chan struct{}, 1)}
 	acceptor.turn <- struct{}{}
 	var identity, complete *storage.Series
 	for name, series := range map[string]**storage.Series{
 		identitySeries: &identity, promiseSeries: &acceptor.promises, acceptedSeries: &acceptor.values, completeSeries: &complete,
 	} {
-		opened, err := storage.Open(options.Disk, options.Folder, name, options.Faults)
+		opened, err := storage.Open(options.Disk, options.Folder, name, options.Failpoints)
 		if err != nil {
 			return nil, err
 		}
@@ -162,7 +162,7 @@
 		}
 	}
 	state := &acceptorState{promised: &tierpb.ProposalNumber{}, accepted: &tierpb.ProposalNumber{}}
-	a.identity = DrawIdentity(options.Address)
+	a.identity = NewIdentity(options.Address)
 	if options.Bootstrap && !lost {
 		a.identity = InitialIdentity(options.Address)
 		state.value = InitialState(options.Seeds)
@@ -183,11 +183,11 @@
 // Fresh says whether the disk was found empty.
 func (a *Acceptor) Fresh() bool { return a.fresh }
 
-// Value returns the accepted value, which need not be chosen, and nil where there is none. It is not to be changed.
-func (a *Acceptor) Value() *tierpb.ControlState { return a.state.Load().value }
+// AcceptedValue returns the accepted value, which need not be chosen, and nil where there is none. It is not to be changed.
+func (a *Acceptor) AcceptedValue() *tierpb.ControlState { return a.state.Load().value }
 
-// Promised returns the highest ballot promised.
-func (a *Acceptor) Promised() *tierpb.ProposalNumber { return a.state.Load().promised }
+// HighestPrepared returns the highest ballot promised.
+func (a *Acceptor) HighestPrepared() *tierpb.ProposalNumber { return a.state.Load().promised }
 
 // Prepare promises to accept nothing below the ballot, which is on disk when it returns, and tells what was
 // accepted. A ballot of zero asks for that alone.
--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -31,7 +31,7 @@
 func openWith(machine *simulation.Machine, bootstrap bool, points *failpoint.Points) (*Acceptor, error) {
 	return OpenAcceptor(AcceptorOptions{
 		Disk: machine.Start().Mount(), Folder: folder, Address: machine.Address(), Bootstrap: bootstrap, Seeds: testSeeds,
-		Faults: points,
+		Failpoints: points,
 	})
 }
 
@@ -58,15 +58,15 @@
 	machine := machineAlone(1)
 	first := openOn(t, machine, true)
 	assert.Equal(t, first.Identity(), InitialIdentity(machine.Address()))
-	assert.Assert(t, IsVoter(first.Value(), first.Identity()))
+	assert.Assert(t, IsVoter(first.AcceptedValue(), first.Identity()))
 	again := openOn(t, machine, false)
 	assert.Equal(t, again.Identity(), first.Identity())
 	assert.Assert(t, !again.Fresh())
-	assert.Assert(t, again.Value().EqualVT(first.Value()))
+	assert.Assert(t, again.AcceptedValue().EqualVT(first.AcceptedValue()))
 	machine.Wipe()
 	wiped := openOn(t, machine, false)
 	assert.Assert(t, wiped.Fresh() && wiped.Identity() != first.Identity())
-	assert.Assert(t, wiped.Value() == nil)
+	assert.Assert(t, wiped.AcceptedValue() == nil)
 }
 
 func TestNumbersDifferWhereOneOfTheirSourcesFails(t *testing.T) {
@@ -75,7 +75,7 @@
 	assert.Assert(t, number != mix("other", at, random))
 	assert.Assert(t, number != mix("one", at.Add(1), random))
 	assert.Assert(t, number != mix("one", at, []byte("another")))
-	assert.Assert(t, DrawIdentity("one") != InitialIdentity("one"))
+	assert.Assert(t, NewIdentity("one") != InitialIdentity("one"))
 }
 
 func TestSeedsAgreeInAnyOrder(t *testing.T) {
@@ -86,12 +86,12 @@
 func TestFirstStartThatWasStoppedIsDoneAgain(t *testing.T) {
 	for _, point := range []failpoint.Point{failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.IdentityUnsaved} {
 		machine := machineAlone(uint64(point))
-		_, err := openWith(machine, true, &failpoint.Points{Stop: func(passed failpoint.Point) bool { return passed == point }})
+		_, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return passed == point }})
 		assert.ErrorIs(t, err, failpoint.ErrStopped)
 		machine.PowerLoss()
 		acceptor := openOn(t, machine, true)
 		assert.Equal(t, acceptor.Identity(), InitialIdentity(machine.Address()))
-		assert.Assert(t, acceptor.Value().EqualVT(InitialState(testSeeds)))
+		assert.Assert(t, acceptor.AcceptedValue().EqualVT(InitialState(testSeeds)))
 	}
 }
 
@@ -120,7 +120,7 @@
 	for _, failing := range []failpoint.Point{failpoint.VersionSynced, failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.VersionRemoved} {
 		machine := machineAlone(uint64(failing))
 		stop := false
-		acceptor, err := openWith(machine, true, &failpoint.Points{Stop: func(point failpoint.Point) bool { return stop && point == failing }})
+		acceptor, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return stop && point == failing }})
 		assert.NilError(t, err)
 		assert.Assert(t, acceptor.acceptFor(3, 1).Accepted)
 		stop = true
@@ -130,7 +130,7 @@
 		assert.Equal(t, reply.Accepted.Counter, uint64(3))
 		machine.Kill()
 		acceptor = openOn(t, machine, false)
-		assert.Equal(t, acceptor.Value().Configuration.Generation, uint64(1), "point %d", failing)
+		assert.Equal(t, acceptor.AcceptedValue().Configuration.Generation, uint64(1), "point %d", failing)
 	}
 }
 
@@ -138,10 +138,10 @@
 	machine := machineAlone(1)
 	var acceptor *Acceptor
 	passed := 0
-	acceptor, err := openWith(machine, true, &failpoint.Points{Stop: func(point failpoint.Point) bool {
+	acceptor, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(point failpoint.Point) bool {
 		if acceptor != nil && point < failpoint.VersionFolderSynced && point >= failpoint.VersionCreated {
 			passed++
-			assert.Assert(t, acceptor.Value().Configuration == nil)
+			assert.Assert(t, acceptor.AcceptedValue().Configuration == nil)
 			peeked := acceptor.Prepare(&tierpb.PrepareRequest{Identity: acceptor.identity})
 			assert.Equal(t, peeked.Accepted.GetCounter(), uint64(0))
 		}
@@ -161,7 +161,7 @@
 		machine.Disk.Damage(series + "-")
 		reopened := openOn(t, machine, false)
 		assert.Assert(t, reopened.Fresh() && reopened.Identity() != acceptor.Identity(), series)
-		assert.Assert(t, reopened.Value() == nil)
+		assert.Assert(t, reopened.AcceptedValue() == nil)
 		again := openOn(t, machine, false)
 		assert.Equal(t, again.Identity(), reopened.Identity())
 	}
@@ -180,7 +180,7 @@
 			machine.Disk.Lose(series + "-")
 			reopened := openOn(t, machine, false)
 			assert.Assert(t, reopened.Fresh() && reopened.Identity() != acceptor.Identity(), series)
-			assert.Assert(t, reopened.Value() == nil)
+			assert.Assert(t, reopened.AcceptedValue() == nil)
 			assert.Equal(t, openOn(t, machine, false).Identity(), reopened.Identity())
 		}
 	}
--- a/internal/tier/register/ballots_test.go
+++ b/internal/tier/register/ballots_test.go
@@ -17,7 +17,7 @@
 			ahead.mustPut(generation, generation+1)
 		}
 		c.network.Partition(ahead.machine.Address(), witness.machine.Address(), true)
-		assert.Assert(t, behind.current().Promised().GetCounter() < witness.current().Promised().GetCounter())
+		assert.Assert(t, behind.current().HighestPrepared().GetCounter() < witness.current().HighestPrepared().GetCounter())
 		began := time.Now()
 		behind.mustPut(3, 4)
 		assert.Assert(t, time.Since(began) < defaultTimeout/4, "took %s", time.Since(began))
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -69,10 +69,10 @@
 // start begins a new life on whatever the disk holds; it says whether that life got through its start.
 func (m *member) start(bootstrap bool) bool {
 	life := m.machine.Start()
-	points := &failpoint.Points{Stop: func(point failpoint.Point) bool { return m.stopsAt(life, point) }}
+	points := &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return m.stopsAt(life, point) }}
 	acceptor, err := OpenAcceptor(AcceptorOptions{
 		Disk: life.Mount(), Folder: folder, Address: m.machine.Address(), Bootstrap: bootstrap, Seeds: m.cluster.seeds,
-		Faults: points,
+		Failpoints: points,
 	})
 	if err != nil {
 		life.Stop()
@@ -84,9 +84,9 @@
 	defer m.mu.Unlock()
 	m.known = nil
 	m.acceptor = acceptor
-	m.proposer = NewProposer(Options{
-		Caller: life.Caller(), Local: acceptor, Known: m.newestKnown, Chosen: m.learn, Faults: points,
-		Random: m.cluster.pause,
+	m.proposer = NewProposer(ProposerOptions{
+		Caller: life.Caller(), Local: acceptor, KnownState: m.newestKnown, OnChosen: m.learn, Failpoints: points,
+		Jitter: m.cluster.pause,
 	})
 	return true
 }
@@ -230,7 +230,7 @@
 			if state := other.newestKnown(); state != nil {
 				m.learn(state)
 			}
-			if state := other.current().Value(); m.newestKnown() == nil && state != nil {
+			if state := other.current().AcceptedValue(); m.newestKnown() == nil && state != nil {
 				m.learn(state)
 			}
 		}
--- a/internal/tier/register/cost_test.go
+++ b/internal/tier/register/cost_test.go
@@ -36,7 +36,7 @@
 			<-time.After(time.Second)
 		}
 		change(1)
-		size := c.members[0].current().Value().SizeVT()
+		size := c.members[0].current().AcceptedValue().SizeVT()
 		cost := c.measure(func() { change(2) })
 		t.Logf("change of a value of %d bytes: %s", size, cost)
 		assert.Equal(t, cost.disk.FileSyncs, 2*3)
--- a/internal/tier/register/identity.go
+++ b/internal/tier/register/identity.go
@@ -21,8 +21,8 @@
 	return binary.BigEndian.Uint64(digest[:])&^drawnIdentity | 1
 }
 
-// DrawIdentity draws an identity for the node with this inner address whose disk was found empty.
-func DrawIdentity(address string) uint64 { return draw(address) | drawnIdentity }
+// NewIdentity draws an identity for the node with this inner address whose disk was found empty.
+func NewIdentity(address string) uint64 { return draw(address) | drawnIdentity }
 
 // draw returns a number that no other process draws, nor another life of this one.
 func draw(owner string) uint64 {
--- a/internal/tier/register/peek.go
+++ b/internal/tier/register/peek.go
@@ -20,7 +20,7 @@
 
 // peekInTurn is peek for the owner of the turn.
 func (p *Proposer) peekInTurn(ctx context.Context) *tierpb.ControlState {
-	round := newRound(p, &tierpb.ProposalNumber{}, p.options.Timeout)
+	round := newRound(p, &tierpb.ProposalNumber{}, p.options.CallTimeout)
 	found := round.prepare(ctx, p.startingPoint())
 	p.saw(found)
 	if !found.chosen {
@@ -33,10 +33,10 @@
 // settled returns a chosen value on which a change is settled, nil where none is known. What is known decides whether it
 // is worth a round to look at what is chosen now.
 func (p *Proposer) settled(ctx context.Context, isSettled func(*tierpb.ControlState) bool) *tierpb.ControlState {
-	if isSettled == nil || p.options.Known == nil {
+	if isSettled == nil || p.options.KnownState == nil {
 		return nil
 	}
-	if known := p.options.Known(); known == nil || !isSettled(known) {
+	if known := p.options.KnownState(); known == nil || !isSettled(known) {
 		return nil
 	}
 	if value := p.peekInTurn(ctx); value != nil && isSettled(value) {
--- a/internal/tier/register/points_test.go
+++ b/internal/tier/register/points_test.go
@@ -137,7 +137,7 @@
 func (c *cluster) finish(m *member) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	state, err := FinishVoters(ctx, m.changer())
+	state, err := LeaveJoint(ctx, m.changer())
 	assert.NilError(c.t, err)
 	assert.Equal(c.t, len(state.Voters), 1)
 }
--- a/internal/tier/register/proposer.go
+++ b/internal/tier/register/proposer.go
@@ -36,20 +36,20 @@
 // meets it: an attempt whose end was not known may have been completed since.
 type ChangeFunc func(current *tierpb.ControlState) (*tierpb.ControlState, error)
 
-// Options of a proposer.
-type Options struct {
-	Caller  rpc.Caller
-	Local   *Acceptor                           // called without the network; may be nil
-	Known   func() *tierpb.ControlState         // newest chosen state known in this process; may be nil or return nil
-	Timeout time.Duration                       // of one call; 0 for the default
-	Chosen  func(*tierpb.ControlState)          // told of each value found to be chosen; may be nil
-	Faults  *failpoint.Points                   // tests only
-	Random  func(n time.Duration) time.Duration // from 0 to n; nil for a random one
+// ProposerOptions of a proposer.
+type ProposerOptions struct {
+	Caller      rpc.Caller
+	Local       *Acceptor                           // called without the network; may be nil
+	KnownState  func() *tierpb.ControlState         // newest chosen state known in this process; may be nil or return nil
+	CallTimeout time.Duration                       // of one call; 0 for the default
+	OnChosen    func(*tierpb.ControlState)          // told of each value found to be chosen; may be nil
+	Failpoints  *failpoint.Points                   // tests only
+	Jitter      func(n time.Duration) time.Duration // from 0 to n; nil for a random one
 }
 
 // Proposer changes and reads the register. It is safe for concurrent use and makes one change at a time.
 type Proposer struct {
-	options Options
+	options ProposerOptions
 	turn    chan struct{}        // holds one token; its owner may change what follows
 	number  uint64               // drawn at each start, so that no two lives share a ballot
 	counter uint64               // highest counter seen in any ballot
@@ -59,12 +59,12 @@
 }
 
 // NewProposer makes a proposer.
-func NewProposer(options Options) *Proposer {
-	if options.Timeout <= 0 {
-		options.Timeout = defaultTimeout
+func NewProposer(options ProposerOptions) *Proposer {
+	if options.CallTimeout <= 0 {
+		options.CallTimeout = defaultTimeout
 	}
-	if options.Random == nil {
-		options.Random = func(n time.Duration) time.Duration { return rand.N(n + 1) }
+	if options.Jitter == nil {
+		options.Jitter = func(n time.Duration) time.Duration { return rand.N(n + 1) }
 	}
 	owner := ""
 	if options.Local != nil {
@@ -72,7 +72,7 @@
 	}
 	proposer := &Proposer{options: options, turn: make(chan struct{}, 1), number: draw(owner)}
 	if options.Local != nil {
-		proposer.counter = options.Local.Promised().GetCounter()
+		proposer.counter = options.Local.HighestPrepared().GetCounter()
 	}
 	proposer.turn <- struct{}{}
 	return proposer
@@ -83,13 +83,13 @@
 // with the function's error if it gave one. Conflicts and failed attempts are repeated until ctx ends; the error is
 // ErrUncertain or ErrUnavailable then.
 func (p *Proposer) Change(ctx context.Context, change ChangeFunc) (*tierpb.ControlState, error) {
-	return p.ChangeUnless(ctx, nil, change)
+	return p.ChangeUnlessDecided(ctx, nil, change)
 }
 
-// ChangeUnless is Change for a change that may be settled: isSettled says of a chosen value that the change alters nothing
+// ChangeUnlessDecided is Change for a change that may be settled: isSettled says of a chosen value that the change alters nothing
 // on it nor on any later one, and would end alike on all of them. Where that is known, a round without promises and
 // without a sync decides, so that those who lost a race do not hold up each other. It costs no round otherwise.
-func (p *Proposer) ChangeUnless(
+func (p *Proposer) ChangeUnlessDecided(
 	ctx context.Context, isSettled func(chosen *tierpb.ControlState) bool, change ChangeFunc,
 ) (*tierpb.ControlState, error) {
 	select {
@@ -137,21 +137,21 @@
 }
 
 func (p *Proposer) attempt(ctx context.Context, change ChangeFunc) attemptResult {
-	if err := p.options.Faults.At(failpoint.PrepareSending); err != nil {
+	if err := p.options.Failpoints.At(failpoint.PrepareSending); err != nil {
 		return attemptResult{err: err}
 	}
 	if p.options.Local != nil {
-		p.counter = max(p.counter, p.options.Local.Promised().GetCounter())
+		p.counter = max(p.counter, p.options.Local.HighestPrepared().GetCounter())
 	}
 	p.counter++
-	round := newRound(p, &tierpb.ProposalNumber{Counter: p.counter, Proposer: p.number}, p.options.Timeout)
+	round := newRound(p, &tierpb.ProposalNumber{Counter: p.counter, Proposer: p.number}, p.options.CallTimeout)
 	prepared := round.prepare(ctx, p.startingPoint())
 	p.counter = max(p.counter, prepared.highest)
 	p.saw(prepared)
 	if !prepared.quorum {
 		return attemptResult{outbid: prepared.highest > 0}
 	}
-	if err := p.options.Faults.At(failpoint.PrepareDone); err != nil {
+	if err := p.options.Failpoints.At(failpoint.PrepareDone); err != nil {
 		return attemptResult{err: err}
 	}
 	current := prepared.value
@@ -194,7 +194,7 @@
 	}
 	p.cached = cachedValue{ballot: round.ballot, value: next}
 	p.sawChosen(next)
-	if err := p.options.Faults.At(failpoint.AcceptDone); err != nil {
+	if err := p.options.Failpoints.At(failpoint.AcceptDone); err != nil {
 		return attemptResult{sent: true, err: err}
 	}
 	return attemptResult{done: true, value: next}
@@ -212,7 +212,7 @@
 
 // pause waits before the next attempt; false says that ctx ended.
 func (p *Proposer) pause(ctx context.Context, longest time.Duration) bool {
-	timer := time.NewTimer(p.options.Random(longest))
+	timer := time.NewTimer(p.options.Jitter(longest))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -225,11 +225,11 @@
 // startingPoint is the state whose voters are asked first. It decides nothing: the answers name the voters that
 // count.
 func (p *Proposer) startingPoint() *tierpb.ControlState {
-	if p.options.Known != nil {
-		p.sawAny(p.options.Known())
+	if p.options.KnownState != nil {
+		p.sawAny(p.options.KnownState())
 	}
 	if p.options.Local != nil {
-		p.sawAny(p.options.Local.Value())
+		p.sawAny(p.options.Local.AcceptedValue())
 	}
 	return p.newest
 }
@@ -258,8 +258,8 @@
 	if p.chosen == nil || newer(state, p.chosen) {
 		p.chosen = state
 	}
-	if p.options.Chosen != nil {
-		p.options.Chosen(state)
+	if p.options.OnChosen != nil {
+		p.options.OnChosen(state)
 	}
 }
 
--- a/internal/tier/register/quorum.go
+++ b/internal/tier/register/quorum.go
@@ -12,8 +12,8 @@
 func (set identities) add(identity uint64)      { set[identity] = struct{}{} }
 func (set identities) has(identity uint64) bool { _, found := set[identity]; return found }
 
-// Quorum says whether those for which has is true are a majority of each voter set.
-func Quorum(voters []*tierpb.VoterSet, has func(identity uint64) bool) bool {
+// HasQuorum says whether those for which has is true are a majority of each voter set.
+func HasQuorum(voters []*tierpb.VoterSet, has func(identity uint64) bool) bool {
 	if len(voters) == 0 {
 		return false
 	}
@@ -31,8 +31,8 @@
 	return true
 }
 
-// Voters returns the members of all voter sets of a state, each once.
-func Voters(state *tierpb.ControlState) []*tierpb.Node {
+// VoterNodes returns the members of all voter sets of a state, each once.
+func VoterNodes(state *tierpb.ControlState) []*tierpb.Node {
 	var nodes []*tierpb.Node
 	seen := identities{}
 	for _, set := range state.GetVoters() {
@@ -48,7 +48,7 @@
 
 // IsVoter says whether a state names an identity among its voters.
 func IsVoter(state *tierpb.ControlState, identity uint64) bool {
-	for _, node := range Voters(state) {
+	for _, node := range VoterNodes(state) {
 		if node.GetIdentity() == identity {
 			return true
 		}
--- a/internal/tier/register/random_test.go
+++ b/internal/tier/register/random_test.go
@@ -361,15 +361,15 @@
 	}
 	lost := func(identity uint64) bool { return identity == gone || s.wiped.has(identity) }
 	for _, other := range s.members {
-		for _, state := range []*tierpb.ControlState{other.current().Value(), other.newestKnown()} {
-			if state != nil && !Quorum(state.Voters, func(identity uint64) bool { return !lost(identity) }) {
+		for _, state := range []*tierpb.ControlState{other.current().AcceptedValue(), other.newestKnown()} {
+			if state != nil && !HasQuorum(state.Voters, func(identity uint64) bool { return !lost(identity) }) {
 				return
 			}
 		}
 	}
 	for _, plan := range s.planned {
 		set := []*tierpb.VoterSet{{Nodes: plan.nodes}}
-		if time.Since(plan.at) < planTime && !Quorum(set, func(identity uint64) bool { return !lost(identity) }) {
+		if time.Since(plan.at) < planTime && !HasQuorum(set, func(identity uint64) bool { return !lost(identity) }) {
 			return
 		}
 	}
@@ -424,6 +424,6 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), restTime)
 	defer cancel()
-	_, err := FinishVoters(ctx, m.changer())
+	_, err := LeaveJoint(ctx, m.changer())
 	assert.NilError(s.t, err)
 }
--- a/internal/tier/register/register_test.go
+++ b/internal/tier/register/register_test.go
@@ -49,7 +49,7 @@
 			assert.NilError(t, err)
 			network[seed] = acceptor
 		}
-		return network, NewProposer(Options{Caller: network, Local: network[seeds[0]]})
+		return network, NewProposer(ProposerOptions{Caller: network, Local: network[seeds[0]]})
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/internal/tier/register/repeat_test.go
+++ b/internal/tier/register/repeat_test.go
@@ -53,9 +53,9 @@
 					machine.Kill()
 					acceptor = openOn(t, machine, false)
 				}
-				assert.Equal(t, acceptor.Promised().GetCounter(), promised, "seed %d", seed)
+				assert.Equal(t, acceptor.HighestPrepared().GetCounter(), promised, "seed %d", seed)
 				if accepted > 0 {
-					assert.Equal(t, acceptor.Value().GetConfiguration().GetGeneration(), 100+accepted)
+					assert.Equal(t, acceptor.AcceptedValue().GetConfiguration().GetGeneration(), 100+accepted)
 				}
 			}
 		})
@@ -71,5 +71,5 @@
 	}
 	late := acceptor.Accept(&tierpb.AcceptRequest{Identity: acceptor.Identity() + 1, Proposal: ballotOf(6), Value: valueOf(10)})
 	assert.Assert(t, late.WrongIdentity && !late.Accepted)
-	assert.Equal(t, acceptor.Value().GetConfiguration().GetGeneration(), uint64(9))
+	assert.Equal(t, acceptor.AcceptedValue().GetConfiguration().GetGeneration(), uint64(9))
 }
--- a/internal/tier/register/round.go
+++ b/internal/tier/register/round.go
@@ -95,7 +95,7 @@
 
 // ask sends prepares to the voters of a state that have none yet.
 func (r *round) ask(ctx context.Context, count *ballotCount, state *tierpb.ControlState, answers chan<- promise) {
-	for _, node := range Voters(state) {
+	for _, node := range VoterNodes(state) {
 		if count.asked.has(node.GetIdentity()) {
 			continue
 		}
@@ -143,12 +143,12 @@
 // may make it hopeless; those of another identity may not, for a slower one can know who took their places.
 func (c *ballotCount) decided() bool {
 	if c.best == nil {
-		return len(c.refused) > 0 && !Quorum(c.start, func(identity uint64) bool { return !c.refused.has(identity) })
+		return len(c.refused) > 0 && !HasQuorum(c.start, func(identity uint64) bool { return !c.refused.has(identity) })
 	}
-	if Quorum(c.best.Value.Voters, c.hasPromised) {
+	if HasQuorum(c.best.Value.Voters, c.hasPromised) {
 		return true
 	}
-	return !Quorum(c.best.Value.Voters, func(identity uint64) bool {
+	return !HasQuorum(c.best.Value.Voters, func(identity uint64) bool {
 		return c.hasPromised(identity) || c.open.has(identity)
 	})
 }
@@ -159,8 +159,8 @@
 		return result
 	}
 	result.value, result.ballot = c.best.Value, c.best.Accepted
-	result.quorum = Quorum(result.value.Voters, c.hasPromised)
-	result.chosen = Quorum(result.value.Voters, func(identity uint64) bool {
+	result.quorum = HasQuorum(result.value.Voters, c.hasPromised)
+	result.chosen = HasQuorum(result.value.Voters, func(identity uint64) bool {
 		accepted, found := c.promised[identity]
 		return found && sameBallot(accepted, c.best.Accepted)
 	})
--- a/internal/tier/register/size_test.go
+++ b/internal/tier/register/size_test.go
@@ -65,7 +65,7 @@
 	assert.NilError(t, err)
 	t.Logf("%d changes, value of %d bytes: %d files, %d bytes; start: %d lists, %d reads of %d bytes, %d files written",
 		changes, size, len(names), m.machine.Disk.Bytes(), opened.lists, opened.reads, opened.bytes, opened.written)
-	assert.Equal(t, acceptor.Value().Version, changes)
+	assert.Equal(t, acceptor.AcceptedValue().Version, changes)
 	assert.Equal(t, len(names), 4, "%v", names) // identity, promise, accepted value, and that these are there
 	assert.Assert(t, m.machine.Disk.Bytes() < size+1000)
 	assert.Equal(t, opened.reads, 4)
--- a/internal/tier/register/voters.go
+++ b/internal/tier/register/voters.go
@@ -7,13 +7,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ChooseFunc computes the next voters from the state in force, of which the last voter set counts. Nil, or the same
+// ChooseVotersFunc computes the next voters from the state in force, of which the last voter set counts. Nil, or the same
 // voters, leaves them.
-type ChooseFunc func(current *tierpb.ControlState) []*tierpb.Node
+type ChooseVotersFunc func(current *tierpb.ControlState) []*tierpb.Node
 
 // ChangeVoters makes the nodes that are chosen the voters; see ReplaceVoters.
-func ChangeVoters(ctx context.Context, proposer *Proposer, choose ChooseFunc) (*tierpb.ControlState, error) {
-	return ReplaceVoters(ctx, proposer, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+func ChangeVoters(ctx context.Context, proposer *Proposer, choose ChooseVotersFunc) (*tierpb.ControlState, error) {
+	return Reconfigure(ctx, proposer, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		nodes := choose(current.CloneVT())
 		if len(nodes) == 0 {
 			return nil, nil
@@ -23,12 +23,12 @@
 	})
 }
 
-// ReplaceVoters makes the voters those of the value that the function returns: first joint with the present ones, then
+// Reconfigure makes the voters those of the value that the function returns: first joint with the present ones, then
 // alone. The new voters keep a majority of the old ones, so that a choice made on old knowledge cannot bring dead ones
 // back. A change that somebody else has left halfway is finished first, so the function meets one set only; where it
 // leaves that set, or refuses, the value stays as it is. Whoever meets joint voters may call FinishVoters.
-func ReplaceVoters(ctx context.Context, proposer *Proposer, change ChangeFunc) (*tierpb.ControlState, error) {
-	if _, err := FinishVoters(ctx, proposer); err != nil {
+func Reconfigure(ctx context.Context, proposer *Proposer, change ChangeFunc) (*tierpb.ControlState, error) {
+	if _, err := LeaveJoint(ctx, proposer); err != nil {
 		return nil, err
 	}
 	joint, err := proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
@@ -40,10 +40,10 @@
 	if err != nil || len(joint.GetVoters()) < 2 {
 		return joint, err
 	}
-	if err := proposer.options.Faults.At(failpoint.VotersJoint); err != nil {
+	if err := proposer.options.Failpoints.At(failpoint.VotersJoint); err != nil {
 		return joint, err
 	}
-	return FinishVoters(ctx, proposer)
+	return LeaveJoint(ctx, proposer)
 }
 
 // joinVoters applies a change and puts the voters that it chooses beside the present ones.
@@ -56,8 +56,8 @@
 	return next, nil
 }
 
-// FinishVoters drops the old voters where voters are joint, once the joint value is chosen.
-func FinishVoters(ctx context.Context, proposer *Proposer) (*tierpb.ControlState, error) {
+// LeaveJoint drops the old voters where voters are joint, once the joint value is chosen.
+func LeaveJoint(ctx context.Context, proposer *Proposer) (*tierpb.ControlState, error) {
 	return proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		if len(current.Voters) < 2 {
 			return current, nil
@@ -121,5 +121,5 @@
 	for _, node := range to.GetNodes() {
 		kept.add(node.GetIdentity())
 	}
-	return Quorum([]*tierpb.VoterSet{from}, kept.has)
+	return HasQuorum([]*tierpb.VoterSet{from}, kept.has)
 }
--- a/internal/tier/storage/versions_test.go
+++ b/internal/tier/storage/versions_test.go
@@ -40,7 +40,7 @@
 		for seed := range uint64(60) {
 			m := machine(seed)
 			stop := false
-			points := &failpoint.Points{Stop: func(passed failpoint.Point) bool { return stop && passed == point }}
+			points := &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return stop && passed == point }}
 			series := open(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			assert.NilError(t, series.Save([]byte("two")))
@@ -157,7 +157,7 @@
 		for seed := range uint64(60) {
 			m := machine(seed)
 			stop := false
-			points := &failpoint.Points{Stop: func(passed failpoint.Point) bool { return stop && passed == point }}
+			points := &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return stop && passed == point }}
 			series := open(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			stop = true
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -54,7 +54,7 @@
 func (m *machine) goOn() { m.left.Store(-1) }
 
 func (m *machine) points() *failpoint.Points {
-	return &failpoint.Points{Stop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
+	return &failpoint.Points{ShouldStop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
 }
 
 // testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
--- a/internal/tier/turnstore/copies_test.go
+++ b/internal/tier/turnstore/copies_test.go
@@ -211,9 +211,9 @@
 		node := w.node(m)
 		join, known := joins[node.Identity]
 		if !known {
-			join.First = time.Now()
+			join.FirstSeen = time.Now()
 		}
-		join.Heard = time.Now()
+		join.LastSeen = time.Now()
 		join.Request = &tierpb.JoinRequest{Node: node, CopiedEpoch: copied}
 		joins[node.Identity] = join
 	}
@@ -222,17 +222,17 @@
 // place takes the next step by what one coordinator has heard.
 func (w *world) place(joins map[uint64]placement.Join) {
 	view := &placement.View{
-		Now: time.Now(), Since: w.began, Tolerance: w.tolerance, CatchUp: catchUp, MoveSeen: w.moveSeen,
+		Now: time.Now(), ListeningSince: w.began, Tolerance: w.tolerance, CatchUpTimeout: catchUp, MembershipSeen: w.moveSeen,
 	}
 	for _, join := range joins {
-		if time.Since(join.Heard) < time.Minute {
+		if time.Since(join.LastSeen) < time.Minute {
 			view.Joins = append(view.Joins, join)
 		}
 	}
 	slices.SortFunc(view.Joins, func(a, b placement.Join) int {
 		return int(a.Request.Node.Identity) - int(b.Request.Node.Identity)
 	})
-	next, reason := placement.Stores(w.control.CloneVT(), view)
+	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason != "" {
 		assert.Assert(w.t, w.beyond || reason != "records moved, but more disks were lost than are tolerated")
 		w.note("%s", reason)
