--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -42,7 +42,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { a.sampler.Run(ctx) })
 	running.Go(func() { a.logChanges(ctx) })
-	running.Go(func() { watch.Follow(ctx, a.followOptions()) })
+	running.Go(func() { watch.Run(ctx, a.followOptions()) })
 	running.Wait()
 	log.Info("agent stops")
 	return nil
@@ -86,13 +86,13 @@
 
 func (a *Agent) followOptions() watch.Options {
 	return watch.Options{
-		Caller: a.client, State: a.state, Targets: a.targets, Count: coordinatorsFollowed, Self: a.self,
-		Compare: true, Changed: a.logCoordinator,
+		Caller: a.client, State: a.state, Endpoints: a.targets, MaxSources: coordinatorsFollowed, Self: a.self,
+		Reconcile: true, OnSourceChange: a.logCoordinator,
 	}
 }
 
-func (a *Agent) targets() []watch.Target {
-	return watch.CoordinatorTargets(a.self, a.state, a.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), a.seeds())
+func (a *Agent) targets() []watch.Endpoint {
+	return watch.CoordinatorEndpoints(a.self, a.state, a.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), a.seeds())
 }
 
 func (a *Agent) logCoordinator(address string, answers bool) {
--- a/internal/tier/agent/agent_test.go
+++ b/internal/tier/agent/agent_test.go
@@ -62,8 +62,8 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		watch.Follow(ctx, watch.Options{Caller: client, State: state, Count: 1, Targets: func() []watch.Target {
-			return []watch.Target{{Address: own.AgentAddress()}}
+		watch.Run(ctx, watch.Options{Caller: client, State: state, MaxSources: 1, Endpoints: func() []watch.Endpoint {
+			return []watch.Endpoint{{Address: own.AgentAddress()}}
 		}})
 	}()
 	t.Cleanup(func() {
--- a/internal/tier/changelog/history.go
+++ b/internal/tier/changelog/history.go
@@ -28,7 +28,7 @@
 // OpenHistory reads the runs in a folder. A file that is not whole counts as none.
 func OpenHistory(disk storage.Disk, folder string) (*History, error) {
 	stored := &tierpb.ChangeSegments{}
-	files, found, err := storage.OpenMessages(disk, folder, series, stored)
+	files, found, err := storage.OpenMessage(disk, folder, series, stored)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tier/coordinator/api.go
+++ b/internal/tier/coordinator/api.go
@@ -136,7 +136,7 @@
 }
 
 func (c *coordinator) putInstance(w http.ResponseWriter, r *http.Request) {
-	body, refused := readBody(w, r, registry.MaximumBodyBytes)
+	body, refused := readBody(w, r, registry.MaxBodyBytes)
 	if refused != nil {
 		result.Write(w, refused)
 		return
@@ -151,7 +151,7 @@
 
 func (c *coordinator) deleteInstance(w http.ResponseWriter, r *http.Request) {
 	gone := &tierpb.Instance{Id: chi.URLParam(r, "id")}
-	if len(gone.Id) > registry.MaximumIDBytes {
+	if len(gone.Id) > registry.MaxIDBytes {
 		result.Write(w, result.InField(result.InvalidInstance, "instanceId", "is too long"))
 		return
 	}
@@ -219,7 +219,7 @@
 	switch fault := err.(type) {
 	case *configuration.Fault:
 		return result.InField(code, fault.Field, fault.Problem)
-	case *registry.Fault:
+	case *registry.FieldError:
 		return result.InField(code, fault.Field, fault.Problem)
 	}
 	return result.New(code, err.Error())
--- a/internal/tier/coordinator/contact.go
+++ b/internal/tier/coordinator/contact.go
@@ -14,7 +14,7 @@
 	// that answered did so later than that, no more time has passed since the last moment at which a quorum was
 	// reached both ways. It is the time of two polls of which each is answered just in time, so contact does not
 	// lapse between two answers; it lapses where this process did not run.
-	contactMost = 2 * watch.LongestPoll
+	contactMost = 2 * watch.MaxPollDuration
 
 	startPatience = 2 * time.Second // that a coordinator which has started may take to find the others
 )
@@ -54,7 +54,7 @@
 // newReadiness serves the state to agents and turn stores while contact lasts, and logs when it is lost and found.
 func (c *coordinator) newReadiness() *watch.ReadinessGate {
 	return watch.NewReadinessGate(watch.ReadinessOptions{
-		State: c.state, Ready: c.inTouch, Starting: c.starting, Changed: c.logContact,
+		State: c.state, Ready: c.inTouch, Starting: c.starting, OnChange: c.logContact,
 		Now: func() time.Time { return c.now() },
 	})
 }
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/contact_test.go
@@ -144,7 +144,7 @@
 func TestContactLastsWithPollsThatAreAnsweredJustInTime(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		c.delay.Store(int64(390 * time.Millisecond))
-		c.pass(2 * watch.LongestPoll)
+		c.pass(2 * watch.MaxPollDuration)
 		for range 400 {
 			assert.Equal(t, c.at("core-1").readiness(), http.StatusOK)
 			c.pass(50 * time.Millisecond)
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	disk := storage.Local()
-	if err := disk.MakeFolder(current.DataDir); err != nil {
+	if err := disk.MkdirAll(current.DataDir); err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
 	address := current.InnerAddress(current.IP, settings.CoordinatorPort)
@@ -192,10 +192,10 @@
 
 // targets are the other coordinators. Before anything is known to be chosen, the voters of the own acceptor's value are
 // among them: the seeds may be gone for good.
-func (c *coordinator) targets() []watch.Target {
+func (c *coordinator) targets() []watch.Endpoint {
 	known := append(c.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), c.directory.coordinators()...)
 	if c.state.Control() == nil {
 		known = append(known, register.Voters(c.accepted())...)
 	}
-	return watch.CoordinatorTargets(c.self, c.state, known, c.live.Current().SeedCoordinators())
+	return watch.CoordinatorEndpoints(c.self, c.state, known, c.live.Current().SeedCoordinators())
 }
--- a/internal/tier/coordinator/departures.go
+++ b/internal/tier/coordinator/departures.go
@@ -46,7 +46,7 @@
 // openDepartures reads the departures in a folder. A file that is not whole counts as none.
 func openDepartures(disk storage.Disk, folder string) (*departures, error) {
 	stored := &tierpb.AnnounceRequest{}
-	files, found, err := storage.OpenMessages(disk, folder, departuresSeries, stored)
+	files, found, err := storage.OpenMessage(disk, folder, departuresSeries, stored)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tier/coordinator/followers_test.go
+++ b/internal/tier/coordinator/followers_test.go
@@ -23,18 +23,18 @@
 
 // startEdge starts an agent that prefers the coordinators in the order of their names.
 func (c *cluster) startEdge(name string, coordinators ...string) *edge {
-	var targets []watch.Target
+	var targets []watch.Endpoint
 	for _, coordinator := range coordinators {
-		targets = append(targets, watch.Target{Address: c.machines[coordinator].address})
+		targets = append(targets, watch.Endpoint{Address: c.machines[coordinator].address})
 	}
 	state := watch.NewState()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := &sync.WaitGroup{}
 	done.Go(func() {
-		watch.Follow(ctx, watch.Options{
-			Caller: &caller{from: &machine{cluster: c, name: name}}, State: state, Count: 2,
-			Targets: func() []watch.Target { return targets }, Self: &tierpb.Node{Name: name, Role: tierpb.Role_ROLE_AGENT},
-			Compare: true,
+		watch.Run(ctx, watch.Options{
+			Caller: &caller{from: &machine{cluster: c, name: name}}, State: state, MaxSources: 2,
+			Endpoints: func() []watch.Endpoint { return targets }, Self: &tierpb.Node{Name: name, Role: tierpb.Role_ROLE_AGENT},
+			Reconcile: true,
 		})
 	})
 	return &edge{state: state, stop: func() { cancel(); done.Wait() }}
@@ -84,7 +84,7 @@
 // newsUnderCut is the longest after which an agent that can reach the majority has what was acknowledged there: a
 // coordinator's polls that were under way bring it or fail, and then the agent goes on to another. It is well below
 // configMs, 2 s.
-const newsUnderCut = watch.LongestPoll + 200*time.Millisecond
+const newsUnderCut = watch.MaxPollDuration + 200*time.Millisecond
 
 // TestFollowersLeaveCutOffCoordinators has both sources of an agent cut off, at several moments of their polls, with
 // news at any moment and without any, nor heartbeats.
--- a/internal/tier/coordinator/maintenance.go
+++ b/internal/tier/coordinator/maintenance.go
@@ -61,7 +61,7 @@
 	}
 	same := slices.EqualFunc(heard, listed, func(a, b *tierpb.Node) bool { return a.EqualVT(b) })
 	if !same {
-		c.state.SetCoordinators(heard)
+		c.state.AdvertiseCoordinators(heard)
 	}
 	return heard
 }
@@ -72,12 +72,12 @@
 	now := c.now()
 	ran := now.Sub(c.lookedAt) <= lookGapMost
 	c.lookedAt = now
-	for _, mark := range c.silence.Look(now, ran && c.inTouch(), c.state.Instances()) {
+	for _, mark := range c.silence.Observe(now, ran && c.inTouch(), c.state.Instances()) {
 		c.state.Upsert(mark)
 		c.log.Info("store", "id", mark.Id, "address", mark.Address, "state", mark.State)
 	}
-	if c.silence.Confident(now) {
-		c.state.Listened()
+	if c.silence.Synchronized(now) {
+		c.state.MarkSynchronized()
 	}
 	isListed := func(id string) bool { return c.state.Instance(id) != nil }
 	c.announced.forget(isListed)
--- a/internal/tier/coordinator/network_test.go
+++ b/internal/tier/coordinator/network_test.go
@@ -59,7 +59,7 @@
 		return rpc.ErrUnreachable
 	}
 	if err != nil {
-		return rpc.ErrRefused
+		return rpc.ErrRejected
 	}
 	payload = encoded(answer)
 	cluster.transfer(to, c.from, len(payload))
@@ -127,7 +127,7 @@
 	case rpc.MethodJoin:
 		return p.takeJoin(ctx, decoded(&tierpb.JoinRequest{}, payload))
 	}
-	return nil, rpc.ErrRefused
+	return nil, rpc.ErrRejected
 }
 
 func decoded[T rpc.Message](message T, payload []byte) T {
--- a/internal/tier/coordinator/serve.go
+++ b/internal/tier/coordinator/serve.go
@@ -166,13 +166,13 @@
 
 // follow keeps up with all other coordinators.
 func (c *coordinator) follow(ctx context.Context) {
-	watch.Follow(ctx, watch.Options{
-		Caller: c.caller, State: c.state, Targets: c.targets, Self: c.self, Heartbeats: true,
+	watch.Run(ctx, watch.Options{
+		Caller: c.caller, State: c.state, Endpoints: c.targets, Self: c.self, Heartbeats: true,
 		Now: c.now,
-		Answered: func(address string, reply *tierpb.WatchReply, asked time.Time) {
+		OnReply: func(address string, reply *tierpb.WatchReply, asked time.Time) {
 			c.answered(address, reply, asked)
 		},
-		Changed: func(address string, answers bool) {
+		OnSourceChange: func(address string, answers bool) {
 			c.directory.answering(address, answers)
 			c.log.Info("coordinator", "address", address, "answers", answers)
 			c.readiness.Check()
--- a/internal/tier/fleet/agent_test.go
+++ b/internal/tier/fleet/agent_test.go
@@ -58,10 +58,10 @@
 	state := a.state
 	seeds := []string{a.fleet.coordinators[0].self.Address, a.fleet.coordinators[1].self.Address, a.fleet.coordinators[2].self.Address}
 	options := watch.Options{
-		Caller: &counting{agent: a, inner: &caller{fleet: a.fleet, inner: life.Caller()}}, State: state, Count: followed, Self: a.self,
-		Targets: func() []watch.Target { return watch.CoordinatorTargets(a.self, state, nil, seeds) },
+		Caller: &counting{agent: a, inner: &caller{fleet: a.fleet, inner: life.Caller()}}, State: state, MaxSources: followed, Self: a.self,
+		Endpoints: func() []watch.Endpoint { return watch.CoordinatorEndpoints(a.self, state, nil, seeds) },
 	}
-	a.fleet.running.Go(func() { watch.Follow(ctx, options) })
+	a.fleet.running.Go(func() { watch.Run(ctx, options) })
 }
 
 // forget begins new counts.
@@ -120,13 +120,13 @@
 		t.Fatalf("%s went back from control state %d to %d", a.self.Name, a.control, control)
 	}
 	a.control = control
-	changed, version := a.state.Since(a.version)
+	changed, version := a.state.ChangedSince(a.version)
 	a.version = version
 	for _, instance := range changed {
 		if before, ended := a.terminal[instance.Id]; ended && instance.State < before {
 			t.Fatalf("%s: %s came back", a.self.Name, instance.Id)
 		}
-		if watch.Terminal(instance.State) {
+		if watch.IsTerminal(instance.State) {
 			a.terminal[instance.Id] = instance.State
 		}
 	}
--- a/internal/tier/fleet/coordinator_test.go
+++ b/internal/tier/fleet/coordinator_test.go
@@ -63,13 +63,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	options := watch.Options{
-		Caller: c.caller(), State: state, Targets: c.targets, Self: c.self, Heartbeats: true,
-		Changed: func(address string, answers bool) {
+		Caller: c.caller(), State: state, Endpoints: c.targets, Self: c.self, Heartbeats: true,
+		OnSourceChange: func(address string, answers bool) {
 			c.answering(address, answers)
 			gate.Check()
 		},
 	}
-	c.fleet.running.Go(func() { watch.Follow(ctx, options) })
+	c.fleet.running.Go(func() { watch.Run(ctx, options) })
 }
 
 func (c *coordinator) kill() {
@@ -97,11 +97,11 @@
 
 func (c *coordinator) caller() rpc.Caller { return &caller{fleet: c.fleet, inner: c.life.Caller()} }
 
-func (c *coordinator) targets() []watch.Target {
-	var targets []watch.Target
+func (c *coordinator) targets() []watch.Endpoint {
+	var targets []watch.Endpoint
 	for _, other := range c.fleet.coordinators {
 		if other != c {
-			targets = append(targets, watch.Target{Address: other.self.Address, Zone: other.self.Zone})
+			targets = append(targets, watch.Endpoint{Address: other.self.Address, Zone: other.self.Zone})
 		}
 	}
 	return targets
@@ -156,9 +156,9 @@
 	heard := c.heard()
 	if len(heard) != c.listed {
 		c.listed = len(heard)
-		c.state.SetCoordinators(heard)
+		c.state.AdvertiseCoordinators(heard)
 	}
-	for _, mark := range c.silence.Look(time.Now(), c.inTouch(), c.state.Instances()) {
+	for _, mark := range c.silence.Observe(time.Now(), c.inTouch(), c.state.Instances()) {
 		c.state.Upsert(mark)
 	}
 }
--- a/internal/tier/modelcheck/caller.go
+++ b/internal/tier/modelcheck/caller.go
@@ -70,7 +70,7 @@
 	}
 	handled := target.handles(e.fact)
 	go func() {
-		message, err := target.life.Server.Answer(context.Background(), method, slices.Clone(payload))
+		message, err := target.life.Server.Dispatch(context.Background(), method, slices.Clone(payload))
 		target.handled(handled)
 		if target.hasEnded() {
 			return
@@ -82,7 +82,7 @@
 // replyTo is the event of a reply on its way back.
 func (w *world) replyTo(from *process, e *event, message rpc.Message, err error) *event {
 	reply := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "refusal"}
-	got := answer{err: rpc.ErrRefused}
+	got := answer{err: rpc.ErrRejected}
 	if err == nil {
 		got.payload, got.err = encode(message)
 		reply.label, reply.fact = w.describe(message), w.factOf(message)
--- a/internal/tier/modelcheck/disk.go
+++ b/internal/tier/modelcheck/disk.go
@@ -14,11 +14,11 @@
 	process *process
 }
 
-// SyncFolder implements storage.Disk.
-func (d *disk) SyncFolder(folder string) error {
+// SyncDir implements storage.Disk.
+func (d *disk) SyncDir(folder string) error {
 	p := d.process
 	if !p.serving {
-		return d.Disk.SyncFolder(folder)
+		return d.Disk.SyncDir(folder)
 	}
 	released := make(chan struct{})
 	p.world.post(&event{
@@ -27,7 +27,7 @@
 	})
 	select {
 	case <-released:
-		return d.Disk.SyncFolder(folder)
+		return d.Disk.SyncDir(folder)
 	case <-p.life.Ended():
 		return simulation.ErrStopped
 	}
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -14,7 +14,7 @@
 	},
 	{
 		name: "version counts without a sync of its folder", file: "storage/versions.go",
-		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncFolder(s.folder); err != nil {",
+		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.folder); err != nil {",
 		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
--- a/internal/tier/proxy/listing.go
+++ b/internal/tier/proxy/listing.go
@@ -19,7 +19,7 @@
 
 // take brings the listing up to date and returns the services whose stores changed.
 func (l *listing) take(state *watch.State) map[string]struct{} {
-	changed, version := state.Since(l.version)
+	changed, version := state.ChangedSince(l.version)
 	l.version = version
 	touched := make(map[string]struct{})
 	for _, instance := range changed {
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -83,7 +83,7 @@
 	}
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go watch.Follow(inner, followerOptions(caller, state, current))
+	go watch.Run(inner, followerOptions(caller, state, current))
 	clients := newFront(p, front.(*net.TCPListener))
 	go p.follow(inner, clients)
 	go clients.serve()
@@ -124,13 +124,13 @@
 
 // followerOptions has the proxy follow the agent on its own machine.
 func followerOptions(caller rpc.Caller, state *watch.State, current *settings.Settings) watch.Options {
-	agent := watch.Target{Address: current.AgentAddress(), Zone: current.Zone}
+	agent := watch.Endpoint{Address: current.AgentAddress(), Zone: current.Zone}
 	return watch.Options{
-		Caller:  caller,
-		State:   state,
-		Targets: func() []watch.Target { return []watch.Target{agent} },
-		Count:   1,
-		Self:    &tierpb.Node{Name: current.NodeName, Zone: current.Zone, Role: tierpb.Role_ROLE_PROXY},
+		Caller:     caller,
+		State:      state,
+		Endpoints:  func() []watch.Endpoint { return []watch.Endpoint{agent} },
+		MaxSources: 1,
+		Self:       &tierpb.Node{Name: current.NodeName, Zone: current.Zone, Role: tierpb.Role_ROLE_PROXY},
 	}
 }
 
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -59,7 +59,7 @@
 // whole system one that follows from its address, with the initial value; at any other time a drawn one, without
 // a value.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
-	if err := options.Disk.MakeFolder(options.Folder); err != nil {
+	if err := options.Disk.MkdirAll(options.Folder); err != nil {
 		return nil, eris.Wrap(err, "acceptor")
 	}
 	acceptor := &Acceptor{faults: options.Faults, turn: make(chan struct{}, 1)}
@@ -75,7 +75,7 @@
 		*series = opened
 	}
 	payload, found := identity.Newest()
-	lost := identity.Damaged() || acceptor.promises.Damaged() || acceptor.values.Damaged() || acceptor.lacksFiles(payload, complete)
+	lost := identity.Corrupted() || acceptor.promises.Corrupted() || acceptor.values.Corrupted() || acceptor.lacksFiles(payload, complete)
 	if err := acceptor.loadOrBegin(options, identity, found, lost); err != nil {
 		return nil, err
 	}
--- a/internal/tier/registry/heartbeat.go
+++ b/internal/tier/registry/heartbeat.go
@@ -13,8 +13,8 @@
 
 // Bounds of a heartbeat.
 const (
-	MaximumBodyBytes    = 64 << 10
-	MaximumIDBytes      = 1 << 10
+	MaxBodyBytes        = 64 << 10
+	MaxIDBytes          = 1 << 10
 	maximumNameBytes    = 1 << 10
 	maximumQuotedBytes  = 64 // of a wrong value, in the answer
 	maximumModels       = 1 << 10
@@ -24,14 +24,14 @@
 	maximumMilliseconds = math.MaxUint32
 )
 
-// Fault says which field of a heartbeat is wrong.
-type Fault struct {
+// FieldError says which field of a heartbeat is wrong.
+type FieldError struct {
 	Field   string
 	Problem string
 }
 
 // Error names the field and the problem.
-func (f *Fault) Error() string {
+func (f *FieldError) Error() string {
 	if f.Field == "" {
 		return f.Problem
 	}
@@ -79,29 +79,29 @@
 
 func unreadable(err error) error {
 	if wrong, ok := err.(*json.UnmarshalTypeError); ok {
-		return &Fault{Field: wrong.Field, Problem: "is a " + wrong.Value}
+		return &FieldError{Field: wrong.Field, Problem: "is a " + wrong.Value}
 	}
-	return &Fault{Problem: err.Error()}
+	return &FieldError{Problem: err.Error()}
 }
 
 func (h *heartbeat) check(id string) error {
-	if id == "" || len(id) > MaximumIDBytes {
-		return &Fault{Field: "instanceId", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(id), MaximumIDBytes)}
+	if id == "" || len(id) > MaxIDBytes {
+		return &FieldError{Field: "instanceId", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(id), MaxIDBytes)}
 	}
 	if h.Backend == "" || len(h.Backend) > maximumNameBytes {
-		return &Fault{Field: "backend", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(h.Backend), maximumNameBytes)}
+		return &FieldError{Field: "backend", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(h.Backend), maximumNameBytes)}
 	}
 	if _, err := netip.ParseAddrPort(h.Address); err != nil {
-		return &Fault{Field: "address", Problem: fmt.Sprintf("%.*q is not ip:port", maximumQuotedBytes, h.Address)}
+		return &FieldError{Field: "address", Problem: fmt.Sprintf("%.*q is not ip:port", maximumQuotedBytes, h.Address)}
 	}
 	if h.State != stateReady && h.State != stateDraining {
-		return &Fault{Field: "state", Problem: fmt.Sprintf("%.*q is neither %s nor %s", maximumQuotedBytes, h.State, stateReady, stateDraining)}
+		return &FieldError{Field: "state", Problem: fmt.Sprintf("%.*q is neither %s nor %s", maximumQuotedBytes, h.State, stateReady, stateDraining)}
 	}
 	if h.Sequence == nil {
-		return &Fault{Field: "sequence", Problem: "is missing"}
+		return &FieldError{Field: "sequence", Problem: "is missing"}
 	}
 	if len(h.Models) > maximumModels {
-		return &Fault{Field: "models", Problem: fmt.Sprintf("has %d entries, want %d at most", len(h.Models), maximumModels)}
+		return &FieldError{Field: "models", Problem: fmt.Sprintf("has %d entries, want %d at most", len(h.Models), maximumModels)}
 	}
 	for _, number := range []struct {
 		field string
@@ -113,7 +113,7 @@
 		{"sequence", *h.Sequence, maximumWholeNumber},
 	} {
 		if !(number.value >= 0 && number.value <= number.most) {
-			return &Fault{Field: number.field, Problem: fmt.Sprintf("%v is not within 0 to %.0f", number.value, number.most)}
+			return &FieldError{Field: number.field, Problem: fmt.Sprintf("%v is not within 0 to %.0f", number.value, number.most)}
 		}
 	}
 	return nil
--- a/internal/tier/registry/heartbeat_test.go
+++ b/internal/tier/registry/heartbeat_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			assert.Assert(t, strings.Contains(example, test.from))
 			_, err := ParseHeartbeat("i", []byte(strings.Replace(example, test.from, test.to, 1)))
-			var fault *Fault
+			var fault *FieldError
 			assert.Assert(t, errors.As(err, &fault), "%v", err)
 			assert.Equal(t, fault.Field, test.field)
 		})
--- a/internal/tier/registry/silence.go
+++ b/internal/tier/registry/silence.go
@@ -13,8 +13,8 @@
 	confidentPeriods   = 5
 )
 
-// ForgetAfter is the time without heartbeats after which a store is taken for gone.
-const ForgetAfter = 10 * time.Minute
+// ExpireAfter is the time without heartbeats after which a store is taken for gone.
+const ExpireAfter = 10 * time.Minute
 
 // FailureDetector notices stores whose sequence has stopped to rise. It is not safe for concurrent use.
 type FailureDetector struct {
@@ -28,20 +28,20 @@
 	at       time.Time
 }
 
-// NewFailureDetector makes a Silence for stores that send a heartbeat in each period.
+// NewFailureDetector makes a FailureDetector for stores that send a heartbeat in each period.
 func NewFailureDetector(period time.Duration) *FailureDetector {
 	return &FailureDetector{period: period, heard: make(map[string]heardInstance)}
 }
 
-// Look notes the heartbeats that arrived since the last look and returns marks for the stores that are newly silent.
+// Observe notes the heartbeats that arrived since the last look and returns marks for the stores that are newly silent.
 // InTouch says that the coordinator hears most of the voters, so that heartbeats sent to others reach it.
-func (s *FailureDetector) Look(now time.Time, inTouch bool, instances []*tierpb.Instance) []*tierpb.Instance {
+func (s *FailureDetector) Observe(now time.Time, inTouch bool, instances []*tierpb.Instance) []*tierpb.Instance {
 	if !inTouch {
 		s.confidentSince = time.Time{}
 	} else if s.confidentSince.IsZero() {
 		s.confidentSince = now
 	}
-	confident := s.Confident(now)
+	confident := s.Synchronized(now)
 	present := make(map[string]heardInstance, len(instances))
 	var marks []*tierpb.Instance
 	for _, instance := range instances {
@@ -58,22 +58,22 @@
 	return marks
 }
 
-// Confident says whether every store that sends heartbeats has been heard by now, as of the last look.
-func (s *FailureDetector) Confident(now time.Time) bool {
+// Synchronized says whether every store that sends heartbeats has been heard by now, as of the last look.
+func (s *FailureDetector) Synchronized(now time.Time) bool {
 	return !s.confidentSince.IsZero() && now.Sub(s.confidentSince) >= confidentPeriods*s.period
 }
 
 // mark is what to say of an instance that has said nothing for so long, nil for nothing new.
 func (s *FailureDetector) mark(instance *tierpb.Instance, quiet time.Duration) *tierpb.Instance {
-	return AsSuspect(instance, quiet, time.Duration(silentAfterPeriods*float64(s.period)))
+	return TimedOut(instance, quiet, time.Duration(silentAfterPeriods*float64(s.period)))
 }
 
-// AsSuspect is what to believe of an instance without news for so long: that it is silent after silentAfter, and gone after
-// ForgetAfter. It is nil for nothing new.
-func AsSuspect(instance *tierpb.Instance, quiet, silentAfter time.Duration) *tierpb.Instance {
+// TimedOut is what to believe of an instance without news for so long: that it is silent after silentAfter, and gone after
+// ExpireAfter. It is nil for nothing new.
+func TimedOut(instance *tierpb.Instance, quiet, silentAfter time.Duration) *tierpb.Instance {
 	state := instance.State
 	switch {
-	case state != tierpb.InstanceState_INSTANCE_DEREGISTERED && quiet >= ForgetAfter:
+	case state != tierpb.InstanceState_INSTANCE_DEREGISTERED && quiet >= ExpireAfter:
 		state = tierpb.InstanceState_INSTANCE_DEREGISTERED
 	case state == tierpb.InstanceState_INSTANCE_READY && quiet >= silentAfter:
 		state = tierpb.InstanceState_INSTANCE_SUSPECT
--- a/internal/tier/registry/silence_test.go
+++ b/internal/tier/registry/silence_test.go
@@ -16,7 +16,7 @@
 	now := from
 	for _, sequence := range sequences {
 		now = now.Add(period)
-		for _, mark := range s.Look(now, inTouch, []*tierpb.Instance{{Id: "i", Sequence: sequence}}) {
+		for _, mark := range s.Observe(now, inTouch, []*tierpb.Instance{{Id: "i", Sequence: sequence}}) {
 			marked = append(marked, mark.State)
 		}
 	}
@@ -54,8 +54,8 @@
 	s := NewFailureDetector(period)
 	instance := &tierpb.Instance{Id: "i", State: tierpb.InstanceState_INSTANCE_SUSPECT, Sequence: 3}
 	start := time.Unix(0, 0)
-	s.Look(start, true, []*tierpb.Instance{instance})
-	marks := s.Look(start.Add(ForgetAfter), true, []*tierpb.Instance{instance})
+	s.Observe(start, true, []*tierpb.Instance{instance})
+	marks := s.Observe(start.Add(ExpireAfter), true, []*tierpb.Instance{instance})
 	assert.Equal(t, len(marks), 1)
 	assert.Equal(t, marks[0].State, tierpb.InstanceState_INSTANCE_DEREGISTERED)
 }
--- a/internal/tier/rpc/client.go
+++ b/internal/tier/rpc/client.go
@@ -40,9 +40,9 @@
 // defaultDial is how clients made by NewClient connect.
 var defaultDial DialFunc = dialTCP
 
-// UseDialer has clients made from now on connect by another function. Tests of whole processes lead connections through
+// SetDefaultDialer has clients made from now on connect by another function. Tests of whole processes lead connections through
 // a relay by it; it is called before any role runs.
-func UseDialer(dial DialFunc) { defaultDial = dial }
+func SetDefaultDialer(dial DialFunc) { defaultDial = dial }
 
 // NewClient makes a client without connections.
 func NewClient() *Client { return newClient(defaultDial) }
--- a/internal/tier/rpc/connection.go
+++ b/internal/tier/rpc/connection.go
@@ -76,7 +76,7 @@
 func decode(got frame, reply Message) error {
 	defer release(got.payload)
 	if got.kind == kindFailure {
-		return ErrRefused
+		return ErrRejected
 	}
 	return reply.UnmarshalVT(got.payload)
 }
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -38,6 +38,6 @@
 var (
 	ErrUnreachable = eris.New("peer cannot be reached")
 	ErrTimeout     = eris.New("no answer in time")
-	ErrRefused     = eris.New("peer refused the call")
+	ErrRejected    = eris.New("peer refused the call")
 	ErrTooLarge    = eris.New("frame is too large")
 )
--- a/internal/tier/rpc/rpc_test.go
+++ b/internal/tier/rpc/rpc_test.go
@@ -104,8 +104,8 @@
 		Handle(server, MethodPing, func(context.Context, *tierpb.Node) (*tierpb.Node, error) { return nil, io.EOF })
 	})
 	client := startClient(t)
-	assert.ErrorIs(t, client.Call(patient(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrRefused)
-	assert.ErrorIs(t, client.Call(patient(t), address, MethodLease, &tierpb.Node{}, &tierpb.Node{}), ErrRefused)
+	assert.ErrorIs(t, client.Call(patient(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrRejected)
+	assert.ErrorIs(t, client.Call(patient(t), address, MethodLease, &tierpb.Node{}, &tierpb.Node{}), ErrRejected)
 	assert.Equal(t, client.Counters().Failures, uint64(2))
 }
 
--- a/internal/tier/rpc/server.go
+++ b/internal/tier/rpc/server.go
@@ -32,7 +32,7 @@
 	return &Server{open: make(map[net.Conn]struct{}), ended: make(chan struct{})}
 }
 
-// Handle sets the handler of a method; an error makes the caller's call fail with ErrRefused. The handler's context
+// Handle sets the handler of a method; an error makes the caller's call fail with ErrRejected. The handler's context
 // ends with the connection.
 func Handle[Request any, RequestPointer interface {
 	*Request
@@ -179,16 +179,16 @@
 }
 
 func (c *serverConnection) handle(ctx context.Context, request frame) (Message, error) {
-	return c.server.Answer(ctx, Method(request.kind), request.payload)
+	return c.server.Dispatch(ctx, Method(request.kind), request.payload)
 }
 
-// Answer runs the handler of a method on an encoded request, which it takes over; calls in a simulated network come
+// Dispatch runs the handler of a method on an encoded request, which it takes over; calls in a simulated network come
 // this way too.
-func (s *Server) Answer(ctx context.Context, method Method, payload []byte) (Message, error) {
+func (s *Server) Dispatch(ctx context.Context, method Method, payload []byte) (Message, error) {
 	handler := s.handlers[method]
 	if handler == nil {
 		release(payload)
-		return nil, ErrRefused
+		return nil, ErrRejected
 	}
 	return handler(ctx, payload)
 }
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -202,7 +202,7 @@
 	}
 }
 
-func (m *mount) MakeFolder(string) error { return m.use(func(*Disk) error { return nil }) }
+func (m *mount) MkdirAll(string) error { return m.use(func(*Disk) error { return nil }) }
 
 func (m *mount) List(folder string) (names []string, err error) {
 	err = m.use(func(disk *Disk) error {
@@ -278,7 +278,7 @@
 	return (&openFile{mount: m, name: name, file: file}).Sync()
 }
 
-func (m *mount) SyncFolder(string) error {
+func (m *mount) SyncDir(string) error {
 	m.wait()
 	return m.use(func(disk *Disk) error {
 		if disk.trouble.Failing {
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -178,7 +178,7 @@
 	if !life.running() {
 		return
 	}
-	answer, err := life.Server.Answer(context.Background(), method, slices.Clone(payload))
+	answer, err := life.Server.Dispatch(context.Background(), method, slices.Clone(payload))
 	if !life.running() {
 		return
 	}
@@ -187,7 +187,7 @@
 	if back.lost || c.network.isCut(address, from) || !c.life.running() {
 		return
 	}
-	got := result{err: rpc.ErrRefused}
+	got := result{err: rpc.ErrRejected}
 	if err == nil {
 		got.payload, got.err = encode(answer)
 	}
--- a/internal/tier/soak/disk.go
+++ b/internal/tier/soak/disk.go
@@ -86,8 +86,8 @@
 	return trouble
 }
 
-// MakeFolder implements storage.Disk.
-func (d *VolatileDisk) MakeFolder(path string) error { return d.below.MakeFolder(path) }
+// MkdirAll implements storage.Disk.
+func (d *VolatileDisk) MkdirAll(path string) error { return d.below.MkdirAll(path) }
 
 // List implements storage.Disk.
 func (d *VolatileDisk) List(folder string) ([]string, error) {
@@ -179,8 +179,8 @@
 	return file.Sync()
 }
 
-// SyncFolder implements storage.Disk: changes of names are made in their order.
-func (d *VolatileDisk) SyncFolder(folder string) error {
+// SyncDir implements storage.Disk: changes of names are made in their order.
+func (d *VolatileDisk) SyncDir(folder string) error {
 	trouble := d.trouble()
 	time.Sleep(trouble.Delay)
 	if trouble.Failing {
--- a/internal/tier/soak/disk_test.go
+++ b/internal/tier/soak/disk_test.go
@@ -17,7 +17,7 @@
 	folder := filepath.Join(t.TempDir(), "data")
 	path := filepath.Join(folder, "file")
 	disk := soak.NewVolatileDisk(folder)
-	assert.NilError(t, disk.MakeFolder(folder))
+	assert.NilError(t, disk.MkdirAll(folder))
 	names := func() int {
 		listed, err := soak.NewVolatileDisk(folder).List(folder)
 		assert.NilError(t, err)
@@ -28,7 +28,7 @@
 	write(t, file, "one ")
 	assert.NilError(t, file.Sync())
 	assert.Equal(t, names(), 0, "a name lasts with its folder alone")
-	assert.NilError(t, disk.SyncFolder(folder))
+	assert.NilError(t, disk.SyncDir(folder))
 	write(t, file, "two ")
 	assert.NilError(t, file.Sync())
 	write(t, file, "three")
@@ -40,7 +40,7 @@
 	assert.Equal(t, string(left), "one two ")
 	assert.NilError(t, disk.Remove(path))
 	assert.Equal(t, names(), 1)
-	assert.NilError(t, disk.SyncFolder(folder))
+	assert.NilError(t, disk.SyncDir(folder))
 	assert.Equal(t, names(), 0)
 }
 
@@ -54,7 +54,7 @@
 		again, err := storage.Open(soak.NewVolatileDisk(folder), folder, "state", nil)
 		assert.NilError(t, err)
 		payload, found := again.Newest()
-		assert.Assert(t, found && !again.Damaged())
+		assert.Assert(t, found && !again.Corrupted())
 		assert.Equal(t, string(payload), text)
 	}
 }
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -43,9 +43,9 @@
 
 func TestMain(m *testing.M) {
 	if relay := os.Getenv(relayVariable); relay != "" {
-		rpc.UseDialer(soak.Dialer(relay, os.Getenv(selfVariable)))
+		rpc.SetDefaultDialer(soak.Dialer(relay, os.Getenv(selfVariable)))
 		if folder := os.Getenv(diskVariable); folder != "" {
-			storage.UseLocal(soak.NewVolatileDisk(folder))
+			storage.SetLocal(soak.NewVolatileDisk(folder))
 		}
 		os.Exit(int(command.Run(os.Args[1:], os.Stdout, os.Stderr)))
 	}
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -10,8 +10,8 @@
 
 // Disk is what the package needs of a file system. Tests put a simulated one in its place.
 type Disk interface {
-	// MakeFolder makes a folder with its parents; one that exists is no error.
-	MakeFolder(path string) error
+	// MkdirAll makes a folder with its parents; one that exists is no error.
+	MkdirAll(path string) error
 	// List returns the names in a folder.
 	List(folder string) ([]string, error)
 	// Read returns a whole file.
@@ -24,8 +24,8 @@
 	Remove(path string) error
 	// SyncFile makes what a file holds durable, also what another process has written.
 	SyncFile(path string) error
-	// SyncFolder makes the names in a folder durable.
-	SyncFolder(folder string) error
+	// SyncDir makes the names in a folder durable.
+	SyncDir(folder string) error
 }
 
 // File is a file open for writing.
@@ -42,21 +42,21 @@
 // Local returns the Disk of the machine that this process runs on.
 func Local() Disk { return local }
 
-// UseLocal has roles keep their state on another Disk. Tests of whole processes lose by it what was not synced, and bring
+// SetLocal has roles keep their state on another Disk. Tests of whole processes lose by it what was not synced, and bring
 // trouble to disks; it is called before any role runs.
-func UseLocal(disk Disk) { local = disk }
+func SetLocal(disk Disk) { local = disk }
 
 // OS is the Disk of the machine.
 type OS struct{}
 
-// MakeFolder implements Disk. All folders that have got a new entry are synced, so that the folder itself lasts.
-func (OS) MakeFolder(path string) error {
+// MkdirAll implements Disk. All folders that have got a new entry are synced, so that the folder itself lasts.
+func (OS) MkdirAll(path string) error {
 	changed := parentsOfMissing(path)
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return err
 	}
 	for _, folder := range changed {
-		if err := (OS{}).SyncFolder(folder); err != nil {
+		if err := (OS{}).SyncDir(folder); err != nil {
 			return err
 		}
 	}
@@ -114,8 +114,8 @@
 	return opened.Sync()
 }
 
-// SyncFolder implements Disk.
-func (OS) SyncFolder(folder string) error {
+// SyncDir implements Disk.
+func (OS) SyncDir(folder string) error {
 	opened, err := os.Open(folder)
 	if err != nil {
 		return err
--- a/internal/tier/storage/disk_test.go
+++ b/internal/tier/storage/disk_test.go
@@ -14,7 +14,7 @@
 	data := filepath.Join(root, "data")
 	deepest := filepath.Join(data, "register")
 	assert.DeepEqual(t, parentsOfMissing(deepest), []string{data, root})
-	assert.NilError(t, OS{}.MakeFolder(deepest))
+	assert.NilError(t, OS{}.MkdirAll(deepest))
 	assert.DeepEqual(t, parentsOfMissing(deepest), []string{data})
-	assert.NilError(t, OS{}.MakeFolder(deepest))
+	assert.NilError(t, OS{}.MkdirAll(deepest))
 }
--- a/internal/tier/storage/message.go
+++ b/internal/tier/storage/message.go
@@ -8,10 +8,10 @@
 	UnmarshalVT(payload []byte) error
 }
 
-// OpenMessages makes a folder, opens a series in it and reads the newest version into a message. Found is false where there
+// OpenMessage makes a folder, opens a series in it and reads the newest version into a message. Found is false where there
 // is none that is whole.
-func OpenMessages(disk Disk, folder, name string, newest Message) (series *Series, found bool, err error) {
-	if err := disk.MakeFolder(folder); err != nil {
+func OpenMessage(disk Disk, folder, name string, newest Message) (series *Series, found bool, err error) {
+	if err := disk.MkdirAll(folder); err != nil {
 		return nil, false, eris.Wrap(err, name)
 	}
 	if series, err = Open(disk, folder, name, nil); err != nil {
--- a/internal/tier/storage/versions.go
+++ b/internal/tier/storage/versions.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		// A process that was killed may have renamed the file without syncing the folder.
-		if err := s.disk.SyncFolder(s.folder); err != nil {
+		if err := s.disk.SyncDir(s.folder); err != nil {
 			return eris.Wrapf(err, "sync %s", s.folder)
 		}
 		s.payload, s.found = payload, true
@@ -97,9 +97,9 @@
 // Newest returns the payload that Open found, if any.
 func (s *Series) Newest() ([]byte, bool) { return s.payload, s.found }
 
-// Damaged says that Open met a finished version that is not whole, newer than the one it found: the disk has lost
+// Corrupted says that Open met a finished version that is not whole, newer than the one it found: the disk has lost
 // what it had acknowledged.
-func (s *Series) Damaged() bool { return s.damaged }
+func (s *Series) Corrupted() bool { return s.damaged }
 
 // Save makes a payload the newest version. When it returns nil the payload is durable; after an error the version
 // on disk is either this one or the one before.
@@ -118,7 +118,7 @@
 func (s *Series) Clear() error {
 	s.removeAllBut(s.version + 1)
 	s.payload, s.found, s.damaged = nil, false, false
-	return s.disk.SyncFolder(s.folder)
+	return s.disk.SyncDir(s.folder)
 }
 
 func (s *Series) write(version uint64, payload []byte) error {
@@ -135,7 +135,7 @@
 	if err := s.faults.At(failpoint.VersionRenamed); err != nil {
 		return err
 	}
-	if err := s.disk.SyncFolder(s.folder); err != nil {
+	if err := s.disk.SyncDir(s.folder); err != nil {
 		return err
 	}
 	return s.faults.At(failpoint.VersionFolderSynced)
--- a/internal/tier/storage/versions_test.go
+++ b/internal/tier/storage/versions_test.go
@@ -27,7 +27,7 @@
 
 func open(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
 	t.Helper()
-	assert.NilError(t, disk.MakeFolder(folder))
+	assert.NilError(t, disk.MkdirAll(folder))
 	series, err := storage.Open(disk, folder, name, points)
 	assert.NilError(t, err)
 	return series
@@ -50,7 +50,7 @@
 			disk := m.Start().Mount()
 			reopened := open(t, disk, nil)
 			payload, found := reopened.Newest()
-			assert.Assert(t, found && !reopened.Damaged())
+			assert.Assert(t, found && !reopened.Corrupted())
 			durable := point >= failpoint.VersionFolderSynced
 			assert.Assert(t, string(payload) == "three" || !durable && string(payload) == "two", "point %d: %q", point, payload)
 			assert.NilError(t, reopened.Save([]byte("four")))
@@ -103,9 +103,9 @@
 	m.Disk.Damage(name)
 	series := open(t, disk, nil)
 	_, found := series.Newest()
-	assert.Assert(t, !found && series.Damaged())
+	assert.Assert(t, !found && series.Corrupted())
 	assert.NilError(t, series.Clear())
-	assert.Assert(t, !series.Damaged())
+	assert.Assert(t, !series.Corrupted())
 	assert.NilError(t, series.Save([]byte("two")))
 	payload, _ := open(t, disk, nil).Newest()
 	assert.Equal(t, string(payload), "two")
@@ -129,7 +129,7 @@
 func TestDiskOfTheMachine(t *testing.T) {
 	parent := filepath.Join(t.TempDir(), "a", "b")
 	disk := storage.OS{}
-	assert.NilError(t, disk.MakeFolder(parent))
+	assert.NilError(t, disk.MkdirAll(parent))
 	series, err := storage.Open(disk, parent, name, nil)
 	assert.NilError(t, err)
 	for i := range 3 {
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -298,7 +298,7 @@
 	}
 	answer, err := dispatch(ctx, store, method, data)
 	if err != nil {
-		return rpc.ErrRefused
+		return rpc.ErrRejected
 	}
 	data = encode(answer)
 	if err := c.travel(ctx); err != nil {
@@ -354,7 +354,7 @@
 	case rpc.MethodOfferRecords:
 		return store.OfferRecords(ctx, decode[tierpb.OfferRecordsRequest](data))
 	}
-	return nil, rpc.ErrRefused
+	return nil, rpc.ErrRejected
 }
 
 func (c *cluster) record(id, previous string) *tierpb.TurnRecord {
--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -68,7 +68,7 @@
 	return d.syncing
 }
 
-func (d *memoryDisk) MakeFolder(string) error { return nil }
+func (d *memoryDisk) MkdirAll(string) error { return nil }
 
 func (d *memoryDisk) List(folder string) ([]string, error) {
 	d.mu.Lock()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (d *memoryDisk) SyncFolder(string) error {
+func (d *memoryDisk) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.trouble(); err != nil {
--- a/internal/tier/turnstore/journal.go
+++ b/internal/tier/turnstore/journal.go
@@ -215,7 +215,7 @@
 		return nil
 	}
 	j.marks.put(j.fileNumber, j.fileBytes)
-	if err := j.disk.SyncFolder(j.folder); err != nil {
+	if err := j.disk.SyncDir(j.folder); err != nil {
 		return err
 	}
 	j.nameLoose = false
--- a/internal/tier/turnstore/life_test.go
+++ b/internal/tier/turnstore/life_test.go
@@ -52,9 +52,9 @@
 	return l.memoryDisk.SyncFile(path)
 }
 
-func (l *life) SyncFolder(folder string) error {
+func (l *life) SyncDir(folder string) error {
 	if err := l.over(); err != nil {
 		return err
 	}
-	return l.memoryDisk.SyncFolder(folder)
+	return l.memoryDisk.SyncDir(folder)
 }
--- a/internal/tier/turnstore/merged.go
+++ b/internal/tier/turnstore/merged.go
@@ -43,7 +43,7 @@
 		}
 	}
 	// A process that was killed may have made files without syncing the folder. What they hold counts as durable now.
-	if err := disk.SyncFolder(folder); err != nil {
+	if err := disk.SyncDir(folder); err != nil {
 		return recovery{}, eris.Wrap(err, "sync the data folder")
 	}
 	if found.merged, err = readMergedNumber(disk, folder); err != nil {
@@ -175,7 +175,7 @@
 	if err := m.disk.Rename(m.path()+asideSuffix, m.path()); err != nil {
 		return eris.Wrap(err, "rename a merged file")
 	}
-	if err := m.disk.SyncFolder(m.folder); err != nil {
+	if err := m.disk.SyncDir(m.folder); err != nil {
 		return eris.Wrap(err, "sync the data folder")
 	}
 	if err := m.faults.At(pointMergedDurable); err != nil {
--- a/internal/tier/turnstore/run.go
+++ b/internal/tier/turnstore/run.go
@@ -114,8 +114,8 @@
 }
 
 // targets are the coordinators in the order in which they are to be followed.
-func (r *role) targets() []watch.Target {
-	return watch.CoordinatorTargets(r.node, r.state, nil, r.settings.Current().SeedCoordinators())
+func (r *role) targets() []watch.Endpoint {
+	return watch.CoordinatorEndpoints(r.node, r.state, nil, r.settings.Current().SeedCoordinators())
 }
 
 func (r *role) coordinators() []string {
@@ -128,12 +128,12 @@
 }
 
 func (r *role) follow(ctx context.Context) {
-	watch.Follow(ctx, watch.Options{
-		Caller:  r.client,
-		State:   r.state,
-		Targets: r.targets,
-		Count:   coordinatorsFollowed,
-		Self:    r.node,
+	watch.Run(ctx, watch.Options{
+		Caller:     r.client,
+		State:      r.state,
+		Endpoints:  r.targets,
+		MaxSources: coordinatorsFollowed,
+		Self:       r.node,
 	})
 }
 
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -59,7 +59,7 @@
 
 // Open reads the disk. A store whose disk is empty or damaged has a new identity.
 func Open(options Options) (*Store, error) {
-	if err := options.Disk.MakeFolder(options.Folder); err != nil {
+	if err := options.Disk.MkdirAll(options.Folder); err != nil {
 		return nil, eris.Wrap(err, "data folder")
 	}
 	s := &Store{options: options, view: newView(), changed: make(chan struct{})}
@@ -70,7 +70,7 @@
 	if err := s.openMembership(); err != nil {
 		return nil, err
 	}
-	damaged := found.damaged || s.members.Damaged()
+	damaged := found.damaged || s.members.Corrupted()
 	if err := s.openIdentity(damaged); err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	if text, found := series.Newest(); found && !damaged && !series.Damaged() {
+	if text, found := series.Newest(); found && !damaged && !series.Corrupted() {
 		node := &tierpb.Node{}
 		if err := node.UnmarshalVT(text); err == nil && node.Identity != 0 {
 			s.identity = node.Identity
--- a/internal/tier/watch/cost_test.go
+++ b/internal/tier/watch/cost_test.go
@@ -37,7 +37,7 @@
 func TestSecondSourceTellsTheListInBrief(t *testing.T) {
 	const instances = 2000
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(_ *Follower, state *State) {
+	following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, state *State) {
 		n.mu.Lock()
 		n.bytes = 0
 		n.mu.Unlock()
@@ -62,7 +62,7 @@
 
 func TestLargeControlStateComesOnce(t *testing.T) {
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(_ *Follower, state *State) {
+	following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, state *State) {
 		body := make([]byte, 100_000)
 		n.mu.Lock()
 		n.bytes = 0
@@ -88,7 +88,7 @@
 			for i := range 3000 {
 				s.Upsert(described(i, 1, ready))
 			}
-			place := s.Version()
+			place := s.Revision()
 			sequence, sent := uint64(1), 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -100,7 +100,7 @@
 					encoded, _ := reply.MarshalVT()
 					sent += len(encoded)
 				}
-				place = s.Version()
+				place = s.Revision()
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "bytes/op")
 		})
--- a/internal/tier/watch/delta_test.go
+++ b/internal/tier/watch/delta_test.go
@@ -108,7 +108,7 @@
 // TestSourcesWhoseBodiesDifferAreAskedForTheWhole has a follower with a body that no delta fits.
 func TestSourcesWhoseBodiesDifferAreAskedForTheWhole(t *testing.T) {
 	n := newNetwork("a")
-	following(t, n, 1, fixed("a"), func(_ *Follower, state *State) {
+	following(t, n, 1, fixed("a"), func(_ *Watcher, state *State) {
 		state.SetControl(control(1, configurationBody(99, 41)))
 		n.sources["a"].SetControl(control(1, configurationBody(1, 40)))
 		time.Sleep(time.Second)
--- a/internal/tier/watch/follower.go
+++ b/internal/tier/watch/follower.go
@@ -11,50 +11,50 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times of a Follower.
+// Times of a Watcher.
 const (
-	DefaultWait    = 700 * time.Millisecond   // for which a source may hold a poll
-	replySlack     = 400 * time.Millisecond   // after which a poll that should have been answered has failed
-	LongestPoll    = DefaultWait + replySlack // that a poll held for DefaultWait may take until it has failed
-	retryFirst     = 50 * time.Millisecond
-	retryMost      = 500 * time.Millisecond
-	avoidFirst     = 2 * time.Second // for which a source that failed comes last
-	avoidMost      = 15 * time.Second
-	rewindTime     = 2 * time.Second
-	catchUpWait    = 100 * time.Millisecond  // for which the primary may lag behind another source
-	staleAfter     = 1500 * time.Millisecond // without a source that is ready, after which a first state may be old
-	reconsiderMost = 8 * time.Second         // after which a slot looks whether a better source is back
+	DefaultPollWait = 700 * time.Millisecond       // for which a source may hold a poll
+	replySlack      = 400 * time.Millisecond       // after which a poll that should have been answered has failed
+	MaxPollDuration = DefaultPollWait + replySlack // that a poll held for DefaultPollWait may take until it has failed
+	retryFirst      = 50 * time.Millisecond
+	retryMost       = 500 * time.Millisecond
+	avoidFirst      = 2 * time.Second // for which a source that failed comes last
+	avoidMost       = 15 * time.Second
+	rewindTime      = 2 * time.Second
+	catchUpWait     = 100 * time.Millisecond  // for which the primary may lag behind another source
+	staleAfter      = 1500 * time.Millisecond // without a source that is ready, after which a first state may be old
+	reconsiderMost  = 8 * time.Second         // after which a slot looks whether a better source is back
 )
 
-// Target is a source that may be followed.
-type Target struct {
+// Endpoint is a source that may be followed.
+type Endpoint struct {
 	Address string
 	Zone    string
 }
 
-// Options of a Follower.
+// Options of a Watcher.
 type Options struct {
 	Caller     rpc.Caller
 	State      *State
-	Targets    func() []Target // sources in order of preference; asked again for each poll
-	Count      int             // sources followed at a time; 0 means all
-	Wait       time.Duration   // for which a poll may be held; DefaultWait where it is 0
+	Endpoints  func() []Endpoint // sources in order of preference; asked again for each poll
+	MaxSources int               // sources followed at a time; 0 means all
+	PollWait   time.Duration     // for which a poll may be held; DefaultPollWait where it is 0
 	Self       *tierpb.Node
 	Heartbeats bool
-	// Compare has the Follower find stores that it knows and that its sources have forgotten.
-	Compare bool
-	// Answered is called with each reply that was taken in, and the time at which the poll was sent, before Changed;
+	// Reconcile has the Watcher find stores that it knows and that its sources have forgotten.
+	Reconcile bool
+	// OnReply is called with each reply that was taken in, and the time at which the poll was sent, before State.Changed;
 	// it may be nil.
-	Answered func(address string, reply *tierpb.WatchReply, asked time.Time)
-	// Now is the clock of the times that Answered is told; time.Now where it is nil.
+	OnReply func(address string, reply *tierpb.WatchReply, asked time.Time)
+	// Now is the clock of the times that OnReply is told; time.Now where it is nil.
 	Now func() time.Time
-	// Changed is called when a source begins or stops to answer; it may be nil.
-	Changed func(address string, answers bool)
+	// OnSourceChange is called when a source begins or stops to answer; it may be nil.
+	OnSourceChange func(address string, answers bool)
 }
 
-// Follower keeps a State up to date by long polls to several sources at a time, so that one which is silent or lags
+// Watcher keeps a State up to date by long polls to several sources at a time, so that one which is silent or lags
 // delays nothing. A source that fails comes last for a while, and another is asked at once.
-type Follower struct {
+type Watcher struct {
 	options Options
 
 	mu      sync.Mutex
@@ -74,10 +74,10 @@
 	avoidUntil time.Time
 }
 
-// NewFollower makes a Follower; Run sets it to work.
-func NewFollower(options Options) *Follower {
-	if options.Wait == 0 {
-		options.Wait = DefaultWait
+// NewWatcher makes a Follower; Run sets it to work.
+func NewWatcher(options Options) *Watcher {
+	if options.PollWait == 0 {
+		options.PollWait = DefaultPollWait
 	}
 	if options.Now == nil {
 		options.Now = time.Now
@@ -85,27 +85,27 @@
 	if options.Self.GetRole() != tierpb.Role_ROLE_COORDINATOR {
 		options.Self = &tierpb.Node{Role: options.Self.GetRole()} // sources need no more of others, and polls are many
 	}
-	return &Follower{options: options, sources: make(map[string]*source), readyAt: time.Now()}
+	return &Watcher{options: options, sources: make(map[string]*source), readyAt: time.Now()}
 }
 
-// Follow keeps the State up to date until the context ends.
-func Follow(ctx context.Context, options Options) { NewFollower(options).Run(ctx) }
+// Run keeps the State up to date until the context ends.
+func Run(ctx context.Context, options Options) { NewWatcher(options).Run(ctx) }
 
 // Run follows until the context ends and all polls have returned.
-func (f *Follower) Run(ctx context.Context) {
-	f.startSlots(ctx, f.options.Targets())
+func (f *Watcher) Run(ctx context.Context) {
+	f.startSlots(ctx, f.options.Endpoints())
 	<-ctx.Done()
 	f.done.Wait()
 }
 
-// Answering returns the addresses of the sources that answered their last poll.
-func (f *Follower) Answering() []string {
+// RespondingSources returns the addresses of the sources that answered their last poll.
+func (f *Watcher) RespondingSources() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.answering()
 }
 
-func (f *Follower) answering() []string {
+func (f *Watcher) answering() []string {
 	var addresses []string
 	for address, s := range f.sources {
 		if s.answers {
@@ -116,7 +116,7 @@
 }
 
 // startSlots sees to it that as many slots run as there are sources to follow, and at least one.
-func (f *Follower) startSlots(ctx context.Context, targets []Target) {
+func (f *Watcher) startSlots(ctx context.Context, targets []Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.running < f.wanted(targets) && ctx.Err() == nil {
@@ -126,16 +126,16 @@
 	}
 }
 
-func (f *Follower) wanted(targets []Target) int {
+func (f *Watcher) wanted(targets []Endpoint) int {
 	wanted := len(targets)
-	if f.options.Count > 0 {
-		wanted = min(wanted, f.options.Count)
+	if f.options.MaxSources > 0 {
+		wanted = min(wanted, f.options.MaxSources)
 	}
 	return max(wanted, 1)
 }
 
 // slot follows one source at a time.
-func (f *Follower) slot(ctx context.Context) {
+func (f *Watcher) slot(ctx context.Context) {
 	defer f.done.Done()
 	retry := retryFirst
 	for ctx.Err() == nil {
@@ -146,7 +146,7 @@
 		if address != "" && f.follow(ctx, address) {
 			retry = retryFirst
 		}
-		f.startSlots(ctx, f.options.Targets())
+		f.startSlots(ctx, f.options.Endpoints())
 		if !clock.Sleep(ctx, jittered(retry)) {
 			return
 		}
@@ -156,8 +156,8 @@
 
 // claim picks the best source that no slot follows, empty where there is none. More is false when the slot is one too
 // many.
-func (f *Follower) claim() (address string, more bool) {
-	targets := f.options.Targets()
+func (f *Watcher) claim() (address string, more bool) {
+	targets := f.options.Endpoints()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.running > f.wanted(targets) {
@@ -175,7 +175,7 @@
 
 // best orders the free sources: those not avoided first, then those of a zone that no slot follows a source of, then
 // by preference.
-func (f *Follower) best(targets []Target) string {
+func (f *Watcher) best(targets []Endpoint) string {
 	zones := f.followedZones(targets)
 	now := time.Now()
 	best, bestRank := "", 0
@@ -202,7 +202,7 @@
 	return best
 }
 
-func (f *Follower) followedZones(targets []Target) map[string]bool {
+func (f *Watcher) followedZones(targets []Endpoint) map[string]bool {
 	zones := make(map[string]bool)
 	for _, target := range targets {
 		if s := f.sources[target.Address]; s != nil && s.followed {
@@ -213,7 +213,7 @@
 }
 
 // forgetOthers drops what is known of sources that are neither named any more nor followed.
-func (f *Follower) forgetOthers(targets []Target) {
+func (f *Watcher) forgetOthers(targets []Endpoint) {
 	if len(f.sources) <= 2*len(targets)+8 {
 		return
 	}
@@ -230,7 +230,7 @@
 
 // follow polls a source until it fails, is named no more or another is to be looked at, and says whether it ever
 // answered.
-func (f *Follower) follow(ctx context.Context, address string) bool {
+func (f *Watcher) follow(ctx context.Context, address string) bool {
 	answered := false
 	until := time.Now().Add(reconsiderMost/2 + rand.N(reconsiderMost/2))
 	for {
@@ -243,7 +243,7 @@
 			answered = true
 			f.succeeded(address)
 		}
-		targets := f.options.Targets()
+		targets := f.options.Endpoints()
 		f.startSlots(ctx, targets)
 		if f.shouldLeave(address, targets, &until) {
 			f.release(address)
@@ -253,7 +253,7 @@
 }
 
 // shouldLeave says that the source is named no more or, looked at only now and then, that a better one is free.
-func (f *Follower) shouldLeave(address string, targets []Target, until *time.Time) bool {
+func (f *Watcher) shouldLeave(address string, targets []Endpoint, until *time.Time) bool {
 	if !names(targets, address) {
 		return true
 	}
@@ -271,7 +271,7 @@
 	return better != address
 }
 
-func names(targets []Target, address string) bool {
+func names(targets []Endpoint, address string) bool {
 	for _, target := range targets {
 		if target.Address == address {
 			return true
@@ -280,7 +280,7 @@
 	return false
 }
 
-func (f *Follower) succeeded(address string) {
+func (f *Watcher) succeeded(address string) {
 	f.mu.Lock()
 	s := f.sources[address]
 	was := s.answers
@@ -291,7 +291,7 @@
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, address string) {
+func (f *Watcher) failed(ctx context.Context, address string) {
 	f.mu.Lock()
 	s := f.sources[address]
 	was := s.answers
@@ -311,7 +311,7 @@
 }
 
 // release ends following a source that did not fail.
-func (f *Follower) release(address string) {
+func (f *Watcher) release(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sources[address]
@@ -319,9 +319,9 @@
 	f.dismiss(address)
 }
 
-func (f *Follower) report(address string, answers bool) {
-	if f.options.Changed != nil {
-		f.options.Changed(address, answers)
+func (f *Watcher) report(address string, answers bool) {
+	if f.options.OnSourceChange != nil {
+		f.options.OnSourceChange(address, answers)
 	}
 }
 
--- a/internal/tier/watch/follower_test.go
+++ b/internal/tier/watch/follower_test.go
@@ -105,23 +105,23 @@
 	}
 }
 
-func targets(addresses ...string) []Target {
-	var all []Target
+func targets(addresses ...string) []Endpoint {
+	var all []Endpoint
 	for _, address := range addresses {
-		all = append(all, Target{Address: address, Zone: "zone-" + address[:1]})
+		all = append(all, Endpoint{Address: address, Zone: "zone-" + address[:1]})
 	}
 	return all
 }
 
 // following runs a Follower in a bubble and hands it to the test.
-func following(t *testing.T, n *network, count int, named func() []Target, test func(*Follower, *State)) {
+func following(t *testing.T, n *network, count int, named func() []Endpoint, test func(*Watcher, *State)) {
 	synctest.Test(t, func(t *testing.T) {
 		for address := range n.sources { // their clocks are to be the bubble's
 			n.sources[address] = NewState()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		state := NewState()
-		follower := NewFollower(Options{Caller: n, State: state, Targets: named, Count: count})
+		follower := NewWatcher(Options{Caller: n, State: state, Endpoints: named, MaxSources: count})
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -136,8 +136,8 @@
 	})
 }
 
-func fixed(addresses ...string) func() []Target {
-	return func() []Target { return targets(addresses...) }
+func fixed(addresses ...string) func() []Endpoint {
+	return func() []Endpoint { return targets(addresses...) }
 }
 
 // arrival is how long, in virtual time, a control state told now takes to arrive.
@@ -155,7 +155,7 @@
 		for _, victim := range []string{"a", "b"} {
 			t.Run(fmt.Sprint(kind, victim), func(t *testing.T) {
 				n := newNetwork("a", "b", "c")
-				following(t, n, 2, fixed("a", "b", "c"), func(_ *Follower, state *State) {
+				following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, state *State) {
 					assert.Assert(t, arrival(n, state, 1) <= 2*oneWay)
 					n.set(victim, kind)
 					for version := range uint64(40) {
@@ -170,11 +170,11 @@
 
 func TestSourcesThatDieAreReplaced(t *testing.T) {
 	n := newNetwork("a", "b", "c", "d")
-	following(t, n, 2, fixed("a", "b", "c", "d"), func(follower *Follower, state *State) {
+	following(t, n, 2, fixed("a", "b", "c", "d"), func(follower *Watcher, state *State) {
 		n.set("a", refusing)
 		n.set("b", silentBoth)
-		time.Sleep(DefaultWait + replySlack + time.Second)
-		got := follower.Answering()
+		time.Sleep(DefaultPollWait + replySlack + time.Second)
+		got := follower.RespondingSources()
 		slices.Sort(got)
 		assert.DeepEqual(t, got, []string{"c", "d"})
 		assert.Assert(t, arrival(n, state, 9) <= 2*oneWay)
@@ -183,19 +183,19 @@
 
 func TestBetterSourceIsTakenAgainWhenItIsBack(t *testing.T) {
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(follower *Follower, _ *State) {
+	following(t, n, 2, fixed("a", "b", "c"), func(follower *Watcher, _ *State) {
 		n.set("a", refusing)
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, !slices.Contains(follower.Answering(), "a"))
+		assert.Assert(t, !slices.Contains(follower.RespondingSources(), "a"))
 		n.set("a", none)
 		time.Sleep(avoidMost + 4*reconsiderMost)
-		assert.Assert(t, slices.Contains(follower.Answering(), "a"))
+		assert.Assert(t, slices.Contains(follower.RespondingSources(), "a"))
 	})
 }
 
 func TestAllSourcesGoneAndOneComesBack(t *testing.T) {
 	n := newNetwork("a", "b")
-	following(t, n, 2, fixed("a", "b"), func(_ *Follower, state *State) {
+	following(t, n, 2, fixed("a", "b"), func(_ *Watcher, state *State) {
 		n.set("a", silentBoth)
 		n.set("b", silentBoth)
 		time.Sleep(time.Minute)
@@ -206,8 +206,8 @@
 
 func TestSourcesOfTwoZonesAreFollowed(t *testing.T) {
 	n := newNetwork("a1", "a2", "b1")
-	following(t, n, 2, fixed("a1", "a2", "b1"), func(follower *Follower, _ *State) {
-		got := follower.Answering()
+	following(t, n, 2, fixed("a1", "a2", "b1"), func(follower *Watcher, _ *State) {
+		got := follower.RespondingSources()
 		slices.Sort(got)
 		assert.DeepEqual(t, got, []string{"a1", "b1"})
 	})
@@ -217,16 +217,16 @@
 	n := newNetwork("a", "b", "c")
 	var mu sync.Mutex
 	named := targets("a", "b")
-	following(t, n, 2, func() []Target {
+	following(t, n, 2, func() []Endpoint {
 		mu.Lock()
 		defer mu.Unlock()
 		return named
-	}, func(follower *Follower, state *State) {
+	}, func(follower *Watcher, state *State) {
 		mu.Lock()
 		named = targets("b", "c")
 		mu.Unlock()
 		time.Sleep(2 * time.Second)
-		got := follower.Answering()
+		got := follower.RespondingSources()
 		slices.Sort(got)
 		assert.DeepEqual(t, got, []string{"b", "c"})
 		assert.Assert(t, arrival(n, state, 3) <= 2*oneWay)
@@ -237,22 +237,22 @@
 	n := newNetwork("a", "b", "c")
 	var mu sync.Mutex
 	named := targets("a")
-	following(t, n, 0, func() []Target {
+	following(t, n, 0, func() []Endpoint {
 		mu.Lock()
 		defer mu.Unlock()
 		return named
-	}, func(follower *Follower, _ *State) {
+	}, func(follower *Watcher, _ *State) {
 		mu.Lock()
 		named = targets("a", "b", "c")
 		mu.Unlock()
 		time.Sleep(2*reconsiderMost + time.Second)
-		assert.Equal(t, len(follower.Answering()), 3)
+		assert.Equal(t, len(follower.RespondingSources()), 3)
 	})
 }
 
 func TestAgentThatStartsAnewTakesNothingBack(t *testing.T) {
 	n := newNetwork("agent")
-	following(t, n, 1, fixed("agent"), func(_ *Follower, state *State) {
+	following(t, n, 1, fixed("agent"), func(_ *Watcher, state *State) {
 		n.tell(7)
 		n.sources["agent"].Upsert(instance("i", 1, draining))
 		time.Sleep(time.Second)
@@ -272,7 +272,7 @@
 
 func TestIdlePollsAreFew(t *testing.T) {
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(_ *Follower, _ *State) {
+	following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, _ *State) {
 		n.mu.Lock()
 		clear(n.calls)
 		n.mu.Unlock()
--- a/internal/tier/watch/join.go
+++ b/internal/tier/watch/join.go
@@ -18,8 +18,8 @@
 	Material         // followers that send requests need to know
 )
 
-// Terminal says that a state stays, whatever comes later.
-func Terminal(state tierpb.InstanceState) bool {
+// IsTerminal says that a state stays, whatever comes later.
+func IsTerminal(state tierpb.InstanceState) bool {
 	return state >= tierpb.InstanceState_INSTANCE_DRAINING
 }
 
@@ -39,13 +39,13 @@
 		merged = merged.CloneVT()
 		merged.State = state
 	}
-	invariant.Check(!Terminal(known.State) || merged.State >= known.State, invariant.TerminalStateFinal, merged.State, known.State)
+	invariant.Check(!IsTerminal(known.State) || merged.State >= known.State, invariant.TerminalStateFinal, merged.State, known.State)
 	return merged, compare(known, merged)
 }
 
 func joinStates(known, told, newest tierpb.InstanceState) tierpb.InstanceState {
 	highest := max(known, told)
-	if Terminal(highest) {
+	if IsTerminal(highest) {
 		return highest
 	}
 	return newest
--- a/internal/tier/watch/orphans.go
+++ b/internal/tier/watch/orphans.go
@@ -18,11 +18,11 @@
 	orphanAge         = 5 * time.Second      // without news, before which an instance may be on its way to the source
 	compareUnanswered = 3 * time.Second      // until the next comparison, where the source had not listened for long enough
 	compareDiffering  = 10 * time.Second     // the same where the lists differed
-	compareAgreeing   = registry.ForgetAfter // the same where they agreed
+	compareAgreeing   = registry.ExpireAfter // the same where they agreed
 )
 
-// Listened says that at this moment the State holds every store that sends heartbeats. It holds for a short time.
-func (s *State) Listened() {
+// MarkSynchronized says that at this moment the State holds every store that sends heartbeats. It holds for a short time.
+func (s *State) MarkSynchronized() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listenedAt = s.now()
@@ -70,7 +70,7 @@
 		if named[id] || !slices.Contains(reply.DifferingBuckets, uint32(bucketOf(id))) {
 			continue
 		}
-		if orphan := registry.AsSuspect(e.instance, s.now().Sub(e.at), orphanAge); orphan != nil {
+		if orphan := registry.TimedOut(e.instance, s.now().Sub(e.at), orphanAge); orphan != nil {
 			orphans = append(orphans, orphan)
 		}
 	}
--- a/internal/tier/watch/orphans_test.go
+++ b/internal/tier/watch/orphans_test.go
@@ -13,9 +13,9 @@
 // comparing has a follower that knows two stores follow a source that knows only one of them.
 func comparing(t *testing.T, test func(source, state *State)) {
 	n := newNetwork("a")
-	following(t, n, 1, fixed("a"), func(f *Follower, state *State) {
+	following(t, n, 1, fixed("a"), func(f *Watcher, state *State) {
 		f.mu.Lock()
-		f.options.Compare = true
+		f.options.Reconcile = true
 		f.mu.Unlock()
 		state.Upsert(described(1, 5, ready))
 		state.Upsert(described(2, 5, ready))
@@ -27,7 +27,7 @@
 // listenFor lets time pass while the source says that it has heard every store.
 func listenFor(source *State, span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
-		source.Listened()
+		source.MarkSynchronized()
 		time.Sleep(time.Second)
 	}
 }
@@ -41,7 +41,7 @@
 		listenFor(source, 20*time.Second)
 		assert.Equal(t, stateOf(state, 1), ready)
 		assert.Equal(t, stateOf(state, 2), silent)
-		listenFor(source, registry.ForgetAfter+time.Minute/2)
+		listenFor(source, registry.ExpireAfter+time.Minute/2)
 		assert.Equal(t, stateOf(state, 1), ready)
 		orphan := state.Instance(described(2, 0, ready).Id)
 		assert.Assert(t, orphan == nil || orphan.State == tierpb.InstanceState_INSTANCE_DEREGISTERED, "it is %v", orphan.GetState())
@@ -51,7 +51,7 @@
 // TestNothingIsAnOrphanToASourceThatHasNotListened: a coordinator that has just started knows little.
 func TestNothingIsAnOrphanToASourceThatHasNotListened(t *testing.T) {
 	comparing(t, func(source, state *State) {
-		source.Listened()
+		source.MarkSynchronized()
 		time.Sleep(listenedFor + time.Millisecond) // this has run out before the first comparison, as in a process that froze
 		time.Sleep(time.Minute)
 		assert.Equal(t, stateOf(state, 2), ready)
@@ -73,7 +73,7 @@
 func TestNewsThatCrossesAComparisonIsNoOrphan(t *testing.T) {
 	source, clock := testState()
 	source.Upsert(described(1, 1, ready))
-	source.Listened()
+	source.MarkSynchronized()
 	follower, followerClock := testState()
 	follower.Upsert(described(2, 1, ready))
 	ask := func() *tierpb.WatchReply {
@@ -96,9 +96,9 @@
 		source.Upsert(described(i, 1, ready))
 		follower.Upsert(described(i, 1, ready))
 	}
-	source.Listened()
+	source.MarkSynchronized()
 	request := func() *tierpb.WatchRequest {
-		return &tierpb.WatchRequest{Incarnation: source.feed, Cursor: source.Version(), Compare: true, Summary: follower.digests()}
+		return &tierpb.WatchRequest{Incarnation: source.feed, Cursor: source.Revision(), Compare: true, Summary: follower.digests()}
 	}
 	agreed := source.idle(request())
 	assert.Assert(t, agreed.Compared && len(agreed.DifferingBuckets) == 0)
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -34,8 +34,8 @@
 }
 
 // poll asks a source once. The first poll of a source is not to be held, so that one which cannot answer is known soon.
-func (f *Follower) poll(ctx context.Context, address string, first bool) error {
-	wait := f.options.Wait
+func (f *Watcher) poll(ctx context.Context, address string, first bool) error {
+	wait := f.options.PollWait
 	if first {
 		wait = 0
 	}
@@ -50,8 +50,8 @@
 		return err
 	}
 	f.options.State.mergeFrom(reply, address)
-	if f.options.Answered != nil {
-		f.options.Answered(address, reply, asked)
+	if f.options.OnReply != nil {
+		f.options.OnReply(address, reply, asked)
 	}
 	if reply.GetResponder().GetNotReady() {
 		return ErrNotReady
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (f *Follower) call(ctx context.Context, address string, within time.Duration, request, reply rpc.Message) error {
+func (f *Watcher) call(ctx context.Context, address string, within time.Duration, request, reply rpc.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	return f.options.Caller.Call(ctx, address, rpc.MethodWatch, request, reply)
@@ -85,7 +85,7 @@
 
 // request asks for what is new since the place in the source's feed. The first one of a source also sums up what is known, as
 // others have told of most of what happened since it was last asked.
-func (f *Follower) request(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
+func (f *Watcher) request(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
 	request := &tierpb.WatchRequest{
 		ControlVersion: f.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
 		Follower: f.options.Self, Heartbeats: f.options.Heartbeats,
@@ -104,17 +104,17 @@
 		request.OtherSources = f.answering()
 	}
 	request.DigestsOnly = !f.isPrimary(address) && !at.whole
-	if f.options.Compare && !request.DigestsOnly && at.compares(time.Now()) {
+	if f.options.Reconcile && !request.DigestsOnly && at.compares(time.Now()) {
 		request.Compare, request.Summary = true, f.options.State.digests()
 	}
 	request.FullBody = at.whole
 	return request
 }
 
-// isPrimary says whether a source is to tell all. The first one asked is, until it fails; a Follower of all sources has
+// isPrimary says whether a source is to tell all. The first one asked is, until it fails; a Watcher of all sources has
 // no other.
-func (f *Follower) isPrimary(address string) bool {
-	if f.options.Count == 0 {
+func (f *Watcher) isPrimary(address string) bool {
+	if f.options.MaxSources == 0 {
 		return true
 	}
 	if f.primary == "" {
@@ -124,20 +124,20 @@
 }
 
 // dismiss lets another source become the primary.
-func (f *Follower) dismiss(address string) {
+func (f *Watcher) dismiss(address string) {
 	if f.primary == address {
 		f.primary = ""
 	}
 }
 
-func (f *Follower) hasPrimary() bool {
+func (f *Watcher) hasPrimary() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.primary != ""
 }
 
 // catchUp says whether all that a brief reply tells of is known; where it is not, the primary is given a moment.
-func (f *Follower) catchUp(ctx context.Context, reply *tierpb.WatchReply) bool {
+func (f *Watcher) catchUp(ctx context.Context, reply *tierpb.WatchReply) bool {
 	var timeout <-chan time.Time
 	for {
 		changed := f.options.State.Changed()
@@ -163,7 +163,7 @@
 }
 
 // heardReady notes that a source which is ready has answered.
-func (f *Follower) heardReady() {
+func (f *Watcher) heardReady() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readyAt = time.Now()
@@ -171,7 +171,7 @@
 
 // mayBeStale says that nothing is known and no source that is ready has answered for long: what others have is better
 // than nothing.
-func (f *Follower) mayBeStale() bool {
+func (f *Watcher) mayBeStale() bool {
 	if f.options.State.Control() != nil {
 		return false
 	}
@@ -182,7 +182,7 @@
 
 // rewind has the sources that answer tell again what came lately: they left out what the source that failed seemed to
 // tell. That one goes on where it was: after a long cut, what it told before may have been forgotten by all others.
-func (f *Follower) rewind() {
+func (f *Watcher) rewind() {
 	for _, s := range f.sources {
 		if s.answers && s.place.older < s.place.cursor {
 			s.place.rewound = max(s.place.rewound, s.place.cursor)
--- a/internal/tier/watch/readiness.go
+++ b/internal/tier/watch/readiness.go
@@ -21,9 +21,9 @@
 	Ready func() bool
 	// Starting says that the process has just started, so that followers may wait for it to be ready.
 	Starting func() bool
-	// Changed is called when the process comes to be ready, or stops to be, with how long the time before lasted. It
+	// OnChange is called when the process comes to be ready, or stops to be, with how long the time before lasted. It
 	// is not to call the gate, and may be nil.
-	Changed func(ready bool, lasted time.Duration)
+	OnChange func(ready bool, lasted time.Duration)
 	// Now is the clock; time.Now where it is nil.
 	Now func() time.Time
 }
@@ -68,8 +68,8 @@
 	g.ready, g.since = ready, now
 	g.end()
 	g.period, g.end = context.WithCancel(context.Background())
-	if g.options.Changed != nil {
-		g.options.Changed(ready, lasted)
+	if g.options.OnChange != nil {
+		g.options.OnChange(ready, lasted)
 	}
 	return ready, g.period
 }
--- a/internal/tier/watch/readiness_test.go
+++ b/internal/tier/watch/readiness_test.go
@@ -25,7 +25,7 @@
 	g := &gated{state: NewState()}
 	g.ReadinessGate = NewReadinessGate(ReadinessOptions{
 		State: g.state, Ready: g.ready.Load, Starting: g.starting.Load,
-		Changed: func(bool, time.Duration) { g.changes++ },
+		OnChange: func(bool, time.Duration) { g.changes++ },
 	})
 	return g
 }
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGated()
 		g.state.SetControl(&tierpb.ControlState{Version: 4})
-		g.state.SetCoordinators([]*tierpb.Node{{Address: "10.0.0.1:1"}})
+		g.state.AdvertiseCoordinators([]*tierpb.Node{{Address: "10.0.0.1:1"}})
 		_, err := g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent})
 		assert.ErrorIs(t, err, ErrNotReady, "knows nothing")
 		_, err = g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent, ControlVersion: 4})
@@ -103,7 +103,7 @@
 	time.Sleep(oneWay)
 	answer, err := n[address].Watch(ctx, request.(*tierpb.WatchRequest).CloneVT())
 	if err != nil {
-		return rpc.ErrRefused
+		return rpc.ErrRejected
 	}
 	encoded, _ := answer.MarshalVT()
 	return reply.(*tierpb.WatchReply).UnmarshalVT(encoded)
@@ -121,7 +121,7 @@
 		defer cancel()
 		state := NewState()
 		began := time.Now()
-		go Follow(ctx, Options{Caller: n, State: state, Targets: fixed("a", "b"), Count: 2, Self: anAgent})
+		go Run(ctx, Options{Caller: n, State: state, Endpoints: fixed("a", "b"), MaxSources: 2, Self: anAgent})
 		changed := state.Changed()
 		<-changed
 		assert.Assert(t, time.Since(began) > staleAfter)
@@ -142,15 +142,15 @@
 		defer synctest.Wait()
 		defer cancel()
 		state := NewState()
-		follower := NewFollower(Options{Caller: n, State: state, Targets: fixed("a", "b"), Count: 1, Self: anAgent})
+		follower := NewWatcher(Options{Caller: n, State: state, Endpoints: fixed("a", "b"), MaxSources: 1, Self: anAgent})
 		go follower.Run(ctx)
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, follower.Answering(), []string{"a"})
+		assert.DeepEqual(t, follower.RespondingSources(), []string{"a"})
 		n["a"].setReady(false)
 		for version := uint64(5); version < 105; version++ {
 			n["a"].state.SetControl(&tierpb.ControlState{Version: version})
 			time.Sleep(oneWay)
 		}
-		assert.DeepEqual(t, follower.Answering(), []string{"b"})
+		assert.DeepEqual(t, follower.RespondingSources(), []string{"b"})
 	})
 }
--- a/internal/tier/watch/state.go
+++ b/internal/tier/watch/state.go
@@ -122,8 +122,8 @@
 	return s.takeControl(control)
 }
 
-// SetCoordinators sets the coordinators that this State tells its followers of.
-func (s *State) SetCoordinators(nodes []*tierpb.Node) {
+// AdvertiseCoordinators sets the coordinators that this State tells its followers of.
+func (s *State) AdvertiseCoordinators(nodes []*tierpb.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.coordinators = nodes
@@ -172,9 +172,9 @@
 	return s.counts[state]
 }
 
-// Since returns the instances that changed materially after the version, and the version that this brings the caller
+// ChangedSince returns the instances that changed materially after the version, and the version that this brings the caller
 // to. Version 0 returns all.
-func (s *State) Since(version uint64) ([]*tierpb.Instance, uint64) {
+func (s *State) ChangedSince(version uint64) ([]*tierpb.Instance, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -187,8 +187,8 @@
 	return changed, s.cursor
 }
 
-// Version rises with each change.
-func (s *State) Version() uint64 {
+// Revision rises with each change.
+func (s *State) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cursor
@@ -317,7 +317,7 @@
 	switch {
 	case mark.Description == 0 || mark.Description == descriptionDigest(told):
 		told.Sequence, told.State = mark.Sequence, mark.State
-	case Terminal(mark.State): // but the sequence stays, so that the description that goes with it is taken when it comes
+	case IsTerminal(mark.State): // but the sequence stays, so that the description that goes with it is taken when it comes
 		told.State = mark.State
 	default:
 		return Unchanged
--- a/internal/tier/watch/state_test.go
+++ b/internal/tier/watch/state_test.go
@@ -232,10 +232,10 @@
 func TestSinceFoldsIncrementally(t *testing.T) {
 	s, _ := testState()
 	s.Upsert(instance("a", 1, ready))
-	all, version := s.Since(0)
+	all, version := s.ChangedSince(0)
 	assert.Equal(t, len(all), 1)
 	s.Upsert(instance("b", 1, ready))
-	news, _ := s.Since(version)
+	news, _ := s.ChangedSince(version)
 	assert.Equal(t, len(news), 1)
 	assert.Equal(t, news[0].Id, "b")
 }
--- a/internal/tier/watch/targets.go
+++ b/internal/tier/watch/targets.go
@@ -7,10 +7,10 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// CoordinatorTargets lists all coordinators known, without the process itself: those of its own zone first, and else
+// CoordinatorEndpoints lists all coordinators known, without the process itself: those of its own zone first, and else
 // in an order that differs from one process to another, so that followers spread over the coordinators. Voters, the
 // coordinators that sources told of and peers come with their zones; the seeds are told without.
-func CoordinatorTargets(self *tierpb.Node, state *State, peers []*tierpb.Node, seeds []string) []Target {
+func CoordinatorEndpoints(self *tierpb.Node, state *State, peers []*tierpb.Node, seeds []string) []Endpoint {
 	zones := make(map[string]string)
 	for _, seed := range seeds {
 		zones[seed] = ""
@@ -35,15 +35,15 @@
 	}
 }
 
-func arrange(self *tierpb.Node, zones map[string]string) []Target {
+func arrange(self *tierpb.Node, zones map[string]string) []Endpoint {
 	type ranked struct {
-		target Target
+		target Endpoint
 		own    bool
 		hash   uint64
 	}
 	all := make([]ranked, 0, len(zones))
 	for address, zone := range zones {
-		target := Target{Address: address, Zone: zone}
+		target := Endpoint{Address: address, Zone: zone}
 		all = append(all, ranked{target, zone != "" && zone == self.GetZone(), spreadHash(self.GetName(), address)})
 	}
 	sort.Slice(all, func(i, j int) bool {
@@ -52,7 +52,7 @@
 		}
 		return all[i].hash < all[j].hash
 	})
-	targets := make([]Target, len(all))
+	targets := make([]Endpoint, len(all))
 	for i := range all {
 		targets[i] = all[i].target
 	}
