--- a/internal/tier/budget/client.go
+++ b/internal/tier/budget/client.go
@@ -16,7 +16,7 @@
 
 // Errors of Reserve.
 var (
-	ErrSpent     = eris.New("the program's budget is spent")
+	ErrExhausted = eris.New("the program's budget is spent")
 	ErrUncertain = replica.ErrUncertain // too few stores answered: the turn may not be run
 )
 
@@ -81,7 +81,7 @@
 	if err := c.contest(ctx, known, claim, budget); err != nil {
 		return err
 	}
-	counted := Sum(known)
+	counted := Total(known)
 	if !invariant.Check(Covers(known, []*tierpb.BudgetEntry{claim}) && counted <= budget, invariant.WithinBudget, counted, budget) {
 		return ErrUncertain
 	}
@@ -99,10 +99,10 @@
 	}
 	for range contestRounds {
 		switch {
-		case Sum(known) <= budget:
+		case Total(known) <= budget:
 			return nil
 		case !hasPriority(known, claim, budget):
-			return ErrSpent
+			return ErrExhausted
 		}
 		select {
 		case <-c.replicas.After(contestLeast + rand.N(contestSpread)):
@@ -113,10 +113,10 @@
 			return err
 		}
 	}
-	if Sum(known) <= budget {
+	if Total(known) <= budget {
 		return nil
 	}
-	return ErrSpent
+	return ErrExhausted
 }
 
 // write has a claim synced by a quorum and merges what the stores know of the program. It says whether the quorum
@@ -129,7 +129,7 @@
 		Entries:        []*tierpb.BudgetEntry{claim},
 		LastUsedUnixMs: c.replicas.Now().UnixMilli(),
 	}
-	outcome, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
+	outcome, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
 		Key:    known.Program,
 		Quorum: replica.WriteQuorum,
 		Ranked: true,
@@ -138,26 +138,26 @@
 			reply := &tierpb.BudgetReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodReserveBudget, request, reply)
 		},
-		Visit: func(reply *tierpb.BudgetReply) bool {
+		OnReply: func(reply *tierpb.BudgetReply) bool {
 			Merge(known, reply.GetBudget().GetEntries())
 			return false
 		},
 	})
-	return outcome.First, err
+	return outcome.TopRanked, err
 }
 
 // read merges what a quorum of stores knows of the program.
 func (c *Client) read(ctx context.Context, known *tierpb.ProgramBudget) error {
-	_, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
-		Key:    known.Program,
-		Quorum: replica.ReadQuorum,
-		Fresh:  true,
+	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
+		Key:              known.Program,
+		Quorum:           replica.ReadQuorum,
+		SingleMembership: true,
 		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.BudgetReply, error) {
 			request := &tierpb.ReadBudgetRequest{Header: header, Program: known.Program}
 			reply := &tierpb.BudgetReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodReadBudget, request, reply)
 		},
-		Visit: func(reply *tierpb.BudgetReply) bool {
+		OnReply: func(reply *tierpb.BudgetReply) bool {
 			Merge(known, reply.GetBudget().GetEntries())
 			return false
 		},
--- a/internal/tier/budget/merge.go
+++ b/internal/tier/budget/merge.go
@@ -47,8 +47,8 @@
 	return newest
 }
 
-// Sum is what all claims of a program count together.
-func Sum(budget *tierpb.ProgramBudget) uint64 {
+// Total is the number of tokens that all claims of a program count together, saturated at the largest uint64.
+func Total(budget *tierpb.ProgramBudget) uint64 {
 	total := uint64(0)
 	for _, entry := range budget.GetEntries() {
 		total = add(total, entry.Tokens)
@@ -104,8 +104,8 @@
 		func(entry *tierpb.BudgetEntry, request string) int { return strings.Compare(entry.Request, request) })
 }
 
-// Copy copies a program's claims. Entries are shared: they never change.
-func Copy(known *tierpb.ProgramBudget) *tierpb.ProgramBudget {
+// Clone returns a copy of a program's claims. Entries are shared: they are never modified.
+func Clone(known *tierpb.ProgramBudget) *tierpb.ProgramBudget {
 	return &tierpb.ProgramBudget{
 		Program:        known.Program,
 		Entries:        slices.Clone(known.Entries),
--- a/internal/tier/budget/merge_test.go
+++ b/internal/tier/budget/merge_test.go
@@ -47,16 +47,16 @@
 func TestSettledClaimCountsWhatItUsed(t *testing.T) {
 	known := &tierpb.ProgramBudget{Program: "p"}
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: 100}, {Request: "b", Tokens: 30}})
-	assert.Equal(t, Sum(known), uint64(130))
+	assert.Equal(t, Total(known), uint64(130))
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: 7, Stage: StageSettled}})
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: 100}})
-	assert.Equal(t, Sum(known), uint64(37))
+	assert.Equal(t, Total(known), uint64(37))
 }
 
 func TestSumDoesNotWrapRound(t *testing.T) {
 	known := &tierpb.ProgramBudget{Program: "p"}
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: ^uint64(0)}, {Request: "b", Tokens: 30}})
-	assert.Equal(t, Sum(known), ^uint64(0))
+	assert.Equal(t, Total(known), ^uint64(0))
 }
 
 func TestPriorityGoesByRequest(t *testing.T) {
--- a/internal/tier/proxy/stream_test.go
+++ b/internal/tier/proxy/stream_test.go
@@ -189,7 +189,7 @@
 func TestTurnWithoutRoomIsNotSent(t *testing.T) {
 	store := newStandIn(t, "a", events(true))
 	b := newBench(t, longTimeout, nil, []*standIn{store})
-	b.keeper.reserveErr = budget.ErrSpent
+	b.keeper.reserveErr = budget.ErrExhausted
 	assert.Equal(t, b.send("POST", "/s/x", "t1", "in", limited...).status, 402)
 	b.keeper.reserveErr = budget.ErrUncertain
 	assert.Equal(t, b.send("POST", "/s/x", "t1", "in", limited...).status, 503)
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -29,7 +29,7 @@
 	Save(ctx context.Context, record *tierpb.TurnRecord) error
 }
 
-// budgetKeeper keeps what programs may spend. Reserve returns budget.ErrSpent where there is no room for this turn.
+// budgetKeeper keeps what programs may spend. Reserve returns budget.ErrExhausted where the claim does not fit.
 type budgetKeeper interface {
 	Reserve(ctx context.Context, program string, budget uint64, request string, most uint64) error
 	Settle(program, request string, used uint64)
@@ -155,7 +155,7 @@
 	case errors.Is(err, turns.ErrNotFound):
 		x.became = resultUnknownTurn
 		x.proxy.respond(x.w, x.id, http.StatusNotFound)
-	case errors.Is(err, budget.ErrSpent):
+	case errors.Is(err, budget.ErrExhausted):
 		x.became = resultSpent
 		x.promise(http.StatusPaymentRequired)
 	default:
--- a/internal/tier/replica/collect.go
+++ b/internal/tier/replica/collect.go
@@ -20,25 +20,26 @@
 	Key    string
 	Quorum Quorum
 	Call   func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (R, error)
-	// Visit is called with each answer that counts, from one goroutine; true ends the operation with success.
-	Visit func(R) bool
+	// OnReply is called with each reply that counts, from a single goroutine; returning true ends the operation
+	// successfully before the quorum is complete. May be nil.
+	OnReply func(R) bool
 	// Ranked prefers members by their rank for the key, the same for all callers, instead of the near and quick ones.
 	Ranked bool
-	// Fresh forgets the answers of an older membership: a read is whole only within one membership, while a
-	// write that a member has synced stays there.
-	Fresh bool
+	// SingleMembership discards the replies received under an older membership: a read quorum is valid only within one
+	// membership, whereas a write that a member has synced stays there.
+	SingleMembership bool
 }
 
 // Outcome tells how a quorum came about.
 type Outcome struct {
-	// First says that there was one replica set all the while and that the quorum is the first of its members by
+	// TopRanked says that there was one replica set all the while and that the quorum is the first of its members by
 	// rank, so that it is the same for all callers.
-	First bool
+	TopRanked bool
 }
 
-// Collect runs an operation until a quorum of the replica set has answered, of both sets while members change.
+// CallQuorum runs an operation until a quorum of the replica set has answered, of both sets while members change.
 // It returns ErrUncertain when ctx ends before.
-func Collect[R Reply](ctx context.Context, client *Client, operation Operation[R]) (Outcome, error) {
+func CallQuorum[R Reply](ctx context.Context, client *Client, operation Operation[R]) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	run := &collection[R]{
@@ -48,7 +49,7 @@
 		voted:     make(map[uint64]bool),
 	}
 	err := run.loop(ctx)
-	return Outcome{First: err == nil && run.isFirst()}, err
+	return Outcome{TopRanked: err == nil && run.isFirst()}, err
 }
 
 const answersAhead = 16
@@ -99,7 +100,7 @@
 	}
 	if r.membership != nil && differ(newest, r.membership) {
 		r.placed++
-		if r.operation.Fresh {
+		if r.operation.SingleMembership {
 			clear(r.voted)
 		}
 	}
@@ -183,7 +184,7 @@
 		select {
 		case got := <-r.answers:
 			r.pending--
-			if got.placed != r.placed && r.operation.Fresh {
+			if got.placed != r.placed && r.operation.SingleMembership {
 				continue
 			}
 			counts, stale := r.judge(got)
@@ -195,7 +196,7 @@
 				r.callPreferred(ctx, hopeful)
 				continue
 			}
-			if r.operation.Visit != nil && r.operation.Visit(got.reply) {
+			if r.operation.OnReply != nil && r.operation.OnReply(got.reply) {
 				return true, nil
 			}
 			r.voted[got.node.Identity] = true
--- a/internal/tier/replica/set.go
+++ b/internal/tier/replica/set.go
@@ -102,8 +102,8 @@
 	return slices.ContainsFunc(set, func(node *tierpb.Node) bool { return node.Identity == identity })
 }
 
-// Same says whether two replica sets have the same members.
-func Same(a, b []*tierpb.Node) bool {
+// SameMembers says whether two replica sets have the same members.
+func SameMembers(a, b []*tierpb.Node) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/tier/turns/client.go
+++ b/internal/tier/turns/client.go
@@ -56,7 +56,7 @@
 func (c *Client) Save(ctx context.Context, record *tierpb.TurnRecord) error {
 	ctx, cancel := bounded(ctx)
 	defer cancel()
-	_, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.PutTurnsReply]{
+	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.PutTurnsReply]{
 		Key:    record.Id,
 		Quorum: replica.WriteQuorum,
 		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.PutTurnsReply, error) {
@@ -104,16 +104,16 @@
 // read asks for a turn and those before it that one store has, newest first; none when a quorum lacks it.
 func (c *Client) read(ctx context.Context, id string) ([]*tierpb.TurnRecord, error) {
 	var found []*tierpb.TurnRecord
-	_, err := replica.Collect(ctx, c.replicas, replica.Operation[*tierpb.GetChainReply]{
-		Key:    id,
-		Quorum: replica.ReadQuorum,
-		Fresh:  true,
+	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.GetChainReply]{
+		Key:              id,
+		Quorum:           replica.ReadQuorum,
+		SingleMembership: true,
 		Call: func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (*tierpb.GetChainReply, error) {
 			request := &tierpb.GetChainRequest{Header: header, Id: id}
 			reply := &tierpb.GetChainReply{}
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodGetChain, request, reply)
 		},
-		Visit: func(reply *tierpb.GetChainReply) bool {
+		OnReply: func(reply *tierpb.GetChainReply) bool {
 			found = linked(reply.Records, id)
 			return len(found) > 0
 		},
--- a/internal/tier/turnstore/drop_test.go
+++ b/internal/tier/turnstore/drop_test.go
@@ -110,7 +110,7 @@
 	client := budget.NewClient(m.clientOptions())
 	err := client.Reserve(context.Background(), program, mostOfTurn, "second", mostOfTurn)
 	client.Wait()
-	assert.ErrorIs(t, err, budget.ErrSpent)
+	assert.ErrorIs(t, err, budget.ErrExhausted)
 	assert.Assert(t, m.ended)
 }
 
@@ -124,7 +124,7 @@
 		return err
 	}
 	assert.NilError(t, reserve("first"))
-	assert.ErrorIs(t, reserve("second"), budget.ErrSpent)
+	assert.ErrorIs(t, reserve("second"), budget.ErrExhausted)
 	assert.ErrorIs(t, reserve("second"), budget.ErrUncertain)
 	client.Withdraw("program", "first")
 	client.Wait()
--- a/internal/tier/turnstore/merge.go
+++ b/internal/tier/turnstore/merge.go
@@ -75,7 +75,7 @@
 	}
 	programs = make([]*tierpb.ProgramBudget, 0, len(s.view.programs))
 	for _, held := range s.view.programs {
-		programs = append(programs, budget.Copy(held.budget))
+		programs = append(programs, budget.Clone(held.budget))
 	}
 	number, failures = s.journal.rotate()
 	return records, programs, number, failures
--- a/internal/tier/turnstore/pass.go
+++ b/internal/tier/turnstore/pass.go
@@ -91,7 +91,7 @@
 	defer p.store.mu.Unlock()
 	var moved []key
 	add := func(name string, program bool) {
-		if sets := replica.Sets(p.membership, name, p.tolerance); !replica.Same(sets[0], sets[1]) {
+		if sets := replica.Sets(p.membership, name, p.tolerance); !replica.SameMembers(sets[0], sets[1]) {
 			moved = append(moved, key{name, program, replica.Score(replica.Hash(name), p.store.identity)})
 		}
 	}
@@ -183,7 +183,7 @@
 		if held == nil {
 			return nil
 		}
-		known.claims, in = budget.Copy(held.budget), held.batch
+		known.claims, in = budget.Clone(held.budget), held.batch
 	} else {
 		held := p.store.view.records[moved.name]
 		if held == nil {
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -127,7 +127,7 @@
 	if held == nil {
 		return &tierpb.ProgramBudget{Program: name}
 	}
-	return budget.Copy(held.budget)
+	return budget.Clone(held.budget)
 }
 
 func isKey(key string) bool { return key != "" && len(key) <= longestID }
