--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -86,6 +86,7 @@
 }
 
 func newCluster(t *testing.T, seed uint64, zones ...string) *cluster {
+	t.Helper()
 	c := &cluster{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 1)),
@@ -123,8 +124,8 @@
 
 func (c *cluster) start(m *machine) {
 	store, err := Open(Options{
-		Disk: m.disk.use(), Folder: "data", Now: c.clock.time, After: c.after, Identity: c.identity,
-		Log: hclog.NewNullLogger(), Faults: m.points(),
+		Disk: m.disk.use(), Folder: "data", Now: c.clock.time, After: c.after, NewIdentity: c.identity,
+		Log: hclog.NewNullLogger(), Failpoints: m.points(),
 	})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
@@ -245,7 +246,7 @@
 	c.mu.Lock()
 	control := &tierpb.ControlState{Version: c.membership.GetEpoch(), Stores: c.membership}
 	c.mu.Unlock()
-	store.Learn(control)
+	store.UpdateControl(control)
 }
 
 func (c *cluster) known() *tierpb.StoreMembership {
@@ -257,8 +258,8 @@
 // pass makes a store hand on what it holds.
 func (c *cluster) pass(m *machine) error {
 	c.teachAll() // a pass goes on until the others know of the change too
-	work := &pass{
-		store: m.store, caller: c, tolerance: c.tolerance, membership: c.known(), faults: m.points(), after: atOnce,
+	work := &rebalance{
+		store: m.store, caller: c, tolerance: c.tolerance, membership: c.known(), failpoints: m.points(), after: atOnce,
 	}
 	return work.run(context.Background())
 }
--- a/internal/tier/turnstore/copies_test.go
+++ b/internal/tier/turnstore/copies_test.go
@@ -51,7 +51,7 @@
 
 // copying is a store's running Mover.
 type copying struct {
-	mover  *Mover
+	mover  *Rebalancer
 	cancel context.CancelFunc
 	told   uint64
 	heard  time.Time
@@ -71,6 +71,7 @@
 )
 
 func newWorld(t *testing.T, seed uint64, of size) *world {
+	t.Helper()
 	w := &world{
 		cluster: newCluster(t, seed),
 		control: &tierpb.ControlState{Stores: &tierpb.StoreMembership{Epoch: 1}},
@@ -101,7 +102,7 @@
 	w.note("%s runs as %d", m.address, m.store.Identity())
 	w.oracle.disks[m.store.Identity()] = m.disk
 	ctx, cancel := context.WithCancel(context.Background())
-	running := &copying{mover: NewMover(m.store, w.cluster, w.tolerance), cancel: cancel}
+	running := &copying{mover: NewRebalancer(m.store, w.cluster, w.tolerance), cancel: cancel}
 	w.movers[m] = running
 	w.copiers.Go(func() { running.mover.Run(ctx) })
 }
@@ -199,8 +200,8 @@
 // tell has a store call the coordinators, which may miss it.
 func (w *world) tell(m *machine) {
 	running := w.movers[m]
-	copied := running.mover.Copied()
-	if time.Since(running.heard) < joinEvery && copied == running.told {
+	copied := running.mover.CompletedEpoch()
+	if time.Since(running.heard) < joinInterval && copied == running.told {
 		return
 	}
 	running.heard, running.told = time.Now(), copied
--- a/internal/tier/turnstore/cost_test.go
+++ b/internal/tier/turnstore/cost_test.go
@@ -29,7 +29,7 @@
 func BenchmarkHeapOfATurn(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newView()
+		held := newState()
 		for number := range countedItems {
 			held.addRecord(&tierpb.TurnRecord{
 				Id: fmt.Sprintf("%0*x", requestIDBytes, number), Previous: fmt.Sprintf("%0*x", requestIDBytes, number-1),
@@ -46,13 +46,13 @@
 func BenchmarkHeapOfAProgram(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newView()
+		held := newState()
 		for number := range countedItems {
 			entries := make([]*tierpb.BudgetEntry, claimsEach)
 			for i := range entries {
 				entries[i] = &tierpb.BudgetEntry{Request: fmt.Sprintf("%0*x", requestIDBytes, number*claimsEach+i), Tokens: 60}
 			}
-			held.addClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
+			held.mergeClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
 		}
 		cost := float64(heapInUse()-before) / countedItems
 		b.ReportMetric(cost, "B/program")
--- a/internal/tier/turnstore/damaged_test.go
+++ b/internal/tier/turnstore/damaged_test.go
@@ -19,7 +19,7 @@
 	c.kill(m)
 	damaged := 0
 	for path, file := range m.disk.files {
-		if strings.HasPrefix(path, "data/"+memberSeries) {
+		if strings.HasPrefix(path, "data/"+membershipSeries) {
 			file.data[len(file.data)-1] ^= 1
 			damaged++
 		}
@@ -42,7 +42,7 @@
 	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
 	assert.Equal(t, len(reply.Header.Membership.Previous), 0)
 	control := &tierpb.ControlState{Stores: c.older[len(c.older)-1]}
-	m.store.Learn(control)
+	m.store.UpdateControl(control)
 	known, _ := m.store.Membership()
 	assert.Equal(t, len(known.Previous), 0, "it does not go back")
 }
--- /dev/null
+++ b/internal/tier/turnstore/doc.go
@@ -0,0 +1,57 @@
+// Package turnstore is the turn store: the role that keeps the records of conversation turns and the claims on
+// programs' token budgets, replicated over several stores and durable on their disks.
+//
+// # Durability
+//
+// A store holds all of its records and budgets in memory and appends every change to a write-ahead log. All changes
+// that arrive while one sync is running are made durable by the next (group sync). A call is acknowledged only once the
+// batch that its changes are in is synced, also if it brings a change that another call has brought before. Clients
+// (packages turns and budget) wait for f+1 such acknowledgements from the replica set of a key, where f is the
+// configured fault tolerance. The proxy sends the last chunk of a turn's response only after that, so a turn that a
+// client has seen complete is on f+1 disks.
+//
+// When a write to the disk fails, the log accepts nothing until a compaction has written everything that is in memory
+// to a new file. A sync that takes longer than stallThreshold makes new writes fail at once, so that callers turn to
+// another replica.
+//
+// # Files in the data folder
+//
+//	segment-NUMBER    batches of frames, appended and synced one after the other
+//	marks-NUMBER      offsets up to which that segment was synced (see offsetFile)
+//	merged-NUMBER     compacted file: replaces all segments up to NUMBER and all earlier compacted files
+//	merged-NUMBER.part  a compacted file that is being written; removed at the next start
+//	newest.*          number of the newest compacted file
+//	identity.*        the store's identity
+//	membership.*      the newest membership whose rebalance may have begun
+//
+// NUMBER has 16 hexadecimal digits. Segments and compacted files consist of a magic number and frames (see frame.go);
+// the last three are versioned files of package storage. The names "marks" and "merged" are kept for compatibility with
+// files on disk; the code says offsets and compacted.
+//
+// # Recovery
+//
+// Open reads all compacted files and segments. Applying frames is commutative and idempotent, so neither the order nor a
+// file that has been replaced already matters. What was read is synced before it is served, because from then on it
+// counts as durable.
+//
+// A segment that ends in an incomplete frame is normal after a crash, as long as the offsets file does not say that the
+// bytes were synced: nothing in an unsynced batch was acknowledged. A store whose disk has lost bytes that were synced,
+// a compacted file or the membership takes a new identity, once, and logs "disk lost synced data: store restarts with a
+// new identity". The placement role then treats it as a new member, and the other members transfer its records to it.
+// An empty disk gives a new identity too.
+//
+// # Rebalancing
+//
+// The placement role publishes a membership with an epoch, the current members and, while records move, the previous
+// ones. Meanwhile clients need a quorum of both sets. A store that learns of a newer epoch rejects calls of older ones,
+// saves the membership, and then (if it is a previous member) runs a rebalance: for each key whose replica set has
+// changed it offers the key to the current replica set and sends it to as many members as are missing from a write
+// quorum. A store reports the epoch to the coordinators once all of its keys are durable there; the placement role drops
+// the previous members when enough stores have reported. See Rebalancer.
+//
+// # Retention
+//
+// A record expires a grace period after its own retention; saving a turn extends the retention of the turns that it
+// continues, so that a conversation is kept as long as its last turn. A program's claims expire budgetRetention after the
+// last one. Compaction drops expired entries from the disk.
+package turnstore
--- a/internal/tier/turnstore/drop_test.go
+++ b/internal/tier/turnstore/drop_test.go
@@ -72,6 +72,7 @@
 
 // newMoveEnds is a cluster whose three members are being replaced by three others.
 func newMoveEnds(t *testing.T, before func(*cluster)) *moveEnds {
+	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
 	before(c)
 	previous := c.known().Current
--- a/internal/tier/turnstore/extend_test.go
+++ b/internal/tier/turnstore/extend_test.go
@@ -29,12 +29,12 @@
 			previous = record.Id
 			c.clock.advance(40 * time.Second)
 			for _, m := range c.machines {
-				m.store.view.expire(c.clock.time())
+				m.store.state.removeExpired(c.clock.time())
 			}
 		}
 		c.clock.advance(19 * time.Second) // 59 s after the last turn
 		for _, m := range c.machines {
-			m.store.view.expire(c.clock.time())
+			m.store.state.removeExpired(c.clock.time())
 		}
 		chain, err := c.turns().Chain(ctx, previous)
 		assert.NilError(t, err)
@@ -71,7 +71,7 @@
 	copies := 0
 	for _, node := range current {
 		store := c.machines[node.Address].store
-		store.view.expire(c.clock.time())
+		store.state.removeExpired(c.clock.time())
 		copies += store.Records()
 	}
 	assert.Assert(t, copies >= 2, "%d copies", copies)
@@ -95,7 +95,7 @@
 		go extend()
 		time.Sleep(50 * time.Millisecond)
 		extend()
-		assert.Equal(t, held(m.disk).records["turn"].until, until)
+		assert.Equal(t, held(m.disk).records["turn"].expiresUnixMs, until)
 	})
 }
 
@@ -106,9 +106,9 @@
 	record := c.record("turn", "")
 	assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_OK)
 	retention := time.Duration(record.RetentionMs) * time.Millisecond
-	slack := retention/slackShare + recordSlack
-	m.store.view.expire(c.clock.time().Add(retention + slack))
+	slack := retention/expiryGraceDivisor + expiryGrace
+	m.store.state.removeExpired(c.clock.time().Add(retention + slack))
 	assert.Equal(t, m.store.Records(), 1)
-	m.store.view.expire(c.clock.time().Add(retention + slack + time.Millisecond))
+	m.store.state.removeExpired(c.clock.time().Add(retention + slack + time.Millisecond))
 	assert.Equal(t, m.store.Records(), 0)
 }
--- a/internal/tier/turnstore/frame.go
+++ b/internal/tier/turnstore/frame.go
@@ -9,33 +9,34 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// A file of records begins with fileMagic. Frames follow: the length of the body (4 bytes, big endian), its
-// checksum (4 bytes), and the body, which is a kind (1 byte) and a message.
+// Format of segments and compacted files. A file begins with fileMagic. Frames follow, each with a header of the body's
+// length (4 bytes, big endian) and its CRC-32C (4 bytes, big endian), and a body of a kind (1 byte) and a protobuf
+// message.
 const (
 	fileMagic        = "PTURNS01"
 	frameHeaderBytes = 8
-	mostFrameBytes   = 64 << 20
+	maxFrameBytes    = 64 << 20
 )
 
 // Kinds of frames.
 const (
-	kindRecord    byte = 1
-	kindBudget    byte = 2
-	kindExtension byte = 3
+	kindRecord    byte = 1 // tierpb.TurnRecord
+	kindBudget    byte = 2 // tierpb.ProgramBudget
+	kindExtension byte = 3 // tierpb.RetentionExtension
 )
 
 var (
-	checksums    = crc32.MakeTable(crc32.Castagnoli)
-	errFrameKind = eris.New("frame of a kind that is not known")
+	castagnoli      = crc32.MakeTable(crc32.Castagnoli)
+	errUnknownFrame = eris.New("frame of an unknown kind")
 )
 
-// message is a generated message with the fast encoding.
+// message is a generated protobuf message with the vtprotobuf encoding.
 type message interface {
 	SizeVT() int
 	MarshalToSizedBufferVT([]byte) (int, error)
 }
 
-// appendFrame adds a frame to a buffer.
+// appendFrame appends a frame to a buffer.
 func appendFrame(buffer []byte, kind byte, body message) ([]byte, error) {
 	size := body.SizeVT()
 	start := len(buffer)
@@ -46,78 +47,78 @@
 		return buffer[:start], eris.Wrap(err, "encode a frame")
 	}
 	binary.BigEndian.PutUint32(frame, uint32(1+size))
-	binary.BigEndian.PutUint32(frame[4:], crc32.Checksum(frame[frameHeaderBytes:], checksums))
+	binary.BigEndian.PutUint32(frame[4:], crc32.Checksum(frame[frameHeaderBytes:], castagnoli))
 	return buffer, nil
 }
 
-// contents takes what a file holds.
-type contents interface {
-	takeRecord(*tierpb.TurnRecord)
-	takeBudget(*tierpb.ProgramBudget)
-	takeExtension(*tierpb.RetentionExtension)
+// frameLoader receives the decoded frames of a file.
+type frameLoader interface {
+	loadRecord(*tierpb.TurnRecord)
+	loadBudget(*tierpb.ProgramBudget)
+	loadExtension(*tierpb.RetentionExtension)
 }
 
-// readFrames hands on the frames of a file up to its end or to the first that is not whole, and returns how many bytes
-// that is and whether it is the whole file. A sync covers all that was written to the file before, so nothing behind a
-// frame that was torn as it was written was ever acknowledged.
-func readFrames(data []byte, into contents) (valid int64, whole bool, err error) {
+// readFrames decodes the frames of a file up to its end or to the first frame that is incomplete or corrupt. It returns
+// how many bytes are valid and whether that is the whole file. A sync covers everything written to the file before, so
+// nothing after a frame that was torn while it was written has ever been acknowledged.
+func readFrames(data []byte, loader frameLoader) (validBytes int64, complete bool, err error) {
 	if len(data) < len(fileMagic) || string(data[:len(fileMagic)]) != fileMagic {
 		return 0, false, nil
 	}
-	valid = int64(len(fileMagic))
+	validBytes = int64(len(fileMagic))
 	for rest := data[len(fileMagic):]; len(rest) > 0; {
 		body, size := nextFrame(rest)
 		if body == nil {
-			return valid, false, nil
+			return validBytes, false, nil
 		}
-		if err := takeFrame(body, into); err != nil {
-			return valid, false, err
+		if err := decodeFrame(body, loader); err != nil {
+			return validBytes, false, err
 		}
-		valid += int64(size)
+		validBytes += int64(size)
 		rest = rest[size:]
 	}
-	return valid, true, nil
+	return validBytes, true, nil
 }
 
-// nextFrame returns the body of the first frame and the frame's size, nil where it is not whole.
-func nextFrame(data []byte) ([]byte, int) {
+// nextFrame returns the body of the first frame and the size of the frame; a nil body if it is incomplete or corrupt.
+func nextFrame(data []byte) (body []byte, size int) {
 	if len(data) < frameHeaderBytes+1 {
 		return nil, 0
 	}
 	length := int(binary.BigEndian.Uint32(data))
-	if length < 1 || length > mostFrameBytes || length > len(data)-frameHeaderBytes {
+	if length < 1 || length > maxFrameBytes || length > len(data)-frameHeaderBytes {
 		return nil, 0
 	}
-	body := data[frameHeaderBytes : frameHeaderBytes+length]
-	if crc32.Checksum(body, checksums) != binary.BigEndian.Uint32(data[4:]) {
+	body = data[frameHeaderBytes : frameHeaderBytes+length]
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(data[4:]) {
 		return nil, 0
 	}
 	return body, frameHeaderBytes + length
 }
 
-func takeFrame(body []byte, into contents) error {
+func decodeFrame(body []byte, loader frameLoader) error {
 	kind, payload := body[0], body[1:]
 	switch kind {
 	case kindRecord:
 		record := &tierpb.TurnRecord{}
 		if err := record.UnmarshalVT(payload); err != nil {
-			return eris.Wrap(err, "turn record")
+			return eris.Wrap(err, "decode a turn record")
 		}
-		into.takeRecord(record)
+		loader.loadRecord(record)
 	case kindBudget:
 		budget := &tierpb.ProgramBudget{}
 		if err := budget.UnmarshalVT(payload); err != nil {
-			return eris.Wrap(err, "budget")
+			return eris.Wrap(err, "decode a program budget")
 		}
-		into.takeBudget(budget)
+		loader.loadBudget(budget)
 	case kindExtension:
 		extension := &tierpb.RetentionExtension{}
 		if err := extension.UnmarshalVT(payload); err != nil {
-			return eris.Wrap(err, "extension")
+			return eris.Wrap(err, "decode a retention extension")
 		}
-		into.takeExtension(extension)
+		loader.loadExtension(extension)
 	default:
-		return errFrameKind
+		return errUnknownFrame
 	}
 	return nil
 }
--- a/internal/tier/turnstore/join.go
+++ b/internal/tier/turnstore/join.go
@@ -9,56 +9,55 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times of joining.
+// Times of the join calls.
 const (
-	joinEvery     = 500 * time.Millisecond // also as a member: the coordinators take silence for death
-	joinTimeout   = 400 * time.Millisecond
-	noticeAtStart = 50 * time.Millisecond // before the first call, for the listeners of the others
+	joinInterval   = 500 * time.Millisecond
+	joinTimeout    = 400 * time.Millisecond
+	firstJoinDelay = 50 * time.Millisecond // after the start, until the coordinators' listeners are up
 )
 
-// joiner tells the coordinators of the store until it is a member, and how far its passes are.
+// joiner sends join requests to the coordinators. They ask for membership, report the newest epoch whose rebalance is
+// complete, and are the store's heartbeat: members send them too, because the coordinators take a store without join
+// requests for failed.
 type joiner struct {
-	store     *Store
-	mover     *Mover
-	caller    rpc.Caller
-	node      *tierpb.Node
-	addresses func() []string // of the coordinators
+	store      *Store
+	rebalancer *Rebalancer
+	caller     rpc.Caller
+	node       *tierpb.Node
+	addresses  func() []string // of the coordinators
 }
 
+// run sends join requests at joinInterval, and at once when a rebalance completes or the membership changes.
 func (j *joiner) run(ctx context.Context) {
-	wait := noticeAtStart
+	wait := firstJoinDelay
 	for {
 		_, changed := j.store.Membership()
 		select {
 		case <-j.store.options.After(wait):
-		case <-j.mover.Done():
+		case <-j.rebalancer.Done():
 		case <-changed:
 		case <-ctx.Done():
 			return
 		}
-		j.tell(ctx)
-		wait = joinEvery
+		j.sendJoin(ctx)
+		wait = joinInterval
 	}
 }
 
-// tell calls all coordinators at the same time.
-func (j *joiner) tell(ctx context.Context) {
+// sendJoin sends a join request to all coordinators concurrently. Failures are ignored: the next request follows soon.
+func (j *joiner) sendJoin(ctx context.Context) {
 	membership, _ := j.store.Membership()
 	request := &tierpb.JoinRequest{
 		Node:        j.node,
 		StoreEpoch:  membership.GetEpoch(),
-		CopiedEpoch: j.mover.Copied(),
+		CopiedEpoch: j.rebalancer.CompletedEpoch(),
 		Records:     uint64(j.store.Records()),
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, address := range j.addresses() {
-		calls.Add(1)
-		go func() {
-			defer calls.Done()
-			_ = j.caller.Call(ctx, address, rpc.MethodJoin, request, &tierpb.JoinReply{})
-		}()
+		calls.Go(func() { _ = j.caller.Call(ctx, address, rpc.MethodJoin, request, &tierpb.JoinReply{}) })
 	}
 	calls.Wait()
 }
--- a/internal/tier/turnstore/life_test.go
+++ b/internal/tier/turnstore/life_test.go
@@ -18,7 +18,7 @@
 func (l *life) over() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.number != l.memoryDisk.life {
+	if l.number != l.life {
 		return errDiskTrouble
 	}
 	return nil
--- a/internal/tier/turnstore/losses_test.go
+++ b/internal/tier/turnstore/losses_test.go
@@ -31,6 +31,7 @@
 
 // playWorld plays one schedule, and then lets everything come back.
 func playWorld(t *testing.T, seed uint64, of size) {
+	t.Helper()
 	t.Logf("seed %d, %d members of which %d may be lost", seed, of.members, of.tolerance)
 	w := newWorld(t, seed, of)
 	defer w.end()
@@ -261,7 +262,7 @@
 func (w *world) merge() {
 	for _, m := range w.ordered() {
 		if m.store != nil && w.random.IntN(2) == 0 {
-			_ = m.store.Merge(context.Background())
+			_ = m.store.Compact(context.Background())
 		}
 	}
 }
@@ -279,7 +280,7 @@
 		}
 		known, _ := m.store.Membership()
 		text += fmt.Sprintf("\n%s identity %d knows %d copied %d lost %v cut %v", m.address, m.store.Identity(),
-			known.GetEpoch(), w.movers[m].mover.Copied(), isLost, w.cut[m.address])
+			known.GetEpoch(), w.movers[m].mover.CompletedEpoch(), isLost, w.cut[m.address])
 	}
 	return text
 }
--- a/internal/tier/turnstore/oracle_test.go
+++ b/internal/tier/turnstore/oracle_test.go
@@ -23,13 +23,13 @@
 }
 
 // held reads what a disk would give back if its power were lost now and nothing that was not synced stayed.
-func held(disk *memoryDisk) *view {
+func held(disk *memoryDisk) *state {
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
-	found := newView()
+	found := newState()
 	for path, file := range disk.files {
 		if _, isSegment := numberOf(baseName(path), segmentPrefix); !isSegment {
-			if _, isMerged := numberOf(baseName(path), mergedPrefix); !isMerged {
+			if _, isMerged := numberOf(baseName(path), compactedPrefix); !isMerged {
 				continue
 			}
 		}
@@ -41,8 +41,8 @@
 func baseName(path string) string { return path[len("data/"):] }
 
 // intact returns what stands on the disks that are not lost, by identity.
-func (o *oracle) intact(machines map[string]*machine) map[uint64]*view {
-	views := make(map[uint64]*view)
+func (o *oracle) intact(machines map[string]*machine) map[uint64]*state {
+	views := make(map[uint64]*state)
 	for identity, disk := range o.disks {
 		for _, m := range machines {
 			if m.disk == disk {
@@ -62,7 +62,7 @@
 		base = membership.GetCurrent()
 	}
 	views := o.intact(machines)
-	count := func(key string, has func(*view) bool) string {
+	count := func(key string, has func(*state) bool) string {
 		set := replica.Set(base, key, replica.Size(tolerance))
 		copies, lost := 0, 0
 		for _, member := range set {
@@ -79,7 +79,7 @@
 		return fmt.Sprintf("%s: %d copies, %d of its set lost", key, copies, lost)
 	}
 	for _, id := range o.turns {
-		if short := count(id, func(v *view) bool { return v.records[id] != nil }); short != "" {
+		if short := count(id, func(v *state) bool { return v.records[id] != nil }); short != "" {
 			return short
 		}
 	}
@@ -91,7 +91,7 @@
 	return ""
 }
 
-func (c claimed) isIn(v *view) bool {
+func (c claimed) isIn(v *state) bool {
 	program := v.programs[c.program]
 	if program == nil {
 		return false
--- a/internal/tier/turnstore/repeated_test.go
+++ b/internal/tier/turnstore/repeated_test.go
@@ -70,6 +70,7 @@
 
 // deliver has calls come to a new store and returns what is on its disk afterwards.
 func deliver(t *testing.T, seed uint64, arrange func(*rand.Rand, []delivery) []delivery) string {
+	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
 	defer c.close()
 	m := c.machines["10.0.0.1:1"]
@@ -95,7 +96,7 @@
 	var lines []string
 	found := held(m.disk)
 	for id, record := range found.records {
-		lines = append(lines, fmt.Sprintf("%s until %d %s", id, record.until, record.turn))
+		lines = append(lines, fmt.Sprintf("%s until %d %s", id, record.expiresUnixMs, record.turn))
 	}
 	for name, program := range found.programs {
 		lines = append(lines, fmt.Sprintf("%s %s", name, program.budget))
--- a/internal/tier/turnstore/rot_test.go
+++ b/internal/tier/turnstore/rot_test.go
@@ -47,10 +47,10 @@
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	before := m.store.Identity()
 	c.kill(m)
-	spoil(fileOf(t, m, mergedPrefix))
+	spoil(fileOf(t, m, compactedPrefix))
 	c.wantAnotherOnce(m, before)
 }
 
@@ -59,11 +59,11 @@
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	assert.Equal(t, put(c, m, c.record("later", "")), tierpb.StoreStatus_STORE_OK)
 	before := m.store.Identity()
 	c.kill(m)
-	maps.DeleteFunc(m.disk.files, func(path string, _ *memoryFile) bool { return strings.HasPrefix(path, "data/"+mergedPrefix) })
+	maps.DeleteFunc(m.disk.files, func(path string, _ *memoryFile) bool { return strings.HasPrefix(path, "data/"+compactedPrefix) })
 	c.wantAnotherOnce(m, before)
 }
 
@@ -73,16 +73,16 @@
 	m := c.machines["10.0.0.1:1"]
 	before := m.store.Identity()
 	assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	number := maps.Clone(m.disk.files)
-	maps.DeleteFunc(number, func(path string, _ *memoryFile) bool { return !strings.HasPrefix(path, "data/"+mergedNumberSeries) })
+	maps.DeleteFunc(number, func(path string, _ *memoryFile) bool { return !strings.HasPrefix(path, "data/"+compactionNumberSeries) })
 	assert.Equal(t, len(number), 1)
 	for range 2 {
-		assert.NilError(t, m.store.Merge(context.Background()))
+		assert.NilError(t, m.store.Compact(context.Background()))
 	}
 	for _, left := range []map[string]*memoryFile{number, nil} {
 		c.kill(m)
-		maps.DeleteFunc(m.disk.files, func(path string, _ *memoryFile) bool { return strings.HasPrefix(path, "data/"+mergedNumberSeries) })
+		maps.DeleteFunc(m.disk.files, func(path string, _ *memoryFile) bool { return strings.HasPrefix(path, "data/"+compactionNumberSeries) })
 		maps.Copy(m.disk.files, left)
 		c.start(m)
 		assert.Equal(t, m.store.Identity(), before)
@@ -146,14 +146,14 @@
 	before := m.store.Identity()
 	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
 	c.kill(m)
-	file := fileOf(t, m, marksPrefix)
+	file := fileOf(t, m, offsetsPrefix)
 	file.data = append(file.data, "not a mark, nor the whole of one"...)
 	c.start(m)
 	assert.Equal(t, m.store.Identity(), before)
 	assert.Equal(t, put(c, m, c.record("second", "")), tierpb.StoreStatus_STORE_OK)
 	c.kill(m)
 	for path := range m.disk.files {
-		if strings.HasPrefix(path, "data/"+marksPrefix) {
+		if strings.HasPrefix(path, "data/"+offsetsPrefix) {
 			delete(m.disk.files, path)
 		}
 	}
@@ -170,10 +170,10 @@
 	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
 	c.kill(m)
 	c.start(m)
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	c.kill(m)
 	for path := range m.disk.files {
-		assert.Assert(t, !strings.HasPrefix(path, "data/"+marksPrefix) && !strings.HasPrefix(path, "data/"+segmentPrefix), path)
+		assert.Assert(t, !strings.HasPrefix(path, "data/"+offsetsPrefix) && !strings.HasPrefix(path, "data/"+segmentPrefix), path)
 	}
 	c.start(m)
 	assert.Equal(t, m.store.Identity(), before)
--- a/internal/tier/turnstore/schedule_test.go
+++ b/internal/tier/turnstore/schedule_test.go
@@ -65,6 +65,7 @@
 )
 
 func newSchedule(t *testing.T, seed uint64) *schedule {
+	t.Helper()
 	s := &schedule{
 		cluster:  newCluster(t, seed, "a", "b", "c", "a"),
 		copied:   make(map[uint64]uint64),
@@ -310,7 +311,7 @@
 	m.stopAfter(s.random.IntN(4))
 	err := s.pass(m)
 	m.goOn()
-	if err != nil || m.store.journal.isFailed() {
+	if err != nil || m.store.wal.hasFailed() {
 		s.kill(m)
 		s.start(m)
 	}
@@ -333,9 +334,9 @@
 func (s *schedule) merge() {
 	m := s.some()
 	m.stopAfter(s.random.IntN(4))
-	err := m.store.Merge(context.Background())
+	err := m.store.Compact(context.Background())
 	m.goOn()
-	if errors.Is(err, failpoint.ErrStopped) || m.store.journal.isFailed() {
+	if errors.Is(err, failpoint.ErrStopped) || m.store.wal.hasFailed() {
 		s.losePower(m)
 		s.start(m)
 	}
@@ -386,7 +387,7 @@
 		}
 		m.store.mu.Lock()
 		text += fmt.Sprintf("\n%s identity %d epoch %d cut %v lost %v holds %v disk %v", address, m.store.identity,
-			m.store.membership.GetEpoch(), s.cut[address], m == s.lost, m.store.view.records[id] != nil, m.store.journal.usable())
+			m.store.membership.GetEpoch(), s.cut[address], m == s.lost, m.store.state.records[id] != nil, m.store.wal.checkWritable())
 		m.store.mu.Unlock()
 	}
 	return text
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -10,9 +10,12 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-var errBadRequest = eris.New("request without a key or with one that is too long")
+// maxKeyBytes bounds the ids of turns and requests and the names of programs.
+const maxKeyBytes = 4096
 
-// Register sets the store's handlers.
+var errBadRequest = eris.New("request has no key or a key that is too long")
+
+// Register registers the store's RPC handlers.
 func (s *Store) Register(server *rpc.Server) {
 	rpc.Handle(server, rpc.MethodPutTurns, s.PutTurns)
 	rpc.Handle(server, rpc.MethodGetChain, s.GetChain)
@@ -22,122 +25,109 @@
 	rpc.Handle(server, rpc.MethodOfferRecords, s.OfferRecords)
 }
 
-// PutTurns answers when the records are synced.
+// PutTurns stores records and extensions of retention. It returns when they are synced.
 func (s *Store) PutTurns(ctx context.Context, request *tierpb.PutTurnsRequest) (*tierpb.PutTurnsReply, error) {
 	for _, turn := range request.Records {
-		if !isKey(turn.Id) {
+		if !validKey(turn.Id) {
 			return nil, errBadRequest
 		}
 	}
-	verdict, err := s.take(ctx, request.Header, writes{records: request.Records, extensions: request.Extensions})
+	header, err := s.commit(ctx, request.Header, writes{records: request.Records, extensions: request.Extensions})
 	if err != nil {
 		return nil, err
 	}
-	return &tierpb.PutTurnsReply{Header: verdict}, nil
+	return &tierpb.PutTurnsReply{Header: header}, nil
 }
 
-// GetChain answers with the turn and those before it that are held.
+// GetChain returns a turn and the turns that it continues, as far as they are in the store.
 func (s *Store) GetChain(_ context.Context, request *tierpb.GetChainRequest) (*tierpb.GetChainReply, error) {
-	if !isKey(request.Id) {
+	if !validKey(request.Id) {
 		return nil, errBadRequest
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict, err := s.verdict(request.Header)
-	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.GetChainReply{Header: verdict}, err
+	header, err := s.checkHeader(request.Header)
+	if err != nil || header.Status != tierpb.StoreStatus_STORE_OK {
+		return &tierpb.GetChainReply{Header: header}, err
 	}
-	turns, missing := s.view.chain(request.Id)
-	return &tierpb.GetChainReply{Header: verdict, Records: turns, Missing: missing}, nil
+	turns, missing := s.state.chain(request.Id)
+	return &tierpb.GetChainReply{Header: header, Records: turns, Missing: missing}, nil
 }
 
-// ReserveBudget merges claims and answers with all of the program when they are synced.
+// ReserveBudget merges claims and returns all claims of the program once the merged ones are synced.
 func (s *Store) ReserveBudget(
 	ctx context.Context, request *tierpb.ReserveBudgetRequest,
 ) (*tierpb.BudgetReply, error) {
-	if !areClaims(request.Budget) {
+	if !validClaims(request.Budget) {
 		return nil, errBadRequest
 	}
-	verdict, err := s.take(ctx, request.Header, writes{budgets: []*tierpb.ProgramBudget{request.Budget}})
-	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.BudgetReply{Header: verdict}, err
+	header, err := s.commit(ctx, request.Header, writes{budgets: []*tierpb.ProgramBudget{request.Budget}})
+	if err != nil || header.Status != tierpb.StoreStatus_STORE_OK {
+		return &tierpb.BudgetReply{Header: header}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &tierpb.BudgetReply{Header: verdict, Budget: s.claims(request.Budget.Program)}, nil
+	return &tierpb.BudgetReply{Header: header, Budget: s.claimsOf(request.Budget.Program)}, nil
 }
 
-// ReadBudget answers with all claims of a program.
+// ReadBudget returns all claims of a program.
 func (s *Store) ReadBudget(_ context.Context, request *tierpb.ReadBudgetRequest) (*tierpb.BudgetReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict, err := s.verdict(request.Header)
-	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.BudgetReply{Header: verdict}, err
+	header, err := s.checkHeader(request.Header)
+	if err != nil || header.Status != tierpb.StoreStatus_STORE_OK {
+		return &tierpb.BudgetReply{Header: header}, err
 	}
-	return &tierpb.BudgetReply{Header: verdict, Budget: s.claims(request.Program)}, nil
+	return &tierpb.BudgetReply{Header: header, Budget: s.claimsOf(request.Program)}, nil
 }
 
-// MoveRecords takes copies that another store hands on.
+// MoveRecords stores what another store transfers during a rebalance. It returns when it is synced.
 func (s *Store) MoveRecords(
 	ctx context.Context, request *tierpb.MoveRecordsRequest,
 ) (*tierpb.MoveRecordsReply, error) {
-	verdict, err := s.take(ctx, request.Header, writes{request.Records, request.Budgets, request.Extensions})
+	header, err := s.commit(ctx, request.Header, writes{request.Records, request.Budgets, request.Extensions})
 	if err != nil {
 		return nil, err
 	}
-	return &tierpb.MoveRecordsReply{Header: verdict}, nil
+	return &tierpb.MoveRecordsReply{Header: header}, nil
 }
 
-// OfferRecords answers with those of the records named that are not held and durable.
+// OfferRecords returns the indexes of the offered records that are not durable in this store.
 func (s *Store) OfferRecords(
 	_ context.Context, request *tierpb.OfferRecordsRequest,
 ) (*tierpb.OfferRecordsReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict, err := s.verdict(request.Header)
-	if err != nil || verdict.Status != tierpb.StoreStatus_STORE_OK {
-		return &tierpb.OfferRecordsReply{Header: verdict}, err
+	header, err := s.checkHeader(request.Header)
+	if err != nil || header.Status != tierpb.StoreStatus_STORE_OK {
+		return &tierpb.OfferRecordsReply{Header: header}, err
 	}
-	reply := &tierpb.OfferRecordsReply{Header: verdict}
+	reply := &tierpb.OfferRecordsReply{Header: header}
 	for i, id := range request.Ids {
-		if held := s.view.records[id]; held == nil || !s.isDurable(held.batch) {
+		if existing := s.state.records[id]; existing == nil || !s.isDurable(existing.batch) {
 			reply.Missing = append(reply.Missing, uint32(i))
 		}
 	}
 	return reply, nil
 }
 
-// isDurable says whether a batch is synced, or was saved by a merged file after it failed.
-func (s *Store) isDurable(in *batch) bool {
-	if in == nil {
-		return true
-	}
-	select {
-	case <-in.done:
-		return in.err == nil || s.journal.usable() == nil
-	default:
-		return false
-	}
-}
-
-// claims copies the claims of a program, whose slice may change later; the entries never do.
-func (s *Store) claims(name string) *tierpb.ProgramBudget {
-	held := s.view.programs[name]
-	if held == nil {
+// claimsOf returns a copy of the claims of a program, because their slice may change later. The caller holds s.mu.
+func (s *Store) claimsOf(name string) *tierpb.ProgramBudget {
+	existing := s.state.programs[name]
+	if existing == nil {
 		return &tierpb.ProgramBudget{Program: name}
 	}
-	return budget.Clone(held.budget)
+	return budget.Clone(existing.budget)
 }
 
-func isKey(key string) bool { return key != "" && len(key) <= longestID }
+func validKey(key string) bool { return key != "" && len(key) <= maxKeyBytes }
 
-func areClaims(claims *tierpb.ProgramBudget) bool {
-	if claims == nil || !isKey(claims.Program) {
+func validClaims(claims *tierpb.ProgramBudget) bool {
+	if claims == nil || !validKey(claims.Program) {
 		return false
 	}
 	for _, entry := range claims.Entries {
-		if !isKey(entry.Request) {
+		if !validKey(entry.Request) {
 			return false
 		}
 	}
--- a/internal/tier/turnstore/synced_test.go
+++ b/internal/tier/turnstore/synced_test.go
@@ -23,12 +23,12 @@
 		m.disk.setSyncTime(func() time.Duration { return 200 * time.Millisecond })
 		go put(c, m, c.record("turn", ""))
 		copies := func() (own int, lacking int) {
-			work := &pass{store: m.store, caller: c, tolerance: 3, membership: c.known(), after: atOnce}
+			work := &rebalance{store: m.store, caller: c, tolerance: 3, membership: c.known(), after: atOnce}
 			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
 			request := &tierpb.OfferRecordsRequest{Header: header, Ids: []string{"turn"}}
 			reply, err := m.store.OfferRecords(context.Background(), request)
 			assert.NilError(t, err)
-			return len(work.look(key{name: "turn"}).holders), len(reply.Missing)
+			return len(work.newProgress(transferKey{name: "turn"}).durableOn), len(reply.Missing)
 		}
 		time.Sleep(100 * time.Millisecond)
 		own, lacking := copies()
--- /dev/null
+++ b/internal/tier/turnstore/transfer.go
@@ -0,0 +1,219 @@
+package turnstore
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/rpc"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// Bounds of the calls of a rebalance.
+const (
+	maxTransferBytes = 256 << 10 // approximate size of one call, unless a single key is larger
+	transferTimeout  = 2 * time.Second
+)
+
+// progressByMember groups the keys of a call by the identity of the member that is called.
+type progressByMember map[uint64][]*keyProgress
+
+// offerRecords asks the members of the replica sets which records they have already.
+func (r *rebalance) offerRecords(ctx context.Context, batch []*keyProgress) error {
+	byMember := make(progressByMember)
+	for _, progress := range batch {
+		if progress.record == nil || progress.missingReplicas() <= 0 {
+			continue
+		}
+		for _, member := range progress.replicaSet {
+			if member.Identity != r.store.identity {
+				byMember[member.Identity] = append(byMember[member.Identity], progress)
+			}
+		}
+	}
+	return r.callMembers(byMember, func(member *tierpb.Node, offered []*keyProgress) (func(), error) {
+		request := &tierpb.OfferRecordsRequest{Header: r.header(member)}
+		for _, progress := range offered {
+			request.Ids = append(request.Ids, progress.key.name)
+		}
+		reply := &tierpb.OfferRecordsReply{}
+		err := r.call(ctx, member, rpc.MethodOfferRecords, request, reply)
+		served, err := checkReply(reply.Header, err)
+		return func() { applyOfferReply(member, offered, reply.Missing, served) }, err
+	})
+}
+
+func applyOfferReply(member *tierpb.Node, offered []*keyProgress, missing []uint32, served bool) {
+	for i, progress := range offered {
+		switch {
+		case !served:
+			progress.failed = append(progress.failed, member.Identity)
+		case !slices.Contains(missing, uint32(i)):
+			progress.durableOn = append(progress.durableOn, member.Identity)
+			if progress.extension() != nil {
+				progress.needExpiry = append(progress.needExpiry, member.Identity)
+			}
+		}
+	}
+}
+
+// sendMissing sends keys to members until each is on a write quorum or no member is left to try.
+func (r *rebalance) sendMissing(ctx context.Context, batch []*keyProgress) error {
+	for {
+		byMember := make(progressByMember)
+		for _, progress := range batch {
+			for _, member := range progress.targets() {
+				byMember[member.Identity] = append(byMember[member.Identity], progress)
+			}
+		}
+		if len(byMember) == 0 {
+			return nil
+		}
+		err := r.callMembers(byMember, func(member *tierpb.Node, sent []*keyProgress) (func(), error) {
+			synced, err := r.send(ctx, member, sent)
+			return func() { r.applySent(member, sent, synced) }, err
+		})
+		if err != nil {
+			return err
+		}
+	}
+}
+
+func (r *rebalance) applySent(member *tierpb.Node, sent []*keyProgress, synced int) {
+	for i, progress := range sent {
+		if i < synced {
+			progress.durableOn = append(progress.durableOn, member.Identity)
+			r.transferredKeys++
+			r.transferredBytes += progress.approximateBytes()
+			continue
+		}
+		progress.failed = append(progress.failed, member.Identity)
+	}
+}
+
+// send sends keys to one member in calls of bounded size and returns how many of them, from the first, it has synced.
+func (r *rebalance) send(ctx context.Context, member *tierpb.Node, keys []*keyProgress) (synced int, err error) {
+	for synced < len(keys) {
+		request := &tierpb.MoveRecordsRequest{Header: r.header(member)}
+		count := fillRequest(request, keys[synced:])
+		reply := &tierpb.MoveRecordsReply{}
+		err := r.call(ctx, member, rpc.MethodMoveRecords, request, reply)
+		served, err := checkReply(reply.Header, err)
+		if err != nil || !served {
+			return synced, err
+		}
+		synced += count
+	}
+	return synced, nil
+}
+
+// fillRequest adds keys to a request up to its size limit, at least one, and returns how many it has added.
+func fillRequest(request *tierpb.MoveRecordsRequest, keys []*keyProgress) int {
+	bytes := 0
+	for i, progress := range keys {
+		if i > 0 && bytes+progress.approximateBytes() > maxTransferBytes {
+			return i
+		}
+		bytes += progress.approximateBytes()
+		if progress.claims != nil {
+			request.Budgets = append(request.Budgets, progress.claims)
+			continue
+		}
+		request.Records = append(request.Records, progress.record.turn)
+		if extension := progress.extension(); extension != nil {
+			request.Extensions = append(request.Extensions, extension)
+		}
+	}
+	return len(keys)
+}
+
+// sendExtensions sends extended retentions to members that had the records before: a member that missed an extension
+// would drop its replica while the others count on it.
+func (r *rebalance) sendExtensions(ctx context.Context, batch []*keyProgress) error {
+	byMember := make(progressByMember)
+	for _, progress := range batch {
+		for _, identity := range progress.needExpiry {
+			byMember[identity] = append(byMember[identity], progress)
+		}
+	}
+	return r.callMembers(byMember, func(member *tierpb.Node, extended []*keyProgress) (func(), error) {
+		request := &tierpb.MoveRecordsRequest{Header: r.header(member)}
+		for _, progress := range extended {
+			request.Extensions = append(request.Extensions, progress.extension())
+		}
+		reply := &tierpb.MoveRecordsReply{}
+		err := r.call(ctx, member, rpc.MethodMoveRecords, request, reply)
+		served, err := checkReply(reply.Header, err)
+		return func() { applyExtensionReply(member, extended, served) }, err
+	})
+}
+
+// applyExtensionReply removes a member from the lists: either it knows the extensions, or it has not answered and does
+// not count towards the quorum.
+func applyExtensionReply(member *tierpb.Node, extended []*keyProgress, served bool) {
+	isMember := func(identity uint64) bool { return identity == member.Identity }
+	for _, progress := range extended {
+		progress.needExpiry = slices.DeleteFunc(progress.needExpiry, isMember)
+		if !served {
+			progress.durableOn = slices.DeleteFunc(progress.durableOn, isMember)
+		}
+	}
+}
+
+// callMembers calls members concurrently. The functions that the calls return update the progress; they are run one
+// after the other when all calls have ended. An error of a call ends the rebalance.
+func (r *rebalance) callMembers(
+	byMember progressByMember, call func(*tierpb.Node, []*keyProgress) (applyResult func(), err error),
+) error {
+	var calls sync.WaitGroup
+	var mu sync.Mutex
+	var results []func()
+	var failure error
+	for _, member := range r.membership.Current {
+		keys := byMember[member.Identity]
+		if len(keys) == 0 {
+			continue
+		}
+		calls.Add(1)
+		go func() {
+			defer calls.Done()
+			applyResult, err := call(member, keys)
+			mu.Lock()
+			defer mu.Unlock()
+			results = append(results, applyResult)
+			if err != nil {
+				failure = err
+			}
+		}()
+	}
+	calls.Wait()
+	for _, applyResult := range results {
+		applyResult()
+	}
+	return failure
+}
+
+func (r *rebalance) header(member *tierpb.Node) *tierpb.StoreRequestHeader {
+	return &tierpb.StoreRequestHeader{Identity: member.Identity, Epoch: r.membership.Epoch}
+}
+
+func (r *rebalance) call(
+	ctx context.Context, member *tierpb.Node, method rpc.Method, request, reply rpc.Message,
+) error {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
+	defer cancel()
+	return r.caller.Call(ctx, member.Address, method, request, reply)
+}
+
+// checkReply returns whether a call was served. A failed call is not an error, because other members may serve it; the
+// error errStaleMembership ends the rebalance.
+func checkReply(header *tierpb.StoreReplyHeader, callErr error) (served bool, err error) {
+	if callErr != nil {
+		return false, nil //nolint:nilerr // see above
+	}
+	if header.GetStatus() == tierpb.StoreStatus_STORE_STALE_EPOCH {
+		return false, errStaleMembership
+	}
+	return header.GetStatus() == tierpb.StoreStatus_STORE_OK, nil
+}
--- a/internal/tier/turnstore/trouble_test.go
+++ b/internal/tier/turnstore/trouble_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
 	m.disk.fail(false)
 	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_OK)
 	assert.Equal(t, put(c, m, c.record("after", "")), tierpb.StoreStatus_STORE_OK)
 	c.losePower(m)
@@ -39,11 +39,11 @@
 func TestMergeThatBeganBeforeAFailureDoesNotEndIt(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
-	_, _, _, failures := m.store.capture()
+	failures := m.store.capture().failures
 	m.disk.fail(true)
 	assert.Equal(t, put(c, m, c.record("during", "")), tierpb.StoreStatus_STORE_FULL)
-	m.store.journal.merged(0, failures)
-	assert.ErrorIs(t, m.store.journal.usable(), errDisk)
+	m.store.wal.compacted(0, failures)
+	assert.ErrorIs(t, m.store.wal.checkWritable(), errNotWritable)
 }
 
 func TestStoreThatWasStoppedWhileMergingKeepsAll(t *testing.T) {
@@ -55,7 +55,7 @@
 				assert.Equal(t, put(c, m, c.record(fmt.Sprintf("turn%d", i), "")), tierpb.StoreStatus_STORE_OK)
 			}
 			m.stopAfter(stop)
-			_ = m.store.Merge(context.Background())
+			_ = m.store.Compact(context.Background())
 			m.goOn()
 			c.losePower(m)
 			c.start(m)
@@ -72,12 +72,12 @@
 	put(c, m, c.record("second", "first"))
 	put(c, m, c.record("other", ""))
 	c.clock.advance(2*time.Minute + time.Second)
-	m.store.view.expire(c.clock.time())
+	m.store.state.removeExpired(c.clock.time())
 	assert.Equal(t, m.store.Records(), 3)
 	c.clock.advance(time.Minute)
-	m.store.view.expire(c.clock.time())
+	m.store.state.removeExpired(c.clock.time())
 	assert.Equal(t, m.store.Records(), 0)
-	assert.Equal(t, m.store.view.bytes, 0)
+	assert.Equal(t, m.store.state.bytes, 0)
 }
 
 func TestStoreRefusesBeyondItsLimits(t *testing.T) {
@@ -100,10 +100,10 @@
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	put(c, m, c.record("turn", ""))
-	assert.NilError(t, m.store.Merge(context.Background()))
+	assert.NilError(t, m.store.Compact(context.Background()))
 	before := m.store.Identity()
 	c.kill(m)
-	file := fileOf(t, m, mergedPrefix)
+	file := fileOf(t, m, compactedPrefix)
 	file.data[len(file.data)-3] ^= 1
 	c.start(m)
 	assert.Assert(t, m.store.Identity() != before)
