--- a/internal/tier/turnstore/drop_test.go
+++ b/internal/tier/turnstore/drop_test.go
@@ -72,6 +72,7 @@
 
 // newMoveEnds is a cluster whose three members are being replaced by three others.
 func newMoveEnds(t *testing.T, before func(*cluster)) *moveEnds {
+	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
 	before(c)
 	previous := c.known().Current
@@ -110,7 +111,7 @@
 	client := budget.NewClient(m.clientOptions())
 	err := client.Reserve(context.Background(), program, mostOfTurn, "second", mostOfTurn)
 	client.Wait()
-	assert.ErrorIs(t, err, budget.ErrSpent)
+	assert.ErrorIs(t, err, budget.ErrExhausted)
 	assert.Assert(t, m.ended)
 }
 
@@ -124,7 +125,7 @@
 		return err
 	}
 	assert.NilError(t, reserve("first"))
-	assert.ErrorIs(t, reserve("second"), budget.ErrSpent)
+	assert.ErrorIs(t, reserve("second"), budget.ErrExhausted)
 	assert.ErrorIs(t, reserve("second"), budget.ErrUncertain)
 	client.Withdraw("program", "first")
 	client.Wait()
