--- a/internal/tier/admission/types.go
+++ b/internal/tier/admission/types.go
@@ -71,7 +71,7 @@
 
 var outcomeNames = [...]string{"answered", "failure", "full", "not executed", "no connection", "broken", "cancelled"}
 
-var sends = metrics.NewVector("proxy_sends_total", "Sends to stores by how they ended.", "outcome")
+var sends = metrics.NewCounterVec("proxy_sends_total", "Sends to stores by how they ended.", "outcome")
 
 // Reason says why a request was refused.
 type Reason uint8
--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -52,7 +52,7 @@
 	own := live.Current()
 	a := &Agent{live: live, log: log, client: rpc.NewClient(), server: rpc.NewServer(), state: watch.NewState()}
 	a.self = &tierpb.Node{
-		Name: own.NodeName, Address: own.InnerAddress(own.IP, settings.AgentPort), Zone: own.Zone, Role: tierpb.Role_ROLE_AGENT,
+		Name: own.NodeName, Address: own.InternalAddress(own.IP, settings.AgentPortOffset), Zone: own.Zone, Role: tierpb.Role_ROLE_AGENT,
 	}
 	a.sampler = peers.NewSampler(a.self, a.client, a.seeds)
 	a.sampler.Serve(a.server)
--- a/internal/tier/agent/agent_test.go
+++ b/internal/tier/agent/agent_test.go
@@ -37,7 +37,7 @@
 func startCoordinator(t *testing.T, own *settings.Settings) *watch.State {
 	state, server := watch.NewState(), rpc.NewServer()
 	watch.Serve(server, state)
-	listener, err := rpc.Listen(context.Background(), own.InnerAddress(own.IP, settings.CoordinatorPort))
+	listener, err := rpc.Listen(context.Background(), own.InternalAddress(own.IP, settings.CoordinatorPortOffset))
 	assert.NilError(t, err)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
@@ -116,7 +116,7 @@
 	startAgent(t, own)
 	proxy := startProxy(t, own)
 
-	voter := &tierpb.Node{Address: other.InnerAddress(joined, settings.CoordinatorPort), Role: tierpb.Role_ROLE_COORDINATOR}
+	voter := &tierpb.Node{Address: other.InternalAddress(joined, settings.CoordinatorPortOffset), Role: tierpb.Role_ROLE_COORDINATOR}
 	known.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{{Nodes: []*tierpb.Node{voter}}}})
 	unknown.Upsert(&tierpb.Instance{Id: "i", Sequence: 1})
 	await(t, proxy, func() bool { return proxy.Control().GetVersion() == 1 && proxy.Instance("i") != nil })
@@ -124,7 +124,7 @@
 
 func TestAgentSaysWhichAddressItCannotListenOn(t *testing.T) {
 	own := testSettings(t, machine(29))
-	taken, err := rpc.Listen(context.Background(), own.InnerAddress(own.IP, settings.AgentPort))
+	taken, err := rpc.Listen(context.Background(), own.InternalAddress(own.IP, settings.AgentPortOffset))
 	assert.NilError(t, err)
 	defer taken.Close()
 	err = Run(context.Background(), settings.Fixed(own), hclog.NewNullLogger())
--- a/internal/tier/command/command.go
+++ b/internal/tier/command/command.go
@@ -18,7 +18,7 @@
 
 // The exit codes.
 const (
-	ExitDone        ExitCode = 0 // the role was told to stop and has shut down, or the file checked is good
+	ExitOK          ExitCode = 0 // the role was told to stop and has shut down, or the file checked is good
 	ExitRoleFailed  ExitCode = 1 // the role could not start or broke down
 	ExitUsage       ExitCode = 2 // the command line is wrong
 	ExitBadSettings ExitCode = 3 // the settings file cannot be read or used
--- a/internal/tier/command/command_test.go
+++ b/internal/tier/command/command_test.go
@@ -53,7 +53,7 @@
 
 func TestHelpNamesEveryRole(t *testing.T) {
 	got := carryOut(roles, "--help")
-	assert.Equal(t, got.code, ExitDone)
+	assert.Equal(t, got.code, ExitOK)
 	for _, role := range []string{"proxy", "agent", "coordinator", "turn-store", "check-settings", "check-config"} {
 		assert.Assert(t, strings.Contains(got.out, role), "%s is missing in:\n%s", role, got.out)
 	}
@@ -69,13 +69,13 @@
 
 func TestVersion(t *testing.T) {
 	got := carryOut(roles, "version")
-	assert.Equal(t, got.code, ExitDone)
+	assert.Equal(t, got.code, ExitOK)
 	assert.Assert(t, strings.HasPrefix(got.out, "pulleytier "), got.out)
 }
 
 func TestCheckSettings(t *testing.T) {
 	got := carryOut(roles, "check-settings", write(t, goodSettings))
-	assert.Equal(t, got.code, ExitDone, got.err)
+	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Assert(t, strings.Contains(got.out, "good: edge-a-1 at 127.0.0.1, 1 seeds"), got.out)
 
 	wrong := strings.Replace(goodSettings, "127.0.0.2:8000", "somewhere", 1)
@@ -89,7 +89,7 @@
 
 func TestCheckConfig(t *testing.T) {
 	got := carryOut(roles, "check-config", write(t, goodConfiguration))
-	assert.Equal(t, got.code, ExitDone, got.err)
+	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Assert(t, strings.Contains(got.out, "good: generation 3, 1 routes, 1 services"), got.out)
 
 	got = carryOut(roles, "check-config", write(t, strings.Replace(goodConfiguration, `"backend":"s"`, `"backend":"x"`, 1)))
@@ -115,7 +115,7 @@
 		return nil
 	}}}
 	got := carryOut(table, "agent")
-	assert.Equal(t, got.code, ExitDone, got.err)
+	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Equal(t, node, "edge-a-1")
 }
 
@@ -138,7 +138,7 @@
 			return nil
 		}}}
 		got := carryOut(table, "agent", "--settings", write(t, goodSettings))
-		assert.Equal(t, got.code, ExitDone)
+		assert.Equal(t, got.code, ExitOK)
 		assert.Assert(t, strings.Contains(got.err, "stopped"), got.err)
 	}
 }
@@ -158,7 +158,7 @@
 		return nil
 	}}}
 	got := carryOut(table, "agent", "--settings", path)
-	assert.Equal(t, got.code, ExitDone, got.err)
+	assert.Equal(t, got.code, ExitOK, got.err)
 }
 
 // LOST, own ends: a hang-up that comes while the process starts does not end it.
@@ -182,7 +182,7 @@
 	table := []Role{{Name: "agent", Help: "h", Run: func(context.Context, *settings.Live, hclog.Logger) error { return nil }}}
 	got := carryOut(table, "agent", "--settings", path)
 	assert.NilError(t, <-written)
-	assert.Equal(t, got.code, ExitDone, got.err)
+	assert.Equal(t, got.code, ExitOK, got.err)
 }
 
 // TestAChangeWithoutASignalIsSeen drives the reloader by hand: a tick is taken only when the one before is dealt with.
--- a/internal/tier/command/metrics_test.go
+++ b/internal/tier/command/metrics_test.go
@@ -24,7 +24,7 @@
 		"7305/metrics": "port 7305 is one of this machine's own",
 	} {
 		got := carryOut(table, "r", "--settings", path, "--metrics", place)
-		assert.Equal(t, got.code, ExitDone, got.err)
+		assert.Equal(t, got.code, ExitOK, got.err)
 		assert.Assert(t, strings.Contains(got.err, reason), got.err)
 	}
 	got := carryOut(table, "r", "--settings", write(t, goodSettings+"metrics = \"7310/m\"\n"))
--- a/internal/tier/command/role.go
+++ b/internal/tier/command/role.go
@@ -55,7 +55,7 @@
 		return errNotBuilt
 	}
 	runtimelimits.Apply(live.Current().Limits)
-	invariant.UseLog(log)
+	invariant.SetLogger(log)
 	r.serveMetrics(ctx, live.Current(), log)
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/tier/configuration/configuration.go
+++ b/internal/tier/configuration/configuration.go
@@ -40,7 +40,7 @@
 	Retention       time.Duration
 	SessionAffinity bool
 	Resumable       bool
-	GapAim          time.Duration // longest pause between events that is still in time
+	TargetEventGap  time.Duration // longest pause between events that is still in time
 }
 
 // Backend is a service with its share of a route's requests.
--- a/internal/tier/configuration/parse.go
+++ b/internal/tier/configuration/parse.go
@@ -10,7 +10,7 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Parse reads and checks the operator's configuration, whole. An error is a *Fault that names the field. Keys
+// Parse reads and checks the operator's configuration, whole. An error is a *FieldError that names the field. Keys
 // that are not known are read over.
 func Parse(body []byte) (*Configuration, error) {
 	parsed := &Configuration{Limits: Limits{
@@ -115,7 +115,7 @@
 		case "resumable":
 			return r.booleanInto(&route.Resumable)
 		case "gap_aim_ms":
-			return r.durationInto(&route.GapAim, time.Millisecond)
+			return r.durationInto(&route.TargetEventGap, time.Millisecond)
 		}
 		return r.skip()
 	})
--- a/internal/tier/configuration/parse_test.go
+++ b/internal/tier/configuration/parse_test.go
@@ -28,7 +28,7 @@
 	assert.DeepEqual(t, parsed.Routes[0], Route{
 		Name: "r-hh2b9wu", Host: "ficu95.example", PathPrefix: "/pufi791/", Kind: Streaming, Timeout: 5 * time.Second,
 		TargetLatency: 250 * time.Millisecond, Backends: []Backend{{Service: "huvo11a", Weight: 1}}, MaxAttempts: 2,
-		Retained: true, Retention: time.Minute, SessionAffinity: true, GapAim: 400 * time.Millisecond,
+		Retained: true, Retention: time.Minute, SessionAffinity: true, TargetEventGap: 400 * time.Millisecond,
 	})
 	assert.DeepEqual(t, parsed.Routes[1].Backends, []Backend{{"huvo11a", 90}, {"wuno96b", 10}})
 	assert.Equal(t, parsed.Routes[1].Kind, Idempotent)
@@ -98,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			assert.Assert(t, strings.Contains(example, test.from))
 			_, err := Parse([]byte(strings.Replace(example, test.from, test.to, 1)))
-			var fault *Fault
+			var fault *FieldError
 			assert.Assert(t, errors.As(err, &fault), "%v", err)
 			assert.Equal(t, fault.Field, test.field, fault.Error())
 		})
--- a/internal/tier/coordinator/api.go
+++ b/internal/tier/coordinator/api.go
@@ -217,8 +217,8 @@
 // invalid tells which field of a body is at fault.
 func invalid(code result.Code, err error) *result.Error {
 	switch fault := err.(type) {
-	case *configuration.Fault:
-		return result.InField(code, fault.Field, fault.Problem)
+	case *configuration.FieldError:
+		return result.InField(code, fault.Field, fault.Reason)
 	case *registry.Fault:
 		return result.InField(code, fault.Field, fault.Problem)
 	}
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -84,7 +84,7 @@
 	if err := disk.MakeFolder(current.DataDir); err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
-	address := current.InnerAddress(current.IP, settings.CoordinatorPort)
+	address := current.InternalAddress(current.IP, settings.CoordinatorPortOffset)
 	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{
 		Disk: disk, Folder: filepath.Join(current.DataDir, registerFolder), Address: address,
 		Bootstrap: current.Bootstrap, Seeds: current.SeedCoordinators(),
--- a/internal/tier/coordinator/retire.go
+++ b/internal/tier/coordinator/retire.go
@@ -38,7 +38,7 @@
 	}
 	name := chi.URLParam(r, "node")
 	sent := &retirement{
-		node: name, tolerance: c.live.Current().FaultTolerance.Members(), waiting: c.directory.waitingStore(name),
+		node: name, tolerance: c.live.Current().FaultTolerance.MemberFailures(), waiting: c.directory.waitingStore(name),
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.patienceFor(0))
 	defer cancel()
--- a/internal/tier/coordinator/view.go
+++ b/internal/tier/coordinator/view.go
@@ -14,7 +14,7 @@
 	live := c.live.Current()
 	now, since := c.now(), c.listening.since()
 	return &placement.View{
-		Now: now, Since: since, Tolerance: live.FaultTolerance.Members(),
+		Now: now, Since: since, Tolerance: live.FaultTolerance.MemberFailures(),
 		CatchUp: settings.Seconds(live.Bounds.CatchUpS, 0),
 		Joins:   c.directory.recentJoins(),
 		VoterSilence: func(address string) time.Duration {
@@ -23,7 +23,7 @@
 			}
 			return min(c.directory.silentFor(address), now.Sub(since))
 		},
-		Domain:   func(node *tierpb.Node) string { return live.Domain(zones[node.Address]) },
+		Domain:   func(node *tierpb.Node) string { return live.FailureDomain(zones[node.Address]) },
 		MoveSeen: c.moveSeen(current.GetStores().GetEpoch()),
 	}
 }
--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -19,17 +19,17 @@
 // logEvery is the least time between two lines of one invariant.
 const logEvery = time.Second
 
-var violations = metrics.NewVector("invariant_violations_total", "Violations of conditions that promises rest on, by name.", "invariant")
+var violations = metrics.NewCounterVec("invariant_violations_total", "Violations of conditions that promises rest on, by name.", "invariant")
 
 var state struct {
 	mu     sync.Mutex
-	log    hclog.Logger // of the process's role; nil before UseLog
+	log    hclog.Logger // of the process's role; nil before SetLogger
 	fail   bool
 	logged map[string]time.Time
 }
 
-// UseLog has violations logged.
-func UseLog(log hclog.Logger) {
+// SetLogger has violations logged.
+func SetLogger(log hclog.Logger) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.log = log
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -13,8 +13,8 @@
 
 func TestViolationIsCountedAndLoggedOnceASecond(t *testing.T) {
 	log := &bytes.Buffer{}
-	UseLog(hclog.New(&hclog.LoggerOptions{Output: log}))
-	defer UseLog(nil)
+	SetLogger(hclog.New(&hclog.LoggerOptions{Output: log}))
+	defer SetLogger(nil)
 	before := Violations(tested)
 	assert.Assert(t, Check(true, tested, 1, 1))
 	for range 3 {
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -79,8 +79,8 @@
 	fmt.Fprintf(to, "%s %d\n", c.called, c.Value())
 }
 
-// Vector counts events by the value of a label. It is safe for concurrent use.
-type Vector struct {
+// CounterVec counts events by the value of a label. It is safe for concurrent use.
+type CounterVec struct {
 	called string
 	help   string
 	label  string
@@ -89,15 +89,15 @@
 	counts map[string]uint64
 }
 
-// NewVector makes a vector of counters.
-func NewVector(name, help, label string) *Vector {
-	vector := &Vector{called: prefix + name, help: help, label: label, counts: make(map[string]uint64)}
+// NewCounterVec makes a vector of counters.
+func NewCounterVec(name, help, label string) *CounterVec {
+	vector := &CounterVec{called: prefix + name, help: help, label: label, counts: make(map[string]uint64)}
 	register(vector)
 	return vector
 }
 
 // Inc counts one event of a value.
-func (v *Vector) Inc(value string) {
+func (v *CounterVec) Inc(value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, known := v.counts[value]; !known && len(v.counts) >= mostValues {
@@ -107,14 +107,14 @@
 }
 
 // Value is the number of events of a value so far.
-func (v *Vector) Value(value string) uint64 {
+func (v *CounterVec) Value(value string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.counts[value]
 }
 
 // Total is the number of events of all values.
-func (v *Vector) Total() uint64 {
+func (v *CounterVec) Total() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	total := uint64(0)
@@ -124,9 +124,9 @@
 	return total
 }
 
-func (v *Vector) name() string { return v.called }
+func (v *CounterVec) name() string { return v.called }
 
-func (v *Vector) write(to io.Writer) {
+func (v *CounterVec) write(to io.Writer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	values := make([]string, 0, len(v.counts))
@@ -140,23 +140,23 @@
 	}
 }
 
-// Gauge tells a figure as it stands when it is asked for.
-type Gauge struct {
+// GaugeFunc tells a figure as it stands when it is asked for.
+type GaugeFunc struct {
 	called string
 	help   string
 	read   func() float64
 }
 
-// NewGauge makes a gauge of a function that may be called at any time.
-func NewGauge(name, help string, read func() float64) *Gauge {
-	gauge := &Gauge{called: prefix + name, help: help, read: read}
+// NewGaugeFunc makes a gauge of a function that may be called at any time.
+func NewGaugeFunc(name, help string, read func() float64) *GaugeFunc {
+	gauge := &GaugeFunc{called: prefix + name, help: help, read: read}
 	register(gauge)
 	return gauge
 }
 
-func (g *Gauge) name() string { return g.called }
+func (g *GaugeFunc) name() string { return g.called }
 
-func (g *Gauge) write(to io.Writer) {
+func (g *GaugeFunc) write(to io.Writer) {
 	writeHead(to, g.called, g.help, "gauge")
 	fmt.Fprintf(to, "%s %g\n", g.called, g.read())
 }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -22,14 +22,14 @@
 	counter := NewCounter("test_events_total", "Events of the test.")
 	counter.Inc()
 	counter.Add(2)
-	NewGauge("test_a_gauge", "A gauge of the test.", func() float64 { return 1.5 })
+	NewGaugeFunc("test_a_gauge", "A gauge of the test.", func() float64 { return 1.5 })
 	told := text()
 	assert.Assert(t, strings.Contains(told, "# TYPE pulleytier_test_events_total counter\npulleytier_test_events_total 3\n"), told)
 	assert.Assert(t, strings.Index(told, "pulleytier_test_a_gauge 1.5") < strings.Index(told, "pulleytier_test_events_total 3"), told)
 }
 
 func TestLabelsAreEscapedAndBounded(t *testing.T) {
-	vector := NewVector("test_by_kind_total", "Events of the test by kind.", "kind")
+	vector := NewCounterVec("test_by_kind_total", "Events of the test by kind.", "kind")
 	vector.Inc("a \"b\"\n\\")
 	for number := range 2 * mostValues {
 		vector.Inc(fmt.Sprint(number))
--- a/internal/tier/metrics/serve.go
+++ b/internal/tier/metrics/serve.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	_ = NewGauge("goroutines", "Goroutines of the process.", func() float64 { return float64(runtime.NumGoroutine()) })
+	_ = NewGaugeFunc("goroutines", "Goroutines of the process.", func() float64 { return float64(runtime.NumGoroutine()) })
 
 	silent = log.New(io.Discard, "", 0)
 )
--- a/internal/tier/proxy/account.go
+++ b/internal/tier/proxy/account.go
@@ -21,7 +21,7 @@
 	refusalLogSpan = time.Second // between two lines of refusals for one reason
 )
 
-var results = metrics.NewVector("proxy_results_total", "Requests of clients by what became of them.", "result")
+var results = metrics.NewCounterVec("proxy_results_total", "Requests of clients by what became of them.", "result")
 
 // result says what became of a request.
 type result string
--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -152,7 +152,7 @@
 	if x.isLastAttempt() {
 		return 0
 	}
-	usual := max(x.route.TargetLatency, x.route.GapAim)
+	usual := max(x.route.TargetLatency, x.route.TargetEventGap)
 	left := time.Until(x.deadline)
 	return max(time.Millisecond, min(aims*usual, time.Duration(leastLeft*float64(left))))
 }
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -115,7 +115,7 @@
 	options := replica.Options{
 		Caller:     caller,
 		Membership: func() *tierpb.StoreMembership { return p.views.get().membership },
-		Tolerance:  current.FaultTolerance.Members(),
+		Tolerance:  current.FaultTolerance.MemberFailures(),
 		Zone:       current.Zone,
 		CacheBytes: current.Limits.MemoryMb * bytesPerMb / turnCacheDivisor,
 	}
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -20,9 +20,9 @@
 
 // Offsets of the inner listeners within the machine's range of ports, which is the same on all machines.
 const (
-	CoordinatorPort = iota
-	TurnStorePort
-	AgentPort
+	CoordinatorPortOffset = iota
+	TurnStorePortOffset
+	AgentPortOffset
 	portsNeeded
 )
 
@@ -74,8 +74,8 @@
 	Regions  int `toml:"regions"`
 }
 
-// Members is how many members of a set that is spread over zones and regions may be lost at once.
-func (f FaultTolerance) Members() int { return max(f.Machines, f.Zones, f.Regions) }
+// MemberFailures is how many members of a set that is spread over zones and regions may be lost at once.
+func (f FaultTolerance) MemberFailures() int { return max(f.Machines, f.Zones, f.Regions) }
 
 // Bounds are the times that the rules speak of.
 type Bounds struct {
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// InnerAddress is the inner listener of a role on the machine with this IP address.
-func (s *Settings) InnerAddress(ip string, offset int) string {
+// InternalAddress is the inner listener of a role on the machine with this IP address.
+func (s *Settings) InternalAddress(ip string, offset int) string {
 	return fmt.Sprintf("%s:%d", ip, s.EphemeralPorts[0]+offset)
 }
 
@@ -194,14 +194,14 @@
 // a loopback address already and others may share this host, at that one.
 func (s *Settings) AgentAddress() string {
 	if own, err := netip.ParseAddr(s.IP); err == nil && own.IsLoopback() {
-		return s.InnerAddress(s.IP, AgentPort)
+		return s.InternalAddress(s.IP, AgentPortOffset)
 	}
-	return s.InnerAddress(loopback, AgentPort)
+	return s.InternalAddress(loopback, AgentPortOffset)
 }
 
-// Domain is the part of the deployment that may be lost as a whole and that a zone belongs to: the zone itself, its
+// FailureDomain is the part of the deployment that may be lost as a whole and that a zone belongs to: the zone itself, its
 // region where regions may be lost, or nothing where only machines may.
-func (s *Settings) Domain(zone string) string {
+func (s *Settings) FailureDomain(zone string) string {
 	switch {
 	case s.FaultTolerance.Regions > 0:
 		return s.Zones[zone]
@@ -216,7 +216,7 @@
 	var addresses []string
 	for _, seed := range s.Seeds {
 		if parsed, err := netip.ParseAddrPort(seed); err == nil {
-			addresses = append(addresses, s.InnerAddress(parsed.Addr().String(), CoordinatorPort))
+			addresses = append(addresses, s.InternalAddress(parsed.Addr().String(), CoordinatorPortOffset))
 		}
 	}
 	return addresses
--- a/internal/tier/turnstore/run.go
+++ b/internal/tier/turnstore/run.go
@@ -81,9 +81,9 @@
 	r.store = store
 	r.node = &tierpb.Node{
 		Name:     current.NodeName,
-		Address:  current.InnerAddress(current.IP, settings.TurnStorePort),
+		Address:  current.InternalAddress(current.IP, settings.TurnStorePortOffset),
 		Zone:     current.Zone,
-		Domain:   current.Domain(current.Zone),
+		Domain:   current.FailureDomain(current.Zone),
 		Role:     tierpb.Role_ROLE_TURN_STORE,
 		Identity: store.Identity(),
 	}
@@ -93,7 +93,7 @@
 
 // work runs the parts of the role until ctx ends.
 func (r *role) work(ctx context.Context, server *rpc.Server, listener net.Listener) {
-	mover := NewMover(r.store, r.client, r.settings.Current().FaultTolerance.Members())
+	mover := NewMover(r.store, r.client, r.settings.Current().FaultTolerance.MemberFailures())
 	join := &joiner{store: r.store, mover: mover, caller: r.client, node: r.node, addresses: r.coordinators}
 	var parts sync.WaitGroup
 	for _, part := range []func(context.Context){mover.Run, join.run, r.store.Upkeep, r.follow, r.learn, r.poll} {
