--- a/internal/tier/admission/types.go
+++ b/internal/tier/admission/types.go
@@ -66,7 +66,7 @@
 
 var outcomeNames = [...]string{"answered", "failure", "full", "not executed", "no connection", "broken", "cancelled"}
 
-var sends = metrics.NewVector("proxy_sends_total", "Sends to stores by how they ended.", "outcome")
+var sends = metrics.NewCounterVec("proxy_sends_total", "Sends to stores by how they ended.", "outcome")
 
 // RejectReason says why a request was refused.
 type RejectReason uint8
--- a/internal/tier/turnstore/run.go
+++ b/internal/tier/turnstore/run.go
@@ -73,9 +73,9 @@
 	r.store = store
 	r.node = &tierpb.Node{
 		Name:     current.NodeName,
-		Address:  current.InnerAddress(current.IP, settings.TurnStorePort),
+		Address:  current.InternalAddress(current.IP, settings.TurnStorePortOffset),
 		Zone:     current.Zone,
-		Domain:   current.Domain(current.Zone),
+		Domain:   current.FailureDomain(current.Zone),
 		Role:     tierpb.Role_ROLE_TURN_STORE,
 		Identity: store.Identity(),
 	}
@@ -85,7 +85,7 @@
 
 // serve runs the background loops and the RPC server until ctx ends.
 func (r *role) serve(ctx context.Context, server *rpc.Server, listener net.Listener) {
-	rebalancer := NewRebalancer(r.store, r.client, r.settings.Current().FaultTolerance.Members())
+	rebalancer := NewRebalancer(r.store, r.client, r.settings.Current().FaultTolerance.MemberFailures())
 	join := &joiner{
 		store:      r.store,
 		rebalancer: rebalancer,
