--- a/examples/tier/main.go
+++ b/examples/tier/main.go
@@ -55,7 +55,7 @@
 	}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: folder, Subnet: o.Subnet, Zones: []string{"north", "south", "west"},
-		Edges: 2, Coordinators: 3, TurnStores: 3, Tolerated: 1, Launch: o.launch, Log: os.Stderr,
+		Edges: 2, Coordinators: 3, TurnStores: 3, ToleratedFailures: 1, Launch: o.launch, Log: os.Stderr,
 	})
 	if err != nil {
 		return err
--- a/internal/tier/coordinator/catchup_test.go
+++ b/internal/tier/coordinator/catchup_test.go
@@ -158,7 +158,7 @@
 	c.rate = rate
 	c.mu.Unlock()
 	for _, m := range c.machines {
-		m.hardware.Disk.SetFault(simulation.DiskFault{Delay: sync})
+		m.hardware.Disk.SetFault(simulation.DiskFault{SyncDelay: sync})
 	}
 	c.pass(3 * time.Second)
 	name := "core-3"
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -87,7 +87,7 @@
 			calls: make(map[rpc.Method]int),
 		}
 		c.delay.Store(int64(callDelay))
-		network := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.Traits{}) // for its machines' disks alone
+		network := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.LinkConditions{}) // for its machines' disks alone
 		for i := range max(count+3, machineCount) {
 			name, address := fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.%d.1:7000", i+1)
 			hardware := network.NewMachine(address, rand.New(rand.NewPCG(2, uint64(i))))
--- a/internal/tier/coordinator/departures_test.go
+++ b/internal/tier/coordinator/departures_test.go
@@ -80,7 +80,7 @@
 		c.pass(time.Second)
 		c.machines["core-1"].hardware.Disk.SetFault(simulation.DiskFault{Full: true})
 		assert.Equal(t, c.at("core-1").beat("draining", 2), http.StatusOK, "two others have it")
-		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{Failing: true})
+		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{SyncFails: true})
 		status, _ := c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{})
@@ -92,7 +92,7 @@
 
 // Of stores that leave together each is on disk when it is acknowledged, and one that the list has forgotten is dropped.
 func TestDeparturesAreReadBack(t *testing.T) {
-	disk := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.Traits{}).
+	disk := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.LinkConditions{}).
 		NewMachine("10.0.0.1:1", rand.New(rand.NewPCG(1, 2))).Start().Mount()
 	kept, err := openDepartures(disk, departuresFolder)
 	assert.NilError(t, err)
--- a/internal/tier/coordinator/orders_test.go
+++ b/internal/tier/coordinator/orders_test.go
@@ -196,7 +196,7 @@
 func (c *cluster) syncs() int {
 	sum := 0
 	for _, m := range c.machines {
-		used := m.hardware.Disk.Counted()
+		used := m.hardware.Disk.Stats()
 		sum += used.FileSyncs + used.FolderSyncs
 	}
 	return sum
@@ -228,7 +228,7 @@
 		c.rate = thinLink
 		c.mu.Unlock()
 		for _, m := range c.machines {
-			m.hardware.Disk.SetFault(simulation.DiskFault{Delay: 10 * usualSync})
+			m.hardware.Disk.SetFault(simulation.DiskFault{SyncDelay: 10 * usualSync})
 		}
 		began := time.Now()
 		statuses := make(chan int, operators)
--- a/internal/tier/coordinator/random_test.go
+++ b/internal/tier/coordinator/random_test.go
@@ -103,7 +103,7 @@
 // slowDown gives the disks and the links of a day some of four and three speeds.
 func (d *day) slowDown(seed uint64) {
 	for _, m := range d.machines {
-		m.hardware.Disk.SetFault(simulation.DiskFault{Delay: time.Duration(seed%4) * syncStep})
+		m.hardware.Disk.SetFault(simulation.DiskFault{SyncDelay: time.Duration(seed%4) * syncStep})
 	}
 	d.delay.Store(int64(callDelay + time.Duration(seed%3)*callStep))
 }
--- a/internal/tier/endtoend/faults_test.go
+++ b/internal/tier/endtoend/faults_test.go
@@ -24,7 +24,7 @@
 	for _, edge := range w.Edges {
 		w.until("the change is in force", func() error {
 			call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + "x"}
-			reply := w.client.Try(w.ctx, edge.Settings.Listen.Front, call)
+			reply := w.client.Do(w.ctx, edge.Settings.Listen.Front, call)
 			if reply.Status != status {
 				return eris.Errorf("status %d, want %d", reply.Status, status)
 			}
@@ -67,7 +67,7 @@
 func TestOneOfTwoOperatorsWins(t *testing.T) {
 	w := newWorld(t)
 	bodies := [][]byte{withFetchRemoved(7).Body(), testbed.ExampleConfiguration(8).Body()}
-	answers := make([]testbed.OrderAnswer, len(bodies))
+	answers := make([]testbed.ControlResponse, len(bodies))
 	w.inParallel(len(bodies), func(number int) error {
 		operator := testbed.NewOperator(w.Controls()[number:])
 		answer, err := operator.PutConfiguration(w.ctx, 1, bodies[number])
@@ -161,7 +161,7 @@
 		return nil
 	})
 	before := len(leaving.Runs())
-	assert.NilError(t, leaving.Leave(w.ctx))
+	assert.NilError(t, leaving.Shutdown(w.ctx))
 	w.inParallel(4, func(number int) error {
 		_, err := w.program(fmt.Sprint("after the drain ", number), 2)
 		return err
@@ -172,11 +172,11 @@
 func TestAProxyThatIsToldToStopFinishesWhatItHas(t *testing.T) {
 	w := newWorld(t)
 	edge := w.Edges[0]
-	release := w.plain[0].Hold()
-	releaseOther := w.plain[1].Hold()
+	release := w.plain[0].BlockResponses()
+	releaseOther := w.plain[1].BlockResponses()
 	answered := make(chan error, 1)
 	call := testbed.Call{Method: "POST", Path: testbed.OrderPrefix + "o", Body: []byte("held")}
-	go func() { answered <- w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call) }()
+	go func() { answered <- w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call) }()
 	w.untilRunning(w.plain, call.Body)
 	stopped := make(chan error, 1)
 	go func() { stopped <- edge.Terminate() }()
@@ -213,10 +213,10 @@
 
 func TestAStreamThatMayBeResumedGoesOnAtAnotherStore(t *testing.T) {
 	w := newWorld(t)
-	releases := []func(){w.engines[0].Hold(), w.engines[1].Hold()}
+	releases := []func(){w.engines[0].BlockResponses(), w.engines[1].BlockResponses()}
 	call := draft("to be resumed", 12)
 	answered := make(chan error, 1)
-	go func() { answered <- w.client.Try(w.ctx, w.Fronts()[0], call).CheckEvents(call, call.Body) }()
+	go func() { answered <- w.client.Do(w.ctx, w.Fronts()[0], call).CheckEvents(call, call.Body) }()
 	w.untilRunning(w.engines, call.Body).Kill()
 	for _, release := range releases {
 		release()
@@ -226,11 +226,11 @@
 
 func TestATurnWhoseStoreDiesDoesNotLookWhole(t *testing.T) {
 	w := newWorld(t)
-	releases := []func(){w.engines[0].Hold(), w.engines[1].Hold()}
+	releases := []func(){w.engines[0].BlockResponses(), w.engines[1].BlockResponses()}
 	call := talk("to break off", 12)
 	call.Program, call.Session, call.Budget = "p", "s", 100
 	answered := make(chan testbed.Reply, 1)
-	go func() { answered <- w.client.Try(w.ctx, w.Fronts()[0], call) }()
+	go func() { answered <- w.client.Do(w.ctx, w.Fronts()[0], call) }()
 	w.untilRunning(w.engines, call.Body).Kill()
 	for _, release := range releases {
 		release()
@@ -238,8 +238,8 @@
 	broken := <-answered
 	assert.Assert(t, broken.Err != nil || broken.Status == 502 || broken.Status == 504, "%d %q", broken.Status, broken.Body)
 	next := talk("after it", 6)
-	next.Previous = broken.RequestID
-	reply := w.client.Try(w.ctx, w.Fronts()[1], next)
+	next.PreviousTurn = broken.RequestID
+	reply := w.client.Do(w.ctx, w.Fronts()[1], next)
 	assert.Equal(t, reply.Status, 404, "%s %v", reply.Body, reply.Err)
 }
 
--- a/internal/tier/endtoend/leaving_test.go
+++ b/internal/tier/endtoend/leaving_test.go
@@ -19,7 +19,7 @@
 		for number := range 8 {
 			for _, front := range w.Fronts() {
 				call := draft(fmt.Sprint("passes it by ", number), 6)
-				if err := w.client.Try(w.ctx, front, call).CheckEvents(call, call.Body); err != nil {
+				if err := w.client.Do(w.ctx, front, call).CheckEvents(call, call.Body); err != nil {
 					return err
 				}
 			}
@@ -34,11 +34,11 @@
 // DRAIN, LOST: a store that says nothing but DELETE, and serves on, finishes what it has and gets nothing more.
 func TestAStoreThatOnlyDeletesItselfFinishesWhatItHas(t *testing.T) {
 	w := newWorld(t)
-	releases := []func(){w.engines[0].Hold(), w.engines[1].Hold()}
+	releases := []func(){w.engines[0].BlockResponses(), w.engines[1].BlockResponses()}
 	call := talk("in hand", 12) // of a kind that is not sent to another store for this one's silence
 	call.Program, call.Session, call.Budget = "in-hand", "s", 1000
 	answered := make(chan error, 1)
-	go func() { answered <- w.client.Try(w.ctx, w.Fronts()[0], call).CheckEvents(call, call.Body) }()
+	go func() { answered <- w.client.Do(w.ctx, w.Fronts()[0], call).CheckEvents(call, call.Body) }()
 	leaving := w.untilRunning(w.engines, call.Body)
 	for number, store := range w.engines {
 		if store != leaving {
@@ -85,9 +85,9 @@
 		call := talk(text, most)
 		call.Program, call.Session, call.Budget = "looping", "s", budget
 		if last != nil {
-			call.Previous = last.id
+			call.PreviousTurn = last.id
 		}
-		reply := w.client.Try(w.ctx, w.Fronts()[front%len(w.Edges)], call)
+		reply := w.client.Do(w.ctx, w.Fronts()[front%len(w.Edges)], call)
 		return &turn{id: reply.RequestID, prompt: last.next(call.Body), tokens: most}, reply
 	}
 	handed, counted := 0, 0 // counted: tries that broke off count at their most
--- a/internal/tier/endtoend/main_test.go
+++ b/internal/tier/endtoend/main_test.go
@@ -87,7 +87,7 @@
 	log := &safeBuffer{}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: t.TempDir(), Subnet: subnet(), Zones: []string{"north", "south", "west"}, Edges: 2, Coordinators: 3,
-		TurnStores: 3, Tolerated: 1, Launch: launch, Log: log,
+		TurnStores: 3, ToleratedFailures: 1, Launch: launch, Log: log,
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -158,14 +158,14 @@
 	w.t.Helper()
 	w.until("a plain request is served", func() error {
 		call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + "first"}
-		return w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call)
+		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call)
 	})
 	w.until("a stream is served", func() error {
 		call := draft("first", 6)
-		return w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
+		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
 	})
 	w.until("a turn is kept", func() error {
 		call := talk("first", 6)
-		return w.client.Try(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
+		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
 	})
 }
--- a/internal/tier/endtoend/traffic_test.go
+++ b/internal/tier/endtoend/traffic_test.go
@@ -47,17 +47,17 @@
 // takeFrom is take with the edge that gets the first try.
 func (w *world) takeFrom(edge int, before *turn, call testbed.Call) (*turn, error) {
 	if before != nil {
-		call.Previous = before.id
+		call.PreviousTurn = before.id
 	}
 	prompt := before.next(call.Body)
 	for attempt := 0; ; attempt++ {
-		reply := w.client.Try(w.ctx, w.Fronts()[(edge+attempt)%len(w.Edges)], call)
+		reply := w.client.Do(w.ctx, w.Fronts()[(edge+attempt)%len(w.Edges)], call)
 		switch {
 		case reply.Err == nil && reply.Status == 200:
 			return &turn{id: reply.RequestID, prompt: prompt, tokens: call.TokensOut}, reply.CheckEvents(call, prompt)
 		case w.ctx.Err() != nil:
 			return nil, eris.Errorf("turn %s: not served: %d %v", reply.RequestID, reply.Status, reply.Err)
-		case reply.Err == nil && reply.Status < 500 && !reply.Promised():
+		case reply.Err == nil && reply.Status < 500 && !reply.NotExecuted():
 			return nil, eris.Errorf("turn %s: status %d: %s", reply.RequestID, reply.Status, reply.Body)
 		}
 	}
@@ -82,8 +82,8 @@
 func (w *world) order(text string) error {
 	call := testbed.Call{Method: "POST", Path: testbed.OrderPrefix + "o", Body: []byte(text)}
 	for attempt := 0; ; attempt++ {
-		reply := w.client.Try(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
-		if reply.Promised() && w.ctx.Err() == nil {
+		reply := w.client.Do(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
+		if reply.NotExecuted() && w.ctx.Err() == nil {
 			continue
 		}
 		return reply.CheckPlain(call)
@@ -94,7 +94,7 @@
 func (w *world) fetch(path string) error {
 	call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + path}
 	for attempt := 0; ; attempt++ {
-		reply := w.client.Try(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
+		reply := w.client.Do(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
 		if reply.Err == nil && reply.Status == 200 || w.ctx.Err() != nil {
 			return reply.CheckPlain(call)
 		}
@@ -171,8 +171,8 @@
 		return err
 	})
 	unknown := talk("after nothing", 6)
-	unknown.Previous = "0123456789abcdef"
-	reply := w.client.Try(w.ctx, w.Fronts()[0], unknown)
+	unknown.PreviousTurn = "0123456789abcdef"
+	reply := w.client.Do(w.ctx, w.Fronts()[0], unknown)
 	assert.Equal(t, reply.Status, 404, "%s %v", reply.Body, reply.Err)
 }
 
@@ -184,7 +184,7 @@
 		for attempt := 0; w.ctx.Err() == nil; attempt++ {
 			call := talk(fmt.Sprintf("line %d, %d\n", number, attempt), most)
 			call.Program, call.Session, call.Budget = "looping", fmt.Sprint(number), budget
-			reply := w.client.Try(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
+			reply := w.client.Do(w.ctx, w.Fronts()[attempt%len(w.Edges)], call)
 			switch {
 			case reply.Status == 402:
 				spent[number] = true
@@ -193,8 +193,8 @@
 				if err := reply.CheckEvents(call, call.Body); err != nil {
 					return err
 				}
-				handed[number] += testbed.EventCount(most) * testbed.Stride
-			case !reply.Promised():
+				handed[number] += testbed.EventCount(most) * testbed.TokensPerEvent
+			case !reply.NotExecuted():
 				return eris.Errorf("status %d: %v", reply.Status, reply.Err)
 			}
 		}
--- a/internal/tier/fleet/fleet_test.go
+++ b/internal/tier/fleet/fleet_test.go
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		f := &fleet{t: t, random: random, ended: make(map[string]bool), begun: time.Now()}
-		f.network = simulation.NewNetwork(rand.New(rand.NewPCG(seed, 8)), simulation.Traits{Shortest: 200 * time.Microsecond, Longest: 2 * time.Millisecond})
+		f.network = simulation.NewNetwork(rand.New(rand.NewPCG(seed, 8)), simulation.LinkConditions{MinDelay: 200 * time.Microsecond, MaxDelay: 2 * time.Millisecond})
 		for i := range coordinatorCount {
 			f.coordinators = append(f.coordinators, newCoordinator(f, i))
 		}
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -38,7 +38,7 @@
 }
 
 func newLossyElection(t *testing.T, seed uint64, count int, lost float64) *election {
-	traits := simulation.Traits{Shortest: time.Millisecond, Longest: 5 * time.Millisecond, Lost: lost}
+	traits := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond, LossRate: lost}
 	h := &election{network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 0)), traits)}
 	set := &tierpb.VoterSet{}
 	for i := range count {
--- a/internal/tier/lease/repeat_test.go
+++ b/internal/tier/lease/repeat_test.go
@@ -18,10 +18,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 11))
 			h := newElection(t, seed, 3)
-			calm := simulation.Traits{Shortest: time.Millisecond, Longest: 5 * time.Millisecond}
+			calm := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}
 			traits := calm
-			traits.Doubled, traits.Late, traits.Latest = 0.33, 0.33, 2*MaxTTL
-			h.network.Set(traits)
+			traits.DuplicateRate, traits.LateRate, traits.MaxLateDelay = 0.33, 0.33, 2*MaxTTL
+			h.network.SetConditions(traits)
 			for range 30 {
 				i := random.IntN(len(h.machines))
 				switch random.IntN(4) {
@@ -41,7 +41,7 @@
 				}
 				h.watch(t, time.Duration(random.IntN(1500))*time.Millisecond)
 			}
-			h.network.Set(calm)
+			h.network.SetConditions(calm)
 			for _, machine := range h.machines {
 				machine.Thaw()
 			}
--- a/internal/tier/modelcheck/world.go
+++ b/internal/tier/modelcheck/world.go
@@ -49,7 +49,7 @@
 	}
 	w.checks = newChecks(w)
 	w.renamings = renamings(scenario)
-	network := simulation.NewNetwork(randv2.New(&fate{}), simulation.Traits{})
+	network := simulation.NewNetwork(randv2.New(&fate{}), simulation.LinkConditions{})
 	for number := range scenario.Nodes {
 		address := fmt.Sprintf("10.0.0.%d:7380", number+1)
 		if number < scenario.Voters {
--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -158,7 +158,7 @@
 		acceptor := openOn(t, machine, true)
 		assert.Assert(t, acceptor.prepareFor(5).Prepared)
 		assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
-		machine.Disk.Damage(series + "-")
+		machine.Disk.CorruptMatching(series + "-")
 		reopened := openOn(t, machine, false)
 		assert.Assert(t, reopened.Fresh() && reopened.Identity() != acceptor.Identity(), series)
 		assert.Assert(t, reopened.Value() == nil)
@@ -177,7 +177,7 @@
 			assert.Assert(t, acceptor.prepareFor(5).Prepared)
 			assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
 			assert.Assert(t, acceptor.prepareFor(6).Prepared)
-			machine.Disk.Lose(series + "-")
+			machine.Disk.RemoveMatching(series + "-")
 			reopened := openOn(t, machine, false)
 			assert.Assert(t, reopened.Fresh() && reopened.Identity() != acceptor.Identity(), series)
 			assert.Assert(t, reopened.Value() == nil)
@@ -192,12 +192,12 @@
 	for _, unwritten := range []string{promiseSeries, acceptedSeries, "none"} {
 		machine := machineAlone(1)
 		before := openOn(t, machine, false)
-		machine.Disk.Lose(completeSeries + "-")
-		machine.Disk.Lose(unwritten + "-")
+		machine.Disk.RemoveMatching(completeSeries + "-")
+		machine.Disk.RemoveMatching(unwritten + "-")
 		read := openOn(t, machine, false)
 		assert.Assert(t, !read.Fresh() && read.Identity() == before.Identity(), unwritten)
 		assert.Equal(t, openOn(t, machine, false).Identity(), before.Identity())
-		machine.Disk.Lose(promiseSeries + "-")
+		machine.Disk.RemoveMatching(promiseSeries + "-")
 		assert.Assert(t, openOn(t, machine, false).Identity() != before.Identity())
 	}
 }
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -39,7 +39,7 @@
 }
 
 // newCluster starts count coordinators for the first time, of which the first are the seeds.
-func newCluster(t *testing.T, seed uint64, seeds, count int, traits simulation.Traits) *cluster {
+func newCluster(t *testing.T, seed uint64, seeds, count int, traits simulation.LinkConditions) *cluster {
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := &cluster{t: t, random: random, network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 2)), traits)}
 	for i := range count {
@@ -221,7 +221,7 @@
 }
 
 // calm are links without trouble.
-var calm = simulation.Traits{Shortest: time.Millisecond, Longest: 2 * time.Millisecond}
+var calm = simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 2 * time.Millisecond}
 
 // share brings the newest chosen value, or where nobody knows one an accepted value, to all, as watches would.
 func (c *cluster) share() {
--- a/internal/tier/register/cost_test.go
+++ b/internal/tier/register/cost_test.go
@@ -41,24 +41,24 @@
 		t.Logf("change of a value of %d bytes: %s", size, cost)
 		assert.Equal(t, cost.disk.FileSyncs, 2*3)
 		assert.Equal(t, cost.disk.FolderSyncs, 2*3)
-		assert.Assert(t, cost.disk.Written < 3*(size+500), "a promise does not rewrite the value")
+		assert.Assert(t, cost.disk.BytesWritten < 3*(size+500), "a promise does not rewrite the value")
 		assert.Assert(t, cost.network < 2*(size+1000), "the value goes out to each other voter, and does not come back")
 		cost = c.measure(func() { c.members[0].mustRead() })
 		t.Logf("read: %s", cost)
-		assert.Equal(t, cost.disk, simulation.Usage{})
+		assert.Equal(t, cost.disk, simulation.DiskStats{})
 		assert.Assert(t, cost.network < 1000)
 	})
 }
 
 // cost is what was written, synced and sent.
 type cost struct {
-	disk    simulation.Usage
+	disk    simulation.DiskStats
 	network int
 }
 
 func (c cost) String() string {
 	return fmt.Sprintf("%d bytes written, %d file syncs, %d folder syncs on all disks; %d bytes sent between machines",
-		c.disk.Written, c.disk.FileSyncs, c.disk.FolderSyncs, c.network)
+		c.disk.BytesWritten, c.disk.FileSyncs, c.disk.FolderSyncs, c.network)
 }
 
 func (c *cluster) measure(work func()) cost {
@@ -66,10 +66,10 @@
 	work()
 	after := c.total()
 	return cost{
-		disk: simulation.Usage{
-			Written:     after.disk.Written - before.disk.Written,
-			FileSyncs:   after.disk.FileSyncs - before.disk.FileSyncs,
-			FolderSyncs: after.disk.FolderSyncs - before.disk.FolderSyncs,
+		disk: simulation.DiskStats{
+			BytesWritten: after.disk.BytesWritten - before.disk.BytesWritten,
+			FileSyncs:    after.disk.FileSyncs - before.disk.FileSyncs,
+			FolderSyncs:  after.disk.FolderSyncs - before.disk.FolderSyncs,
 		},
 		network: after.network - before.network,
 	}
@@ -77,11 +77,11 @@
 
 func (c *cluster) total() (sum cost) {
 	for _, m := range c.members {
-		used := m.machine.Disk.Counted()
-		sum.disk.Written += used.Written
+		used := m.machine.Disk.Stats()
+		sum.disk.BytesWritten += used.BytesWritten
 		sum.disk.FileSyncs += used.FileSyncs
 		sum.disk.FolderSyncs += used.FolderSyncs
 	}
-	sum.network = c.network.Sent()
+	sum.network = c.network.BytesSent()
 	return sum
 }
--- a/internal/tier/register/random_test.go
+++ b/internal/tier/register/random_test.go
@@ -90,9 +90,9 @@
 	}()
 	random := rand.New(rand.NewPCG(seed, 0))
 	count := 3 + random.IntN(4)
-	traits := simulation.Traits{
-		Shortest: 500 * time.Microsecond, Longest: 10 * time.Millisecond,
-		Lost: random.Float64() * 0.1, Late: random.Float64() * 0.1, Latest: 3 * time.Second, Doubled: random.Float64() * 0.1,
+	traits := simulation.LinkConditions{
+		MinDelay: 500 * time.Microsecond, MaxDelay: 10 * time.Millisecond,
+		LossRate: random.Float64() * 0.1, LateRate: random.Float64() * 0.1, MaxLateDelay: 3 * time.Second, DuplicateRate: random.Float64() * 0.1,
 	}
 	s := &schedule{cluster: newCluster(t, seed, 3, count, traits), wiped: identities{}}
 	s.random = random
@@ -299,9 +299,9 @@
 		case 7:
 			m.machine.Freeze()
 		case 8:
-			m.machine.Disk.SetFault(simulation.DiskFault{Full: s.random.IntN(2) == 0, Failing: s.random.IntN(2) == 0})
+			m.machine.Disk.SetFault(simulation.DiskFault{Full: s.random.IntN(2) == 0, SyncFails: s.random.IntN(2) == 0})
 		case 9:
-			m.machine.Disk.SetFault(simulation.DiskFault{Delay: time.Duration(s.random.IntN(400)) * time.Millisecond})
+			m.machine.Disk.SetFault(simulation.DiskFault{SyncDelay: time.Duration(s.random.IntN(400)) * time.Millisecond})
 		case 10:
 			m.machine.Disk.SetFault(simulation.DiskFault{})
 		case 11:
@@ -385,7 +385,7 @@
 	s.calm = true
 	s.mu.Unlock()
 	s.network.Heal()
-	s.network.Set(calm)
+	s.network.SetConditions(calm)
 	for _, m := range s.members {
 		m.machine.Disk.SetFault(simulation.DiskFault{})
 		m.machine.Thaw()
--- a/internal/tier/register/trouble_test.go
+++ b/internal/tier/register/trouble_test.go
@@ -89,7 +89,7 @@
 	troubles := map[string]func(*member){
 		"frozen":    func(m *member) { m.machine.Freeze() },
 		"dark":      func(m *member) { m.machine.PowerLoss() },
-		"slow disk": func(m *member) { m.machine.Disk.SetFault(simulation.DiskFault{Delay: 3 * time.Second}) },
+		"slow disk": func(m *member) { m.machine.Disk.SetFault(simulation.DiskFault{SyncDelay: 3 * time.Second}) },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 				began := time.Now() // of the bubble's clock, which only delays of the simulation move
 				c.members[0].mustPut(0, 1)
 				elapsed := time.Since(began)
-				assert.Assert(t, elapsed < 4*2*calm.Longest, "two rounds took %s", elapsed)
+				assert.Assert(t, elapsed < 4*2*calm.MaxDelay, "two rounds took %s", elapsed)
 			})
 		})
 	}
@@ -226,7 +226,7 @@
 }
 
 func TestFullOrFailingDiskOfOneVoterIsBorne(t *testing.T) {
-	for _, trouble := range []simulation.DiskFault{{Full: true}, {Failing: true}} {
+	for _, trouble := range []simulation.DiskFault{{Full: true}, {SyncFails: true}} {
 		inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 			sick := c.members[2]
 			sick.machine.Disk.SetFault(trouble)
@@ -308,7 +308,7 @@
 func TestSlowDisksOfAllVotersAreWaitedFor(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		for _, m := range c.members {
-			m.machine.Disk.SetFault(simulation.DiskFault{Delay: 450 * time.Millisecond})
+			m.machine.Disk.SetFault(simulation.DiskFault{SyncDelay: 450 * time.Millisecond})
 		}
 		_, err := c.members[0].put(4*time.Second, 0, 1)
 		assert.NilError(t, err)
@@ -318,8 +318,8 @@
 func TestLostMessageIsSentAgain(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		traits := calm
-		traits.Lost = 0.4
-		c.network.Set(traits)
+		traits.LossRate = 0.4
+		c.network.SetConditions(traits)
 		for generation := range uint64(20) {
 			c.members[3].mustPut(generation, generation+1)
 		}
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -29,22 +29,22 @@
 	current map[string]*inode // names as processes see them
 	durable map[string]*inode // names as the last syncs left them
 	pending []nameChange
-	Usage   Usage
+	stats   DiskStats
 	trouble DiskFault
 }
 
 // DiskFault is what is wrong with a disk.
 type DiskFault struct {
-	Full    bool          // writes fail
-	Failing bool          // syncs fail
-	Delay   time.Duration // of each sync
+	Full      bool          // writes fail
+	SyncFails bool          // syncs fail
+	SyncDelay time.Duration // of each sync
 }
 
-// Usage counts the operations on a disk.
-type Usage struct {
-	Written     int // bytes
-	FileSyncs   int
-	FolderSyncs int
+// DiskStats counts the operations on a disk.
+type DiskStats struct {
+	BytesWritten int // bytes
+	FileSyncs    int
+	FolderSyncs  int
 }
 
 type inode struct {
@@ -70,11 +70,11 @@
 	d.trouble = trouble
 }
 
-// Counted returns the operations so far.
-func (d *Disk) Counted() Usage {
+// Stats returns the operations so far.
+func (d *Disk) Stats() DiskStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.Usage
+	return d.stats
 }
 
 // Bytes returns the size of all files.
@@ -123,8 +123,8 @@
 	d.pending = nil
 }
 
-// Damage alters a byte in the middle of each file whose path contains a text.
-func (d *Disk) Damage(text string) {
+// CorruptMatching alters a byte in the middle of each file whose path contains a text.
+func (d *Disk) CorruptMatching(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, file := range d.current {
@@ -135,8 +135,8 @@
 	}
 }
 
-// Lose removes each file whose path contains a text.
-func (d *Disk) Lose(text string) {
+// RemoveMatching removes each file whose path contains a text.
+func (d *Disk) RemoveMatching(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	contains := func(name string, _ *inode) bool { return strings.Contains(name, text) }
@@ -191,7 +191,7 @@
 // wait lets the time of a sync pass.
 func (m *mount) wait() {
 	m.disk.mu.Lock()
-	delay := m.disk.trouble.Delay
+	delay := m.disk.trouble.SyncDelay
 	m.disk.mu.Unlock()
 	if delay <= 0 {
 		return
@@ -281,10 +281,10 @@
 func (m *mount) SyncFolder(string) error {
 	m.wait()
 	return m.use(func(disk *Disk) error {
-		if disk.trouble.Failing {
+		if disk.trouble.SyncFails {
 			return ErrSync
 		}
-		disk.Usage.FolderSyncs++
+		disk.stats.FolderSyncs++
 		disk.durable = maps.Clone(disk.current)
 		disk.pending = nil
 		return nil
@@ -303,7 +303,7 @@
 		if disk.trouble.Full {
 			return ErrFull
 		}
-		disk.Usage.Written += len(data)
+		disk.stats.BytesWritten += len(data)
 		f.file.writes = append(f.file.writes, slices.Clone(data))
 		return nil
 	})
@@ -314,10 +314,10 @@
 func (f *openFile) Sync() error {
 	f.mount.wait()
 	return f.mount.use(func(disk *Disk) error {
-		if disk.trouble.Failing {
+		if disk.trouble.SyncFails {
 			return ErrSync
 		}
-		disk.Usage.FileSyncs++
+		disk.stats.FileSyncs++
 		f.file.synced, f.file.writes = f.file.content(), nil
 		return nil
 	})
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -18,23 +18,23 @@
 	random   *rand.Rand
 	machines map[string]*Machine // by address
 	cuts     map[link]bool
-	traits   Traits
+	traits   LinkConditions
 	sent     int // bytes of requests and answers
 }
 
-// Traits of the links.
-type Traits struct {
-	Shortest, Longest time.Duration // delay one way
-	Lost              float64       // share of messages, requests and replies, that vanish
-	Late              float64       // share that takes up to Latest
-	Latest            time.Duration
-	Doubled           float64 // share of requests that arrive twice
+// LinkConditions of the links.
+type LinkConditions struct {
+	MinDelay, MaxDelay time.Duration // delay one way
+	LossRate           float64       // share of messages, requests and replies, that vanish
+	LateRate           float64       // share that takes up to Latest
+	MaxLateDelay       time.Duration
+	DuplicateRate      float64 // share of requests that arrive twice
 }
 
 type link struct{ from, to string }
 
 // NewNetwork makes a network without machines.
-func NewNetwork(random *rand.Rand, traits Traits) *Network {
+func NewNetwork(random *rand.Rand, traits LinkConditions) *Network {
 	return &Network{
 		random:   random,
 		machines: make(map[string]*Machine),
@@ -43,8 +43,8 @@
 	}
 }
 
-// Set replaces the traits of the links.
-func (n *Network) Set(traits Traits) {
+// SetConditions replaces the traits of the links.
+func (n *Network) SetConditions(traits LinkConditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.traits = traits
@@ -64,8 +64,8 @@
 	clear(n.cuts)
 }
 
-// Sent returns the bytes of all requests and answers so far.
-func (n *Network) Sent() int {
+// BytesSent returns the bytes of all requests and answers so far.
+func (n *Network) BytesSent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
@@ -89,12 +89,12 @@
 	defer n.mu.Unlock()
 	traits := n.traits
 	drawn := passage{
-		delay:   traits.Shortest + n.between(traits.Longest-traits.Shortest),
-		lost:    n.random.Float64() < traits.Lost,
-		doubled: n.random.Float64() < traits.Doubled,
+		delay:   traits.MinDelay + n.between(traits.MaxDelay-traits.MinDelay),
+		lost:    n.random.Float64() < traits.LossRate,
+		doubled: n.random.Float64() < traits.DuplicateRate,
 	}
-	if n.random.Float64() < traits.Late {
-		drawn.delay = n.between(traits.Latest)
+	if n.random.Float64() < traits.LateRate {
+		drawn.delay = n.between(traits.MaxLateDelay)
 	}
 	return drawn
 }
--- a/internal/tier/soak/history.go
+++ b/internal/tier/soak/history.go
@@ -36,7 +36,7 @@
 // promised says whether the answer promises that the request has not run and never will.
 func (a *Attempt) promised() bool {
 	reply := testbed.Reply{Status: a.Status}
-	return a.whole() && (reply.Promised() || a.Status == statusSpent)
+	return a.whole() && (reply.NotExecuted() || a.Status == statusSpent)
 }
 
 const statusSpent = 402
--- a/internal/tier/soak/judge.go
+++ b/internal/tier/soak/judge.go
@@ -136,7 +136,7 @@
 
 // judgePlanned wants no request that was passed on to a store to be cut by planned work.
 func (w *world) judgePlanned(attempt *Attempt, runs []testbed.Run) {
-	if attempt.whole() || attempt.Left || len(runs) == 0 || !runs[len(runs)-1].Whole {
+	if attempt.whole() || attempt.Left || len(runs) == 0 || !runs[len(runs)-1].Completed {
 		return
 	}
 	if w.planned(contactBound, attempt.Sent, attempt.Ended) {
@@ -174,7 +174,7 @@
 	handed := make(map[string]int)
 	for _, attempt := range attempts {
 		if attempt.Program != "" {
-			handed[attempt.Program] += attempt.Events * testbed.Stride
+			handed[attempt.Program] += attempt.Events * testbed.TokensPerEvent
 		}
 	}
 	w.turns.mu.Lock()
--- a/internal/tier/soak/stores.go
+++ b/internal/tier/soak/stores.go
@@ -125,7 +125,7 @@
 			}
 			continue
 		}
-		how, disturbance := random.IntN(6), testbed.Disturbance(1+random.IntN(int(testbed.LastDisturbance)))
+		how, disturbance := random.IntN(6), testbed.Fault(1+random.IntN(int(testbed.LastFault)))
 		source := rand.New(rand.NewPCG(random.Uint64(), 0))
 		group.Go(func() { s.trouble(ctx, service, store, how, disturbance, source) })
 	}
@@ -206,12 +206,12 @@
 }
 
 func (s *storeSet) trouble(
-	ctx context.Context, service string, store *testbed.Store, how int, disturbance testbed.Disturbance, random *rand.Rand,
+	ctx context.Context, service string, store *testbed.Store, how int, disturbance testbed.Fault, random *rand.Rand,
 ) {
 	w := s.world
 	acknowledged, cancel := context.WithTimeout(context.WithoutCancel(ctx), ackPatience)
 	defer cancel()
-	late := store.Delayed()
+	late := store.DelayedHeartbeat()
 	switch how {
 	case 0:
 		end := w.begin(cause{what: "store " + store.ID() + " crashes"})
@@ -227,7 +227,7 @@
 			w.Count("store drained")
 			s.deliverLate(acknowledged, late)
 			clock.Sleep(ctx, servesOn)
-			_ = store.Leave(acknowledged)
+			_ = store.Shutdown(acknowledged)
 		}
 		store.Kill()
 	case 2:
@@ -243,9 +243,9 @@
 	default:
 		defer w.begin(cause{what: "store " + store.ID() + " is disturbed"})()
 		w.Count("store disturbed")
-		store.Disturb(disturbance)
+		store.SetFault(disturbance)
 		clock.Sleep(ctx, disturbedTime)
-		store.Disturb(testbed.NoDisturbance)
+		store.SetFault(testbed.NoFault)
 		s.giveBack(service, store)
 	}
 }
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -47,7 +47,7 @@
 
 // callOf is a call of a route with a text of its own.
 func callOf(kind routeKind, text string) testbed.Call {
-	call := testbed.Call{RequestID: testbed.NewRequestID(), Method: "POST", Body: []byte(text), Deadline: callTime, Lateness: lateness}
+	call := testbed.Call{RequestID: testbed.NewRequestID(), Method: "POST", Body: []byte(text), Deadline: callTime, GracePeriod: lateness}
 	switch kind {
 	case fetchRoute:
 		call.Method, call.Body, call.Path = "GET", nil, testbed.FetchPrefix+strings.Fields(text)[0]+"?"+call.RequestID
@@ -67,14 +67,14 @@
 ) *Attempt {
 	prompt := call.Body
 	if before != nil {
-		call.Previous = before.id
+		call.PreviousTurn = before.id
 		prompt = before.next(call.Body)
 	}
 	attempt := &Attempt{
 		ID: call.RequestID, Route: string(kind), Front: edge.Settings.Listen.Front, Method: call.Method, Path: call.Path,
-		Program: call.Program, Previous: call.Previous, Body: call.Body, Prompt: prompt, Sent: time.Now(),
+		Program: call.Program, Previous: call.PreviousTurn, Body: call.Body, Prompt: prompt, Sent: time.Now(),
 	}
-	reply := client.Try(ctx, attempt.Front, call)
+	reply := client.Do(ctx, attempt.Front, call)
 	attempt.Ended, attempt.Status = time.Now(), reply.Status
 	if reply.Err != nil {
 		attempt.Error = reply.Err.Error()
--- a/internal/tier/soak/world.go
+++ b/internal/tier/soak/world.go
@@ -87,8 +87,8 @@
 	}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: options.Folder, Subnet: options.Subnet, Zones: []string{"north", "south", "west"}, Edges: plan.Size.Edges,
-		Coordinators: plan.Size.Coordinators, TurnStores: plan.Size.TurnStores, Spares: 1, Tolerated: plan.Size.Tolerated, Launch: launch, Log: log,
-		StorePause: storePause,
+		Coordinators: plan.Size.Coordinators, TurnStores: plan.Size.TurnStores, Spares: 1, ToleratedFailures: plan.Size.Tolerated, Launch: launch, Log: log,
+		StoreResponseDelay: storePause,
 	})
 	if err != nil {
 		relay.Close()
--- a/internal/tier/storage/versions_test.go
+++ b/internal/tier/storage/versions_test.go
@@ -22,7 +22,7 @@
 
 func machine(seed uint64) *simulation.Machine {
 	random := rand.New(rand.NewPCG(seed, 0))
-	return simulation.NewNetwork(random, simulation.Traits{}).NewMachine("10.0.0.1:1", random)
+	return simulation.NewNetwork(random, simulation.LinkConditions{}).NewMachine("10.0.0.1:1", random)
 }
 
 func open(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
@@ -64,7 +64,7 @@
 }
 
 func TestSaveAfterFailureIsTheNewest(t *testing.T) {
-	troubles := []simulation.DiskFault{{Full: true}, {Failing: true}}
+	troubles := []simulation.DiskFault{{Full: true}, {SyncFails: true}}
 	for _, trouble := range troubles {
 		m := machine(1)
 		series := open(t, m.Start().Mount(), nil)
@@ -100,7 +100,7 @@
 	m := machine(1)
 	disk := m.Start().Mount()
 	assert.NilError(t, open(t, disk, nil).Save([]byte("one")))
-	m.Disk.Damage(name)
+	m.Disk.CorruptMatching(name)
 	series := open(t, disk, nil)
 	_, found := series.Newest()
 	assert.Assert(t, !found && series.Damaged())
--- a/internal/tier/testbed/answer.go
+++ b/internal/tier/testbed/answer.go
@@ -37,8 +37,8 @@
 	digestDigits = 16
 )
 
-// Stride is the number of tokens in each event.
-const Stride = 3
+// TokensPerEvent is the number of tokens in each event.
+const TokensPerEvent = 3
 
 // PlainBody is the body that a plain store answers a request with.
 func PlainBody(method, path string, body []byte) []byte {
@@ -60,7 +60,7 @@
 }
 
 // EventCount is the number of events for the most tokens to come out.
-func EventCount(tokensOut int) int { return max(1, (tokensOut+Stride-1)/Stride) }
+func EventCount(tokensOut int) int { return max(1, (tokensOut+TokensPerEvent-1)/TokensPerEvent) }
 
 // Output is what a turn with these events adds to the prompt of the next one.
 func Output(events []string) []byte {
@@ -96,11 +96,11 @@
 		return
 	}
 	disturbance := s.disturbance()
-	if disturbance == RefuseAll {
+	if disturbance == RejectAll {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if disturbance == BreakBeforeRun {
+	if disturbance == CloseBeforeRun {
 		panic(http.ErrAbortHandler)
 	}
 	run := s.begin(r, body)
@@ -161,7 +161,7 @@
 	_, out, _ := strings.Cut(usage, ",")
 	tokens, err := strconv.Atoi(out)
 	if err != nil {
-		return Stride
+		return TokensPerEvent
 	}
 	return tokens
 }
--- a/internal/tier/testbed/client.go
+++ b/internal/tier/testbed/client.go
@@ -17,17 +17,17 @@
 
 // Call is a client's request.
 type Call struct {
-	RequestID string // drawn where empty
-	Method    string
-	Path      string
-	Body      []byte
-	Deadline  time.Duration // 0: defaultDeadline
-	Lateness  time.Duration // how much longer than its deadline the client waits
-	Program   string
-	Session   string
-	Previous  string // request id of the turn that this one goes on from
-	Budget    int    // 0: none told
-	TokensOut int    // most to come out; engines only
+	RequestID    string // drawn where empty
+	Method       string
+	Path         string
+	Body         []byte
+	Deadline     time.Duration // 0: defaultDeadline
+	GracePeriod  time.Duration // how much longer than its deadline the client waits
+	Program      string
+	Session      string
+	PreviousTurn string // request id of the turn that this one goes on from
+	Budget       int    // 0: none told
+	TokensOut    int    // most to come out; engines only
 }
 
 const defaultDeadline = 5 * time.Second
@@ -55,8 +55,8 @@
 // Close ends idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Try sends a call once to a front address and reads the answer to its end.
-func (c *Client) Try(ctx context.Context, front string, call Call) Reply {
+// Do sends a call once to a front address and reads the answer to its end.
+func (c *Client) Do(ctx context.Context, front string, call Call) Reply {
 	reply := Reply{RequestID: call.RequestID}
 	if reply.RequestID == "" {
 		reply.RequestID = NewRequestID()
@@ -65,7 +65,7 @@
 	if deadline == 0 {
 		deadline = defaultDeadline
 	}
-	ctx, cancel := context.WithTimeout(ctx, deadline+call.Lateness)
+	ctx, cancel := context.WithTimeout(ctx, deadline+call.GracePeriod)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+front+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
@@ -101,13 +101,13 @@
 	if c.Budget > 0 {
 		header.Set(headerBudget, strconv.Itoa(c.Budget))
 	}
-	if c.Previous != "" {
-		header.Set(headerPrevious, c.Previous)
+	if c.PreviousTurn != "" {
+		header.Set(headerPrevious, c.PreviousTurn)
 	}
 }
 
-// Promised says that the request has not run and never will.
-func (r Reply) Promised() bool {
+// NotExecuted says that the request has not run and never will.
+func (r Reply) NotExecuted() bool {
 	switch r.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest:
--- a/internal/tier/testbed/disturb.go
+++ b/internal/tier/testbed/disturb.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Disturbance is how a store misbehaves.
-type Disturbance uint8
+// Fault is how a store misbehaves.
+type Fault uint8
 
 // The disturbances.
 const (
-	NoDisturbance   Disturbance = iota
-	RefuseAll                   // 503 with X-Not-Executed; nothing runs
-	BreakBeforeRun              // the connection ends before the request runs
-	LoseAnswer                  // the request runs, and its connection ends without an answer
-	CutAnswer                   // the request runs, and its answer breaks off
-	FailRun                     // the request runs and ends with a 500 of the store's own
-	HangRun                     // the request runs and gets no answer until its caller leaves
-	SlowRun                     // the request runs, and its answer begins late
-	AnswerTwice                 // the answer is followed by another one that nobody asked for
-	LastDisturbance = AnswerTwice
+	NoFault           Fault = iota
+	RejectAll               // 503 with X-Not-Executed; nothing runs
+	CloseBeforeRun          // the connection ends before the request runs
+	DropResponse            // the request runs, and its connection ends without an answer
+	TruncateResponse        // the request runs, and its answer breaks off
+	FailAfterRun            // the request runs and ends with a 500 of the store's own
+	Hang                    // the request runs and gets no answer until its caller leaves
+	DelayResponse           // the request runs, and its answer begins late
+	SendExtraResponse       // the answer is followed by another one that nobody asked for
+	LastFault         = SendExtraResponse
 )
 
 // slowRunTime is how late answers of SlowRun begin.
@@ -30,46 +30,46 @@
 // failureText is the body of a store's own failures.
 const failureText = "failed"
 
-// Disturb has the store misbehave in a way until it is told another one.
-func (s *Store) Disturb(how Disturbance) {
+// SetFault has the store misbehave in a way until it is told another one.
+func (s *Store) SetFault(how Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disturb = how
 }
 
-func (s *Store) disturbance() Disturbance {
+func (s *Store) disturbance() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.disturb
 }
 
 // disturbRun misbehaves while a request runs and says whether it is to be answered as usual.
-func (s *Store) disturbRun(w http.ResponseWriter, r *http.Request, how Disturbance) bool {
+func (s *Store) disturbRun(w http.ResponseWriter, r *http.Request, how Fault) bool {
 	requestID := r.Header.Get(headerRequestID)
 	switch how {
-	case LoseAnswer:
+	case DropResponse:
 		panic(http.ErrAbortHandler)
-	case CutAnswer:
+	case TruncateResponse:
 		w.Header().Set(headerSignature, Signature(requestID, nil))
 		w.Header().Set("Content-Length", strconv.Itoa(plainSize))
 		_, _ = w.Write([]byte("half of an ans"))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case FailRun:
+	case FailAfterRun:
 		w.Header().Set(headerSignature, Signature(requestID, []byte(failureText)))
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = w.Write([]byte(failureText))
 		return false
-	case HangRun:
+	case Hang:
 		<-r.Context().Done()
 		return false
-	case SlowRun:
+	case DelayResponse:
 		select {
 		case <-time.After(slowRunTime):
 		case <-r.Context().Done():
 			return false
 		}
-	case AnswerTwice:
+	case SendExtraResponse:
 		answerTwice(w, r, requestID)
 		return false
 	}
--- a/internal/tier/testbed/operator.go
+++ b/internal/tier/testbed/operator.go
@@ -23,20 +23,20 @@
 
 // Route of a configuration.
 type Route struct {
-	Name            string  `json:"name"`
-	Hostname        string  `json:"hostname"`
-	PathPrefix      string  `json:"pathPrefix"`
-	Kind            string  `json:"kind"`
-	TimeoutMs       int     `json:"timeoutMs"`
-	TargetLatencyMs int     `json:"targetLatencyMs"`
-	Priority        int     `json:"priority"`
-	Backend         string  `json:"backend"`
-	MaxAttempts     int     `json:"maxAttempts"`
-	Retained        bool    `json:"retained"`
-	RetentionS      float64 `json:"retentionS"`
-	SessionAffinity bool    `json:"sessionAffinity"`
-	Resumable       bool    `json:"resumable"`
-	GapAimMs        int     `json:"gap_aim_ms,omitempty"`
+	Name             string  `json:"name"`
+	Hostname         string  `json:"hostname"`
+	PathPrefix       string  `json:"pathPrefix"`
+	Kind             string  `json:"kind"`
+	TimeoutMs        int     `json:"timeoutMs"`
+	TargetLatencyMs  int     `json:"targetLatencyMs"`
+	Priority         int     `json:"priority"`
+	Backend          string  `json:"backend"`
+	MaxAttempts      int     `json:"maxAttempts"`
+	Retained         bool    `json:"retained"`
+	RetentionS       float64 `json:"retentionS"`
+	SessionAffinity  bool    `json:"sessionAffinity"`
+	Resumable        bool    `json:"resumable"`
+	EventGapTargetMs int     `json:"gap_aim_ms,omitempty"`
 }
 
 // Service of a configuration.
@@ -88,7 +88,7 @@
 	plain := Route{Hostname: Host, TimeoutMs: 3000, TargetLatencyMs: 300, Priority: 2, Backend: PlainService, MaxAttempts: 2}
 	stream := Route{
 		Hostname: Host, Kind: "streaming", TimeoutMs: 10000, TargetLatencyMs: 500, Backend: EngineService,
-		MaxAttempts: 2, RetentionS: 60, SessionAffinity: true, GapAimMs: 400,
+		MaxAttempts: 2, RetentionS: 60, SessionAffinity: true, EventGapTargetMs: 400,
 	}
 	fetch, order, draft, talk := plain, plain, stream, stream
 	fetch.Name, fetch.PathPrefix, fetch.Kind = "fetch", FetchPrefix, "idempotent"
@@ -96,7 +96,7 @@
 	draft.Name, draft.PathPrefix, draft.Resumable, draft.Priority = "draft", DraftPrefix, true, 1
 	talk.Name, talk.PathPrefix, talk.Retained = "talk", TalkPrefix, true
 	engine := &Engine{
-		Slots: 32, KVTokens: 200000, KVBytes: 131072, LinkMbps: 260000, Stride: Stride, Models: []EngineModel{{Name: "m"}},
+		Slots: 32, KVTokens: 200000, KVBytes: 131072, LinkMbps: 260000, Stride: TokensPerEvent, Models: []EngineModel{{Name: "m"}},
 	}
 	return &Configuration{
 		Generation: generation,
@@ -118,8 +118,8 @@
 	return text
 }
 
-// OrderAnswer is the clear answer to an order.
-type OrderAnswer struct {
+// ControlResponse is the clear answer to an order.
+type ControlResponse struct {
 	Status int
 	Body   []byte
 }
@@ -137,22 +137,22 @@
 }
 
 // PutConfiguration sends a configuration that builds on a version, again and again until the answer is clear.
-func (o *Operator) PutConfiguration(ctx context.Context, ifMatch uint64, body []byte) (OrderAnswer, error) {
+func (o *Operator) PutConfiguration(ctx context.Context, ifMatch uint64, body []byte) (ControlResponse, error) {
 	return o.order(ctx, http.MethodPut, "/v1/config", body, strconv.FormatUint(ifMatch, 10))
 }
 
 // Configuration reads the newest configuration.
-func (o *Operator) Configuration(ctx context.Context) (OrderAnswer, error) {
+func (o *Operator) Configuration(ctx context.Context) (ControlResponse, error) {
 	return o.order(ctx, http.MethodGet, "/v1/config", nil, "")
 }
 
 // Retire asks for a machine to be emptied.
-func (o *Operator) Retire(ctx context.Context, node string, deadline time.Duration) (OrderAnswer, error) {
+func (o *Operator) Retire(ctx context.Context, node string, deadline time.Duration) (ControlResponse, error) {
 	body, err := json.Marshal(struct {
 		DeadlineS float64 `json:"deadlineS"`
 	}{deadline.Seconds()})
 	if err != nil {
-		return OrderAnswer{}, err
+		return ControlResponse{}, err
 	}
 	return o.order(ctx, http.MethodPost, "/v1/retire/"+node, body, "")
 }
@@ -172,8 +172,8 @@
 	return said.State, nil
 }
 
-func (o *Operator) order(ctx context.Context, method, path string, body []byte, ifMatch string) (OrderAnswer, error) {
-	clear := OrderAnswer{}
+func (o *Operator) order(ctx context.Context, method, path string, body []byte, ifMatch string) (ControlResponse, error) {
+	clear := ControlResponse{}
 	err := retry(ctx, func(ctx context.Context) error {
 		address := o.controls[o.turn.Add(1)%uint64(len(o.controls))]
 		answer, err := o.call(ctx, method, "http://"+address+path, body, ifMatch)
@@ -190,15 +190,15 @@
 }
 
 // unclear says whether the order is to be sent again.
-func (a OrderAnswer) unclear() bool {
+func (a ControlResponse) unclear() bool {
 	return a.Status >= http.StatusInternalServerError ||
 		a.Status == http.StatusRequestTimeout || a.Status == http.StatusTooManyRequests
 }
 
-func (o *Operator) call(ctx context.Context, method, url string, body []byte, ifMatch string) (OrderAnswer, error) {
+func (o *Operator) call(ctx context.Context, method, url string, body []byte, ifMatch string) (ControlResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return OrderAnswer{}, err
+		return ControlResponse{}, err
 	}
 	if ifMatch != "" {
 		request.Header.Set("If-Match", ifMatch)
@@ -208,12 +208,12 @@
 	}
 	answer, err := o.client.Do(request)
 	if err != nil {
-		return OrderAnswer{}, err
+		return ControlResponse{}, err
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
 	if err != nil {
-		return OrderAnswer{}, err
+		return ControlResponse{}, err
 	}
-	return OrderAnswer{Status: answer.StatusCode, Body: text}, nil
+	return ControlResponse{Status: answer.StatusCode, Body: text}, nil
 }
--- a/internal/tier/testbed/registration.go
+++ b/internal/tier/testbed/registration.go
@@ -26,16 +26,16 @@
 
 // heartbeat is the body of a registration.
 type heartbeat struct {
-	Backend         string      `json:"backend"`
-	Address         string      `json:"address"`
-	Zone            string      `json:"zone"`
-	Generation      string      `json:"generation"`
-	Slots           int         `json:"slots"`
-	State           string      `json:"state"`
-	ColdRemainingMs int         `json:"coldRemainingMs"`
-	Stage           string      `json:"stage,omitempty"`
-	Models          []modelName `json:"models,omitempty"`
-	Sequence        uint64      `json:"sequence"`
+	Backend              string      `json:"backend"`
+	Address              string      `json:"address"`
+	Zone                 string      `json:"zone"`
+	Generation           string      `json:"generation"`
+	Slots                int         `json:"slots"`
+	State                string      `json:"state"`
+	SlowStartRemainingMs int         `json:"coldRemainingMs"`
+	Stage                string      `json:"stage,omitempty"`
+	Models               []modelName `json:"models,omitempty"`
+	Sequence             uint64      `json:"sequence"`
 }
 
 type modelName struct {
--- a/internal/tier/testbed/store.go
+++ b/internal/tier/testbed/store.go
@@ -18,14 +18,14 @@
 
 // StoreOptions describe a store.
 type StoreOptions struct {
-	ID       string // instanceId
-	Backend  string // service
-	Zone     string
-	Address  string // ip:port to listen at; port 0 for any
-	Slots    int
-	Engine   bool            // answers with events
-	Registry func() []string // control addresses that take registrations
-	Pause    time.Duration   // before a plain answer and between events
+	ID            string // instanceId
+	Backend       string // service
+	Zone          string
+	Address       string // ip:port to listen at; port 0 for any
+	Slots         int
+	Engine        bool            // answers with events
+	Registry      func() []string // control addresses that take registrations
+	ResponseDelay time.Duration   // before a plain answer and between events
 }
 
 // Run is one request that a store has begun to work on.
@@ -34,7 +34,7 @@
 	Method    string
 	Path      string
 	Body      []byte
-	Whole     bool // answered to the end
+	Completed bool // answered to the end
 	At        time.Time
 	Ended     time.Time // zero while the store works on it
 }
@@ -50,7 +50,7 @@
 	runs    []*Run
 	running int
 	closed  bool
-	disturb Disturbance
+	disturb Fault
 	gate    chan struct{} // not nil while answers are held
 }
 
@@ -98,8 +98,8 @@
 	return s.running
 }
 
-// Hold keeps answers back, streams behind their first event, until the returned function is called.
-func (s *Store) Hold() (release func()) {
+// BlockResponses keeps answers back, streams behind their first event, until the returned function is called.
+func (s *Store) BlockResponses() (release func()) {
 	gate := make(chan struct{})
 	s.mu.Lock()
 	s.gate = gate
@@ -118,8 +118,8 @@
 // Drain announces that the store will leave and returns when that is acknowledged. It serves on.
 func (s *Store) Drain(ctx context.Context) error { return s.registry.announce(ctx, stateDraining) }
 
-// Leave tells the registry that the store is gone, stops its heartbeats and ends it.
-func (s *Store) Leave(ctx context.Context) error {
+// Shutdown tells the registry that the store is gone, stops its heartbeats and ends it.
+func (s *Store) Shutdown(ctx context.Context) error {
 	err := s.registry.leave(ctx)
 	s.Kill()
 	return err
@@ -133,8 +133,8 @@
 	return s.registry.leaveAt(ctx, address)
 }
 
-// Delayed makes a heartbeat of now, and returns what delivers it later, once, to a control address.
-func (s *Store) Delayed() (deliver func(ctx context.Context, address string) error) {
+// DelayedHeartbeat makes a heartbeat of now, and returns what delivers it later, once, to a control address.
+func (s *Store) DelayedHeartbeat() (deliver func(ctx context.Context, address string) error) {
 	return s.registry.delayed()
 }
 
@@ -196,16 +196,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	run.Whole, run.Ended = whole, time.Now()
+	run.Completed, run.Ended = whole, time.Now()
 }
 
 // pause waits as long as the store's work takes, and returns false when the caller has left before.
 func (s *Store) pause(ctx context.Context) bool {
-	if s.options.Pause <= 0 {
+	if s.options.ResponseDelay <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(s.options.Pause):
+	case <-time.After(s.options.ResponseDelay):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/tier/testbed/tier.go
+++ b/internal/tier/testbed/tier.go
@@ -44,17 +44,17 @@
 
 // Layout says what a tier on loopback consists of.
 type Layout struct {
-	Folder       string // settings files and disks
-	Subnet       string // first three parts of the machines' addresses, such as 127.7.0
-	Zones        []string
-	Edges        int
-	Coordinators int
-	TurnStores   int
-	Spares       int // empty machines of each class with a disk, not started with the others
-	Tolerated    int // machines that may be lost at once
-	Launch       Launcher
-	Log          io.Writer
-	StorePause   time.Duration // of the stores' work: before a plain answer and between events
+	Folder             string // settings files and disks
+	Subnet             string // first three parts of the machines' addresses, such as 127.7.0
+	Zones              []string
+	Edges              int
+	Coordinators       int
+	TurnStores         int
+	Spares             int // empty machines of each class with a disk, not started with the others
+	ToleratedFailures  int // machines that may be lost at once
+	Launch             Launcher
+	Log                io.Writer
+	StoreResponseDelay time.Duration // of the stores' work: before a plain answer and between events
 }
 
 // Tier is a whole serving tier on loopback addresses.
@@ -143,7 +143,7 @@
 		Limits:    settings.Limits{CPUShare: 1, Cores: 1, MemoryMb: 280, MaxFds: 4096, LinkMbps: 1000, DiskMb: 300},
 		Bounds:    exampleBounds,
 	}
-	told.FaultTolerance.Machines = t.layout.Tolerated
+	told.FaultTolerance.Machines = t.layout.ToleratedFailures
 	for _, name := range t.layout.Zones {
 		told.Zones[name] = "loopback"
 	}
@@ -209,7 +209,7 @@
 	zone := t.layout.Zones[t.stores%len(t.layout.Zones)]
 	return StartStore(StoreOptions{
 		ID: fmt.Sprintf("i-%s-%d", service, t.stores), Backend: service, Zone: zone, Slots: slots, Address: address,
-		Engine: service == EngineService, Registry: t.Controls, Pause: t.layout.StorePause,
+		Engine: service == EngineService, Registry: t.Controls, ResponseDelay: t.layout.StoreResponseDelay,
 	})
 }
 
