--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -3,81 +3,84 @@
 import (
 	"maps"
 	"math/rand/v2"
-	"path"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
-
-	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
 // Errors of a simulated disk.
 var (
-	ErrFull    = eris.New("no space left on the simulated disk")
-	ErrSync    = eris.New("simulated disk failed to sync")
-	ErrStopped = eris.New("process of the simulated disk has ended")
-	errMissing = eris.New("no such file on the simulated disk")
+	// ErrFull is returned for writes while DiskFault.Full is set.
+	ErrFull = eris.New("simulated disk: no space left")
+	// ErrSync is returned for syncs while DiskFault.SyncFails is set.
+	ErrSync = eris.New("simulated disk: sync failed")
+	// ErrStopped is returned for every operation of an incarnation that has ended.
+	ErrStopped = eris.New("simulated disk: process has ended")
+
+	errMissing = eris.New("simulated disk: no such file")
 )
 
-// Disk keeps files through ends of processes, and through losses of power what was synced.
+// Disk is the disk of a machine. It keeps files across incarnations, and what was synced across power losses. It is safe
+// for concurrent use.
 type Disk struct {
 	mu      sync.Mutex
 	random  *rand.Rand
-	current map[string]*inode // names as processes see them
-	durable map[string]*inode // names as the last syncs left them
-	pending []nameChange
+	current map[string]*inode // files by name, as processes see them
+	durable map[string]*inode // files by name, as a power loss without further changes would leave them
+	pending []nameChange      // changes since the last sync of the folder, in order
 	stats   DiskStats
-	trouble DiskFault
+	fault   DiskFault
 }
 
-// DiskFault is what is wrong with a disk.
+// DiskFault is a fault of a disk. The zero value is a healthy disk.
 type DiskFault struct {
 	Full      bool          // writes fail
 	SyncFails bool          // syncs fail
 	SyncDelay time.Duration // of each sync
 }
 
-// DiskStats counts the operations on a disk.
+// DiskStats counts what was done on a disk since it was created.
 type DiskStats struct {
-	BytesWritten int // bytes
+	BytesWritten int // unsynced writes too
 	FileSyncs    int
 	FolderSyncs  int
 }
 
+// inode is the content of a file, whatever its name.
 type inode struct {
 	synced []byte
 	writes [][]byte // since the last sync
 }
 
-// nameChange is a change of names that no sync of the folder has covered.
+// nameChange is a creation, rename or removal of a file that is not durable yet.
 type nameChange struct {
-	from, to string // to is empty where a name was removed, from where a file was made
+	from, to string // from is empty for a creation, to is empty for a removal
 	file     *inode
 }
 
-// NewDisk makes an empty disk.
+// NewDisk creates an empty disk. Random decides what a power loss leaves of unsynced changes.
 func NewDisk(random *rand.Rand) *Disk {
 	return &Disk{random: random, current: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// SetFault replaces what is wrong with the disk.
-func (d *Disk) SetFault(trouble DiskFault) {
+// SetFault replaces the fault of the disk; the zero value repairs it.
+func (d *Disk) SetFault(fault DiskFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.trouble = trouble
+	d.fault = fault
 }
 
-// Stats returns the operations so far.
+// Stats returns the operations counted so far.
 func (d *Disk) Stats() DiskStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.stats
 }
 
-// Bytes returns the size of all files.
+// Bytes returns the size in bytes of all files.
 func (d *Disk) Bytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,13 +91,14 @@
 	return total
 }
 
-// PowerLoss leaves of each unsynced write all, nothing or a part, and of each unsynced change of names all or nothing.
+// PowerLoss keeps, of each unsynced write, all of it, a prefix, or zeros or nothing in its place, and of each unsynced
+// change of names all or nothing. One loss in four keeps no unsynced change at all.
 func (d *Disk) PowerLoss() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := d.random.IntN(4) == 0 // some losses of power remove all of them
+	dropAll := d.random.IntN(4) == 0
 	for _, change := range d.pending {
-		if all || d.random.IntN(2) == 0 {
+		if dropAll || d.random.IntN(2) == 0 {
 			continue
 		}
 		switch {
@@ -108,7 +112,7 @@
 		}
 	}
 	for _, file := range d.durable {
-		file.lose(d.random, all)
+		file.losePower(d.random, dropAll)
 	}
 	d.pending = nil
 	d.current = maps.Clone(d.durable)
@@ -123,7 +127,7 @@
 	d.pending = nil
 }
 
-// CorruptMatching alters a byte in the middle of each file whose path contains a text.
+// CorruptMatching flips a bit in the middle of each file whose path contains the text. The damage is durable.
 func (d *Disk) CorruptMatching(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +139,7 @@
 	}
 }
 
-// RemoveMatching removes each file whose path contains a text.
+// RemoveMatching durably removes each file whose path contains the text.
 func (d *Disk) RemoveMatching(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,9 +148,6 @@
 	maps.DeleteFunc(d.durable, contains)
 }
 
-// Mount gives a life access to the disk of its machine.
-func (l *Incarnation) Mount() storage.Disk { return &mount{disk: l.machine.Disk, life: l} }
-
 func (i *inode) content() []byte {
 	data := slices.Clone(i.synced)
 	for _, write := range i.writes {
@@ -155,172 +156,18 @@
 	return data
 }
 
-func (i *inode) lose(random *rand.Rand, all bool) {
+// losePower makes of the unsynced writes what a power loss leaves of them: a write may become zeros of its length, as on
+// file systems that extend a file before its data is written.
+func (i *inode) losePower(random *rand.Rand, dropAll bool) {
 	for _, write := range i.writes {
-		kept := random.IntN(3)
+		outcome := random.IntN(3)
 		switch {
-		case all || kept == 0:
+		case dropAll || outcome == 0:
 			write = make([]byte, len(write)*random.IntN(2))
-		case kept == 1:
+		case outcome == 1:
 			write = write[:random.IntN(len(write)+1)]
 		}
 		i.synced = append(slices.Clone(i.synced), write...)
 	}
 	i.writes = nil
 }
-
-// mount is the disk as one life sees it.
-type mount struct {
-	disk *Disk
-	life *Incarnation
-}
-
-// use runs an operation unless the life has ended.
-func (m *mount) use(operation func(*Disk) error) error {
-	if !m.life.running() {
-		return ErrStopped
-	}
-	m.disk.mu.Lock()
-	defer m.disk.mu.Unlock()
-	if m.life.hasEnded() {
-		return ErrStopped
-	}
-	return operation(m.disk)
-}
-
-// wait lets the time of a sync pass.
-func (m *mount) wait() {
-	m.disk.mu.Lock()
-	delay := m.disk.trouble.SyncDelay
-	m.disk.mu.Unlock()
-	if delay <= 0 {
-		return
-	}
-	select {
-	case <-time.After(delay):
-	case <-m.life.ended:
-	}
-}
-
-func (m *mount) MakeFolder(string) error { return m.use(func(*Disk) error { return nil }) }
-
-func (m *mount) List(folder string) (names []string, err error) {
-	err = m.use(func(disk *Disk) error {
-		for name := range disk.current {
-			if path.Dir(name) == folder {
-				names = append(names, path.Base(name))
-			}
-		}
-		slices.Sort(names)
-		return nil
-	})
-	return names, err
-}
-
-func (m *mount) Read(name string) (data []byte, err error) {
-	err = m.use(func(disk *Disk) error {
-		file := disk.current[name]
-		if file == nil {
-			return errMissing
-		}
-		data = file.content()
-		return nil
-	})
-	return data, err
-}
-
-func (m *mount) Create(name string) (storage.File, error) {
-	file := &inode{}
-	err := m.use(func(disk *Disk) error {
-		disk.current[name] = file
-		disk.pending = append(disk.pending, nameChange{to: name, file: file})
-		return nil
-	})
-	return &openFile{mount: m, name: name, file: file}, err
-}
-
-func (m *mount) Rename(from, to string) error {
-	return m.use(func(disk *Disk) error {
-		file := disk.current[from]
-		if file == nil {
-			return errMissing
-		}
-		delete(disk.current, from)
-		disk.current[to] = file
-		disk.pending = append(disk.pending, nameChange{from: from, to: to, file: file})
-		return nil
-	})
-}
-
-func (m *mount) Remove(name string) error {
-	return m.use(func(disk *Disk) error {
-		file := disk.current[name]
-		if file == nil {
-			return errMissing
-		}
-		delete(disk.current, name)
-		disk.pending = append(disk.pending, nameChange{from: name, file: file})
-		return nil
-	})
-}
-
-func (m *mount) SyncFile(name string) error {
-	var file *inode
-	err := m.use(func(disk *Disk) error {
-		if file = disk.current[name]; file == nil {
-			return errMissing
-		}
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	return (&openFile{mount: m, name: name, file: file}).Sync()
-}
-
-func (m *mount) SyncFolder(string) error {
-	m.wait()
-	return m.use(func(disk *Disk) error {
-		if disk.trouble.SyncFails {
-			return ErrSync
-		}
-		disk.stats.FolderSyncs++
-		disk.durable = maps.Clone(disk.current)
-		disk.pending = nil
-		return nil
-	})
-}
-
-// openFile is a file open for writing.
-type openFile struct {
-	mount *mount
-	name  string
-	file  *inode
-}
-
-func (f *openFile) Write(data []byte) (int, error) {
-	err := f.mount.use(func(disk *Disk) error {
-		if disk.trouble.Full {
-			return ErrFull
-		}
-		disk.stats.BytesWritten += len(data)
-		f.file.writes = append(f.file.writes, slices.Clone(data))
-		return nil
-	})
-	return len(data), err
-}
-
-// Sync makes the content last. The name under which the file was made lasts when its folder is synced, not before.
-func (f *openFile) Sync() error {
-	f.mount.wait()
-	return f.mount.use(func(disk *Disk) error {
-		if disk.trouble.SyncFails {
-			return ErrSync
-		}
-		disk.stats.FileSyncs++
-		f.file.synced, f.file.writes = f.file.content(), nil
-		return nil
-	})
-}
-
-func (f *openFile) Close() error { return nil }
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -8,19 +8,19 @@
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 )
 
-// Machine has an address, a disk, and at most one running process, its life.
+// Machine has an address, a disk, and at most one running process, its current Incarnation.
 type Machine struct {
 	network *Network
 	address string
 	Disk    *Disk
 
-	mu     sync.Mutex
-	life   *Incarnation
-	dark   bool          // without power: says nothing, not even that a port is dead
-	thawed chan struct{} // closed while the machine is not frozen
+	mu          sync.Mutex
+	incarnation *Incarnation
+	poweredOff  bool          // answers nothing, not even that a port is closed
+	thawed      chan struct{} // closed while the machine is not frozen
 }
 
-// Incarnation is one process from its start to its end.
+// Incarnation is one process from its start to its end. Handlers are registered on Server before Listen is called.
 type Incarnation struct {
 	machine *Machine
 	Server  *rpc.Server
@@ -29,7 +29,7 @@
 	serving atomic.Bool
 }
 
-// NewMachine adds a machine with an empty disk to a network.
+// NewMachine adds a machine with an empty disk to the network. Random decides what a power loss leaves on the disk.
 func (n *Network) NewMachine(address string, random *rand.Rand) *Machine {
 	machine := &Machine{network: n, address: address, Disk: NewDisk(random), thawed: make(chan struct{})}
 	close(machine.thawed)
@@ -42,31 +42,31 @@
 // Address returns the machine's address.
 func (m *Machine) Address() string { return m.address }
 
-// Start begins a life; one that runs ends first.
+// Start starts a new incarnation; one that runs is killed first.
 func (m *Machine) Start() *Incarnation {
 	m.Kill()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dark = false
-	m.life = &Incarnation{machine: m, Server: rpc.NewServer(), ended: make(chan struct{})}
-	return m.life
+	m.poweredOff = false
+	m.incarnation = &Incarnation{machine: m, Server: rpc.NewServer(), ended: make(chan struct{})}
+	return m.incarnation
 }
 
-// Kill ends the process; the disk stays as it is.
+// Kill ends the process; the disk keeps also what is not synced, as the page cache does.
 func (m *Machine) Kill() {
 	m.mu.Lock()
-	life := m.life
-	m.life = nil
+	ending := m.incarnation
+	m.incarnation = nil
 	m.mu.Unlock()
-	if life != nil {
-		life.once.Do(func() { close(life.ended) })
+	if ending != nil {
+		ending.once.Do(func() { close(ending.ended) })
 	}
 }
 
-// PowerLoss ends the process, and of what was not synced the disk keeps what chance leaves.
+// PowerLoss ends the process. What of the unsynced changes the disk keeps is drawn at random, see Disk.PowerLoss.
 func (m *Machine) PowerLoss() {
 	m.mu.Lock()
-	m.dark = true
+	m.poweredOff = true
 	m.mu.Unlock()
 	m.Kill()
 	m.Disk.PowerLoss()
@@ -89,7 +89,7 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw lets a frozen process continue.
 func (m *Machine) Thaw() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,55 +100,55 @@
 	}
 }
 
-// Running says whether a process runs, frozen or not.
+// Running reports whether a process runs, frozen or not.
 func (m *Machine) Running() bool { return m.current() != nil }
 
 func (m *Machine) current() *Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.life
+	return m.incarnation
 }
 
-func (m *Machine) off() bool {
+func (m *Machine) isPoweredOff() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.dark
+	return m.poweredOff
 }
 
-func (m *Machine) thaw() <-chan struct{} {
+func (m *Machine) thawedChannel() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.thawed
 }
 
-// Ended is closed when the life ends.
-func (l *Incarnation) Ended() <-chan struct{} { return l.ended }
+// Ended returns a channel that is closed when the incarnation ends.
+func (i *Incarnation) Ended() <-chan struct{} { return i.ended }
 
-// Listen lets calls come in; the handlers of Server are set by then.
-func (l *Incarnation) Listen() { l.serving.Store(true) }
+// Listen starts to accept calls. The handlers of Server must be registered before.
+func (i *Incarnation) Listen() { i.serving.Store(true) }
 
-// Stop ends this life, as a kill does, if it has not ended.
-func (l *Incarnation) Stop() {
-	if l.machine.current() == l {
-		l.machine.Kill()
+// Stop kills this incarnation if it is still the current one.
+func (i *Incarnation) Stop() {
+	if i.machine.current() == i {
+		i.machine.Kill()
 	}
 }
 
-// Caller returns the life's way into the network.
-func (l *Incarnation) Caller() *Caller { return &Caller{network: l.machine.network, life: l} }
+// Caller returns the caller for this incarnation's outgoing calls.
+func (i *Incarnation) Caller() *Caller { return &Caller{network: i.machine.network, incarnation: i} }
 
-// running waits while the machine is frozen and says whether the life goes on.
-func (l *Incarnation) running() bool {
+// awaitRunning waits while the machine is frozen and reports whether the incarnation still runs.
+func (i *Incarnation) awaitRunning() bool {
 	select {
-	case <-l.machine.thaw():
-	case <-l.ended:
+	case <-i.machine.thawedChannel():
+	case <-i.ended:
 	}
-	return !l.hasEnded()
+	return !i.hasEnded()
 }
 
-func (l *Incarnation) hasEnded() bool {
+func (i *Incarnation) hasEnded() bool {
 	select {
-	case <-l.ended:
+	case <-i.ended:
 		return true
 	default:
 		return false
