--- a/internal/tier/modelcheck/caller.go
+++ b/internal/tier/modelcheck/caller.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	w := c.process.world
+	r := c.process.run
 	if deadline, set := ctx.Deadline(); set && !time.Now().Before(deadline) {
 		<-ctx.Done() // at this very moment, so that two timers of one moment have one outcome
 		return rpc.ErrTimeout
@@ -39,13 +39,13 @@
 	if c.process.hasEnded() {
 		return rpc.ErrUnreachable
 	}
-	fact := w.factOf(request)
+	observation := r.observationOf(request)
 	e := &event{
-		kind: requestEvent, from: c.process.node.number, to: w.numberOf(address), label: w.describe(request), fact: fact,
+		kind: requestEvent, from: c.process.node.number, to: r.numberOf(address), label: r.describe(request), observation: observation,
 		call: made,
 	}
-	e.release = func() { w.deliver(c.process, e, method, payload) }
-	w.post(e)
+	e.release = func() { r.deliver(c.process, e, method, payload) }
+	r.post(e)
 	select {
 	case got := <-made.answers:
 		if got.err != nil {
@@ -54,41 +54,41 @@
 		return reply.UnmarshalVT(got.payload)
 	case <-ctx.Done():
 		return rpc.ErrTimeout
-	case <-c.process.life.Ended():
+	case <-c.process.incarnation.Ended():
 		return rpc.ErrUnreachable
 	}
 }
 
 // deliver hands a request to the process of its node; the reply becomes an event. Where no process runs the caller
 // is told so.
-func (w *world) deliver(from *process, e *event, method rpc.Method, payload []byte) {
-	target := w.nodes[e.to].process
+func (r *run) deliver(from *process, e *event, method rpc.Method, payload []byte) {
+	target := r.nodes[e.to].process
 	if target == nil {
-		from.hears(fact{kind: factRefused, from: e.to})
+		from.observe(observation{kind: observationUnreachable, from: e.to})
 		e.call.answer(answer{err: rpc.ErrUnreachable})
 		return
 	}
-	handled := target.handles(e.fact)
+	endRequest := target.beginRequest(e.observation)
 	go func() {
-		message, err := target.life.Server.Answer(context.Background(), method, slices.Clone(payload))
-		target.handled(handled)
+		message, err := target.incarnation.Server.Answer(context.Background(), method, slices.Clone(payload))
+		target.endRequest(endRequest)
 		if target.hasEnded() {
 			return
 		}
-		w.post(w.replyTo(from, e, message, err))
+		r.post(r.replyTo(from, e, message, err))
 	}()
 }
 
 // replyTo is the event of a reply on its way back.
-func (w *world) replyTo(from *process, e *event, message rpc.Message, err error) *event {
+func (r *run) replyTo(from *process, e *event, message rpc.Message, err error) *event {
 	reply := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "refusal"}
 	got := answer{err: rpc.ErrRefused}
 	if err == nil {
 		got.payload, got.err = encode(message)
-		reply.label, reply.fact = w.describe(message), w.factOf(message)
+		reply.label, reply.observation = r.describe(message), r.observationOf(message)
 	}
 	reply.release = func() {
-		from.hears(reply.fact)
+		from.observe(reply.observation)
 		e.call.answer(got)
 	}
 	return reply
--- a/internal/tier/modelcheck/check.go
+++ b/internal/tier/modelcheck/check.go
@@ -15,9 +15,11 @@
 )
 
 // ballot is a ballot as a key of maps.
-type ballot struct{ counter, proposer uint64 }
+type proposalKey struct{ counter, proposer uint64 }
 
-func keyOf(b *tierpb.ProposalNumber) ballot { return ballot{b.GetCounter(), b.GetProposer()} }
+func proposalKeyOf(b *tierpb.ProposalNumber) proposalKey {
+	return proposalKey{b.GetCounter(), b.GetProposer()}
+}
 
 // acceptances are the identities that have accepted the value of a ballot, at any time.
 type acceptances struct {
@@ -28,13 +30,13 @@
 
 // checks holds what was seen of a run and the first invariant that was broken.
 type checks struct {
-	world *world
+	run *run
 
 	mu           sync.Mutex
 	failure      string
 	versions     map[uint64]uint64             // digest of the value chosen for each version
 	voters       map[uint64][]*tierpb.VoterSet // of chosen values, by epoch
-	accepted     map[ballot]*acceptances
+	accepted     map[proposalKey]*acceptances
 	acknowledged map[uint64]acknowledgement // by generation
 	history      []porcupine.Operation
 	calls        map[int]int64 // clock at which an operation was called
@@ -47,9 +49,9 @@
 	version uint64 // of the value in which it was found
 }
 
-func newChecks(w *world) *checks {
+func newChecks(r *run) *checks {
 	return &checks{
-		world: w, versions: make(map[uint64]uint64), voters: make(map[uint64][]*tierpb.VoterSet), accepted: make(map[ballot]*acceptances),
+		run: r, versions: make(map[uint64]uint64), voters: make(map[uint64][]*tierpb.VoterSet), accepted: make(map[proposalKey]*acceptances),
 		acknowledged: make(map[uint64]acknowledgement), calls: make(map[int]int64),
 	}
 }
@@ -61,7 +63,7 @@
 	}
 }
 
-func (c *checks) broken() string {
+func (c *checks) firstFailure() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failure
@@ -69,7 +71,7 @@
 
 // chosen checks a value that somebody holds for chosen: a version has one value, and every change that was acknowledged
 // at that version or before is in it.
-func (c *checks) chosen(state *tierpb.ControlState) {
+func (c *checks) recordChosen(state *tierpb.ControlState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	digest := digestOf(state)
@@ -80,7 +82,7 @@
 	c.voters[state.Epoch] = state.Voters
 	c.checkTerms(state)
 	for generation, told := range c.acknowledged {
-		if state.Version >= told.version && !wasTaken(state, generation) {
+		if state.Version >= told.version && !isCommitted(state, generation) {
 			c.fail("change %d->%d was acknowledged and is not in version %d", told.from, generation, state.Version)
 		}
 	}
@@ -94,28 +96,28 @@
 }
 
 // afterStep looks at all processes and at the operations that have ended.
-func (c *checks) afterStep() {
-	for _, node := range c.world.nodes {
+func (c *checks) checkStep() {
+	for _, node := range c.run.nodes {
 		if node.process != nil {
-			c.look(node.process)
+			c.checkAccepted(node.process)
 		}
 	}
-	if c.world.scenario.Lease {
-		c.countHolders()
+	if c.run.scenario.Lease {
+		c.checkSingleLeaseHolder()
 	}
-	for _, o := range c.world.operations {
-		c.returned(o)
+	for _, o := range c.run.operations {
+		c.recordReturn(o)
 	}
 }
 
 // countHolders checks that the voters of each epoch grant the lease to one process at a time.
-func (c *checks) countHolders() {
+func (c *checks) checkSingleLeaseHolder() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for epoch, voters := range c.voters {
 		holders := 0
-		for _, node := range c.world.nodes {
-			if p := node.process; p != nil && p.holder != nil && p.holder.OwnsLeaseOf(voters) {
+		for _, node := range c.run.nodes {
+			if p := node.process; p != nil && p.candidate != nil && p.candidate.OwnsLeaseOf(voters) {
 				holders++
 			}
 		}
@@ -127,14 +129,14 @@
 
 // look counts what the acceptor of a process has accepted. A ballot has one value, and the value of a ballot that a
 // quorum of its voters has accepted is chosen.
-func (c *checks) look(p *process) {
+func (c *checks) checkAccepted(p *process) {
 	reply := p.durable()
-	if reply.Value == nil || p.seen == reply.Value && sameBallot(p.seenAt, reply.Accepted) {
+	if reply.Value == nil || p.lastAccepted == reply.Value && sameProposal(p.lastAcceptedAt, reply.Accepted) {
 		return
 	}
-	p.seen, p.seenAt = reply.Value, reply.Accepted
+	p.lastAccepted, p.lastAcceptedAt = reply.Value, reply.Accepted
 	c.mu.Lock()
-	key, digest := keyOf(reply.Accepted), digestOf(reply.Value)
+	key, digest := proposalKeyOf(reply.Accepted), digestOf(reply.Value)
 	accepted, found := c.accepted[key]
 	if !found {
 		accepted = &acceptances{state: reply.Value, digest: digest, by: make(map[uint64]bool)}
@@ -146,14 +148,16 @@
 	accepted.by[p.acceptor.Identity()] = true
 	c.mu.Unlock()
 	if register.Quorum(accepted.state.Voters, func(identity uint64) bool { return accepted.by[identity] }) {
-		c.chosen(accepted.state)
+		c.recordChosen(accepted.state)
 	}
 }
 
-func sameBallot(one, other *tierpb.ProposalNumber) bool { return keyOf(one) == keyOf(other) }
+func sameProposal(one, other *tierpb.ProposalNumber) bool {
+	return proposalKeyOf(one) == proposalKeyOf(other)
+}
 
 // called notes that an operation begins.
-func (c *checks) called(o *operation) {
+func (c *checks) recordCall(o *operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.clock++
@@ -161,23 +165,23 @@
 }
 
 // returned takes an operation that has ended into the history.
-func (c *checks) returned(o *operation) {
-	c.world.mu.Lock()
+func (c *checks) recordReturn(o *operation) {
+	c.run.mu.Lock()
 	fresh := o.ended && !o.done
-	c.world.mu.Unlock()
+	c.run.mu.Unlock()
 	if !fresh {
 		return
 	}
 	o.done = true
-	c.world.timeline.add(c.world, o.Node, "= "+o.result())
+	c.run.timeline.add(c.run, o.Node, "= "+o.result())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.clock++
 	told := outcome{
 		generation: o.state.GetConfiguration().GetGeneration(), conflict: errors.Is(o.err, errConflict),
-		untaken: errors.Is(o.err, register.ErrUnavailable),
+		notExecuted: errors.Is(o.err, register.ErrUnavailable),
 	}
-	told.unknown = o.err != nil && !told.conflict && !told.untaken
+	told.unknown = o.err != nil && !told.conflict && !told.notExecuted
 	ended := c.clock
 	if told.unknown {
 		ended = math.MaxInt64
@@ -187,11 +191,11 @@
 			ClientId: o.number, Input: o.Operation, Call: c.calls[o.number], Output: told, Return: ended,
 		})
 	}
-	c.judge(o)
+	c.checkPut(o)
 }
 
 // judge checks a put against those that were acknowledged; mu is held.
-func (c *checks) judge(o *operation) {
+func (c *checks) checkPut(o *operation) {
 	if o.Kind != Put {
 		return
 	}
@@ -210,10 +214,10 @@
 }
 
 // atEnd checks the whole history, and that all that is asked when trouble is over is answered.
-func (c *checks) atEnd() {
+func (c *checks) checkHistory() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.world.operations[len(c.world.scenario.Operations):] {
+	for _, o := range c.run.operations[len(c.run.scenario.Operations):] {
 		if o.err != nil && !errors.Is(o.err, errConflict) {
 			c.fail("%s at rest: %v", o, o.err)
 		}
--- a/internal/tier/modelcheck/disk.go
+++ b/internal/tier/modelcheck/disk.go
@@ -21,27 +21,27 @@
 		return d.Disk.SyncFolder(folder)
 	}
 	released := make(chan struct{})
-	p.world.post(&event{
-		kind: syncEvent, from: p.node.number, to: p.node.number, label: "sync", fact: fact{kind: factSync, from: p.node.number},
+	p.run.post(&event{
+		kind: syncEvent, from: p.node.number, to: p.node.number, label: "sync", observation: observation{kind: observationSync, from: p.node.number},
 		release: func() { close(released) },
 	})
 	select {
 	case <-released:
 		return d.Disk.SyncFolder(folder)
-	case <-p.life.Ended():
+	case <-p.incarnation.Ended():
 		return simulation.ErrStopped
 	}
 }
 
 // fate is a source of randomness that decides what a loss of power leaves of unsynced writes: all or nothing.
-type fate struct{ keep bool }
+type powerLossSource struct{ keep bool }
 
 // Uint64 implements rand.Source with numbers from which a simulated disk draws the highest or the lowest choice.
-func (f *fate) Uint64() uint64 {
+func (f *powerLossSource) Uint64() uint64 {
 	if f.keep {
 		return ^uint64(0)
 	}
 	return 1 << 32
 }
 
-func (f *fate) random() *rand.Rand { return rand.New(f) }
+func (f *powerLossSource) random() *rand.Rand { return rand.New(f) }
--- a/internal/tier/modelcheck/event.go
+++ b/internal/tier/modelcheck/event.go
@@ -11,26 +11,26 @@
 type eventKind int
 
 const (
-	requestEvent eventKind = iota // a request arrives at its node
-	replyEvent                    // a reply arrives at its caller
-	syncEvent                     // a sync of a node's disk ends
-	beginEvent                    // a client's operation begins
-	startEvent                    // a process starts on a node that has none
-	healEvent                     // a node that was cut off is reached again
-	decideEvent                   // a holder of the lease has decided
-	watchEvent                    // a process that has started hears of the newest chosen value
+	requestEvent  eventKind = iota // a request arrives at its node
+	replyEvent                     // a reply arrives at its caller
+	syncEvent                      // a sync of a node's disk ends
+	beginEvent                     // a client's operation begins
+	startEvent                     // a process starts on a node that has none
+	healEvent                      // a node that was cut off is reached again
+	decisionEvent                  // a holder of the lease has decided
+	watchEvent                     // a process that has started hears of the newest chosen value
 )
 
 // event waits until the scheduler lets it go.
 type event struct {
-	kind    eventKind
-	from    int // node that a message comes from; the node itself for other kinds
-	to      int // node at which it happens
-	label   string
-	fact    fact
-	until   time.Time // not let go by default before this time; zero for none
-	call    *call     // of requests and replies
-	release func()
+	kind        eventKind
+	from        int // node that a message comes from; the node itself for other kinds
+	to          int // node at which it happens
+	label       string
+	observation observation
+	until       time.Time // not let go by default before this time; zero for none
+	call        *call     // of requests and replies
+	release     func()
 }
 
 func (e *event) isMessage() bool {
@@ -38,10 +38,10 @@
 }
 
 // touches says whether an event needs a node to run.
-func (e *event) touches(node int) bool { return e.to == node || e.isMessage() && e.from == node }
+func (e *event) needsNode(node int) bool { return e.to == node || e.isMessage() && e.from == node }
 
 // order makes the order of events that came up at the same moment independent of Go's scheduler.
-func order(one, other *event) int {
+func compareEvents(one, other *event) int {
 	return cmp.Or(
 		cmp.Compare(one.kind, other.kind), cmp.Compare(one.from, other.from), cmp.Compare(one.to, other.to),
 		cmp.Compare(one.label, other.label),
@@ -49,24 +49,24 @@
 }
 
 // post hands an event to the scheduler.
-func (w *world) post(e *event) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.arrived = append(w.arrived, e)
+func (r *run) post(e *event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.arrived = append(r.arrived, e)
 }
 
 // collect takes over the events that came up, and drops replies that nobody waits for. It says whether there were new
 // ones.
-func (w *world) collect() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	slices.SortFunc(w.arrived, order)
-	found := len(w.arrived) > 0
-	w.queue = append(w.queue, w.arrived...)
-	w.arrived = nil
+func (r *run) collect() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	slices.SortFunc(r.arrived, compareEvents)
+	found := len(r.arrived) > 0
+	r.queue = append(r.queue, r.arrived...)
+	r.arrived = nil
 	idle := func(e *event) bool { return e.kind == replyEvent && e.call.done.Load() }
-	w.queue = slices.DeleteFunc(w.queue, idle)
-	w.held = slices.DeleteFunc(w.held, idle)
+	r.queue = slices.DeleteFunc(r.queue, idle)
+	r.deferred = slices.DeleteFunc(r.deferred, idle)
 	return found
 }
 
--- a/internal/tier/modelcheck/fact.go
+++ b/internal/tier/modelcheck/fact.go
@@ -8,32 +8,32 @@
 )
 
 // factKind says what a fact is about.
-type factKind uint64
+type observationKind uint64
 
 const (
-	factSync factKind = iota + 1
-	factRefused
-	factBegin
-	factEnd
-	factPrepare
-	factPromise
-	factAccept
-	factAccepted
-	factLease
-	factGrant
-	factWatch
-	factDecide
+	observationSync observationKind = iota + 1
+	observationUnreachable
+	observationOperationBegin
+	observationOperationEnd
+	observationPrepareRequest
+	observationPrepareReply
+	observationAcceptRequest
+	observationAcceptReply
+	observationLeaseRequest
+	observationLeaseReply
+	observationWatch
+	observationDecision
 )
 
 // fact is what a fingerprint takes from a message or from a step of a process.
-type fact struct {
-	kind     factKind
-	from     int // node
-	flags    uint64
-	identity uint64
-	number   uint64
-	ballots  []*tierpb.ProposalNumber
-	state    *tierpb.ControlState
+type observation struct {
+	kind      observationKind
+	from      int // node
+	flags     uint64
+	identity  uint64
+	number    uint64
+	proposals []*tierpb.ProposalNumber
+	state     *tierpb.ControlState
 }
 
 func flags(bits ...bool) (flags uint64) {
@@ -46,51 +46,51 @@
 }
 
 // factOf is the fact of a message.
-func (w *world) factOf(message rpc.Message) fact {
+func (r *run) observationOf(message rpc.Message) observation {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
-		return fact{kind: factPrepare, identity: m.Identity, ballots: []*tierpb.ProposalNumber{m.Proposal, m.KnownAccepted}}
+		return observation{kind: observationPrepareRequest, identity: m.Identity, proposals: []*tierpb.ProposalNumber{m.Proposal, m.KnownAccepted}}
 	case *tierpb.PrepareReply:
-		return fact{
-			kind: factPromise, flags: flags(m.Prepared, m.WrongIdentity), state: m.Value,
-			ballots: []*tierpb.ProposalNumber{m.Accepted, m.HighestPrepared},
+		return observation{
+			kind: observationPrepareReply, flags: flags(m.Prepared, m.WrongIdentity), state: m.Value,
+			proposals: []*tierpb.ProposalNumber{m.Accepted, m.HighestPrepared},
 		}
 	case *tierpb.AcceptRequest:
-		return fact{kind: factAccept, identity: m.Identity, ballots: []*tierpb.ProposalNumber{m.Proposal}, state: m.Value}
+		return observation{kind: observationAcceptRequest, identity: m.Identity, proposals: []*tierpb.ProposalNumber{m.Proposal}, state: m.Value}
 	case *tierpb.AcceptReply:
-		return fact{kind: factAccepted, flags: flags(m.Accepted, m.WrongIdentity), ballots: []*tierpb.ProposalNumber{m.HighestPrepared}}
+		return observation{kind: observationAcceptReply, flags: flags(m.Accepted, m.WrongIdentity), proposals: []*tierpb.ProposalNumber{m.HighestPrepared}}
 	case *tierpb.LeaseRequest:
-		return fact{kind: factLease, flags: flags(m.Release), identity: m.Identity, number: m.Holder ^ m.Sequence}
+		return observation{kind: observationLeaseRequest, flags: flags(m.Release), identity: m.Identity, number: m.Holder ^ m.Sequence}
 	case *tierpb.LeaseReply:
-		return fact{kind: factGrant, flags: flags(m.Granted), identity: m.Holder, number: uint64(m.RemainingMs)}
+		return observation{kind: observationLeaseReply, flags: flags(m.Granted), identity: m.Holder, number: uint64(m.RemainingMs)}
 	}
-	return fact{}
+	return observation{}
 }
 
 // describe is a message as the timeline shows it.
-func (w *world) describe(message rpc.Message) string {
+func (r *run) describe(message rpc.Message) string {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
 		if m.Proposal.GetCounter() == 0 {
-			return "peek" + w.to(m.Identity)
+			return "peek" + r.to(m.Identity)
 		}
-		return "prepare " + w.ballotName(m.Proposal) + w.to(m.Identity)
+		return "prepare " + r.proposalName(m.Proposal) + r.to(m.Identity)
 	case *tierpb.PrepareReply:
 		switch {
 		case m.WrongIdentity:
 			return "wrong identity"
 		case !m.Prepared:
-			return "refuse, promised " + w.ballotName(m.HighestPrepared)
+			return "refuse, promised " + r.proposalName(m.HighestPrepared)
 		}
-		return "promise, has " + w.ballotName(m.Accepted) + " " + w.stateName(m.Value)
+		return "promise, has " + r.proposalName(m.Accepted) + " " + r.stateName(m.Value)
 	case *tierpb.AcceptRequest:
-		return "accept " + w.ballotName(m.Proposal) + " " + w.stateName(m.Value) + w.to(m.Identity)
+		return "accept " + r.proposalName(m.Proposal) + " " + r.stateName(m.Value) + r.to(m.Identity)
 	case *tierpb.AcceptReply:
 		switch {
 		case m.WrongIdentity:
 			return "wrong identity"
 		case !m.Accepted:
-			return "refuse, promised " + w.ballotName(m.HighestPrepared)
+			return "refuse, promised " + r.proposalName(m.HighestPrepared)
 		}
 		return "accepted"
 	case *tierpb.LeaseRequest:
@@ -108,30 +108,30 @@
 }
 
 // to names the identity that a request is meant for where it is not that of the first life of a node's disk.
-func (w *world) to(identity uint64) string {
-	if name := w.identityName(identity); len(name) > 1 {
+func (r *run) to(identity uint64) string {
+	if name := r.identityName(identity); len(name) > 1 {
 		return " for " + name
 	}
 	return ""
 }
 
 // ballotName is the counter and a letter for the proposer, in the order in which they were met.
-func (w *world) ballotName(ballot *tierpb.ProposalNumber) string {
-	if ballot.GetCounter() == 0 {
+func (r *run) proposalName(proposalKey *tierpb.ProposalNumber) string {
+	if proposalKey.GetCounter() == 0 {
 		return "0"
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	letter, found := w.letters[ballot.Proposer]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	letter, found := r.proposerLetters[proposalKey.Proposer]
 	if !found {
-		letter = string(rune('a' + len(w.letters)%26))
-		w.letters[ballot.Proposer] = letter
+		letter = string(rune('a' + len(r.proposerLetters)%26))
+		r.proposerLetters[proposalKey.Proposer] = letter
 	}
-	return fmt.Sprintf("%d%s", ballot.Counter, letter)
+	return fmt.Sprintf("%d%s", proposalKey.Counter, letter)
 }
 
 // stateName is a value in short: version, generation and voters.
-func (w *world) stateName(state *tierpb.ControlState) string {
+func (r *run) stateName(state *tierpb.ControlState) string {
 	if state == nil {
 		return "-"
 	}
@@ -139,7 +139,7 @@
 	for _, set := range state.Voters {
 		name += "["
 		for _, node := range set.Nodes {
-			name += w.identityName(node.Identity)
+			name += r.identityName(node.Identity)
 		}
 		name += "]"
 	}
@@ -147,15 +147,15 @@
 }
 
 // identityName is the number of the identity's node, with a mark for each disk that the node has lost before.
-func (w *world) identityName(identity uint64) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	known, found := w.identities[identity]
+func (r *run) identityName(identity uint64) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	known, found := r.identities[identity]
 	if !found {
 		return "?"
 	}
 	name := fmt.Sprint(known.node)
-	for range known.life {
+	for range known.disk {
 		name += "'"
 	}
 	return name
--- a/internal/tier/modelcheck/fingerprint.go
+++ b/internal/tier/modelcheck/fingerprint.go
@@ -11,11 +11,11 @@
 
 // fingerprint names a state: what is durable, in flight and believed, the trouble that may still come, and the time.
 // Ballots count by their order, and nodes at which no operation begins by what they hold, not by their names.
-func (w *world) fingerprint() uint64 {
-	print := &printer{world: w, seed: fixedSeed}
+func (r *run) fingerprint() uint64 {
+	print := &fingerprinter{run: r, seed: fixedSeed}
 	print.rank()
 	lowest := uint64(0)
-	for i, names := range w.renamings {
+	for i, names := range r.renamings {
 		print.names = names
 		if sum := print.sum(); i == 0 || sum < lowest {
 			lowest = sum
@@ -28,33 +28,33 @@
 var fixedSeed = maphash.MakeSeed()
 
 // printer writes a state as bytes and hashes them.
-type printer struct {
-	world *world
+type fingerprinter struct {
+	run   *run
 	seed  maphash.Seed
 	names []int // new number of each node
-	ranks map[ballot]uint64
+	ranks map[proposalKey]uint64
 	bytes []byte
 }
 
 // facts calls visit with everything of the state that has ballots.
-func (p *printer) facts(visit func(fact)) {
-	for _, n := range p.world.nodes {
+func (p *fingerprinter) observations(visit func(observation)) {
+	for _, n := range p.run.nodes {
 		if n.process == nil {
 			continue
 		}
-		visit(n.process.durableFact())
+		visit(n.process.durableObservation())
 		n.process.mu.Lock()
-		for _, heard := range n.process.heard {
-			visit(heard)
+		for _, observed := range n.process.observed {
+			visit(observed)
 		}
-		for _, open := range n.process.open {
-			visit(open)
+		for _, request := range n.process.openRequests {
+			visit(request)
 		}
 		n.process.mu.Unlock()
 	}
-	for _, list := range [][]*event{p.world.queue, p.world.held} {
+	for _, list := range [][]*event{p.run.queue, p.run.deferred} {
 		for _, e := range list {
-			visit(e.fact)
+			visit(e.observation)
 		}
 	}
 }
@@ -64,24 +64,24 @@
 	return p.acceptor.Prepare(&tierpb.PrepareRequest{Identity: p.acceptor.Identity(), Proposal: &tierpb.ProposalNumber{}})
 }
 
-func (p *process) durableFact() fact {
+func (p *process) durableObservation() observation {
 	reply := p.durable()
-	return fact{ballots: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
+	return observation{proposals: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
 }
 
 // rank numbers the ballots of the state by their order.
-func (p *printer) rank() {
-	p.ranks = make(map[ballot]uint64)
-	p.facts(func(f fact) {
-		for _, b := range f.ballots {
-			p.ranks[keyOf(b)] = 0
+func (p *fingerprinter) rank() {
+	p.ranks = make(map[proposalKey]uint64)
+	p.observations(func(f observation) {
+		for _, b := range f.proposals {
+			p.ranks[proposalKeyOf(b)] = 0
 		}
 	})
-	keys := make([]ballot, 0, len(p.ranks))
+	keys := make([]proposalKey, 0, len(p.ranks))
 	for key := range p.ranks {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b ballot) int {
+	slices.SortFunc(keys, func(a, b proposalKey) int {
 		return cmp.Or(cmp.Compare(a.counter, b.counter), cmp.Compare(a.proposer, b.proposer))
 	})
 	for i, key := range keys {
@@ -90,64 +90,64 @@
 }
 
 // sum hashes the state under the present names.
-func (p *printer) sum() uint64 {
+func (p *fingerprinter) sum() uint64 {
 	p.bytes = p.bytes[:0]
-	w := p.world
-	p.number(uint64(w.now()), uint64(w.ended()), uint64(w.offered()))
-	for _, count := range w.used[Drop:] { // the limits of trouble count these
+	r := p.run
+	p.number(uint64(r.now()), uint64(r.ended()), uint64(r.offered()))
+	for _, count := range r.used[Drop:] { // the limits of trouble count these
 		p.number(uint64(count))
 	}
-	old := make([]int, len(w.nodes))
+	old := make([]int, len(r.nodes))
 	for from, to := range p.names {
 		old[to] = from
 	}
 	for _, from := range old {
-		p.node(w.nodes[from])
+		p.node(r.nodes[from])
 	}
-	for _, list := range [][]*event{w.queue, w.held} {
+	for _, list := range [][]*event{r.queue, r.deferred} {
 		p.number(uint64(len(list)))
 		for _, e := range list {
 			p.number(uint64(e.kind), uint64(p.names[e.from]), uint64(p.names[e.to]), uint64(e.until.UnixNano()))
-			p.fact(e.fact)
+			p.observation(e.observation)
 		}
 	}
 	return maphash.Bytes(p.seed, p.bytes)
 }
 
-func (p *printer) node(n *node) {
-	p.number(flags(n.process != nil, n.cut, n.deaf), uint64(n.disks), uint64(n.frozen.UnixNano()))
+func (p *fingerprinter) node(n *node) {
+	p.number(flags(n.process != nil, n.partitioned, n.inboundPartitioned), uint64(n.disks), uint64(n.frozen.UnixNano()))
 	if n.process == nil {
 		return
 	}
-	p.fact(n.process.durableFact())
+	p.observation(n.process.durableObservation())
 	n.process.mu.Lock()
 	defer n.process.mu.Unlock()
-	p.number(uint64(len(n.process.heard)))
-	for _, heard := range n.process.heard {
-		p.fact(heard)
-	}
-	p.number(uint64(len(n.process.open)))
-	for number := range n.process.opens + 1 {
-		if open, found := n.process.open[number]; found {
-			p.fact(open)
+	p.number(uint64(len(n.process.observed)))
+	for _, observed := range n.process.observed {
+		p.observation(observed)
+	}
+	p.number(uint64(len(n.process.openRequests)))
+	for number := range n.process.requestCount + 1 {
+		if request, found := n.process.openRequests[number]; found {
+			p.observation(request)
 		}
 	}
 }
 
-func (p *printer) fact(f fact) {
+func (p *fingerprinter) observation(f observation) {
 	p.number(uint64(f.kind), uint64(p.names[f.from]), f.flags, f.number)
 	p.identity(f.identity)
-	for _, b := range f.ballots {
-		p.number(p.ranks[keyOf(b)])
+	for _, b := range f.proposals {
+		p.number(p.ranks[proposalKeyOf(b)])
 	}
 	p.state(f.state)
 }
 
-func (p *printer) state(state *tierpb.ControlState) {
+func (p *fingerprinter) state(state *tierpb.ControlState) {
 	p.number(state.GetVersion(), state.GetEpoch(), state.GetPlacementTerm(), uint64(len(state.GetRetirements())))
 	p.number(uint64(len(state.GetCommittedChanges())))
-	for _, taken := range state.GetCommittedChanges() {
-		p.number(taken.Generation)
+	for _, committed := range state.GetCommittedChanges() {
+		p.number(committed.Generation)
 	}
 	for _, set := range state.GetVoters() {
 		p.number(uint64(len(set.Nodes)))
@@ -160,20 +160,20 @@
 	}
 }
 
-func (p *printer) identity(identity uint64) { p.number(p.nameOf(identity)) }
+func (p *fingerprinter) identity(identity uint64) { p.number(p.nameOf(identity)) }
 
 // nameOf is a number for an identity of a node's disk that follows from the node's present name.
-func (p *printer) nameOf(identity uint64) uint64 {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	known, found := p.world.identities[identity]
+func (p *fingerprinter) nameOf(identity uint64) uint64 {
+	p.run.mu.Lock()
+	defer p.run.mu.Unlock()
+	known, found := p.run.identities[identity]
 	if !found {
 		return identity
 	}
-	return uint64(p.names[known.node]*100 + known.life + 1)
+	return uint64(p.names[known.node]*100 + known.disk + 1)
 }
 
-func (p *printer) number(numbers ...uint64) {
+func (p *fingerprinter) number(numbers ...uint64) {
 	for _, number := range numbers {
 		p.bytes = binary.LittleEndian.AppendUint64(p.bytes, number)
 	}
@@ -186,7 +186,7 @@
 	var alike []int
 	for number := range names {
 		names[number] = number
-		if number < scenario.Voters && !scenario.names(number) {
+		if number < scenario.Voters && !scenario.isNamed(number) {
 			alike = append(alike, number)
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // names says that an operation or the lease treats a node as a particular one.
-func (s *Scenario) names(node int) bool {
+func (s *Scenario) isNamed(node int) bool {
 	if node < s.Candidates {
 		return true
 	}
--- a/internal/tier/modelcheck/history.go
+++ b/internal/tier/modelcheck/history.go
@@ -9,10 +9,10 @@
 
 // outcome is what a client was told.
 type outcome struct {
-	generation uint64
-	conflict   bool
-	unknown    bool
-	untaken    bool
+	generation  uint64
+	conflict    bool
+	unknown     bool
+	notExecuted bool
 }
 
 // chain is the generations in the order in which they were put.
@@ -32,19 +32,19 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return chain(nil) },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked, told := state.(chain), input.(Operation), output.(outcome)
+		current, asked, got := state.(chain), input.(Operation), output.(outcome)
 		fits := current.current() == asked.From
-		taken := slices.Contains(current, asked.To)
+		committed := slices.Contains(current, asked.To)
 		switch {
-		case told.untaken:
+		case got.notExecuted:
 			return true, current
 		case asked.Kind == Read:
-			return told.unknown || told.generation == current.current(), current
-		case told.unknown && (taken || !fits):
+			return got.unknown || got.generation == current.current(), current
+		case got.unknown && (committed || !fits):
 			return true, current
-		case told.conflict:
-			return !taken && !fits, current
-		case taken:
+		case got.conflict:
+			return !committed && !fits, current
+		case committed:
 			return true, current
 		}
 		return fits, current.put(asked.To)
--- a/internal/tier/modelcheck/operation.go
+++ b/internal/tier/modelcheck/operation.go
@@ -17,10 +17,10 @@
 
 // The kinds of operations.
 const (
-	Put     OperationKind = iota // a configuration From -> To
-	Read                         // the current value
-	Replace                      // the voter of node Out gives its vote to node In
-	Act                          // a change under the lease, once the node holds it
+	Put              OperationKind = iota // a configuration From -> To
+	Read                                  // the current value
+	Replace                               // the voter of node Out gives its vote to node In
+	ChangeUnderLease                      // a change under the lease, once the node holds it
 )
 
 // Operation is a client's call at a node. The same Put may come twice: an order that is sent again.
@@ -36,7 +36,7 @@
 	switch o.Kind {
 	case Put:
 		return fmt.Sprintf("put %d->%d", o.From, o.To)
-	case Act:
+	case ChangeUnderLease:
 		return "act under the lease"
 	case Replace:
 		return fmt.Sprintf("replace voter n%d by n%d", o.Out, o.In)
@@ -56,7 +56,7 @@
 // operation is an Operation under way.
 type operation struct {
 	Operation
-	world   *world
+	run     *run
 	number  int
 	offered bool
 	done    bool // of those that ended, the scheduler has seen this one
@@ -66,8 +66,8 @@
 }
 
 // offered counts the operations that were handed to the scheduler.
-func (w *world) offered() (count int) {
-	for _, o := range w.operations {
+func (r *run) offered() (count int) {
+	for _, o := range r.operations {
 		if o.offered {
 			count++
 		}
@@ -76,70 +76,70 @@
 }
 
 // offerOperations puts the beginnings of those operations into the queue that may begin.
-func (w *world) offerOperations() {
-	for _, o := range w.operations {
-		if o.offered || w.ended() < o.After {
+func (r *run) offerOperations() {
+	for _, o := range r.operations {
+		if o.offered || r.ended() < o.After {
 			continue
 		}
 		o.offered = true
-		w.queue = append(w.queue, o.beginning())
+		r.queue = append(r.queue, o.beginning())
 	}
 }
 
 func (o *operation) beginning() *event {
 	return &event{
 		kind: beginEvent, from: o.Node, to: o.Node, label: "begin " + o.String(),
-		fact: fact{kind: factBegin, from: o.Node, number: uint64(o.number)}, release: o.begin,
+		observation: observation{kind: observationOperationBegin, from: o.Node, number: uint64(o.number)}, release: o.begin,
 	}
 }
 
 // begin runs the operation in the process of its node. It waits for one.
 func (o *operation) begin() {
-	p := o.world.nodes[o.Node].process
+	p := o.run.nodes[o.Node].process
 	if p == nil {
-		o.world.held = append(o.world.held, o.beginning())
+		o.run.deferred = append(o.run.deferred, o.beginning())
 		return
 	}
-	o.world.checks.called(o)
-	p.hears(fact{kind: factBegin, number: uint64(o.number)})
+	o.run.checks.recordCall(o)
+	p.observe(observation{kind: observationOperationBegin, number: uint64(o.number)})
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, operationTime+time.Duration(o.number)*operationStep)
 		defer cancel()
-		state, err := o.run(ctx, p)
+		state, err := o.call(ctx, p)
 		if p.hasEnded() {
 			state, err = nil, register.ErrUncertain // the caller hears no answer
 		}
-		p.hears(fact{kind: factEnd, number: uint64(o.number)})
+		p.observe(observation{kind: observationOperationEnd, number: uint64(o.number)})
 		o.end(state, err)
 	}()
 }
 
-func (o *operation) run(ctx context.Context, p *process) (*tierpb.ControlState, error) {
+func (o *operation) call(ctx context.Context, p *process) (*tierpb.ControlState, error) {
 	switch o.Kind {
 	case Put:
 		return p.proposer.Change(ctx, putFunc(o.From, o.To))
 	case Replace:
 		return register.ChangeVoters(ctx, p.proposer, func(current *tierpb.ControlState) []*tierpb.Node {
-			return o.world.replaced(current, o.Out, o.In)
+			return o.run.replaced(current, o.Out, o.In)
 		})
 	}
-	if o.Kind == Act {
-		return p.act(ctx)
+	if o.Kind == ChangeUnderLease {
+		return p.changeUnderLease(ctx)
 	}
 	return p.proposer.Read(ctx)
 }
 
 // replaced is the newest set of voters with one node's vote given to another.
-func (w *world) replaced(current *tierpb.ControlState, out, in int) []*tierpb.Node {
-	standby := w.nodes[in].process
+func (r *run) replaced(current *tierpb.ControlState, out, in int) []*tierpb.Node {
+	standby := r.nodes[in].process
 	if standby == nil {
 		return nil
 	}
 	nodes := current.Voters[len(current.Voters)-1].Nodes
 	for i, voter := range nodes {
-		if voter.Address == w.nodes[out].address {
+		if voter.Address == r.nodes[out].address {
 			nodes[i] = &tierpb.Node{
-				Address: w.nodes[in].address, Identity: standby.acceptor.Identity(), Role: tierpb.Role_ROLE_COORDINATOR,
+				Address: r.nodes[in].address, Identity: standby.acceptor.Identity(), Role: tierpb.Role_ROLE_COORDINATOR,
 			}
 		}
 	}
@@ -147,19 +147,19 @@
 }
 
 func (o *operation) end(state *tierpb.ControlState, err error) {
-	o.world.mu.Lock()
+	o.run.mu.Lock()
 	o.state, o.err, o.ended = state, err, true
-	o.world.finished++
-	o.world.mu.Unlock()
+	o.run.finished++
+	o.run.mu.Unlock()
 }
 
 func (o *operation) result() string {
 	switch {
 	case o.err == nil:
-		return fmt.Sprintf("%s: done, %s", o, o.world.stateName(o.state))
+		return fmt.Sprintf("%s: done, %s", o, o.run.stateName(o.state))
 	case errors.Is(o.err, errConflict):
 		return fmt.Sprintf("%s: conflict", o)
-	case isRefusedByFence(o.err):
+	case isFenced(o.err):
 		return fmt.Sprintf("%s: refused, %v", o, o.err)
 	case errors.Is(o.err, register.ErrUnavailable):
 		return fmt.Sprintf("%s: unavailable", o)
@@ -171,7 +171,7 @@
 // generation is refused.
 func putFunc(from, to uint64) register.ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		if wasTaken(current, to) {
+		if isCommitted(current, to) {
 			return current, nil
 		}
 		if current.GetConfiguration().GetGeneration() != from {
@@ -183,9 +183,9 @@
 	}
 }
 
-func wasTaken(state *tierpb.ControlState, generation uint64) bool {
-	for _, taken := range state.GetCommittedChanges() {
-		if taken.Generation == generation {
+func isCommitted(state *tierpb.ControlState, generation uint64) bool {
+	for _, committed := range state.GetCommittedChanges() {
+		if committed.Generation == generation {
 			return true
 		}
 	}
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -18,61 +18,61 @@
 
 // node is a machine with at most one process.
 type node struct {
-	number  int
-	address string
-	machine *simulation.Machine
-	fate    *fate
-	process *process // nil while none runs
-	disks   int      // lost so far
-	cut     bool
-	deaf    bool      // hears nothing and is heard
-	frozen  time.Time // until when the process is frozen
+	number             int
+	address            string
+	machine            *simulation.Machine
+	powerLossSource    *powerLossSource
+	process            *process // nil while none runs
+	disks              int      // lost so far
+	partitioned        bool
+	inboundPartitioned bool      // hears nothing and is heard
+	frozen             time.Time // until when the process is frozen
 }
 
 // process is one life of a coordinator: its acceptor, proposer, and where the scenario has it the lease.
 type process struct {
-	world    *world
-	node     *node
-	life     *simulation.Incarnation
-	ctx      context.Context
-	cancel   context.CancelFunc
-	acceptor *register.Acceptor
-	proposer *register.Proposer
-	holder   *lease.Candidate
-	acting   chan struct{} // holds one token; its owner acts under the lease
-	tenure   tenure        // used by that owner
-	serving  bool
-	seen     *tierpb.ControlState // accepted value that was checked last, and its ballot
-	seenAt   *tierpb.ProposalNumber
-
-	mu    sync.Mutex
-	known *tierpb.ControlState
-	heard []fact       // what its callers heard, in order
-	open  map[int]fact // requests in hand
-	opens int
+	run            *run
+	node           *node
+	incarnation    *simulation.Incarnation
+	ctx            context.Context
+	cancel         context.CancelFunc
+	acceptor       *register.Acceptor
+	proposer       *register.Proposer
+	candidate      *lease.Candidate
+	leaseToken     chan struct{} // holds one token; its owner acts under the lease
+	acquisition    acquisition   // used by that owner
+	serving        bool
+	lastAccepted   *tierpb.ControlState // accepted value that was checked last, and its ballot
+	lastAcceptedAt *tierpb.ProposalNumber
+
+	mu           sync.Mutex
+	known        *tierpb.ControlState
+	observed     []observation       // what its callers heard, in order
+	openRequests map[int]observation // requests in hand
+	requestCount int
 }
 
 // start begins a life on what the node's disk holds. It is done in one step, and says whether it succeeded.
-func (n *node) start(w *world, bootstrap bool) bool {
-	life := n.machine.Start()
-	p := &process{world: w, node: n, life: life, open: make(map[int]fact), acting: make(chan struct{}, 1)}
-	p.acting <- struct{}{}
+func (n *node) start(r *run, bootstrap bool) bool {
+	incarnation := n.machine.Start()
+	p := &process{run: r, node: n, incarnation: incarnation, openRequests: make(map[int]observation), leaseToken: make(chan struct{}, 1)}
+	p.leaseToken <- struct{}{}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	var err error
 	p.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{
-		Disk: &disk{Disk: life.Mount(), process: p}, Folder: folder, Address: n.address, Bootstrap: bootstrap, Seeds: w.seeds,
+		Disk: &disk{Disk: incarnation.Mount(), process: p}, Folder: folder, Address: n.address, Bootstrap: bootstrap, Seeds: r.seeds,
 	})
 	if err != nil {
-		life.Stop()
+		incarnation.Stop()
 		p.cancel()
 		return false
 	}
-	w.name(p.acceptor.Identity(), n)
-	p.acceptor.Serve(life.Server)
+	r.name(p.acceptor.Identity(), n)
+	p.acceptor.Serve(incarnation.Server)
 	p.proposer = register.NewProposer(register.Options{
 		Caller: &caller{process: p}, Local: p.acceptor, Known: p.newestKnown, Chosen: p.learn, Random: half,
 	})
-	if w.scenario.Lease {
+	if r.scenario.Lease {
 		p.startLease(bootstrap)
 	}
 	p.serving = true
@@ -87,16 +87,16 @@
 		holdBack = 0
 	}
 	grantor := lease.NewLessor(p.acceptor.Identity(), holdBack)
-	grantor.Serve(p.life.Server)
-	if p.node.number >= p.world.scenario.Candidates {
+	grantor.Serve(p.incarnation.Server)
+	if p.node.number >= p.run.scenario.Candidates {
 		return
 	}
-	p.holder = lease.NewCandidate(lease.CandidateOptions{
+	p.candidate = lease.NewCandidate(lease.CandidateOptions{
 		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Random: half,
 		Voters: p.voters,
 	})
-	holder := p.holder
-	p.world.running.Go(func() { holder.Run(p.ctx) })
+	candidate := p.candidate
+	p.run.running.Go(func() { candidate.Run(p.ctx) })
 }
 
 // voters are those of the newest value that the process knows to be chosen, and at the start those that all know.
@@ -104,7 +104,7 @@
 	if known := p.newestKnown(); known != nil {
 		return known.Voters
 	}
-	return p.world.firstVoters
+	return p.run.firstVoters
 }
 
 // half is the middle of what a random wait may be.
@@ -112,7 +112,7 @@
 
 // crash ends the process; of what the disk has not synced all is kept or all is lost.
 func (n *node) crash(keep bool) {
-	n.fate.keep = keep
+	n.powerLossSource.keep = keep
 	n.machine.PowerLoss()
 	n.process.cancel()
 	n.process = nil
@@ -130,7 +130,7 @@
 
 func (p *process) hasEnded() bool {
 	select {
-	case <-p.life.Ended():
+	case <-p.incarnation.Ended():
 		return true
 	default:
 		return false
@@ -145,7 +145,7 @@
 
 // learn takes over a chosen value, from the proposer or as a watch would bring it.
 func (p *process) learn(state *tierpb.ControlState) {
-	p.world.checks.chosen(state)
+	p.run.checks.recordChosen(state)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.known == nil || state.GetVersion() > p.known.GetVersion() {
@@ -154,30 +154,30 @@
 }
 
 // guess takes over a value of which nobody knows whether it is chosen, only to know whom to ask.
-func (p *process) guess(state *tierpb.ControlState) {
+func (p *process) assume(state *tierpb.ControlState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known = state
 }
 
 // hears notes what the process has been told, on which all that it believes rests.
-func (p *process) hears(heard fact) {
+func (p *process) observe(observed observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = append(p.heard, heard)
+	p.observed = append(p.observed, observed)
 }
 
 // handles notes a request that came in; the number returned is for handled.
-func (p *process) handles(request fact) int {
+func (p *process) beginRequest(request observation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opens++
-	p.open[p.opens] = request
-	return p.opens
+	p.requestCount++
+	p.openRequests[p.requestCount] = request
+	return p.requestCount
 }
 
-func (p *process) handled(number int) {
+func (p *process) endRequest(number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, number)
+	delete(p.openRequests, number)
 }
--- a/internal/tier/modelcheck/run.go
+++ b/internal/tier/modelcheck/run.go
@@ -54,96 +54,96 @@
 
 func (s *Scenario) play(t *testing.T, by decider) (result Result) {
 	t.Helper()
-	defer drawFixed()()
+	defer fixRandomness()()
 	synctest.Test(t, func(*testing.T) {
-		w := newWorld(s)
-		defer w.end()
-		result.Pruned = !w.play(by, &result)
+		r := newRun(s)
+		defer r.end()
+		result.Pruned = !r.play(by, &result)
 		if !result.Pruned {
-			w.rest()
+			r.verifyRecovery()
 		}
-		result.Failure = w.checks.broken()
-		result.Timeline = w.timeline
+		result.Failure = r.checks.firstFailure()
+		result.Timeline = r.timeline
 	})
 	return result
 }
 
 // play goes through the points of a run until nothing is left to do or an invariant is broken; false says that the
 // decider has left it.
-func (w *world) play(by decider, result *Result) bool {
-	for w.points < maxPoints && w.checks.broken() == "" {
-		actions := w.actions()
+func (r *run) play(by decider, result *Result) bool {
+	for r.points < maxPoints && r.checks.firstFailure() == "" {
+		actions := r.actions()
 		if len(actions) == 0 {
 			break
 		}
-		number, on := by.decide(point{number: w.points, kinds: kindsOf(actions), fingerprint: w.fingerprint})
+		number, on := by.decide(point{number: r.points, kinds: actionKinds(actions), fingerprint: r.fingerprint})
 		if !on {
 			return false
 		}
 		if number > 0 {
-			result.Schedule = append(result.Schedule, Deviation{Point: w.points, Action: number})
+			result.Schedule = append(result.Schedule, Deviation{Point: r.points, Action: number})
 		}
-		w.do(actions[number])
-		w.points++
-		result.Points = w.points
+		r.execute(actions[number])
+		r.points++
+		result.Points = r.points
 	}
 	return true
 }
 
 // rest ends all trouble; the register must then be readable and changeable, and the history must fit.
-func (w *world) rest() {
-	if w.checks.broken() != "" {
+func (r *run) verifyRecovery() {
+	if r.checks.firstFailure() != "" {
 		return
 	}
-	w.resting = true
-	w.calm()
-	w.drain()
-	w.share()
-	if w.scenario.Lease {
+	r.recovering = true
+	r.endFaults()
+	r.runDefaults()
+	r.shareNewestValue()
+	if r.scenario.Lease {
 		return
 	}
-	for _, plan := range w.scenario.rest() {
-		o := &operation{Operation: plan, world: w, number: len(w.operations)}
+	for _, plan := range r.scenario.finalOperations() {
+		o := &operation{Operation: plan, run: r, number: len(r.operations)}
 		if o.Kind == Put {
-			o.From = w.operations[len(w.operations)-1].state.GetConfiguration().GetGeneration()
+			o.From = r.operations[len(r.operations)-1].state.GetConfiguration().GetGeneration()
 		}
-		w.operations = append(w.operations, o)
-		w.offerOperations()
-		w.drain()
+		r.operations = append(r.operations, o)
+		r.offerOperations()
+		r.runDefaults()
 	}
-	if w.checks.broken() == "" {
-		w.checks.atEnd()
+	if r.checks.firstFailure() == "" {
+		r.checks.checkHistory()
 	}
 }
 
 // calm heals all cuts, thaws all processes and starts those that have ended.
-func (w *world) calm() {
-	for _, node := range w.nodes {
-		node.cut, node.deaf = false, false
-		node.frozen = w.began
+func (r *run) endFaults() {
+	for _, node := range r.nodes {
+		node.partitioned, node.inboundPartitioned = false, false
+		node.frozen = r.began
 		if node.process == nil {
-			node.start(w, false)
+			node.start(r, false)
 		}
 	}
-	w.held = slices.DeleteFunc(w.held, func(e *event) bool { return e.kind == startEvent || e.kind == healEvent })
+	r.deferred = slices.DeleteFunc(r.deferred, func(e *event) bool { return e.kind == startEvent || e.kind == healEvent })
 }
 
 // drain takes default actions until nothing is left to do.
-func (w *world) drain() {
+func (r *run) runDefaults() {
 	for range maxPoints {
-		actions := w.actions()
-		if len(actions) == 0 || w.checks.broken() != "" {
+		actions := r.actions()
+		if len(actions) == 0 || r.checks.firstFailure() != "" {
 			return
 		}
-		w.do(actions[0])
-		w.points++
+		r.execute(actions[0])
+		r.points++
 	}
 }
 
 // share brings the newest chosen value, or where nobody knows one an accepted value, to all, as watches would.
-func (w *world) share() {
-	for _, one := range w.nodes {
-		for _, other := range w.nodes {
+func (r *run) shareNewestValue() {
+	for _, one := range r.nodes {
+		for _, other := range r.nodes {
 			if one.process == nil || other.process == nil {
 				continue
 			}
@@ -152,10 +152,10 @@
 			}
 		}
 	}
-	for _, one := range w.nodes {
-		for _, other := range w.nodes {
+	for _, one := range r.nodes {
+		for _, other := range r.nodes {
 			if one.process != nil && other.process != nil && one.process.newestKnown() == nil {
-				one.process.guess(other.process.acceptor.Value())
+				one.process.assume(other.process.acceptor.Value())
 			}
 		}
 	}
--- a/internal/tier/modelcheck/scenario.go
+++ b/internal/tier/modelcheck/scenario.go
@@ -18,11 +18,11 @@
 
 // Limits bound the trouble of one run.
 type Limits struct {
-	Crashes, Wipes, Cuts, Freezes int
+	Crashes, Wipes, Partitions, Freezes int
 }
 
 // rest is what is asked at the end of each run, when all trouble is over: reads before and behind a last change.
-func (s *Scenario) rest() []Operation {
+func (s *Scenario) finalOperations() []Operation {
 	last := s.Nodes - 1
 	return []Operation{{Kind: Read, Node: 0}, {Kind: Read, Node: last}, {Kind: Put, Node: 1, To: lastGeneration}, {Kind: Read, Node: 2}}
 }
@@ -32,7 +32,7 @@
 
 // Scenarios returns the scenarios that are explored.
 func Scenarios() []*Scenario {
-	limits := Limits{Crashes: 2, Wipes: 1, Cuts: 1, Freezes: 1}
+	limits := Limits{Crashes: 2, Wipes: 1, Partitions: 1, Freezes: 1}
 	return []*Scenario{
 		{
 			Name: "race", Nodes: 3, Voters: 3, Limits: limits,
@@ -89,11 +89,11 @@
 		{
 			Name: "fence", Nodes: 3, Voters: 3, Limits: limits, Lease: true, Candidates: 2, Length: 7 * time.Second,
 			Operations: []Operation{
-				{Kind: Act, Node: 0},
-				{Kind: Act, Node: 1},
-				{Kind: Act, Node: 0, After: 1},
-				{Kind: Act, Node: 1, After: 1},
-				{Kind: Act, Node: 0, After: 2},
+				{Kind: ChangeUnderLease, Node: 0},
+				{Kind: ChangeUnderLease, Node: 1},
+				{Kind: ChangeUnderLease, Node: 0, After: 1},
+				{Kind: ChangeUnderLease, Node: 1, After: 1},
+				{Kind: ChangeUnderLease, Node: 0, After: 2},
 			},
 		},
 		{
--- a/internal/tier/modelcheck/search.go
+++ b/internal/tier/modelcheck/search.go
@@ -20,7 +20,7 @@
 	Points     int           // decisions over all runs
 	States     int           // distinct ones; of a search only
 	Deviations int           // of the present run
-	Waiting    int           // runs that are known and not played; of a search only
+	Pending    int           // runs that are known and not played; of a search only
 	Complete   bool          // all runs within the bound of deviations were played
 	Elapsed    time.Duration // of the machine's clock
 	Failure    string
@@ -32,7 +32,7 @@
 	text := fmt.Sprintf("%s: %d runs, %d points, %.1f s, %.0f runs/s", p.Model, p.Runs, p.Points, p.Elapsed.Seconds(),
 		float64(p.Runs)/max(p.Elapsed.Seconds(), 0.001))
 	if p.States > 0 {
-		text += fmt.Sprintf(", %d states, depth %d, %d runs wait, complete %v", p.States, p.Deviations, p.Waiting, p.Complete)
+		text += fmt.Sprintf(", %d states, depth %d, %d runs wait, complete %v", p.States, p.Deviations, p.Pending, p.Complete)
 	}
 	return text
 }
@@ -40,14 +40,14 @@
 // Search plays the runs of a model in the order of the number of their deviations, those with as many in an order
 // that is drawn, the same each time. It leaves runs that go on from a state that was met with as many deviations left.
 type Search struct {
-	model    Model
-	bound    int
-	progress Progress
-	waiting  [][]*branch // by the number of deviations
-	states   map[uint64]uint8
-	random   *rand.Rand
+	model         Model
+	maxDeviations int
+	progress      Progress
+	pending       [][]*branch // by the number of deviations
+	states        map[uint64]uint8
+	random        *rand.Rand
 
-	present *branch // of the run under way
+	current *branch // of the run under way
 	prefix  Schedule
 }
 
@@ -60,8 +60,8 @@
 // NewSearch makes a search for runs with up to so many deviations.
 func NewSearch(model Model, deviations int) *Search {
 	return &Search{
-		model: model, bound: deviations, progress: Progress{Model: model.Title(), Waiting: 1},
-		waiting: append([][]*branch{{{}}}, make([][]*branch, deviations)...),
+		model: model, maxDeviations: deviations, progress: Progress{Model: model.Title(), Pending: 1},
+		pending: append([][]*branch{{{}}}, make([][]*branch, deviations)...),
 		states:  make(map[uint64]uint8), random: rand.New(rand.NewPCG(0, 0)),
 	}
 }
@@ -75,7 +75,7 @@
 		result := s.model.play(t, s)
 		s.progress.count(result, began)
 		s.progress.States, s.progress.Deviations = len(s.states), len(s.prefix)
-		s.progress.Waiting--
+		s.progress.Pending--
 		if report != nil {
 			report(s.progress)
 		}
@@ -83,21 +83,21 @@
 			break
 		}
 	}
-	s.progress.Complete = s.progress.Waiting == 0
+	s.progress.Complete = s.progress.Pending == 0
 	return s.progress
 }
 
 // next draws one of the runs with the fewest deviations; false says that none is left.
 func (s *Search) next() bool {
-	for count, branches := range s.waiting {
+	for count, branches := range s.pending {
 		if len(branches) == 0 {
 			continue
 		}
 		drawn, last := s.random.IntN(len(branches)), len(branches)-1
-		s.present = branches[drawn]
+		s.current = branches[drawn]
 		branches[drawn], branches[last] = branches[last], nil
-		s.waiting[count] = branches[:last]
-		s.prefix = s.present.schedule(count)
+		s.pending[count] = branches[:last]
+		s.prefix = s.current.schedule(count)
 		return true
 	}
 	return false
@@ -118,7 +118,7 @@
 	if last := len(s.prefix) - 1; last >= 0 && at.number <= s.prefix[last].Point {
 		return s.prefix.at(at.number), true
 	}
-	left := s.bound - len(s.prefix)
+	left := s.maxDeviations - len(s.prefix)
 	state := at.fingerprint()
 	if s.states[state] > uint8(left) {
 		return 0, false
@@ -134,9 +134,9 @@
 func (s *Search) branchOff(point, actions int) {
 	count := len(s.prefix) + 1
 	for number := 1; number < actions; number++ {
-		branch := &branch{from: s.present, last: Deviation{Point: point, Action: number}}
-		s.waiting[count] = append(s.waiting[count], branch)
-		s.progress.Waiting++
+		branch := &branch{from: s.current, last: Deviation{Point: point, Action: number}}
+		s.pending[count] = append(s.pending[count], branch)
+		s.progress.Pending++
 	}
 }
 
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -79,7 +79,7 @@
 	},
 	{
 		name: "order that is sent again is not known", file: "modelcheck/operation.go",
-		old:     "if wasTaken(current, to) {",
+		old:     "if isCommitted(current, to) {",
 		changed: "if false {",
 	},
 	{
--- a/internal/tier/modelcheck/store_event.go
+++ b/internal/tier/modelcheck/store_event.go
@@ -11,66 +11,66 @@
 )
 
 // happen lets an event happen where its machine still is what it was. A call that was under way arrives all the same.
-func (w *storeWorld) happen(e storeEvent) {
+func (r *storeRun) handle(e storeEvent) {
 	m := e.machine
-	if m != nil && e.call == nil && (m.life != e.life || !w.reached(m)) {
+	if m != nil && e.call == nil && (m.diskNumber != e.diskNumber || !r.isReachable(m)) {
 		return
 	}
 	switch e.kind {
-	case storeLearns:
-		w.learn(m)
-	case storePasses:
-		w.pass(m)
-	case storeCalls:
-		w.hear(m, e.call)
-	case storeWrites:
-		w.write(m)
-	case storePlaces:
-		w.place()
+	case storeLearnEvent:
+		r.learn(m)
+	case storeMigrateEvent:
+		r.migrate(m)
+	case storeJoinEvent:
+		r.receiveJoin(m, e.call)
+	case storeWriteEvent:
+		r.write(m)
+	case storePlacementEvent:
+		r.runPlacement()
 	}
 }
 
-func (w *storeWorld) learn(m *storeMachine) {
-	if w.control.Stores.Epoch > m.known.Epoch {
-		m.known = w.control.Stores
-		w.note(m, fmt.Sprintf("learns epoch %d", m.known.Epoch))
+func (r *storeRun) learn(m *storeMachine) {
+	if r.control.Stores.Epoch > m.known.Epoch {
+		m.known = r.control.Stores
+		r.logEvent(m, fmt.Sprintf("learns epoch %d", m.known.Epoch))
 	}
 }
 
 // pass hands on all that a store holds, as one step; it is over when each key is on a write quorum of its new set.
-func (w *storeWorld) pass(m *storeMachine) {
+func (r *storeRun) migrate(m *storeMachine) {
 	if m.copied >= m.known.Epoch {
 		return
 	}
 	if replica.Contains(m.known.Previous, m.identity()) {
 		for _, key := range sortedKeys(m.records) {
-			if !w.handOn(m, key) {
+			if !r.transferRecord(m, key) {
 				return
 			}
 		}
 	}
 	m.copied = m.known.Epoch
-	w.note(m, fmt.Sprintf("pass over, epoch %d", m.copied))
+	r.logEvent(m, fmt.Sprintf("pass over, epoch %d", m.copied))
 }
 
-func (w *storeWorld) handOn(m *storeMachine, key string) bool {
-	set := replica.Sets(m.known, key, w.scenario.Tolerance)[0]
-	quorum := replica.WriteQuorum(w.scenario.Tolerance, len(set))
+func (r *storeRun) transferRecord(m *storeMachine, key string) bool {
+	set := replica.Sets(m.known, key, r.scenario.Tolerance)[0]
+	quorum := replica.WriteQuorum(r.scenario.Tolerance, len(set))
 	holders := 0
 	for _, member := range set {
-		target := w.machineOf(member)
-		if target != nil && target.records[key] && (target == m || w.serves(target, m.known)) {
+		target := r.machineOf(member)
+		if target != nil && target.records[key] && (target == m || r.serves(target, m.known)) {
 			holders++
 		}
 	}
 	for _, member := range set {
-		target := w.machineOf(member)
+		target := r.machineOf(member)
 		if holders >= quorum {
 			break
 		}
-		if target != nil && !target.records[key] && w.serves(target, m.known) {
+		if target != nil && !target.records[key] && r.serves(target, m.known) {
 			target.records[key] = true
-			w.note(target, fmt.Sprintf("gets %s of n%d", key, m.number))
+			r.logEvent(target, fmt.Sprintf("gets %s of n%d", key, m.number))
 			holders++
 		}
 	}
@@ -78,8 +78,8 @@
 }
 
 // machineOf is the machine that has a member's identity, nil where its disk was lost.
-func (w *storeWorld) machineOf(member *tierpb.Node) *storeMachine {
-	for _, m := range w.machines {
+func (r *storeRun) machineOf(member *tierpb.Node) *storeMachine {
+	for _, m := range r.machines {
 		if m.identity() == member.Identity {
 			return m
 		}
@@ -88,63 +88,63 @@
 }
 
 // serves says that a store answers calls under a membership: the one that it knows.
-func (w *storeWorld) serves(m *storeMachine, members *tierpb.StoreMembership) bool {
-	return w.reached(m) && m.known.Epoch == members.Epoch
+func (r *storeRun) serves(m *storeMachine, members *tierpb.StoreMembership) bool {
+	return r.isReachable(m) && m.known.Epoch == members.Epoch
 }
 
 // hear takes a call to join to the holder of the lease; a late one says what was so when it was sent.
-func (w *storeWorld) hear(m *storeMachine, call *tierpb.JoinRequest) {
+func (r *storeRun) receiveJoin(m *storeMachine, call *tierpb.JoinRequest) {
 	if call == nil {
-		call = w.callOf(m)
+		call = r.callOf(m)
 	}
-	for i := range w.holder.joins {
-		if join := &w.holder.joins[i]; join.Request.Node.Identity == call.Node.Identity {
-			join.Request, join.Heard = call, w.now()
+	for i := range r.leaseHolder.joins {
+		if join := &r.leaseHolder.joins[i]; join.Request.Node.Identity == call.Node.Identity {
+			join.Request, join.Heard = call, r.now()
 			return
 		}
 	}
-	w.holder.joins = append(w.holder.joins, placement.Join{Request: call, First: w.now(), Heard: w.now()})
+	r.leaseHolder.joins = append(r.leaseHolder.joins, placement.Join{Request: call, First: r.now(), Heard: r.now()})
 }
 
-func (w *storeWorld) callOf(m *storeMachine) *tierpb.JoinRequest {
+func (r *storeRun) callOf(m *storeMachine) *tierpb.JoinRequest {
 	return &tierpb.JoinRequest{Node: m.node(), StoreEpoch: m.known.Epoch, CopiedEpoch: m.copied}
 }
 
 // write lets one store of the replica sets sync the record that is being written, and the client count it.
-func (w *storeWorld) write(m *storeMachine) {
-	client := &w.client
+func (r *storeRun) write(m *storeMachine) {
+	client := &r.client
 	if client.key == "" {
 		return
 	}
 	if client.members == nil {
-		client.members = w.control.Stores
+		client.members = r.control.Stores
 	}
 	if m.known.Epoch > client.members.Epoch { // the refusal brings the newer membership
 		client.members = m.known
 	}
-	sets := replica.Sets(client.members, client.key, w.scenario.Tolerance)
+	sets := replica.Sets(client.members, client.key, r.scenario.Tolerance)
 	member := slices.ContainsFunc(sets, func(set []*tierpb.Node) bool { return replica.Contains(set, m.identity()) })
-	if member && w.serves(m, client.members) && !client.synced[m.identity()] {
+	if member && r.serves(m, client.members) && !client.synced[m.identity()] {
 		m.records[client.key] = true
 		client.synced[m.identity()] = true
-		w.note(m, "syncs "+client.key)
+		r.logEvent(m, "syncs "+client.key)
 	}
-	if w.isWritten(sets) {
-		w.acknowledged = append(w.acknowledged, client.key)
-		w.note(m, "= "+client.key+" acknowledged")
+	if r.isWritten(sets) {
+		r.acknowledged = append(r.acknowledged, client.key)
+		r.logEvent(m, "= "+client.key+" acknowledged")
 		client.key = ""
 	}
 }
 
-func (w *storeWorld) isWritten(sets [][]*tierpb.Node) bool {
+func (r *storeRun) isWritten(sets [][]*tierpb.Node) bool {
 	for _, set := range sets {
 		count := 0
 		for _, member := range set {
-			if w.client.synced[member.Identity] {
+			if r.client.synced[member.Identity] {
 				count++
 			}
 		}
-		if count < replica.WriteQuorum(w.scenario.Tolerance, len(set)) {
+		if count < replica.WriteQuorum(r.scenario.Tolerance, len(set)) {
 			return false
 		}
 	}
@@ -152,23 +152,23 @@
 }
 
 // place decides on the membership with the real placement.
-func (w *storeWorld) place() {
-	if epoch := w.control.Stores.Epoch; epoch != w.holder.epoch {
-		w.holder.epoch, w.holder.moveSeen = epoch, w.now()
+func (r *storeRun) runPlacement() {
+	if epoch := r.control.Stores.Epoch; epoch != r.leaseHolder.epoch {
+		r.leaseHolder.epoch, r.leaseHolder.moveSeen = epoch, r.now()
 	}
 	view := &placement.View{
-		Now: w.now(), Since: w.holder.since, Tolerance: w.scenario.Tolerance, Joins: slices.Clone(w.holder.joins),
-		MoveSeen: w.holder.moveSeen, VoterSilence: func(string) time.Duration { return 0 },
+		Now: r.now(), Since: r.leaseHolder.since, Tolerance: r.scenario.Tolerance, Joins: slices.Clone(r.leaseHolder.joins),
+		MoveSeen: r.leaseHolder.moveSeen, VoterSilence: func(string) time.Duration { return 0 },
 	}
-	next, reason := placement.Stores(w.control.CloneVT(), view)
+	next, reason := placement.Stores(r.control.CloneVT(), view)
 	if reason == "" {
 		return
 	}
-	w.control = next
-	w.note(w.machines[0], reason+": "+w.membersName())
+	r.control = next
+	r.logEvent(r.machines[0], reason+": "+r.membersName())
 }
 
-func (w *storeWorld) note(m *storeMachine, text string) {
-	w.changed = true
-	w.timeline.addAt(w.points, time.Duration(w.cycle)*cycleTime, m.number, text)
+func (r *storeRun) logEvent(m *storeMachine, text string) {
+	r.changed = true
+	r.timeline.addAt(r.points, time.Duration(r.cycle)*cycleTime, m.number, text)
 }
--- a/internal/tier/modelcheck/store_scenario.go
+++ b/internal/tier/modelcheck/store_scenario.go
@@ -26,7 +26,7 @@
 
 // StoreScenarios returns the scenarios of turn stores that are explored.
 func StoreScenarios() []*StoreScenario {
-	limits := Limits{Crashes: 2, Wipes: 2, Cuts: 1}
+	limits := Limits{Crashes: 2, Wipes: 2, Partitions: 1}
 	return []*StoreScenario{
 		{Name: "stores", Machines: 4, Late: 1, Tolerance: 1, Keys: 3, Cycles: 40, Limits: limits},
 		{Name: "stores-retire", Machines: 5, Late: 1, Tolerance: 1, Keys: 3, Cycles: 50, Limits: limits, Retire: true},
@@ -34,65 +34,65 @@
 }
 
 const (
-	cycleTime    = 250 * time.Millisecond
-	writeEvery   = 6 // cycles from one record to the next
-	retireCycle  = 12
-	joinCycles   = 2 // cycles from one call to join to the next
-	restCycles   = 60
-	lateCycle    = 5  // the first in which the late machines run
-	troubleTime  = 12 // cycles that a cut or a dead process lasts
-	lateDelivery = 6  // cycles for which a delayed call is under way
+	cycleTime      = 250 * time.Millisecond
+	writeEvery     = 6 // cycles from one record to the next
+	retireCycle    = 12
+	joinCycles     = 2 // cycles from one call to join to the next
+	recoveryCycles = 60
+	lateStartCycle = 5  // the first in which the late machines run
+	faultCycles    = 12 // cycles that a cut or a dead process lasts
+	lateDelivery   = 6  // cycles for which a delayed call is under way
 )
 
 // play implements Model.
 func (s *StoreScenario) play(_ *testing.T, by decider) (result Result) {
-	w := newStoreWorld(s)
-	for w.failure == "" {
-		actions := w.actions()
+	r := newStoreRun(s)
+	for r.failure == "" {
+		actions := r.actions()
 		if len(actions) == 0 {
 			break
 		}
-		number, on := by.decide(point{number: w.points, kinds: storeKinds(actions), fingerprint: w.fingerprint})
+		number, on := by.decide(point{number: r.points, kinds: storeKinds(actions), fingerprint: r.fingerprint})
 		if !on {
 			result.Pruned = true
 			break
 		}
 		if number > 0 {
-			result.Schedule = append(result.Schedule, Deviation{Point: w.points, Action: number})
+			result.Schedule = append(result.Schedule, Deviation{Point: r.points, Action: number})
 		}
-		w.do(actions[number])
-		w.check()
-		w.points++
+		r.execute(actions[number])
+		r.check()
+		r.points++
 	}
-	if !result.Pruned && w.failure == "" {
-		w.rest()
+	if !result.Pruned && r.failure == "" {
+		r.verifyRecovery()
 	}
-	result.Failure, result.Points, result.Timeline = w.failure, w.points, w.timeline
+	result.Failure, result.Points, result.Timeline = r.failure, r.points, r.timeline
 	return result
 }
 
 // rest lets time go by without trouble; all moves must come to their end then, and all records must be found.
-func (w *storeWorld) rest() {
-	w.resting = true
-	for _, m := range w.machines {
-		m.back = 0
+func (r *storeRun) verifyRecovery() {
+	r.recovering = true
+	for _, m := range r.machines {
+		m.reachableAt = 0
 	}
-	for end := w.cycle + restCycles; w.cycle < end && w.failure == ""; {
-		w.do(w.actions()[0])
-		w.check()
-		w.points++
+	for end := r.cycle + recoveryCycles; r.cycle < end && r.failure == ""; {
+		r.execute(r.actions()[0])
+		r.check()
+		r.points++
 	}
-	switch stores := w.control.Stores; {
-	case w.failure != "":
+	switch stores := r.control.Stores; {
+	case r.failure != "":
 	case len(stores.Previous) > 0:
-		w.fail("the move to epoch %d has not ended", stores.Epoch)
-	case len(w.acknowledged) < w.scenario.Keys:
-		w.fail("%d of %d records are written", len(w.acknowledged), w.scenario.Keys)
+		r.fail("the move to epoch %d has not ended", stores.Epoch)
+	case len(r.acknowledged) < r.scenario.Keys:
+		r.fail("%d of %d records are written", len(r.acknowledged), r.scenario.Keys)
 	}
 }
 
-func (w *storeWorld) fail(format string, arguments ...any) {
-	if w.failure == "" {
-		w.failure = fmt.Sprintf(format, arguments...)
+func (r *storeRun) fail(format string, arguments ...any) {
+	if r.failure == "" {
+		r.failure = fmt.Sprintf(format, arguments...)
 	}
 }
--- a/internal/tier/modelcheck/store_world.go
+++ b/internal/tier/modelcheck/store_world.go
@@ -11,18 +11,18 @@
 )
 
 // storeWorld is a run of a StoreScenario.
-type storeWorld struct {
+type storeRun struct {
 	scenario     *StoreScenario
 	machines     []*storeMachine
 	control      *tierpb.ControlState // as chosen
-	holder       storeHolder
+	leaseHolder  placementHolder
 	client       storeClient
 	acknowledged []string // keys
 	queue        []storeEvent
 	cycle        int
 	points       int
-	used         [kinds]int
-	resting      bool
+	used         [kindCount]int
+	recovering   bool
 	failure      string
 	changed      bool // since the last check
 	timeline     *Timeline
@@ -30,17 +30,17 @@
 
 // storeMachine is a machine with a turn store, whose process may be dead or cut off for some cycles.
 type storeMachine struct {
-	number  int
-	life    int // of the disk
-	back    int // cycle in which it is reached again
-	dead    bool
-	records map[string]bool
-	known   *tierpb.StoreMembership // saved
-	copied  uint64                  // epoch of the newest pass that is over
+	number      int
+	diskNumber  int // of the disk
+	reachableAt int // cycle in which it is reached again
+	dead        bool
+	records     map[string]bool
+	known       *tierpb.StoreMembership // saved
+	copied      uint64                  // epoch of the newest pass that is over
 }
 
 // storeHolder is what the holder of the placement lease knows.
-type storeHolder struct {
+type placementHolder struct {
 	since    time.Time
 	joins    []placement.Join
 	epoch    uint64 // of the membership seen last
@@ -59,46 +59,46 @@
 type storeEventKind int
 
 const (
-	storeLearns storeEventKind = iota // a store hears of the newest membership
-	storePasses                       // a store hands on what it holds
-	storeCalls                        // a store's call to join arrives
-	storeWrites                       // a store syncs the record that is being written
-	storePlaces                       // the holder of the lease decides
+	storeLearnEvent     storeEventKind = iota // a store hears of the newest membership
+	storeMigrateEvent                         // a store hands on what it holds
+	storeJoinEvent                            // a store's call to join arrives
+	storeWriteEvent                           // a store syncs the record that is being written
+	storePlacementEvent                       // the holder of the lease decides
 )
 
 type storeEvent struct {
-	kind    storeEventKind
-	machine *storeMachine
-	due     int                 // cycle
-	call    *tierpb.JoinRequest // as it was sent
-	life    int                 // of the machine when it was sent
+	kind       storeEventKind
+	machine    *storeMachine
+	due        int                 // cycle
+	call       *tierpb.JoinRequest // as it was sent
+	diskNumber int                 // of the machine when it was sent
 }
 
-func newStoreWorld(scenario *StoreScenario) *storeWorld {
-	w := &storeWorld{
+func newStoreRun(scenario *StoreScenario) *storeRun {
+	r := &storeRun{
 		scenario: scenario, control: &tierpb.ControlState{Stores: &tierpb.StoreMembership{}},
 		timeline: newTimeline(scenario.Machines),
 	}
 	for number := range scenario.Machines {
 		m := &storeMachine{number: number, records: make(map[string]bool), known: &tierpb.StoreMembership{}}
 		if number >= scenario.Machines-scenario.Late {
-			m.back = lateCycle
+			m.reachableAt = lateStartCycle
 		} else {
-			w.control.Stores.Current = append(w.control.Stores.Current, m.node())
+			r.control.Stores.Current = append(r.control.Stores.Current, m.node())
 		}
-		w.machines = append(w.machines, m)
+		r.machines = append(r.machines, m)
 	}
-	w.control.Stores.Epoch = 1
-	w.holder = storeHolder{since: w.now().Add(-time.Hour), epoch: 1, moveSeen: w.now()}
-	w.begin()
-	return w
+	r.control.Stores.Epoch = 1
+	r.leaseHolder = placementHolder{since: r.now().Add(-time.Hour), epoch: 1, moveSeen: r.now()}
+	r.startCycle()
+	return r
 }
 
-func (w *storeWorld) now() time.Time {
-	return time.Unix(1000, 0).Add(time.Duration(w.cycle) * cycleTime)
+func (r *storeRun) now() time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(r.cycle) * cycleTime)
 }
 
-func (m *storeMachine) identity() uint64 { return uint64(100*(m.number+1) + m.life) }
+func (m *storeMachine) identity() uint64 { return uint64(100*(m.number+1) + m.diskNumber) }
 
 func (m *storeMachine) node() *tierpb.Node {
 	return &tierpb.Node{
@@ -108,41 +108,41 @@
 }
 
 // reached says that a machine's process runs and is not cut off.
-func (w *storeWorld) reached(m *storeMachine) bool { return w.cycle >= m.back }
+func (r *storeRun) isReachable(m *storeMachine) bool { return r.cycle >= m.reachableAt }
 
 // begin fills the queue of a cycle.
-func (w *storeWorld) begin() {
+func (r *storeRun) startCycle() {
 	var late []storeEvent
-	w.queue, late = w.dueNow()
-	for _, m := range w.machines {
-		if !w.reached(m) {
+	r.queue, late = r.dueNow()
+	for _, m := range r.machines {
+		if !r.isReachable(m) {
 			continue
 		}
 		m.dead = false
-		if m.known.Epoch < w.control.Stores.Epoch {
-			w.add(storeEvent{kind: storeLearns, machine: m})
+		if m.known.Epoch < r.control.Stores.Epoch {
+			r.add(storeEvent{kind: storeLearnEvent, machine: m})
 		}
-		if m.copied < w.control.Stores.Epoch {
-			w.add(storeEvent{kind: storePasses, machine: m})
+		if m.copied < r.control.Stores.Epoch {
+			r.add(storeEvent{kind: storeMigrateEvent, machine: m})
 		}
-		if (w.cycle+m.number)%joinCycles == 0 {
-			w.add(storeEvent{kind: storeCalls, machine: m})
+		if (r.cycle+m.number)%joinCycles == 0 {
+			r.add(storeEvent{kind: storeJoinEvent, machine: m})
 		}
 	}
-	w.nextKey()
-	for _, m := range w.machines {
-		if w.client.key != "" && w.reached(m) {
-			w.add(storeEvent{kind: storeWrites, machine: m})
+	r.nextKey()
+	for _, m := range r.machines {
+		if r.client.key != "" && r.isReachable(m) {
+			r.add(storeEvent{kind: storeWriteEvent, machine: m})
 		}
 	}
-	w.add(storeEvent{kind: storePlaces})
-	w.queue = append(w.queue, late...)
+	r.add(storeEvent{kind: storePlacementEvent})
+	r.queue = append(r.queue, late...)
 }
 
 // dueNow splits what was delayed into what is due and the rest.
-func (w *storeWorld) dueNow() (due, late []storeEvent) {
-	for _, e := range w.queue {
-		if e.due <= w.cycle || w.resting {
+func (r *storeRun) dueNow() (due, late []storeEvent) {
+	for _, e := range r.queue {
+		if e.due <= r.cycle || r.recovering {
 			due = append(due, e)
 		} else {
 			late = append(late, e)
@@ -151,55 +151,55 @@
 	return due, late
 }
 
-func (w *storeWorld) add(e storeEvent) {
+func (r *storeRun) add(e storeEvent) {
 	if e.machine != nil {
-		e.life = e.machine.life
+		e.diskNumber = e.machine.diskNumber
 	}
-	e.due = w.cycle
-	w.queue = append(w.queue, e)
+	e.due = r.cycle
+	r.queue = append(r.queue, e)
 }
 
 // nextKey lets the client go on to the next record.
-func (w *storeWorld) nextKey() {
-	if w.scenario.Retire && w.cycle == retireCycle {
-		w.retire()
+func (r *storeRun) nextKey() {
+	if r.scenario.Retire && r.cycle == retireCycle {
+		r.retire()
 	}
-	if w.client.key == "" && w.client.written < w.scenario.Keys && w.cycle >= writeEvery*w.client.written {
-		w.client.written++
-		w.client.key = fmt.Sprintf("turn-%d", w.client.written)
-		w.client.synced = make(map[uint64]bool)
+	if r.client.key == "" && r.client.written < r.scenario.Keys && r.cycle >= writeEvery*r.client.written {
+		r.client.written++
+		r.client.key = fmt.Sprintf("turn-%d", r.client.written)
+		r.client.synced = make(map[uint64]bool)
 	}
 }
 
 // retire takes the first machine out of the members, as a coordinator does on the operator's order.
-func (w *storeWorld) retire() {
-	stores := w.control.Stores
-	first := w.machines[0].node()
-	place := slices.IndexFunc(stores.Current, func(node *tierpb.Node) bool { return node.Name == first.Name })
-	if place < 0 || len(stores.Current)-1 < replica.Size(w.scenario.Tolerance) {
+func (r *storeRun) retire() {
+	stores := r.control.Stores
+	first := r.machines[0].node()
+	index := slices.IndexFunc(stores.Current, func(node *tierpb.Node) bool { return node.Name == first.Name })
+	if index < 0 || len(stores.Current)-1 < replica.Size(r.scenario.Tolerance) {
 		return
 	}
-	identity := stores.Current[place].Identity
+	identity := stores.Current[index].Identity
 	next := stores.CloneVT()
 	if len(next.Previous) == 0 {
 		next.Previous = next.Current
 	}
-	next.Current = slices.Delete(slices.Clone(next.Current), place, place+1)
+	next.Current = slices.Delete(slices.Clone(next.Current), index, index+1)
 	next.Epoch++
-	w.control.Stores = next
-	w.control.Retirements = append(w.control.Retirements, &tierpb.Retirement{Node: first.Name, Identity: identity})
-	w.timeline.addAt(w.points, time.Duration(w.cycle)*cycleTime, 0, "is to be emptied, "+w.membersName())
+	r.control.Stores = next
+	r.control.Retirements = append(r.control.Retirements, &tierpb.Retirement{Node: first.Name, Identity: identity})
+	r.timeline.addAt(r.points, time.Duration(r.cycle)*cycleTime, 0, "is to be emptied, "+r.membersName())
 }
 
-func (w *storeWorld) membersName() string {
-	name := fmt.Sprintf("epoch %d [", w.control.Stores.Epoch)
-	for _, node := range w.control.Stores.Current {
+func (r *storeRun) membersName() string {
+	name := fmt.Sprintf("epoch %d [", r.control.Stores.Epoch)
+	for _, node := range r.control.Stores.Current {
 		name += fmt.Sprint(" ", node.Identity)
 	}
 	name += " ]"
-	if len(w.control.Stores.Previous) > 0 {
+	if len(r.control.Stores.Previous) > 0 {
 		name += " from ["
-		for _, node := range w.control.Stores.Previous {
+		for _, node := range r.control.Stores.Previous {
 			name += fmt.Sprint(" ", node.Identity)
 		}
 		name += " ]"
--- a/internal/tier/modelcheck/timeline.go
+++ b/internal/tier/modelcheck/timeline.go
@@ -21,7 +21,7 @@
 
 func newTimeline(nodes int) *Timeline { return &Timeline{nodes: nodes} }
 
-func (t *Timeline) add(w *world, node int, text string) { t.addAt(w.points, w.now(), node, text) }
+func (t *Timeline) add(r *run, node int, text string) { t.addAt(r.points, r.now(), node, text) }
 
 func (t *Timeline) addAt(point int, at time.Duration, node int, text string) {
 	t.rows = append(t.rows, row{point: point, at: at, node: node, text: text})
--- a/internal/tier/modelcheck/walk.go
+++ b/internal/tier/modelcheck/walk.go
@@ -29,36 +29,36 @@
 
 // walker decides a run at random.
 type walker struct {
-	random  *rand.Rand
-	allowed [kinds]bool
-	share   float64 // of the points at which another action than the default is taken
-	most    int     // deviations
-	taken   int
+	random        *rand.Rand
+	enabled       [kindCount]bool
+	deviationRate float64 // of the points at which another action than the default is taken
+	maxDeviations int     // deviations
+	deviations    int
 }
 
 // Bounds of a walk. Some leave the default at once and often, some late and seldom.
 const (
-	mostOfAWalk = 12  // deviations
-	mostShare   = 0.3 // of the points; the least is a hundredth of it
+	maxWalkDeviations = 12  // deviations
+	maxDeviationRate  = 0.3 // of the points; the least is a hundredth of it
 )
 
 func newWalker(seed uint64) *walker {
 	random := rand.New(rand.NewPCG(seed, 0))
-	drawn := &walker{random: random, share: mostShare * math.Pow(10, -2*random.Float64()), most: 1 + random.IntN(mostOfAWalk)}
-	for kind := range drawn.allowed {
-		drawn.allowed[kind] = random.IntN(2) == 0
+	drawn := &walker{random: random, deviationRate: maxDeviationRate * math.Pow(10, -2*random.Float64()), maxDeviations: 1 + random.IntN(maxWalkDeviations)}
+	for kind := range drawn.enabled {
+		drawn.enabled[kind] = random.IntN(2) == 0
 	}
 	return drawn
 }
 
 func (r *walker) decide(at point) (int, bool) {
-	if r.taken >= r.most || r.random.Float64() >= r.share {
+	if r.deviations >= r.maxDeviations || r.random.Float64() >= r.deviationRate {
 		return 0, true
 	}
-	var byKind [kinds][]int
+	var byKind [kindCount][]int
 	var present []Kind
 	for number, kind := range at.kinds {
-		if number == 0 || !r.allowed[kind] {
+		if number == 0 || !r.enabled[kind] {
 			continue
 		}
 		if byKind[kind] == nil {
@@ -69,7 +69,7 @@
 	if len(present) == 0 {
 		return 0, true
 	}
-	r.taken++
+	r.deviations++
 	numbers := byKind[present[r.random.IntN(len(present))]]
 	return numbers[r.random.IntN(len(numbers))], true
 }
--- a/internal/tier/modelcheck/world.go
+++ b/internal/tier/modelcheck/world.go
@@ -15,76 +15,76 @@
 )
 
 // world is a run under way, in a synctest bubble. Its scheduler owns all fields but those behind mu.
-type world struct {
+type run struct {
 	scenario    *Scenario
 	seeds       []string
 	firstVoters []*tierpb.VoterSet
 	nodes       []*node
 	queue       []*event // let go in this order by default
-	held        []*event // let go by default when the queue is empty
+	deferred    []*event // let go by default when the queue is empty
 	operations  []*operation
 	began       time.Time
 	points      int
-	resting     bool
-	used        [kinds]int // actions taken, by kind
+	recovering  bool
+	used        [kindCount]int // actions taken, by kind
 	checks      *checks
 	timeline    *Timeline
 	renamings   [][]int // see renamings
 	running     sync.WaitGroup
 
-	mu         sync.Mutex
-	arrived    []*event
-	finished   int // operations that have ended
-	letters    map[uint64]string
-	identities map[uint64]identityOfNode
+	mu              sync.Mutex
+	arrived         []*event
+	finished        int // operations that have ended
+	proposerLetters map[uint64]string
+	identities      map[uint64]nodeDisk
 }
 
 // identityOfNode says which life of which node's disk an identity belongs to.
-type identityOfNode struct{ node, life int }
+type nodeDisk struct{ node, disk int }
 
-func newWorld(scenario *Scenario) *world {
-	w := &world{
-		scenario: scenario, began: time.Now(), letters: make(map[uint64]string),
-		identities: make(map[uint64]identityOfNode), timeline: newTimeline(scenario.Nodes),
+func newRun(scenario *Scenario) *run {
+	r := &run{
+		scenario: scenario, began: time.Now(), proposerLetters: make(map[uint64]string),
+		identities: make(map[uint64]nodeDisk), timeline: newTimeline(scenario.Nodes),
 	}
-	w.checks = newChecks(w)
-	w.renamings = renamings(scenario)
-	network := simulation.NewNetwork(randv2.New(&fate{}), simulation.LinkConditions{})
+	r.checks = newChecks(r)
+	r.renamings = renamings(scenario)
+	network := simulation.NewNetwork(randv2.New(&powerLossSource{}), simulation.LinkConditions{})
 	for number := range scenario.Nodes {
 		address := fmt.Sprintf("10.0.0.%d:7380", number+1)
 		if number < scenario.Voters {
-			w.seeds = append(w.seeds, address)
+			r.seeds = append(r.seeds, address)
 		}
-		fate := &fate{}
-		w.nodes = append(w.nodes, &node{
-			number: number, address: address, fate: fate, machine: network.NewMachine(address, fate.random()),
+		powerLossSource := &powerLossSource{}
+		r.nodes = append(r.nodes, &node{
+			number: number, address: address, powerLossSource: powerLossSource, machine: network.NewMachine(address, powerLossSource.random()),
 		})
 	}
-	first := register.InitialState(w.seeds)
-	w.firstVoters = first.Voters
-	w.checks.chosen(first)
-	for _, node := range w.nodes {
-		node.start(w, true)
+	first := register.InitialState(r.seeds)
+	r.firstVoters = first.Voters
+	r.checks.recordChosen(first)
+	for _, node := range r.nodes {
+		node.start(r, true)
 	}
 	for number, plan := range scenario.Operations {
-		w.operations = append(w.operations, &operation{Operation: plan, world: w, number: number})
+		r.operations = append(r.operations, &operation{Operation: plan, run: r, number: number})
 	}
-	w.offerOperations()
-	w.settle()
-	return w
+	r.offerOperations()
+	r.awaitQuiescence()
+	return r
 }
 
 // drawFixed makes the identities and numbers that the code draws the same in each run; the function returned ends that.
-func drawFixed() (restore func()) {
+func fixRandomness() (restore func()) {
 	before := rand.Reader
 	rand.Reader = io.Reader(randv2.NewChaCha8([32]byte{}))
 	return func() { rand.Reader = before }
 }
 
-func (w *world) now() time.Duration { return time.Since(w.began) }
+func (r *run) now() time.Duration { return time.Since(r.began) }
 
-func (w *world) numberOf(address string) int {
-	for _, node := range w.nodes {
+func (r *run) numberOf(address string) int {
+	for _, node := range r.nodes {
 		if node.address == address {
 			return node.number
 		}
@@ -93,77 +93,77 @@
 }
 
 // name notes whose an identity is.
-func (w *world) name(identity uint64, n *node) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, found := w.identities[identity]; !found {
-		w.identities[identity] = identityOfNode{node: n.number, life: n.disks}
+func (r *run) name(identity uint64, n *node) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, found := r.identities[identity]; !found {
+		r.identities[identity] = nodeDisk{node: n.number, disk: n.disks}
 	}
 }
 
 // settle waits until all goroutines do, takes over what they did, and checks it.
-func (w *world) settle() bool {
+func (r *run) awaitQuiescence() bool {
 	synctest.Wait()
-	found := w.collect()
-	w.checks.afterStep()
+	found := r.collect()
+	r.checks.checkStep()
 	return found
 }
 
 // Bounds of the steps in which time passes until something happens.
 const (
-	shortestWait = 5 * time.Millisecond
-	longestWait  = 40 * time.Millisecond
-	patience     = 2 * time.Second
+	minTimeStep     = 5 * time.Millisecond
+	maxPollInterval = 40 * time.Millisecond
+	maxTimeStep     = 2 * time.Second
 )
 
 // tick lets time pass until something comes up.
-func (w *world) tick() {
-	ended := w.ended()
-	wait := shortestWait
-	for passed := time.Duration(0); passed < patience; passed += wait {
+func (r *run) advanceTime() {
+	ended := r.ended()
+	wait := minTimeStep
+	for passed := time.Duration(0); passed < maxTimeStep; passed += wait {
 		time.Sleep(wait)
-		if w.settle() || w.ended() != ended || w.anyDue() || w.past() {
+		if r.awaitQuiescence() || r.ended() != ended || r.anyDue() || r.isPastLength() {
 			return
 		}
-		wait = min(wait*2, longestWait)
+		wait = min(wait*2, maxPollInterval)
 	}
 }
 
-func (w *world) ended() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.finished
+func (r *run) ended() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.finished
 }
 
 // anyDue says that a delayed event may be let go.
-func (w *world) anyDue() bool {
-	for _, e := range w.held {
-		if !e.until.IsZero() && w.due(e) {
+func (r *run) anyDue() bool {
+	for _, e := range r.deferred {
+		if !e.until.IsZero() && r.due(e) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) due(e *event) bool { return !time.Now().Before(e.until) }
+func (r *run) due(e *event) bool { return !time.Now().Before(e.until) }
 
 // past says that the scenario's time is over.
-func (w *world) past() bool { return w.scenario.Length > 0 && w.now() >= w.scenario.Length }
+func (r *run) isPastLength() bool { return r.scenario.Length > 0 && r.now() >= r.scenario.Length }
 
 // busy says that operations are under way or the scenario's time is not over.
-func (w *world) busy() bool {
-	return w.ended() < w.offered() || w.scenario.Length > 0 && !w.past() && !w.resting
+func (r *run) busy() bool {
+	return r.ended() < r.offered() || r.scenario.Length > 0 && !r.isPastLength() && !r.recovering
 }
 
 // end lets all goroutines of the bubble come to their end.
-func (w *world) end() {
-	for _, node := range w.nodes {
+func (r *run) end() {
+	for _, node := range r.nodes {
 		if node.process != nil {
 			node.process.cancel()
 			node.process = nil
 		}
 		node.machine.Kill()
 	}
-	w.running.Wait()
+	r.running.Wait()
 	time.Sleep(time.Minute)
 }
