--- a/internal/tier/modelcheck/caller.go
+++ b/internal/tier/modelcheck/caller.go
@@ -11,11 +11,12 @@
 
 // call is one call between processes.
 type call struct {
-	answers chan answer
-	done    atomic.Bool // its caller waits no more
+	replies chan callResult
+	done    atomic.Bool // the caller has returned
 }
 
-type answer struct {
+// callResult is the result of a call: an encoded message or an error.
+type callResult struct {
 	payload []byte
 	err     error
 }
@@ -23,7 +24,7 @@
 // caller makes the calls of one process; it implements rpc.Caller. Every message becomes an event.
 type caller struct{ process *process }
 
-// Call implements rpc.Caller. A request stays in flight when its caller has given up.
+// Call implements rpc.Caller. A request stays in flight after its caller has given up.
 func (c *caller) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	payload, err := encode(request)
 	if err != nil {
@@ -34,7 +35,7 @@
 		<-ctx.Done() // at this very moment, so that two timers of one moment have one outcome
 		return rpc.ErrTimeout
 	}
-	made := &call{answers: make(chan answer, 2)}
+	made := &call{replies: make(chan callResult, 2)}
 	defer made.done.Store(true)
 	if c.process.hasEnded() {
 		return rpc.ErrUnreachable
@@ -47,7 +48,7 @@
 	e.release = func() { r.deliver(c.process, e, method, payload) }
 	r.post(e)
 	select {
-	case got := <-made.answers:
+	case got := <-made.replies:
 		if got.err != nil {
 			return got.err
 		}
@@ -59,19 +60,19 @@
 	}
 }
 
-// deliver hands a request to the process of its node; the reply becomes an event. Where no process runs the caller
-// is told so.
+// deliver passes a request to the process of its node; the reply becomes an event. Where no process runs the call fails
+// at once, as a refused connection does.
 func (r *run) deliver(from *process, e *event, method rpc.Method, payload []byte) {
 	target := r.nodes[e.to].process
 	if target == nil {
 		from.observe(observation{kind: observationUnreachable, from: e.to})
-		e.call.answer(answer{err: rpc.ErrUnreachable})
+		e.call.complete(callResult{err: rpc.ErrUnreachable})
 		return
 	}
-	endRequest := target.beginRequest(e.observation)
+	number := target.beginRequest(e.observation)
 	go func() {
 		message, err := target.incarnation.Server.Answer(context.Background(), method, slices.Clone(payload))
-		target.endRequest(endRequest)
+		target.endRequest(number)
 		if target.hasEnded() {
 			return
 		}
@@ -79,25 +80,25 @@
 	}()
 }
 
-// replyTo is the event of a reply on its way back.
+// replyTo returns the event in which the reply to a request arrives.
 func (r *run) replyTo(from *process, e *event, message rpc.Message, err error) *event {
-	reply := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "refusal"}
-	got := answer{err: rpc.ErrRefused}
+	arrival := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "rejection"}
+	got := callResult{err: rpc.ErrRefused}
 	if err == nil {
 		got.payload, got.err = encode(message)
-		reply.label, reply.observation = r.describe(message), r.observationOf(message)
+		arrival.label, arrival.observation = r.describe(message), r.observationOf(message)
 	}
-	reply.release = func() {
-		from.observe(reply.observation)
-		e.call.answer(got)
+	arrival.release = func() {
+		from.observe(arrival.observation)
+		e.call.complete(got)
 	}
-	return reply
+	return arrival
 }
 
-// answer ends a call; further answers to it are dropped.
-func (c *call) answer(got answer) {
+// complete ends a call; further replies to it are dropped.
+func (c *call) complete(got callResult) {
 	select {
-	case c.answers <- got:
+	case c.replies <- got:
 	default:
 	}
 }
--- a/internal/tier/modelcheck/check.go
+++ b/internal/tier/modelcheck/checks.go
@@ -14,21 +14,21 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ballot is a ballot as a key of maps.
+// proposalKey is a proposal number as the key of a map.
 type proposalKey struct{ counter, proposer uint64 }
 
 func proposalKeyOf(b *tierpb.ProposalNumber) proposalKey {
 	return proposalKey{b.GetCounter(), b.GetProposer()}
 }
 
-// acceptances are the identities that have accepted the value of a ballot, at any time.
+// acceptances are the identities that have ever accepted the value of one proposal.
 type acceptances struct {
 	state  *tierpb.ControlState
 	digest uint64
 	by     map[uint64]bool
 }
 
-// checks holds what was seen of a run and the first invariant that was broken.
+// checks holds what was observed of a run and the first invariant that was violated.
 type checks struct {
 	run *run
 
@@ -39,14 +39,14 @@
 	accepted     map[proposalKey]*acceptances
 	acknowledged map[uint64]acknowledgement // by generation
 	history      []porcupine.Operation
-	calls        map[int]int64 // clock at which an operation was called
+	calls        map[int]int64 // logical time at which each operation was called
 	clock        int64
 }
 
-// acknowledgement is a change that a client was told to be in force.
+// acknowledgement is a change that was acknowledged to a client.
 type acknowledgement struct {
 	from    uint64
-	version uint64 // of the value in which it was found
+	version uint64 // of the value that was returned with it
 }
 
 func newChecks(r *run) *checks {
@@ -56,7 +56,7 @@
 	}
 }
 
-// fail notes the first broken invariant; mu is held.
+// fail records the first violated invariant; mu is held.
 func (c *checks) fail(format string, arguments ...any) {
 	if c.failure == "" {
 		c.failure = fmt.Sprintf(format, arguments...)
@@ -69,8 +69,8 @@
 	return c.failure
 }
 
-// chosen checks a value that somebody holds for chosen: a version has one value, and every change that was acknowledged
-// at that version or before is in it.
+// recordChosen checks a value that a process takes for chosen: a version has one value, and it contains every change
+// that was acknowledged at that version or before.
 func (c *checks) recordChosen(state *tierpb.ControlState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,9 +81,9 @@
 	c.versions[state.Version] = digest
 	c.voters[state.Epoch] = state.Voters
 	c.checkTerms(state)
-	for generation, told := range c.acknowledged {
-		if state.Version >= told.version && !isCommitted(state, generation) {
-			c.fail("change %d->%d was acknowledged and is not in version %d", told.from, generation, state.Version)
+	for generation, change := range c.acknowledged {
+		if state.Version >= change.version && !isCommitted(state, generation) {
+			c.fail("change %d->%d was acknowledged and is not in version %d", change.from, generation, state.Version)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	return hash.Sum64()
 }
 
-// afterStep looks at all processes and at the operations that have ended.
+// checkStep checks all processes and the operations that have ended, after each step.
 func (c *checks) checkStep() {
 	for _, node := range c.run.nodes {
 		if node.process != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// countHolders checks that the voters of each epoch grant the lease to one process at a time.
+// checkSingleLeaseHolder checks that the voters of each epoch grant the lease to at most one process at a time.
 func (c *checks) checkSingleLeaseHolder() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,13 +122,13 @@
 			}
 		}
 		if holders > 1 {
-			c.fail("%d processes hold the lease by the voters of epoch %d", holders, epoch)
+			c.fail("%d processes own the lease by the voters of epoch %d", holders, epoch)
 		}
 	}
 }
 
-// look counts what the acceptor of a process has accepted. A ballot has one value, and the value of a ballot that a
-// quorum of its voters has accepted is chosen.
+// checkAccepted records what the acceptor of a process has accepted. A proposal has one value, and that value is chosen
+// once a quorum of its voters has accepted it.
 func (c *checks) checkAccepted(p *process) {
 	reply := p.durable()
 	if reply.Value == nil || p.lastAccepted == reply.Value && sameProposal(p.lastAcceptedAt, reply.Accepted) {
@@ -143,7 +143,7 @@
 		c.accepted[key] = accepted
 	}
 	if accepted.digest != digest {
-		c.fail("two values have one ballot, %d", key.counter)
+		c.fail("two values have one proposal number, %d", key.counter)
 	}
 	accepted.by[p.acceptor.Identity()] = true
 	c.mu.Unlock()
@@ -156,7 +156,7 @@
 	return proposalKeyOf(one) == proposalKeyOf(other)
 }
 
-// called notes that an operation begins.
+// recordCall records the logical time at which an operation begins.
 func (c *checks) recordCall(o *operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +164,7 @@
 	c.calls[o.number] = c.clock
 }
 
-// returned takes an operation that has ended into the history.
+// recordReturn adds an operation that has ended to the history.
 func (c *checks) recordReturn(o *operation) {
 	c.run.mu.Lock()
 	fresh := o.ended && !o.done
@@ -177,49 +177,50 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.clock++
-	told := outcome{
+	got := outcome{
 		generation: o.state.GetConfiguration().GetGeneration(), conflict: errors.Is(o.err, errConflict),
 		notExecuted: errors.Is(o.err, register.ErrUnavailable),
 	}
-	told.unknown = o.err != nil && !told.conflict && !told.notExecuted
+	got.unknown = o.err != nil && !got.conflict && !got.notExecuted
 	ended := c.clock
-	if told.unknown {
+	if got.unknown {
 		ended = math.MaxInt64
 	}
 	if o.Kind == Put || o.Kind == Read {
 		c.history = append(c.history, porcupine.Operation{
-			ClientId: o.number, Input: o.Operation, Call: c.calls[o.number], Output: told, Return: ended,
+			ClientId: o.number, Input: o.Operation, Call: c.calls[o.number], Output: got, Return: ended,
 		})
 	}
 	c.checkPut(o)
 }
 
-// judge checks a put against those that were acknowledged; mu is held.
+// checkPut checks a put against the acknowledged ones; mu is held.
 func (c *checks) checkPut(o *operation) {
 	if o.Kind != Put {
 		return
 	}
-	told, before := c.acknowledged[o.To]
+	acknowledged, found := c.acknowledged[o.To]
 	switch {
-	case o.err == nil && !before:
+	case o.err == nil && !found:
 		for generation, other := range c.acknowledged {
 			if other.from == o.From {
 				c.fail("changes %d->%d and %d->%d were both acknowledged", o.From, o.To, other.from, generation)
 			}
 		}
 		c.acknowledged[o.To] = acknowledgement{from: o.From, version: o.state.GetVersion()}
-	case errors.Is(o.err, errConflict) && before:
-		c.fail("change %d->%d was acknowledged, and refused when it was sent again", told.from, o.To)
+	case errors.Is(o.err, errConflict) && found:
+		c.fail("change %d->%d was acknowledged, and rejected when it was retried", acknowledged.from, o.To)
 	}
 }
 
-// atEnd checks the whole history, and that all that is asked when trouble is over is answered.
+// checkHistory checks that the whole history is linearizable, and that the final operations, which run without faults,
+// have succeeded.
 func (c *checks) checkHistory() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.run.operations[len(c.run.scenario.Operations):] {
 		if o.err != nil && !errors.Is(o.err, errConflict) {
-			c.fail("%s at rest: %v", o, o.err)
+			c.fail("%s without faults: %v", o, o.err)
 		}
 	}
 	if porcupine.CheckOperationsTimeout(registerModel, c.history, 10*time.Second) == porcupine.Illegal {
--- a/internal/tier/modelcheck/disk.go
+++ b/internal/tier/modelcheck/disk.go
@@ -7,8 +7,8 @@
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
-// disk is the disk of a process. The sync of a folder, which makes a saved version count, becomes an event once the
-// process serves.
+// disk is the disk of a process. The sync of a folder, which makes a saved version durable, is an event once the process
+// serves.
 type disk struct {
 	storage.Disk
 	process *process
@@ -33,7 +33,7 @@
 	}
 }
 
-// fate is a source of randomness that decides what a loss of power leaves of unsynced writes: all or nothing.
+// powerLossSource is a rand.Source that decides what a power loss leaves of unsynced writes: all or nothing.
 type powerLossSource struct{ keep bool }
 
 // Uint64 implements rand.Source with numbers from which a simulated disk draws the highest or the lowest choice.
--- a/internal/tier/modelcheck/event.go
+++ b/internal/tier/modelcheck/event.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// eventKind says what happens when an event is let go.
+// eventKind says what happens when an event is dispatched.
 type eventKind int
 
 const (
@@ -16,19 +16,19 @@
 	syncEvent                      // a sync of a node's disk ends
 	beginEvent                     // a client's operation begins
 	startEvent                     // a process starts on a node that has none
-	healEvent                      // a node that was cut off is reached again
-	decisionEvent                  // a holder of the lease has decided
-	watchEvent                     // a process that has started hears of the newest chosen value
+	healEvent                      // the partition of a node ends
+	decisionEvent                  // a lease holder has made its decision
+	watchEvent                     // a process that has started receives the newest chosen value
 )
 
-// event waits until the scheduler lets it go.
+// event is pending until the scheduler dispatches it.
 type event struct {
 	kind        eventKind
 	from        int // node that a message comes from; the node itself for other kinds
 	to          int // node at which it happens
 	label       string
 	observation observation
-	until       time.Time // not let go by default before this time; zero for none
+	until       time.Time // not dispatched by default before this time; zero for none
 	call        *call     // of requests and replies
 	release     func()
 }
@@ -37,10 +37,10 @@
 	return e.kind == requestEvent || e.kind == replyEvent || e.kind == watchEvent
 }
 
-// touches says whether an event needs a node to run.
+// needsNode reports whether an event needs a node to run.
 func (e *event) needsNode(node int) bool { return e.to == node || e.isMessage() && e.from == node }
 
-// order makes the order of events that came up at the same moment independent of Go's scheduler.
+// compareEvents orders events that were posted at the same moment independently of Go's scheduler.
 func compareEvents(one, other *event) int {
 	return cmp.Or(
 		cmp.Compare(one.kind, other.kind), cmp.Compare(one.from, other.from), cmp.Compare(one.to, other.to),
@@ -48,15 +48,14 @@
 	)
 }
 
-// post hands an event to the scheduler.
+// post passes an event to the scheduler. It is safe for concurrent use.
 func (r *run) post(e *event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrived = append(r.arrived, e)
 }
 
-// collect takes over the events that came up, and drops replies that nobody waits for. It says whether there were new
-// ones.
+// collect queues the posted events and drops replies whose caller has returned. It reports whether there were new events.
 func (r *run) collect() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/tier/modelcheck/explore_test.go
+++ b/internal/tier/modelcheck/explore_test.go
@@ -10,22 +10,22 @@
 )
 
 var (
-	hours      = flag.Float64("hours", 0, "how long TestExplore goes on")
-	only       = flag.String("scenario", "", "name of the one model to explore; all of them where empty")
-	deviations = flag.Int("deviations", 2, "most deviations of a run in a search; 0 for walks alone")
-	firstSeed  = flag.Uint64("first-seed", 1, "seed of the first walk")
-	part       = flag.Int("part", 0, "number of this process among -parts, which share the searches")
-	parts      = flag.Int("parts", 1, "number of processes")
-	toReplay   = flag.String("schedule", "", "schedule of -scenario to replay, as a failure prints it")
+	hours            = flag.Float64("hours", 0, "duration of TestExplore; 0 skips it")
+	scenarioName     = flag.String("scenario", "", "name of the only model to explore; empty for all")
+	deviations       = flag.Int("deviations", 2, "limit of the deviations of a run in a search; 0 for walks only")
+	firstSeed        = flag.Uint64("first-seed", 1, "seed of the first walk")
+	shardIndex       = flag.Int("part", 0, "number of this process among -parts, which timeForEach the searches")
+	shardCount       = flag.Int("parts", 1, "number of processes")
+	scheduleToReplay = flag.String("schedule", "", "schedule of -scenario to replay, as a failure prints it")
 )
 
 // Times of an exploration.
 const (
 	reportInterval = 10 * time.Second
-	walkTurn       = 20 * time.Second // of the walks of one model before the next has its turn
+	walkTimeSlice  = 20 * time.Second // walks of one model before those of the next one
 )
 
-// TestExplore searches each model, and then walks through all of them in turn until the hours are over.
+// TestExplore searches each model, and then runs walks of all of them in turn until the time of -hours is over.
 func TestExplore(t *testing.T) {
 	if *hours <= 0 {
 		t.Skip("no -hours")
@@ -38,7 +38,7 @@
 	seeds := make(map[string]uint64)
 	for time.Now().Before(until) && !t.Failed() {
 		for _, model := range chosenModels(t) {
-			left := min(walkTurn, time.Until(until))
+			left := min(walkTimeSlice, time.Until(until))
 			if left <= 0 {
 				break
 			}
@@ -46,18 +46,19 @@
 			progress := Walk(t, model, seed, Bounds{Time: left}, nil)
 			seeds[model.Title()] += uint64(progress.Runs)
 			t.Logf("walk from seed %d", seed)
-			judge(t, model, progress)
+			requireNoFailure(t, model, progress)
 		}
 	}
 }
 
-// searchAll shares half of the time among the searches of this process.
+// searchAll divides half of the time among the searches of this process.
 func searchAll(t *testing.T, until time.Time) {
-	models := ownPart(chosenModels(t))
+	t.Helper()
+	models := ownShard(chosenModels(t))
 	if len(models) == 0 {
 		return
 	}
-	share := max(time.Until(until)/2/time.Duration(len(models)), time.Millisecond)
+	timeForEach := max(time.Until(until)/2/time.Duration(len(models)), time.Millisecond)
 	for _, model := range models {
 		reported := time.Now()
 		report := func(progress Progress) {
@@ -66,14 +67,14 @@
 				t.Log(progress)
 			}
 		}
-		judge(t, model, NewSearch(model, *deviations).Play(t, Bounds{Time: share}, report))
+		requireNoFailure(t, model, NewSearch(model, *deviations).Play(t, Bounds{Time: timeForEach}, report))
 	}
 }
 
-// ownPart are the models that this process searches.
-func ownPart(all []Model) (own []Model) {
+// ownShard returns the models that this process searches.
+func ownShard(all []Model) (own []Model) {
 	for i, model := range all {
-		if i%*parts == *part {
+		if i%*shardCount == *shardIndex {
 			own = append(own, model)
 		}
 	}
@@ -82,10 +83,10 @@
 
 // TestReplay plays the schedule that the command line gives and shows its timeline.
 func TestReplay(t *testing.T) {
-	if *only == "" || *toReplay == "" {
+	if *scenarioName == "" || *scheduleToReplay == "" {
 		t.Skip("no -scenario or no -schedule")
 	}
-	schedule, err := ParseSchedule(*toReplay)
+	schedule, err := ParseSchedule(*scheduleToReplay)
 	assert.NilError(t, err)
 	result := Replay(t, chosenModels(t)[0], schedule)
 	t.Logf("%d points\n%s", result.Points, result.Timeline)
@@ -93,14 +94,15 @@
 }
 
 func chosenModels(t *testing.T) []Model {
-	if *only == "" {
+	t.Helper()
+	if *scenarioName == "" {
 		return Models()
 	}
 	for _, model := range Models() {
-		if model.Title() == *only {
+		if model.Title() == *scenarioName {
 			return []Model{model}
 		}
 	}
-	t.Fatalf("no scenario is named %q", *only)
+	t.Fatalf("no scenario is named %q", *scenarioName)
 	return nil
 }
--- a/internal/tier/modelcheck/fault_test.go
+++ b/internal/tier/modelcheck/fault_test.go
@@ -17,22 +17,22 @@
 )
 
 var (
-	withFaults = flag.String("faults", "", "regular expression for the names of the seeded faults to look for")
-	huntTime   = flag.Duration("hunt-time", time.Minute, "for which a seeded fault is looked for, each way")
-	hunt       = flag.String("hunt", "", "search or walk: looks until something is found and prints a report")
+	faultPattern = flag.String("faults", "", "regular expression of the names of the seeded faults to look for")
+	huntTime     = flag.Duration("hunt-time", time.Minute, "time limit to find a seeded fault, for the search and for the walks")
+	hunt         = flag.String("hunt", "", "search or walk: explore until an invariant is violated, and print a report")
 )
 
-// seededFault is a change of the code under test that brings back a bug as other systems had it. It is compiled in
-// place of the file it alters; the code itself knows nothing of it.
+// seededFault is a mutation of the code under test that reintroduces a bug as other systems had it. The mutated file
+// replaces the original at compile time (go build -overlay), so production code has no hooks for it.
 type seededFault struct {
 	name    string
 	file    string // in internal/tier
 	old     string // occurs once
 	changed string
-	also    *seededFault // a second change, where each of them alone leaves the system safe
+	also    *seededFault // a second change, if each of them alone leaves the system safe
 }
 
-// edits are the changes of a fault.
+// edits returns the changes of a fault.
 func (f *seededFault) edits() (list []*seededFault) {
 	for ; f != nil; f = f.also {
 		list = append(list, f)
@@ -40,7 +40,7 @@
 	return list
 }
 
-// TestSeededFaultsApply fails where the code has gone on and a fault no longer says what it did.
+// TestSeededFaultsApply fails if the code has changed so that a fault no longer applies.
 func TestSeededFaultsApply(t *testing.T) {
 	for _, fault := range seededFaults {
 		for _, edit := range fault.edits() {
@@ -51,19 +51,19 @@
 	}
 }
 
-// TestSeededFaultsAreFound builds the package anew for each of the named faults and looks for it both ways.
+// TestSeededFaultsAreFound builds the package with each of the chosen faults and looks for it by search and by walks.
 func TestSeededFaultsAreFound(t *testing.T) {
-	if *withFaults == "" {
+	if *faultPattern == "" {
 		t.Skip("no -faults")
 	}
-	names := regexp.MustCompile(*withFaults)
+	names := regexp.MustCompile(*faultPattern)
 	for _, fault := range seededFaults {
 		if !names.MatchString(fault.name) {
 			continue
 		}
 		t.Run(fault.name, func(t *testing.T) {
 			binary := fault.build(t)
-			searched, walked := huntWith(t, binary, "search"), huntWith(t, binary, "walk")
+			searched, walked := runHunt(t, binary, "search"), runHunt(t, binary, "walk")
 			t.Logf("| %s | %s | %s |", fault.name, searched, walked)
 			t.Logf("%s: %s", searched.Scenario, searched.Failure)
 			assert.Check(t, searched.Failure != "" || walked.Failure != "", "not found")
@@ -95,10 +95,10 @@
 	return binary
 }
 
-// huntReport is what a hunt has found.
+// huntReport is the result of a hunt.
 type huntReport struct {
 	Scenario string
-	Failure  string // empty where nothing was found
+	Failure  string // empty if nothing was found
 	Runs     int
 	Seconds  float64
 	Schedule string
@@ -112,22 +112,22 @@
 	return string(text)
 }
 
-const reportMark = "hunt report "
+const reportPrefix = "hunt report "
 
-// huntWith runs a hunt of another build and reads its report.
-func huntWith(t *testing.T, binary, way string) (report huntReport) {
+// runHunt runs a hunt by a mutated build and reads its report.
+func runHunt(t *testing.T, binary, way string) (report huntReport) {
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), binary, "-test.run", "^TestHunt$", "-test.v", "-hunt", way, "-hunt-time",
-		huntTime.String(), "-scenario", *only).CombinedOutput()
+		huntTime.String(), "-scenario", *scenarioName).CombinedOutput()
 	assert.NilError(t, err, "%s", output)
-	_, line, found := strings.Cut(string(output), reportMark)
+	_, line, found := strings.Cut(string(output), reportPrefix)
 	assert.Assert(t, found, "%s", output)
 	line, _, _ = strings.Cut(line, "\n")
 	assert.NilError(t, json.Unmarshal([]byte(line), &report))
 	return report
 }
 
-// TestHunt goes through all scenarios in turn until something is found or the time is over, and prints a report.
+// TestHunt explores all models in turn until an invariant is violated or the time is over, and prints a report.
 func TestHunt(t *testing.T) {
 	if *hunt == "" {
 		t.Skip("no -hunt")
@@ -153,21 +153,22 @@
 	}
 	line, err := json.Marshal(report)
 	assert.NilError(t, err)
-	t.Logf("%s%s", reportMark, line)
+	t.Logf("%s%s", reportPrefix, line)
 }
 
 const (
 	huntDeviations = 3
-	runsOfARound   = 100 // of each model
+	runsPerRound   = 100 // of each model
 )
 
-// huntOnce plays some more runs of a model and counts them.
+// huntOnce plays the next runs of a model and returns their number.
 func huntOnce(t *testing.T, model Model, search *Search, round int) (progress Progress, played int) {
+	t.Helper()
 	if *hunt == "search" {
 		before := search.progress.Runs
-		progress = search.Play(t, Bounds{Runs: (round + 1) * runsOfARound}, nil)
+		progress = search.Play(t, Bounds{Runs: (round + 1) * runsPerRound}, nil)
 		return progress, progress.Runs - before
 	}
-	progress = Walk(t, model, uint64(1+round*runsOfARound), Bounds{Runs: runsOfARound}, nil)
+	progress = Walk(t, model, uint64(1+round*runsPerRound), Bounds{Runs: runsPerRound}, nil)
 	return progress, progress.Runs
 }
--- a/internal/tier/modelcheck/fingerprint.go
+++ b/internal/tier/modelcheck/fingerprint.go
@@ -9,25 +9,26 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// fingerprint names a state: what is durable, in flight and believed, the trouble that may still come, and the time.
-// Ballots count by their order, and nodes at which no operation begins by what they hold, not by their names.
+// fingerprint hashes the state: what is durable, in flight and known to processes, the faults that may still be injected,
+// and the time. Equivalent states have one fingerprint (symmetry reduction): proposal numbers count by their order only,
+// and nodes that nothing tells apart by their state, not by their number.
 func (r *run) fingerprint() uint64 {
-	print := &fingerprinter{run: r, seed: fixedSeed}
-	print.rank()
+	hasher := &fingerprinter{run: r, seed: fixedSeed}
+	hasher.rank()
 	lowest := uint64(0)
 	for i, names := range r.renamings {
-		print.names = names
-		if sum := print.sum(); i == 0 || sum < lowest {
+		hasher.names = names
+		if sum := hasher.sum(); i == 0 || sum < lowest {
 			lowest = sum
 		}
 	}
 	return lowest
 }
 
-// fixedSeed is the same for all fingerprints of a process, which alone compares them.
+// fixedSeed is the same for all fingerprints of a process; they are compared within one process only.
 var fixedSeed = maphash.MakeSeed()
 
-// printer writes a state as bytes and hashes them.
+// fingerprinter serializes a state and hashes it.
 type fingerprinter struct {
 	run   *run
 	seed  maphash.Seed
@@ -36,7 +37,7 @@
 	bytes []byte
 }
 
-// facts calls visit with everything of the state that has ballots.
+// observations calls visit with every part of the state that has proposal numbers.
 func (p *fingerprinter) observations(visit func(observation)) {
 	for _, n := range p.run.nodes {
 		if n.process == nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// durable is what the acceptor of a process has accepted.
+// durable returns what the acceptor of a process has accepted.
 func (p *process) durable() *tierpb.PrepareReply {
 	return p.acceptor.Prepare(&tierpb.PrepareRequest{Identity: p.acceptor.Identity(), Proposal: &tierpb.ProposalNumber{}})
 }
@@ -69,7 +70,7 @@
 	return observation{proposals: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
 }
 
-// rank numbers the ballots of the state by their order.
+// rank numbers the proposals of the state by their order.
 func (p *fingerprinter) rank() {
 	p.ranks = make(map[proposalKey]uint64)
 	p.observations(func(f observation) {
@@ -89,12 +90,12 @@
 	}
 }
 
-// sum hashes the state under the present names.
+// sum hashes the state under the present numbering of nodes.
 func (p *fingerprinter) sum() uint64 {
 	p.bytes = p.bytes[:0]
 	r := p.run
 	p.number(uint64(r.now()), uint64(r.ended()), uint64(r.offered()))
-	for _, count := range r.used[Drop:] { // the limits of trouble count these
+	for _, count := range r.used[Drop:] { // the limits of faults count these
 		p.number(uint64(count))
 	}
 	old := make([]int, len(r.nodes))
@@ -162,7 +163,7 @@
 
 func (p *fingerprinter) identity(identity uint64) { p.number(p.nameOf(identity)) }
 
-// nameOf is a number for an identity of a node's disk that follows from the node's present name.
+// nameOf returns a number for the identity of a node's disk that follows from the present numbering of nodes.
 func (p *fingerprinter) nameOf(identity uint64) uint64 {
 	p.run.mu.Lock()
 	defer p.run.mu.Unlock()
@@ -179,8 +180,8 @@
 	}
 }
 
-// renamings are the ways to exchange the names of nodes that differ in nothing but these: they vote alike at the start,
-// and no operation names them.
+// renamings returns the permutations of the nodes that are interchangeable: they vote alike at the start, and no operation
+// names them.
 func renamings(scenario *Scenario) [][]int {
 	names := make([]int, scenario.Nodes)
 	var alike []int
@@ -199,7 +200,7 @@
 	return all
 }
 
-// names says that an operation or the lease treats a node as a particular one.
+// isNamed reports whether an operation or the lease refers to a particular node.
 func (s *Scenario) isNamed(node int) bool {
 	if node < s.Candidates {
 		return true
--- a/internal/tier/modelcheck/act.go
+++ b/internal/tier/modelcheck/lease_change.go
@@ -10,17 +10,18 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// actPause is how long a process waits before it looks again whether it holds the lease.
+// leasePollInterval is the time between two looks at whether the process owns the lease.
 const leasePollInterval = 130 * time.Millisecond
 
-// tenure is a holding of the lease, as a coordinator keeps it.
+// acquisition is one acquisition of the lease with the term that was raised for it, as a coordinator keeps them.
 type acquisition struct {
 	number uint64
 	term   placement.Term
 }
 
-// act makes a change as the holder of the lease does, once the process holds it: it raises the term where the tenure is
-// new, decides, and passes the fence. The decision is an event of its own, so that anything may come before the fence.
+// changeUnderLease makes a change as a lease holder does, once the process owns the lease: it raises the term for a new
+// acquisition, decides, and presents its fencing token. The decision is an event of its own, so that anything may happen
+// between it and the check of the token.
 func (p *process) changeUnderLease(ctx context.Context) (*tierpb.ControlState, error) {
 	select {
 	case <-p.leaseToken:
@@ -54,11 +55,11 @@
 	})
 }
 
-// actMark names what a holder of the lease leaves in the control state: the number of its term, completed where that
-// was the newest.
+// leaseChangeMarker is the node name of the retirement that a change under the lease adds to the control state. Its
+// identity is the number of the term, and it is completed if that term was the newest.
 const leaseChangeMarker = "act"
 
-// beginTenure raises the term once after each acquisition of the lease.
+// raiseTerm raises the term once after each acquisition of the lease.
 func (p *process) raiseTerm(ctx context.Context) error {
 	number := p.candidate.Acquisition()
 	if number == p.acquisition.number {
@@ -84,7 +85,7 @@
 	return owned && p.candidate.Acquisition() == number
 }
 
-// decide takes the time of a decision, which ends with an event.
+// awaitDecision blocks for the time of a decision, which ends with an event.
 func (p *process) awaitDecision() {
 	decided := make(chan struct{})
 	p.run.post(&event{
@@ -101,7 +102,7 @@
 	return errors.Is(err, placement.ErrFenced) || errors.Is(err, placement.ErrLeaseLost) || errors.Is(err, placement.ErrOldView)
 }
 
-// checkTerms checks that whoever acted did so under the newest term; mu is held.
+// checkTerms checks that each change under the lease was made under the newest term; mu is held.
 func (c *checks) checkTerms(state *tierpb.ControlState) {
 	for _, mark := range state.GetRetirements() {
 		if mark.Node == leaseChangeMarker && !mark.Completed {
--- a/internal/tier/modelcheck/history.go
+++ b/internal/tier/modelcheck/linearizability.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// outcome is what a client was told.
+// outcome is the result that a client got.
 type outcome struct {
 	generation  uint64
 	conflict    bool
@@ -15,7 +15,7 @@
 	notExecuted bool
 }
 
-// chain is the generations in the order in which they were put.
+// chain is the committed generations in their order.
 type chain []uint64
 
 func (c chain) current() uint64 {
@@ -27,8 +27,8 @@
 
 func (c chain) put(generation uint64) chain { return append(slices.Clone(c), generation) }
 
-// registerModel is a compare-and-swap register of generations in which an order that was taken is acknowledged again.
-// A change whose end is not known may have been made at any time until the end of the history.
+// registerModel is the sequential specification: a compare-and-swap register of generations that acknowledges a committed
+// change again (idempotent retry). A change of unknown outcome may take effect at any time until the end of the history.
 var registerModel = porcupine.Model{
 	Init: func() any { return chain(nil) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/tier/modelcheck/modelcheck_test.go
+++ b/internal/tier/modelcheck/modelcheck_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Sizes of the exploration that goes with the ordinary tests.
+// Sizes of the exploration that runs with the ordinary tests.
 const (
 	shortSearch = 100 // runs of each model
 	shortWalk   = 30
 )
 
-// TestDefaultRuns plays each model without trouble, twice with the same end.
+// TestDefaultRuns plays each model without faults, twice with the same result.
 func TestDefaultRuns(t *testing.T) {
 	for _, model := range Models() {
 		result := Replay(t, model, nil)
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestWalksReplay plays random runs and then the same from their schedules.
+// TestWalksReplay plays random runs and replays them from their schedules.
 func TestWalksReplay(t *testing.T) {
 	for _, model := range Models() {
 		for seed := range uint64(15) {
@@ -34,18 +34,18 @@
 
 func TestShortSearch(t *testing.T) {
 	for _, model := range Models() {
-		judge(t, model, NewSearch(model, 1).Play(t, Bounds{Runs: shortSearch}, nil))
+		requireNoFailure(t, model, NewSearch(model, 1).Play(t, Bounds{Runs: shortSearch}, nil))
 	}
 }
 
 func TestShortWalk(t *testing.T) {
 	for _, model := range Models() {
-		judge(t, model, Walk(t, model, 1, Bounds{Runs: shortWalk}, nil))
+		requireNoFailure(t, model, Walk(t, model, 1, Bounds{Runs: shortWalk}, nil))
 	}
 }
 
-// judge logs how far an exploration came, and fails with the timeline of the shortest failing schedule.
-func judge(t *testing.T, model Model, progress Progress) {
+// requireNoFailure logs the progress of an exploration, and fails with the timeline of the shortest failing schedule.
+func requireNoFailure(t *testing.T, model Model, progress Progress) {
 	t.Helper()
 	t.Log(progress)
 	if progress.Failure == "" {
--- a/internal/tier/modelcheck/fact.go
+++ b/internal/tier/modelcheck/observation.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// factKind says what a fact is about.
+// observationKind says what an observation is about.
 type observationKind uint64
 
 const (
@@ -25,7 +25,7 @@
 	observationDecision
 )
 
-// fact is what a fingerprint takes from a message or from a step of a process.
+// observation is the part of a message, or of a step of a process, that enters the fingerprint.
 type observation struct {
 	kind      observationKind
 	from      int // node
@@ -45,7 +45,7 @@
 	return flags
 }
 
-// factOf is the fact of a message.
+// observationOf returns the observation of a message.
 func (r *run) observationOf(message rpc.Message) observation {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
@@ -67,7 +67,7 @@
 	return observation{}
 }
 
-// describe is a message as the timeline shows it.
+// describe returns a message as the timeline shows it.
 func (r *run) describe(message rpc.Message) string {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
@@ -80,9 +80,9 @@
 		case m.WrongIdentity:
 			return "wrong identity"
 		case !m.Prepared:
-			return "refuse, promised " + r.proposalName(m.HighestPrepared)
+			return "rejected, prepared " + r.proposalName(m.HighestPrepared)
 		}
-		return "promise, has " + r.proposalName(m.Accepted) + " " + r.stateName(m.Value)
+		return "prepared, accepted " + r.proposalName(m.Accepted) + " " + r.stateName(m.Value)
 	case *tierpb.AcceptRequest:
 		return "accept " + r.proposalName(m.Proposal) + " " + r.stateName(m.Value) + r.to(m.Identity)
 	case *tierpb.AcceptReply:
@@ -90,7 +90,7 @@
 		case m.WrongIdentity:
 			return "wrong identity"
 		case !m.Accepted:
-			return "refuse, promised " + r.proposalName(m.HighestPrepared)
+			return "rejected, prepared " + r.proposalName(m.HighestPrepared)
 		}
 		return "accepted"
 	case *tierpb.LeaseRequest:
@@ -107,7 +107,7 @@
 	return "message"
 }
 
-// to names the identity that a request is meant for where it is not that of the first life of a node's disk.
+// to names the identity that a request is addressed to, unless it is that of a node's first disk.
 func (r *run) to(identity uint64) string {
 	if name := r.identityName(identity); len(name) > 1 {
 		return " for " + name
@@ -115,22 +115,22 @@
 	return ""
 }
 
-// ballotName is the counter and a letter for the proposer, in the order in which they were met.
-func (r *run) proposalName(proposalKey *tierpb.ProposalNumber) string {
-	if proposalKey.GetCounter() == 0 {
+// proposalName is the counter and a letter for the proposer, assigned in the order in which proposers are met.
+func (r *run) proposalName(proposal *tierpb.ProposalNumber) string {
+	if proposal.GetCounter() == 0 {
 		return "0"
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	letter, found := r.proposerLetters[proposalKey.Proposer]
+	letter, found := r.proposerLetters[proposal.Proposer]
 	if !found {
 		letter = string(rune('a' + len(r.proposerLetters)%26))
-		r.proposerLetters[proposalKey.Proposer] = letter
+		r.proposerLetters[proposal.Proposer] = letter
 	}
-	return fmt.Sprintf("%d%s", proposalKey.Counter, letter)
+	return fmt.Sprintf("%d%s", proposal.Counter, letter)
 }
 
-// stateName is a value in short: version, generation and voters.
+// stateName abbreviates a value: version, generation and voters.
 func (r *run) stateName(state *tierpb.ControlState) string {
 	if state == nil {
 		return "-"
@@ -146,7 +146,7 @@
 	return name
 }
 
-// identityName is the number of the identity's node, with a mark for each disk that the node has lost before.
+// identityName is the number of the identity's node, with an apostrophe for each disk that the node had lost before.
 func (r *run) identityName(identity uint64) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/tier/modelcheck/operation.go
+++ b/internal/tier/modelcheck/operation.go
@@ -12,18 +12,18 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// OperationKind says what a client asks for.
+// OperationKind is what a client requests.
 type OperationKind int
 
 // The kinds of operations.
 const (
 	Put              OperationKind = iota // a configuration From -> To
 	Read                                  // the current value
-	Replace                               // the voter of node Out gives its vote to node In
-	ChangeUnderLease                      // a change under the lease, once the node holds it
+	Replace                               // the vote of node Out is transferred to node In
+	ChangeUnderLease                      // a change by the lease holder, once the node owns the lease
 )
 
-// Operation is a client's call at a node. The same Put may come twice: an order that is sent again.
+// Operation is a client's request at a node. The same Put may occur twice: a change that is retried.
 type Operation struct {
 	Kind     OperationKind
 	Node     int
@@ -37,20 +37,20 @@
 	case Put:
 		return fmt.Sprintf("put %d->%d", o.From, o.To)
 	case ChangeUnderLease:
-		return "act under the lease"
+		return "change under the lease"
 	case Replace:
 		return fmt.Sprintf("replace voter n%d by n%d", o.Out, o.In)
 	}
 	return "read"
 }
 
-// Bounds of an operation. No two time-outs end at the same moment.
+// Time-out of an operation. No two time-outs end at the same moment.
 const (
 	operationTime = 4*time.Second + 3700*time.Microsecond
 	operationStep = 1100 * time.Microsecond // more for each operation
 )
 
-// errConflict is a 412.
+// errConflict is the rejection that the control API answers with status 412.
 var errConflict = eris.New("another generation is current")
 
 // operation is an Operation under way.
@@ -59,13 +59,13 @@
 	run     *run
 	number  int
 	offered bool
-	done    bool // of those that ended, the scheduler has seen this one
+	done    bool // ended, and recorded in the history
 	err     error
 	state   *tierpb.ControlState
-	ended   bool // guarded by the world's mu
+	ended   bool // guarded by the run's mu
 }
 
-// offered counts the operations that were handed to the scheduler.
+// offered counts the operations whose beginning was passed to the scheduler.
 func (r *run) offered() (count int) {
 	for _, o := range r.operations {
 		if o.offered {
@@ -75,7 +75,7 @@
 	return count
 }
 
-// offerOperations puts the beginnings of those operations into the queue that may begin.
+// offerOperations queues the beginnings of the operations that may begin.
 func (r *run) offerOperations() {
 	for _, o := range r.operations {
 		if o.offered || r.ended() < o.After {
@@ -93,7 +93,7 @@
 	}
 }
 
-// begin runs the operation in the process of its node. It waits for one.
+// begin runs the operation in the process of its node. Without a process it is deferred until there is one.
 func (o *operation) begin() {
 	p := o.run.nodes[o.Node].process
 	if p == nil {
@@ -107,7 +107,7 @@
 		defer cancel()
 		state, err := o.call(ctx, p)
 		if p.hasEnded() {
-			state, err = nil, register.ErrUncertain // the caller hears no answer
+			state, err = nil, register.ErrUncertain // the caller gets no reply
 		}
 		p.observe(observation{kind: observationOperationEnd, number: uint64(o.number)})
 		o.end(state, err)
@@ -129,7 +129,7 @@
 	return p.proposer.Read(ctx)
 }
 
-// replaced is the newest set of voters with one node's vote given to another.
+// replaced returns the newest set of voters with one node's vote transferred to another.
 func (r *run) replaced(current *tierpb.ControlState, out, in int) []*tierpb.Node {
 	standby := r.nodes[in].process
 	if standby == nil {
@@ -160,15 +160,15 @@
 	case errors.Is(o.err, errConflict):
 		return fmt.Sprintf("%s: conflict", o)
 	case isFenced(o.err):
-		return fmt.Sprintf("%s: refused, %v", o, o.err)
+		return fmt.Sprintf("%s: rejected, %v", o, o.err)
 	case errors.Is(o.err, register.ErrUnavailable):
 		return fmt.Sprintf("%s: unavailable", o)
 	}
-	return fmt.Sprintf("%s: end unknown", o)
+	return fmt.Sprintf("%s: outcome unknown", o)
 }
 
-// putFunc takes an order as a coordinator does: one that was taken before changes nothing, one that builds on another
-// generation is refused.
+// putFunc applies a configuration change as a coordinator does: a change that is committed already is acknowledged again,
+// one that builds on another generation is rejected.
 func putFunc(from, to uint64) register.ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		if isCommitted(current, to) {
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -23,13 +23,13 @@
 	machine            *simulation.Machine
 	powerLossSource    *powerLossSource
 	process            *process // nil while none runs
-	disks              int      // lost so far
+	disks              int      // number of disks lost so far
 	partitioned        bool
-	inboundPartitioned bool      // hears nothing and is heard
+	inboundPartitioned bool      // receives nothing, and its own messages arrive
 	frozen             time.Time // until when the process is frozen
 }
 
-// process is one life of a coordinator: its acceptor, proposer, and where the scenario has it the lease.
+// process is one incarnation of a coordinator: its acceptor, its proposer, and the lease if the scenario has it.
 type process struct {
 	run            *run
 	node           *node
@@ -39,20 +39,20 @@
 	acceptor       *register.Acceptor
 	proposer       *register.Proposer
 	candidate      *lease.Candidate
-	leaseToken     chan struct{} // holds one token; its owner acts under the lease
-	acquisition    acquisition   // used by that owner
+	leaseToken     chan struct{} // holds one token; its owner may make changes under the lease
+	acquisition    acquisition   // used by the owner of the token
 	serving        bool
-	lastAccepted   *tierpb.ControlState // accepted value that was checked last, and its ballot
+	lastAccepted   *tierpb.ControlState // accepted value that was checked last, and its proposal number
 	lastAcceptedAt *tierpb.ProposalNumber
 
 	mu           sync.Mutex
 	known        *tierpb.ControlState
-	observed     []observation       // what its callers heard, in order
-	openRequests map[int]observation // requests in hand
+	observed     []observation       // replies to its calls, in order
+	openRequests map[int]observation // requests that it is handling, by the number that beginRequest returned
 	requestCount int
 }
 
-// start begins a life on what the node's disk holds. It is done in one step, and says whether it succeeded.
+// start starts a process on the node's disk in one step, and reports whether it succeeded.
 func (n *node) start(r *run, bootstrap bool) bool {
 	incarnation := n.machine.Start()
 	p := &process{run: r, node: n, incarnation: incarnation, openRequests: make(map[int]observation), leaseToken: make(chan struct{}, 1)}
@@ -80,26 +80,26 @@
 	return true
 }
 
-// startLease adds the grantor, and on the candidates a holder that runs as long as the process.
+// startLease adds the lessor, and on candidates a lease candidate that runs as long as the process.
 func (p *process) startLease(bootstrap bool) {
 	holdBack := lease.MaxTTL
 	if bootstrap {
 		holdBack = 0
 	}
-	grantor := lease.NewLessor(p.acceptor.Identity(), holdBack)
-	grantor.Serve(p.incarnation.Server)
+	lessor := lease.NewLessor(p.acceptor.Identity(), holdBack)
+	lessor.Serve(p.incarnation.Server)
 	if p.node.number >= p.run.scenario.Candidates {
 		return
 	}
 	p.candidate = lease.NewCandidate(lease.CandidateOptions{
-		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Random: half,
+		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: lessor, Random: half,
 		Voters: p.voters,
 	})
 	candidate := p.candidate
 	p.run.running.Go(func() { candidate.Run(p.ctx) })
 }
 
-// voters are those of the newest value that the process knows to be chosen, and at the start those that all know.
+// voters returns the voters of the newest value that the process knows to be chosen, and initially the first voters.
 func (p *process) voters() []*tierpb.VoterSet {
 	if known := p.newestKnown(); known != nil {
 		return known.Voters
@@ -107,10 +107,10 @@
 	return p.run.firstVoters
 }
 
-// half is the middle of what a random wait may be.
+// half replaces a random wait by the middle of its range.
 func half(longest time.Duration) time.Duration { return longest / 2 }
 
-// crash ends the process; of what the disk has not synced all is kept or all is lost.
+// crash ends the process; the unsynced writes of its disk are all kept or all lost.
 func (n *node) crash(keep bool) {
 	n.powerLossSource.keep = keep
 	n.machine.PowerLoss()
@@ -143,7 +143,7 @@
 	return p.known
 }
 
-// learn takes over a chosen value, from the proposer or as a watch would bring it.
+// learn takes a chosen value, from the proposer or as a watch would deliver it.
 func (p *process) learn(state *tierpb.ControlState) {
 	p.run.checks.recordChosen(state)
 	p.mu.Lock()
@@ -153,21 +153,21 @@
 	}
 }
 
-// guess takes over a value of which nobody knows whether it is chosen, only to know whom to ask.
+// assume takes a value that may not be chosen, only to know whom to ask.
 func (p *process) assume(state *tierpb.ControlState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known = state
 }
 
-// hears notes what the process has been told, on which all that it believes rests.
+// observe records what the process has received; its volatile state follows from these observations.
 func (p *process) observe(observed observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.observed = append(p.observed, observed)
 }
 
-// handles notes a request that came in; the number returned is for handled.
+// beginRequest records a request that has come in; the returned number is for endRequest.
 func (p *process) beginRequest(request observation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tier/modelcheck/run.go
+++ b/internal/tier/modelcheck/run.go
@@ -1,178 +1,170 @@
 package modelcheck
 
 import (
-	"slices"
-	"testing"
+	"crypto/rand"
+	"fmt"
+	"io"
+	randv2 "math/rand/v2"
+	"sync"
 	"testing/synctest"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/register"
+	"pulleygw.example/pulleygw/internal/tier/simulation"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Result is the end of a run.
-type Result struct {
-	Failure  string   // the first broken invariant; empty where there is none
-	Schedule Schedule // the deviations that were taken
-	Points   int      // up to the last decision
-	Pruned   bool     // the run was left because it goes on from a state that was met before
-	Timeline *Timeline
+// run is a run of a Scenario in a synctest bubble. The scheduler's goroutine owns all fields but those guarded by mu.
+type run struct {
+	scenario    *Scenario
+	seeds       []string
+	firstVoters []*tierpb.VoterSet
+	nodes       []*node
+	queue       []*event // pending, dispatched in this order by default
+	deferred    []*event // pending, dispatched by default when the queue is empty
+	operations  []*operation
+	began       time.Time
+	points      int
+	recovering  bool
+	used        [kindCount]int // actions taken, by kind
+	checks      *checks
+	timeline    *Timeline
+	renamings   [][]int // of interchangeable nodes, see renamings
+	running     sync.WaitGroup
+
+	mu              sync.Mutex
+	arrived         []*event
+	finished        int // operations that have ended
+	proposerLetters map[uint64]string
+	identities      map[uint64]nodeDisk
 }
 
-// Model is what is explored: a Scenario, or a StoreScenario.
-type Model interface {
-	// Title names the model on the command line.
-	Title() string
-	// play plays a run as a decider says.
-	play(t *testing.T, by decider) Result
-}
+// nodeDisk names one of the successive disks of a node; each has an acceptor identity of its own.
+type nodeDisk struct{ node, disk int }
 
-// Models returns all that is explored.
-func Models() (models []Model) {
-	for _, scenario := range Scenarios() {
-		models = append(models, scenario)
+func newRun(scenario *Scenario) *run {
+	r := &run{
+		scenario: scenario, began: time.Now(), proposerLetters: make(map[uint64]string),
+		identities: make(map[uint64]nodeDisk), timeline: newTimeline(scenario.Nodes),
 	}
-	for _, scenario := range StoreScenarios() {
-		models = append(models, scenario)
+	r.checks = newChecks(r)
+	r.renamings = renamings(scenario)
+	network := simulation.NewNetwork(randv2.New(&powerLossSource{}), simulation.LinkConditions{})
+	for number := range scenario.Nodes {
+		address := fmt.Sprintf("10.0.0.%d:7380", number+1)
+		if number < scenario.Voters {
+			r.seeds = append(r.seeds, address)
+		}
+		powerLossSource := &powerLossSource{}
+		r.nodes = append(r.nodes, &node{
+			number: number, address: address, powerLossSource: powerLossSource, machine: network.NewMachine(address, powerLossSource.random()),
+		})
 	}
-	return models
-}
-
-// decider chooses at each point one of the actions, of whose kinds the first is the default; false leaves the run.
-type decider interface {
-	decide(at point) (number int, on bool)
+	first := register.InitialState(r.seeds)
+	r.firstVoters = first.Voters
+	r.checks.recordChosen(first)
+	for _, node := range r.nodes {
+		node.start(r, true)
+	}
+	for number, plan := range scenario.Operations {
+		r.operations = append(r.operations, &operation{Operation: plan, run: r, number: number})
+	}
+	r.offerOperations()
+	r.awaitQuiescence()
+	return r
 }
 
-// point is what a decider may know of a run.
-type point struct {
-	number      int
-	kinds       []Kind
-	fingerprint func() uint64 // of the state
+// fixRandomness makes the identities and numbers that the code under test draws the same in each run, until restore is
+// called.
+func fixRandomness() (restore func()) {
+	before := rand.Reader
+	rand.Reader = io.Reader(randv2.NewChaCha8([32]byte{}))
+	return func() { rand.Reader = before }
 }
 
-// Title implements Model.
-func (s *Scenario) Title() string { return s.Name }
-
-// maxPoints bounds a run; trouble that has not ended by then ends.
-const maxPoints = 2000
-
-func (s *Scenario) play(t *testing.T, by decider) (result Result) {
-	t.Helper()
-	defer fixRandomness()()
-	synctest.Test(t, func(*testing.T) {
-		r := newRun(s)
-		defer r.end()
-		result.Pruned = !r.play(by, &result)
-		if !result.Pruned {
-			r.verifyRecovery()
-		}
-		result.Failure = r.checks.firstFailure()
-		result.Timeline = r.timeline
-	})
-	return result
-}
+func (r *run) now() time.Duration { return time.Since(r.began) }
 
-// play goes through the points of a run until nothing is left to do or an invariant is broken; false says that the
-// decider has left it.
-func (r *run) play(by decider, result *Result) bool {
-	for r.points < maxPoints && r.checks.firstFailure() == "" {
-		actions := r.actions()
-		if len(actions) == 0 {
-			break
-		}
-		number, on := by.decide(point{number: r.points, kinds: actionKinds(actions), fingerprint: r.fingerprint})
-		if !on {
-			return false
-		}
-		if number > 0 {
-			result.Schedule = append(result.Schedule, Deviation{Point: r.points, Action: number})
+func (r *run) numberOf(address string) int {
+	for _, node := range r.nodes {
+		if node.address == address {
+			return node.number
 		}
-		r.execute(actions[number])
-		r.points++
-		result.Points = r.points
 	}
-	return true
+	return -1
 }
 
-// rest ends all trouble; the register must then be readable and changeable, and the history must fit.
-func (r *run) verifyRecovery() {
-	if r.checks.firstFailure() != "" {
-		return
-	}
-	r.recovering = true
-	r.endFaults()
-	r.runDefaults()
-	r.shareNewestValue()
-	if r.scenario.Lease {
-		return
-	}
-	for _, plan := range r.scenario.finalOperations() {
-		o := &operation{Operation: plan, run: r, number: len(r.operations)}
-		if o.Kind == Put {
-			o.From = r.operations[len(r.operations)-1].state.GetConfiguration().GetGeneration()
-		}
-		r.operations = append(r.operations, o)
-		r.offerOperations()
-		r.runDefaults()
-	}
-	if r.checks.firstFailure() == "" {
-		r.checks.checkHistory()
+// name records to which disk an identity belongs.
+func (r *run) name(identity uint64, n *node) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, found := r.identities[identity]; !found {
+		r.identities[identity] = nodeDisk{node: n.number, disk: n.disks}
 	}
 }
 
-// calm heals all cuts, thaws all processes and starts those that have ended.
-func (r *run) endFaults() {
-	for _, node := range r.nodes {
-		node.partitioned, node.inboundPartitioned = false, false
-		node.frozen = r.began
-		if node.process == nil {
-			node.start(r, false)
-		}
-	}
-	r.deferred = slices.DeleteFunc(r.deferred, func(e *event) bool { return e.kind == startEvent || e.kind == healEvent })
+// awaitQuiescence waits until all goroutines of the bubble are blocked, collects their events and checks the invariants.
+func (r *run) awaitQuiescence() bool {
+	synctest.Wait()
+	found := r.collect()
+	r.checks.checkStep()
+	return found
 }
 
-// drain takes default actions until nothing is left to do.
-func (r *run) runDefaults() {
-	for range maxPoints {
-		actions := r.actions()
-		if len(actions) == 0 || r.checks.firstFailure() != "" {
+// Bounds of the steps in which time advances until there is an event.
+const (
+	minTimeStep     = 5 * time.Millisecond
+	maxPollInterval = 40 * time.Millisecond
+	maxTimeStep     = 2 * time.Second
+)
+
+// advanceTime lets time pass until there is an event.
+func (r *run) advanceTime() {
+	ended := r.ended()
+	wait := minTimeStep
+	for passed := time.Duration(0); passed < maxTimeStep; passed += wait {
+		time.Sleep(wait)
+		if r.awaitQuiescence() || r.ended() != ended || r.anyDue() || r.isPastLength() {
 			return
 		}
-		r.execute(actions[0])
-		r.points++
+		wait = min(wait*2, maxPollInterval)
 	}
 }
 
-// share brings the newest chosen value, or where nobody knows one an accepted value, to all, as watches would.
-func (r *run) shareNewestValue() {
-	for _, one := range r.nodes {
-		for _, other := range r.nodes {
-			if one.process == nil || other.process == nil {
-				continue
-			}
-			if state := other.process.newestKnown(); state != nil {
-				one.process.learn(state)
-			}
-		}
-	}
-	for _, one := range r.nodes {
-		for _, other := range r.nodes {
-			if one.process != nil && other.process != nil && one.process.newestKnown() == nil {
-				one.process.assume(other.process.acceptor.Value())
-			}
+func (r *run) ended() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.finished
+}
+
+// anyDue reports whether the delay of an event is over.
+func (r *run) anyDue() bool {
+	for _, e := range r.deferred {
+		if !e.until.IsZero() && r.due(e) {
+			return true
 		}
 	}
+	return false
 }
 
-// replayer takes the deviations of a schedule.
-type replayer struct{ schedule Schedule }
+func (r *run) due(e *event) bool { return !time.Now().Before(e.until) }
 
-func (r *replayer) decide(at point) (int, bool) {
-	if number := r.schedule.at(at.number); number < len(at.kinds) {
-		return number, true
-	}
-	return 0, true
+// isPastLength reports whether the scenario's time is over.
+func (r *run) isPastLength() bool { return r.scenario.Length > 0 && r.now() >= r.scenario.Length }
+
+// busy reports whether operations are in progress or the scenario's time is not over.
+func (r *run) busy() bool {
+	return r.ended() < r.offered() || r.scenario.Length > 0 && !r.isPastLength() && !r.recovering
 }
 
-// Replay plays a schedule of a model.
-func Replay(t *testing.T, model Model, schedule Schedule) Result {
-	t.Helper()
-	return model.play(t, &replayer{schedule: schedule})
+// end ends all goroutines of the bubble, which synctest requires.
+func (r *run) end() {
+	for _, node := range r.nodes {
+		if node.process != nil {
+			node.process.cancel()
+			node.process = nil
+		}
+		node.machine.Kill()
+	}
+	r.running.Wait()
+	time.Sleep(time.Minute)
 }
--- a/internal/tier/modelcheck/search.go
+++ b/internal/tier/modelcheck/search.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Bounds of an exploration. The first that is reached ends it; zero is none.
+// Bounds limit an exploration. The first that is reached ends it; 0 is no limit.
 type Bounds struct {
-	Runs int           // most runs
-	Time time.Duration // of the machine's clock
+	Runs int           // number of runs
+	Time time.Duration // wall-clock time
 }
 
 // Progress is how far an exploration has come.
 type Progress struct {
 	Model      string
 	Runs       int
-	Points     int           // decisions over all runs
-	States     int           // distinct ones; of a search only
-	Deviations int           // of the present run
-	Pending    int           // runs that are known and not played; of a search only
+	Points     int           // scheduling decisions, over all runs
+	States     int           // distinct states; of a search only
+	Deviations int           // of the last run
+	Pending    int           // runs that are discovered and not played; of a search only
 	Complete   bool          // all runs within the bound of deviations were played
-	Elapsed    time.Duration // of the machine's clock
+	Elapsed    time.Duration // wall-clock time
 	Failure    string
 	Schedule   Schedule // of the failure
 }
@@ -32,13 +32,13 @@
 	text := fmt.Sprintf("%s: %d runs, %d points, %.1f s, %.0f runs/s", p.Model, p.Runs, p.Points, p.Elapsed.Seconds(),
 		float64(p.Runs)/max(p.Elapsed.Seconds(), 0.001))
 	if p.States > 0 {
-		text += fmt.Sprintf(", %d states, depth %d, %d runs wait, complete %v", p.States, p.Deviations, p.Pending, p.Complete)
+		text += fmt.Sprintf(", %d states, depth %d, %d runs pending, complete %v", p.States, p.Deviations, p.Pending, p.Complete)
 	}
 	return text
 }
 
-// Search plays the runs of a model in the order of the number of their deviations, those with as many in an order
-// that is drawn, the same each time. It leaves runs that go on from a state that was met with as many deviations left.
+// Search plays the runs of a model in the order of the number of their deviations. Runs with equally many are played in
+// an order that is drawn, the same each time. A run is pruned at a state that was met with as many deviations left.
 type Search struct {
 	model         Model
 	maxDeviations int
@@ -47,17 +47,17 @@
 	states        map[uint64]uint8
 	random        *rand.Rand
 
-	current *branch // of the run under way
+	current *branch // of the run that is being played
 	prefix  Schedule
 }
 
-// branch is a run that is known and not played: one deviation behind those of another.
+// branch is a run that is discovered and not played: another run's deviations with one more.
 type branch struct {
 	from *branch
 	last Deviation
 }
 
-// NewSearch makes a search for runs with up to so many deviations.
+// NewSearch creates a search of the runs with up to the given number of deviations.
 func NewSearch(model Model, deviations int) *Search {
 	return &Search{
 		model: model, maxDeviations: deviations, progress: Progress{Model: model.Title(), Pending: 1},
@@ -66,8 +66,8 @@
 	}
 }
 
-// Play goes on until a run breaks an invariant, the bounds are reached, which count all that was played so far, or no
-// run is left.
+// Play continues the search until a run violates an invariant, the bounds are reached, or no run is left. The bounds
+// count all that the search has played so far, in earlier calls too.
 func (s *Search) Play(t *testing.T, bounds Bounds, report func(Progress)) Progress {
 	t.Helper()
 	began := time.Now().Add(-s.progress.Elapsed)
@@ -103,7 +103,7 @@
 	return false
 }
 
-// schedule is all deviations of a branch, of which there are count.
+// schedule returns all deviations of a branch, of which there are count.
 func (b *branch) schedule(count int) Schedule {
 	schedule := make(Schedule, count)
 	for i := count - 1; i >= 0; i-- {
@@ -130,7 +130,7 @@
 	return 0, true
 }
 
-// branchOff notes the runs that leave the present one at a point.
+// branchOff adds the runs that deviate from the present one at a point.
 func (s *Search) branchOff(point, actions int) {
 	count := len(s.prefix) + 1
 	for number := 1; number < actions; number++ {
--- a/internal/tier/modelcheck/shrink.go
+++ b/internal/tier/modelcheck/shrink.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Shrink leaves out deviations of a failing schedule as long as the run breaks some invariant without them. The result
-// is that of the shortest schedule found.
+// Shrink removes deviations from a failing schedule, one at a time, as long as the run violates some invariant without
+// them. It returns the result of the shortest schedule found.
 func Shrink(t *testing.T, model Model, schedule Schedule) Result {
 	t.Helper()
 	best := Replay(t, model, schedule)
--- a/internal/tier/modelcheck/store_action.go
+++ b/internal/tier/modelcheck/store_action.go
@@ -10,10 +10,10 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// storeAction is what may be done at a point of a run.
+// storeAction is one of the choices at a point of a run.
 type storeAction struct {
 	kind    Kind
-	machine int // of crash, wipe and cut; -1 for a holder of the lease that has just started
+	machine int // of Crash, Wipe and Partition; -1 for a change of the lease holder
 }
 
 func storeKinds(actions []storeAction) []Kind {
@@ -24,7 +24,7 @@
 	return kinds
 }
 
-// actions returns what may be done now, the default first; none when trouble is over.
+// actions returns the choices at the present point, the default first. It returns none after the last cycle with faults.
 func (r *storeRun) actions() []storeAction {
 	if r.recovering || r.cycle >= r.scenario.Cycles {
 		if !r.recovering {
@@ -58,7 +58,7 @@
 	return list
 }
 
-// standard lets the next event of the cycle happen, and goes on to the next cycle when none is left.
+// defaultAction handles the next event of the cycle, or begins the next cycle if none is left.
 func (r *storeRun) defaultAction() storeAction {
 	if len(r.queue) > 0 && r.queue[0].due <= r.cycle {
 		return storeAction{kind: Dispatch}
@@ -66,7 +66,7 @@
 	return storeAction{kind: AdvanceTime}
 }
 
-// isWhole says that no loss is under way: the members are all there and no records move.
+// isFullyReplicated reports whether all members have their disks and no records move.
 func (r *storeRun) isFullyReplicated() bool {
 	stores := r.control.Stores
 	lost := func(member *tierpb.Node) bool { return r.machineOf(member) == nil }
@@ -93,14 +93,14 @@
 		r.delay()
 		return
 	case CrashKeepingWrites:
-		r.logEvent(r.machines[0], "!another holder of the lease, just started")
+		r.logEvent(r.machines[0], "!new lease holder, just started")
 		r.leaseHolder = placementHolder{since: r.now(), moveSeen: r.now()}
 		return
 	}
 	r.injectFault(r.machines[a.machine], a.kind)
 }
 
-// delay lets an event happen some cycles later; a call says what is so now.
+// delay postpones an event by some cycles; the content of a call is that of the time at which it is sent.
 func (r *storeRun) delay() {
 	e := r.queue[0]
 	r.queue = r.queue[1:]
@@ -133,10 +133,10 @@
 }
 
 func (e storeEvent) String() string {
-	return [...]string{"news of the members", "pass", "call to join", "write", "decision"}[e.kind]
+	return [...]string{"membership update", "migration", "join request", "write", "decision"}[e.kind]
 }
 
-// check looks for records that were acknowledged and might not be found, or have too few copies.
+// check checks that acknowledged records are found by every read and have enough copies.
 func (r *storeRun) check() {
 	if !r.changed {
 		return
@@ -144,15 +144,16 @@
 	r.changed = false
 	for _, key := range r.acknowledged {
 		if !r.isFound(key) {
-			r.fail("%s was acknowledged, and a read quorum may miss it", key)
+			r.fail("%s was acknowledged, and a read quorum may not find it", key)
 		}
 		if r.isFullyReplicated() && !r.hasEnoughCopies(key) {
-			r.fail("%s has no more copies than may be lost at once, and no loss or move is under way", key)
+			r.fail("%s has no more copies than may be lost at once, and no loss or move is in progress", key)
 		}
 	}
 }
 
-// isFound says that in one of the replica sets that a read asks too few members lack the key to be a read quorum.
+// isFound reports whether, in one of the replica sets that a read asks, the members without the key are too few for a
+// read quorum.
 func (r *storeRun) isFound(key string) bool {
 	for _, set := range replica.Sets(r.control.Stores, key, r.scenario.Tolerance) {
 		lacking := 0
@@ -179,7 +180,7 @@
 	return holders >= min(r.scenario.Tolerance+1, len(set))
 }
 
-// fingerprint names a state.
+// fingerprint hashes the state.
 func (r *storeRun) fingerprint() uint64 {
 	var data []byte
 	add := func(numbers ...uint64) {
--- a/internal/tier/modelcheck/store_event.go
+++ b/internal/tier/modelcheck/store_event.go
@@ -10,7 +10,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// happen lets an event happen where its machine still is what it was. A call that was under way arrives all the same.
+// handle handles an event if its machine still has the same disk and is reachable. A call that was in flight arrives in
+// any case.
 func (r *storeRun) handle(e storeEvent) {
 	m := e.machine
 	if m != nil && e.call == nil && (m.diskNumber != e.diskNumber || !r.isReachable(m)) {
@@ -37,7 +38,8 @@
 	}
 }
 
-// pass hands on all that a store holds, as one step; it is over when each key is on a write quorum of its new set.
+// migrate copies all records of a store to their new replica sets, in one step. It is complete when each key is on a write
+// quorum of its new set.
 func (r *storeRun) migrate(m *storeMachine) {
 	if m.copied >= m.known.Epoch {
 		return
@@ -50,7 +52,7 @@
 		}
 	}
 	m.copied = m.known.Epoch
-	r.logEvent(m, fmt.Sprintf("pass over, epoch %d", m.copied))
+	r.logEvent(m, fmt.Sprintf("migration complete, epoch %d", m.copied))
 }
 
 func (r *storeRun) transferRecord(m *storeMachine, key string) bool {
@@ -70,14 +72,14 @@
 		}
 		if target != nil && !target.records[key] && r.serves(target, m.known) {
 			target.records[key] = true
-			r.logEvent(target, fmt.Sprintf("gets %s of n%d", key, m.number))
+			r.logEvent(target, fmt.Sprintf("copies %s from n%d", key, m.number))
 			holders++
 		}
 	}
 	return holders >= quorum
 }
 
-// machineOf is the machine that has a member's identity, nil where its disk was lost.
+// machineOf returns the machine that has a member's identity, nil if its disk was lost.
 func (r *storeRun) machineOf(member *tierpb.Node) *storeMachine {
 	for _, m := range r.machines {
 		if m.identity() == member.Identity {
@@ -87,12 +89,12 @@
 	return nil
 }
 
-// serves says that a store answers calls under a membership: the one that it knows.
+// serves reports whether a store answers calls under a membership: only under the one that it knows.
 func (r *storeRun) serves(m *storeMachine, members *tierpb.StoreMembership) bool {
 	return r.isReachable(m) && m.known.Epoch == members.Epoch
 }
 
-// hear takes a call to join to the holder of the lease; a late one says what was so when it was sent.
+// receiveJoin delivers a join request to the lease holder; a delayed one reports the state at the time it was sent.
 func (r *storeRun) receiveJoin(m *storeMachine, call *tierpb.JoinRequest) {
 	if call == nil {
 		call = r.callOf(m)
@@ -110,7 +112,7 @@
 	return &tierpb.JoinRequest{Node: m.node(), StoreEpoch: m.known.Epoch, CopiedEpoch: m.copied}
 }
 
-// write lets one store of the replica sets sync the record that is being written, and the client count it.
+// write lets one store of the replica sets sync the record that is being written, and the client count its reply.
 func (r *storeRun) write(m *storeMachine) {
 	client := &r.client
 	if client.key == "" {
@@ -119,7 +121,7 @@
 	if client.members == nil {
 		client.members = r.control.Stores
 	}
-	if m.known.Epoch > client.members.Epoch { // the refusal brings the newer membership
+	if m.known.Epoch > client.members.Epoch { // the rejection carries the newer membership
 		client.members = m.known
 	}
 	sets := replica.Sets(client.members, client.key, r.scenario.Tolerance)
@@ -151,7 +153,7 @@
 	return len(sets) > 0
 }
 
-// place decides on the membership with the real placement.
+// runPlacement decides on the membership with the real placement rules.
 func (r *storeRun) runPlacement() {
 	if epoch := r.control.Stores.Epoch; epoch != r.leaseHolder.epoch {
 		r.leaseHolder.epoch, r.leaseHolder.moveSeen = epoch, r.now()
--- a/internal/tier/modelcheck/store_world.go
+++ b/internal/tier/modelcheck/store_run.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// storeWorld is a run of a StoreScenario.
+// storeRun is a run of a StoreScenario.
 type storeRun struct {
 	scenario     *StoreScenario
 	machines     []*storeMachine
@@ -28,18 +28,17 @@
 	timeline     *Timeline
 }
 
-// storeMachine is a machine with a turn store, whose process may be dead or cut off for some cycles.
+// storeMachine is a machine with a turn store, whose process may be dead or partitioned for some cycles.
 type storeMachine struct {
 	number      int
-	diskNumber  int // of the disk
-	reachableAt int // cycle in which it is reached again
-	dead        bool
+	diskNumber  int // number of disks lost so far
+	reachableAt int // cycle from which on it is reachable
 	records     map[string]bool
-	known       *tierpb.StoreMembership // saved
-	copied      uint64                  // epoch of the newest pass that is over
+	known       *tierpb.StoreMembership // durable
+	copied      uint64                  // epoch of the newest migration that is complete
 }
 
-// storeHolder is what the holder of the placement lease knows.
+// placementHolder is the volatile state of the holder of the placement lease.
 type placementHolder struct {
 	since    time.Time
 	joins    []placement.Join
@@ -49,21 +48,21 @@
 
 // storeClient writes one record after the other.
 type storeClient struct {
-	key     string // under way; empty for none
+	key     string // being written; empty for none
 	members *tierpb.StoreMembership
-	synced  map[uint64]bool // identities that have it
+	synced  map[uint64]bool // identities that have synced it
 	written int
 }
 
-// storeEventKind says what happens in a cycle.
+// storeEventKind says what happens at an event.
 type storeEventKind int
 
 const (
-	storeLearnEvent     storeEventKind = iota // a store hears of the newest membership
-	storeMigrateEvent                         // a store hands on what it holds
-	storeJoinEvent                            // a store's call to join arrives
+	storeLearnEvent     storeEventKind = iota // a store receives the newest membership
+	storeMigrateEvent                         // a store copies its records to their new replica sets
+	storeJoinEvent                            // a store's join request arrives at the lease holder
 	storeWriteEvent                           // a store syncs the record that is being written
-	storePlacementEvent                       // the holder of the lease decides
+	storePlacementEvent                       // the lease holder decides on the membership
 )
 
 type storeEvent struct {
@@ -107,10 +106,10 @@
 	}
 }
 
-// reached says that a machine's process runs and is not cut off.
+// isReachable reports whether a machine's process runs and is not partitioned.
 func (r *storeRun) isReachable(m *storeMachine) bool { return r.cycle >= m.reachableAt }
 
-// begin fills the queue of a cycle.
+// startCycle fills the queue of a cycle.
 func (r *storeRun) startCycle() {
 	var late []storeEvent
 	r.queue, late = r.dueNow()
@@ -118,7 +117,6 @@
 		if !r.isReachable(m) {
 			continue
 		}
-		m.dead = false
 		if m.known.Epoch < r.control.Stores.Epoch {
 			r.add(storeEvent{kind: storeLearnEvent, machine: m})
 		}
@@ -139,7 +137,7 @@
 	r.queue = append(r.queue, late...)
 }
 
-// dueNow splits what was delayed into what is due and the rest.
+// dueNow splits the delayed events into those that are due and the rest.
 func (r *storeRun) dueNow() (due, late []storeEvent) {
 	for _, e := range r.queue {
 		if e.due <= r.cycle || r.recovering {
@@ -159,7 +157,7 @@
 	r.queue = append(r.queue, e)
 }
 
-// nextKey lets the client go on to the next record.
+// nextKey lets the client begin the next record when it is time.
 func (r *storeRun) nextKey() {
 	if r.scenario.Retire && r.cycle == retireCycle {
 		r.retire()
@@ -171,7 +169,7 @@
 	}
 }
 
-// retire takes the first machine out of the members, as a coordinator does on the operator's order.
+// retire removes the first machine from the members, as a coordinator does on the operator's request.
 func (r *storeRun) retire() {
 	stores := r.control.Stores
 	first := r.machines[0].node()
@@ -188,7 +186,7 @@
 	next.Epoch++
 	r.control.Stores = next
 	r.control.Retirements = append(r.control.Retirements, &tierpb.Retirement{Node: first.Name, Identity: identity})
-	r.timeline.addAt(r.points, time.Duration(r.cycle)*cycleTime, 0, "is to be emptied, "+r.membersName())
+	r.timeline.addAt(r.points, time.Duration(r.cycle)*cycleTime, 0, "retiring, "+r.membersName())
 }
 
 func (r *storeRun) membersName() string {
--- a/internal/tier/modelcheck/store_scenario.go
+++ b/internal/tier/modelcheck/store_scenario.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// StoreScenario is what happens to turn stores in all runs of one kind: the real placement decides on their
-// membership, and the real rules of replica sets say where records belong. The stores themselves are small models of
-// what internal/tier/turnstore does: they take writes of the epoch they know, hand on what they hold at a change of
-// members, and report it. Time is a number, so there is no bubble and a run is quick.
+// StoreScenario describes the runs of turn stores of one kind: the real placement decides on their membership, and the
+// real rules of replica sets say where records belong. The stores themselves are small models of what
+// internal/tier/turnstore does: they accept writes of the epoch they know, copy their records to the new replica sets at a
+// change of membership, and report the end of that. Time is a number, so there is no bubble and a run is quick.
 type StoreScenario struct {
 	Name      string
-	Machines  int // with a turn store each
-	Late      int // of these, the last ones come only when the others are members
-	Tolerance int // members that may be lost at once
+	Machines  int // with one turn store each
+	Late      int // how many of them, the last ones, start later than the others
+	Tolerance int // members that may be lost at the same time
 	Keys      int // records that a client writes, one after the other
-	Cycles    int // after which trouble ends
+	Cycles    int // number of cycles with faults
 	Limits    Limits
-	Retire    bool // the operator has the first machine emptied after some cycles
+	Retire    bool // the operator retires the first machine at retireCycle
 }
 
 // Title implements Model.
@@ -35,13 +35,13 @@
 
 const (
 	cycleTime      = 250 * time.Millisecond
-	writeEvery     = 6 // cycles from one record to the next
+	writeEvery     = 6 // cycles between records
 	retireCycle    = 12
-	joinCycles     = 2 // cycles from one call to join to the next
+	joinCycles     = 2 // cycles between join requests
 	recoveryCycles = 60
-	lateStartCycle = 5  // the first in which the late machines run
-	faultCycles    = 12 // cycles that a cut or a dead process lasts
-	lateDelivery   = 6  // cycles for which a delayed call is under way
+	lateStartCycle = 5  // first cycle in which the late machines run
+	faultCycles    = 12 // cycles that a partition or a dead process lasts
+	lateDelivery   = 6  // cycles that a delayed call is in flight
 )
 
 // play implements Model.
@@ -71,7 +71,7 @@
 	return result
 }
 
-// rest lets time go by without trouble; all moves must come to their end then, and all records must be found.
+// verifyRecovery lets time pass without faults; all moves must then end, and all records must be found.
 func (r *storeRun) verifyRecovery() {
 	r.recovering = true
 	for _, m := range r.machines {
--- a/internal/tier/modelcheck/timeline.go
+++ b/internal/tier/modelcheck/timeline.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Timeline is what happened in a run, one column a node.
+// Timeline is the log of a run, with one column for each node.
 type Timeline struct {
 	nodes int
 	rows  []row
@@ -29,8 +29,8 @@
 
 const columnWidth = 34
 
-// String is a table: number of the point, milliseconds, and what happened at which node. Trouble starts with "!", the
-// ends of operations with "=".
+// String returns a table: the number of the point, milliseconds, and what happened at which node. Faults start with "!",
+// results of operations with "=".
 func (t *Timeline) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%5s %6s", "point", "ms")
--- a/internal/tier/modelcheck/walk.go
+++ b/internal/tier/modelcheck/walk.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Walk plays random runs of a model, one for each seed from the first on, until one breaks an invariant or a bound
-// is reached. Each run draws which kinds of trouble it has and how often it leaves the default.
+// Walk plays random runs of a model, one for each seed from the first on, until one violates an invariant or a bound is
+// reached. Each run draws which kinds of faults it has and how often it deviates from the default.
 func Walk(t *testing.T, model Model, first uint64, bounds Bounds, report func(Progress)) Progress {
 	t.Helper()
 	progress := Progress{Model: model.Title()}
@@ -27,19 +27,19 @@
 	return progress
 }
 
-// walker decides a run at random.
+// walker is a decider that chooses at random.
 type walker struct {
 	random        *rand.Rand
 	enabled       [kindCount]bool
-	deviationRate float64 // of the points at which another action than the default is taken
-	maxDeviations int     // deviations
+	deviationRate float64 // share of the points at which the run deviates
+	maxDeviations int     // limit of deviations
 	deviations    int
 }
 
-// Bounds of a walk. Some leave the default at once and often, some late and seldom.
+// Bounds of a walk. Their draws make some runs deviate early and often, others late and seldom.
 const (
 	maxWalkDeviations = 12  // deviations
-	maxDeviationRate  = 0.3 // of the points; the least is a hundredth of it
+	maxDeviationRate  = 0.3 // share of the points; the least is a hundredth of it
 )
 
 func newWalker(seed uint64) *walker {
