--- a/internal/tier/modelcheck/explore_test.go
+++ b/internal/tier/modelcheck/explore_test.go
@@ -14,7 +14,7 @@
 	scenarioName     = flag.String("scenario", "", "name of the only model to explore; empty for all")
 	deviations       = flag.Int("deviations", 2, "limit of the deviations of a run in a search; 0 for walks only")
 	firstSeed        = flag.Uint64("first-seed", 1, "seed of the first walk")
-	shardIndex       = flag.Int("part", 0, "number of this process among -parts, which timeForEach the searches")
+	shardIndex       = flag.Int("part", 0, "index of this process among the -parts processes that share the searches")
 	shardCount       = flag.Int("parts", 1, "number of processes")
 	scheduleToReplay = flag.String("schedule", "", "schedule of -scenario to replay, as a failure prints it")
 )
