--- a/internal/tier/modelcheck/caller.go
+++ b/internal/tier/modelcheck/caller.go
@@ -11,11 +11,12 @@
 
 // call is one call between processes.
 type call struct {
-	answers chan answer
-	done    atomic.Bool // its caller waits no more
+	replies chan callResult
+	done    atomic.Bool // the caller has returned
 }
 
-type answer struct {
+// callResult is the result of a call: an encoded message or an error.
+type callResult struct {
 	payload []byte
 	err     error
 }
@@ -23,81 +24,81 @@
 // caller makes the calls of one process; it implements rpc.Caller. Every message becomes an event.
 type caller struct{ process *process }
 
-// Call implements rpc.Caller. A request stays in flight when its caller has given up.
+// Call implements rpc.Caller. A request stays in flight after its caller has given up.
 func (c *caller) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	payload, err := encode(request)
 	if err != nil {
 		return err
 	}
-	w := c.process.world
+	r := c.process.run
 	if deadline, set := ctx.Deadline(); set && !time.Now().Before(deadline) {
 		<-ctx.Done() // at this very moment, so that two timers of one moment have one outcome
 		return rpc.ErrTimeout
 	}
-	made := &call{answers: make(chan answer, 2)}
+	made := &call{replies: make(chan callResult, 2)}
 	defer made.done.Store(true)
 	if c.process.hasEnded() {
 		return rpc.ErrUnreachable
 	}
-	fact := w.factOf(request)
+	observation := r.observationOf(request)
 	e := &event{
-		kind: requestEvent, from: c.process.node.number, to: w.numberOf(address), label: w.describe(request), fact: fact,
+		kind: requestEvent, from: c.process.node.number, to: r.numberOf(address), label: r.describe(request), observation: observation,
 		call: made,
 	}
-	e.release = func() { w.deliver(c.process, e, method, payload) }
-	w.post(e)
+	e.release = func() { r.deliver(c.process, e, method, payload) }
+	r.post(e)
 	select {
-	case got := <-made.answers:
+	case got := <-made.replies:
 		if got.err != nil {
 			return got.err
 		}
 		return reply.UnmarshalVT(got.payload)
 	case <-ctx.Done():
 		return rpc.ErrTimeout
-	case <-c.process.life.Ended():
+	case <-c.process.incarnation.Ended():
 		return rpc.ErrUnreachable
 	}
 }
 
-// deliver hands a request to the process of its node; the reply becomes an event. Where no process runs the caller
-// is told so.
-func (w *world) deliver(from *process, e *event, method rpc.Method, payload []byte) {
-	target := w.nodes[e.to].process
+// deliver passes a request to the process of its node; the reply becomes an event. Where no process runs the call fails
+// at once, as a refused connection does.
+func (r *run) deliver(from *process, e *event, method rpc.Method, payload []byte) {
+	target := r.nodes[e.to].process
 	if target == nil {
-		from.hears(fact{kind: factRefused, from: e.to})
-		e.call.answer(answer{err: rpc.ErrUnreachable})
+		from.observe(observation{kind: observationUnreachable, from: e.to})
+		e.call.complete(callResult{err: rpc.ErrUnreachable})
 		return
 	}
-	handled := target.handles(e.fact)
+	number := target.beginRequest(e.observation)
 	go func() {
-		message, err := target.life.Server.Dispatch(context.Background(), method, slices.Clone(payload))
-		target.handled(handled)
+		message, err := target.incarnation.Server.Dispatch(context.Background(), method, slices.Clone(payload))
+		target.endRequest(number)
 		if target.hasEnded() {
 			return
 		}
-		w.post(w.replyTo(from, e, message, err))
+		r.post(r.replyTo(from, e, message, err))
 	}()
 }
 
-// replyTo is the event of a reply on its way back.
-func (w *world) replyTo(from *process, e *event, message rpc.Message, err error) *event {
-	reply := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "refusal"}
-	got := answer{err: rpc.ErrRejected}
+// replyTo returns the event in which the reply to a request arrives.
+func (r *run) replyTo(from *process, e *event, message rpc.Message, err error) *event {
+	arrival := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "rejection"}
+	got := callResult{err: rpc.ErrRejected}
 	if err == nil {
 		got.payload, got.err = encode(message)
-		reply.label, reply.fact = w.describe(message), w.factOf(message)
+		arrival.label, arrival.observation = r.describe(message), r.observationOf(message)
 	}
-	reply.release = func() {
-		from.hears(reply.fact)
-		e.call.answer(got)
+	arrival.release = func() {
+		from.observe(arrival.observation)
+		e.call.complete(got)
 	}
-	return reply
+	return arrival
 }
 
-// answer ends a call; further answers to it are dropped.
-func (c *call) answer(got answer) {
+// complete ends a call; further replies to it are dropped.
+func (c *call) complete(got callResult) {
 	select {
-	case c.answers <- got:
+	case c.replies <- got:
 	default:
 	}
 }
--- a/internal/tier/modelcheck/history.go
+++ b/internal/tier/modelcheck/linearizability.go
@@ -7,15 +7,15 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// outcome is what a client was told.
+// outcome is the result that a client got.
 type outcome struct {
-	generation uint64
-	conflict   bool
-	unknown    bool
-	untaken    bool
+	generation  uint64
+	conflict    bool
+	unknown     bool
+	notExecuted bool
 }
 
-// chain is the generations in the order in which they were put.
+// chain is the committed generations in their order.
 type chain []uint64
 
 func (c chain) current() uint64 {
@@ -27,24 +27,24 @@
 
 func (c chain) put(generation uint64) chain { return append(slices.Clone(c), generation) }
 
-// registerModel is a compare-and-swap register of generations in which an order that was taken is acknowledged again.
-// A change whose end is not known may have been made at any time until the end of the history.
+// registerModel is the sequential specification: a compare-and-swap register of generations that acknowledges a committed
+// change again (idempotent retry). A change of unknown outcome may take effect at any time until the end of the history.
 var registerModel = porcupine.Model{
 	Init: func() any { return chain(nil) },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked, told := state.(chain), input.(Operation), output.(outcome)
+		current, asked, got := state.(chain), input.(Operation), output.(outcome)
 		fits := current.current() == asked.From
-		taken := slices.Contains(current, asked.To)
+		committed := slices.Contains(current, asked.To)
 		switch {
-		case told.untaken:
+		case got.notExecuted:
 			return true, current
 		case asked.Kind == Read:
-			return told.unknown || told.generation == current.current(), current
-		case told.unknown && (taken || !fits):
+			return got.unknown || got.generation == current.current(), current
+		case got.unknown && (committed || !fits):
 			return true, current
-		case told.conflict:
-			return !taken && !fits, current
-		case taken:
+		case got.conflict:
+			return !committed && !fits, current
+		case committed:
 			return true, current
 		}
 		return fits, current.put(asked.To)
--- a/internal/tier/modelcheck/operation.go
+++ b/internal/tier/modelcheck/operation.go
@@ -12,18 +12,18 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// OperationKind says what a client asks for.
+// OperationKind is what a client requests.
 type OperationKind int
 
 // The kinds of operations.
 const (
-	Put     OperationKind = iota // a configuration From -> To
-	Read                         // the current value
-	Replace                      // the voter of node Out gives its vote to node In
-	Act                          // a change under the lease, once the node holds it
+	Put              OperationKind = iota // a configuration From -> To
+	Read                                  // the current value
+	Replace                               // the vote of node Out is transferred to node In
+	ChangeUnderLease                      // a change by the lease holder, once the node owns the lease
 )
 
-// Operation is a client's call at a node. The same Put may come twice: an order that is sent again.
+// Operation is a client's request at a node. The same Put may occur twice: a change that is retried.
 type Operation struct {
 	Kind     OperationKind
 	Node     int
@@ -36,38 +36,38 @@
 	switch o.Kind {
 	case Put:
 		return fmt.Sprintf("put %d->%d", o.From, o.To)
-	case Act:
-		return "act under the lease"
+	case ChangeUnderLease:
+		return "change under the lease"
 	case Replace:
 		return fmt.Sprintf("replace voter n%d by n%d", o.Out, o.In)
 	}
 	return "read"
 }
 
-// Bounds of an operation. No two time-outs end at the same moment.
+// Time-out of an operation. No two time-outs end at the same moment.
 const (
 	operationTime = 4*time.Second + 3700*time.Microsecond
 	operationStep = 1100 * time.Microsecond // more for each operation
 )
 
-// errConflict is a 412.
+// errConflict is the rejection that the control API answers with status 412.
 var errConflict = eris.New("another generation is current")
 
 // operation is an Operation under way.
 type operation struct {
 	Operation
-	world   *world
+	run     *run
 	number  int
 	offered bool
-	done    bool // of those that ended, the scheduler has seen this one
+	done    bool // ended, and recorded in the history
 	err     error
 	state   *tierpb.ControlState
-	ended   bool // guarded by the world's mu
+	ended   bool // guarded by the run's mu
 }
 
-// offered counts the operations that were handed to the scheduler.
-func (w *world) offered() (count int) {
-	for _, o := range w.operations {
+// offered counts the operations whose beginning was passed to the scheduler.
+func (r *run) offered() (count int) {
+	for _, o := range r.operations {
 		if o.offered {
 			count++
 		}
@@ -75,71 +75,71 @@
 	return count
 }
 
-// offerOperations puts the beginnings of those operations into the queue that may begin.
-func (w *world) offerOperations() {
-	for _, o := range w.operations {
-		if o.offered || w.ended() < o.After {
+// offerOperations queues the beginnings of the operations that may begin.
+func (r *run) offerOperations() {
+	for _, o := range r.operations {
+		if o.offered || r.ended() < o.After {
 			continue
 		}
 		o.offered = true
-		w.queue = append(w.queue, o.beginning())
+		r.queue = append(r.queue, o.beginning())
 	}
 }
 
 func (o *operation) beginning() *event {
 	return &event{
 		kind: beginEvent, from: o.Node, to: o.Node, label: "begin " + o.String(),
-		fact: fact{kind: factBegin, from: o.Node, number: uint64(o.number)}, release: o.begin,
+		observation: observation{kind: observationOperationBegin, from: o.Node, number: uint64(o.number)}, release: o.begin,
 	}
 }
 
-// begin runs the operation in the process of its node. It waits for one.
+// begin runs the operation in the process of its node. Without a process it is deferred until there is one.
 func (o *operation) begin() {
-	p := o.world.nodes[o.Node].process
+	p := o.run.nodes[o.Node].process
 	if p == nil {
-		o.world.held = append(o.world.held, o.beginning())
+		o.run.deferred = append(o.run.deferred, o.beginning())
 		return
 	}
-	o.world.checks.called(o)
-	p.hears(fact{kind: factBegin, number: uint64(o.number)})
+	o.run.checks.recordCall(o)
+	p.observe(observation{kind: observationOperationBegin, number: uint64(o.number)})
 	go func() {
 		ctx, cancel := context.WithTimeout(p.ctx, operationTime+time.Duration(o.number)*operationStep)
 		defer cancel()
-		state, err := o.run(ctx, p)
+		state, err := o.call(ctx, p)
 		if p.hasEnded() {
-			state, err = nil, register.ErrUncertain // the caller hears no answer
+			state, err = nil, register.ErrUncertain // the caller gets no reply
 		}
-		p.hears(fact{kind: factEnd, number: uint64(o.number)})
+		p.observe(observation{kind: observationOperationEnd, number: uint64(o.number)})
 		o.end(state, err)
 	}()
 }
 
-func (o *operation) run(ctx context.Context, p *process) (*tierpb.ControlState, error) {
+func (o *operation) call(ctx context.Context, p *process) (*tierpb.ControlState, error) {
 	switch o.Kind {
 	case Put:
 		return p.proposer.Change(ctx, putFunc(o.From, o.To))
 	case Replace:
 		return register.ChangeVoters(ctx, p.proposer, func(current *tierpb.ControlState) []*tierpb.Node {
-			return o.world.replaced(current, o.Out, o.In)
+			return o.run.replaced(current, o.Out, o.In)
 		})
 	}
-	if o.Kind == Act {
-		return p.act(ctx)
+	if o.Kind == ChangeUnderLease {
+		return p.changeUnderLease(ctx)
 	}
 	return p.proposer.Read(ctx)
 }
 
-// replaced is the newest set of voters with one node's vote given to another.
-func (w *world) replaced(current *tierpb.ControlState, out, in int) []*tierpb.Node {
-	standby := w.nodes[in].process
+// replaced returns the newest set of voters with one node's vote transferred to another.
+func (r *run) replaced(current *tierpb.ControlState, out, in int) []*tierpb.Node {
+	standby := r.nodes[in].process
 	if standby == nil {
 		return nil
 	}
 	nodes := current.Voters[len(current.Voters)-1].Nodes
 	for i, voter := range nodes {
-		if voter.Address == w.nodes[out].address {
+		if voter.Address == r.nodes[out].address {
 			nodes[i] = &tierpb.Node{
-				Address: w.nodes[in].address, Identity: standby.acceptor.Identity(), Role: tierpb.Role_ROLE_COORDINATOR,
+				Address: r.nodes[in].address, Identity: standby.acceptor.Identity(), Role: tierpb.Role_ROLE_COORDINATOR,
 			}
 		}
 	}
@@ -147,31 +147,31 @@
 }
 
 func (o *operation) end(state *tierpb.ControlState, err error) {
-	o.world.mu.Lock()
+	o.run.mu.Lock()
 	o.state, o.err, o.ended = state, err, true
-	o.world.finished++
-	o.world.mu.Unlock()
+	o.run.finished++
+	o.run.mu.Unlock()
 }
 
 func (o *operation) result() string {
 	switch {
 	case o.err == nil:
-		return fmt.Sprintf("%s: done, %s", o, o.world.stateName(o.state))
+		return fmt.Sprintf("%s: done, %s", o, o.run.stateName(o.state))
 	case errors.Is(o.err, errConflict):
 		return fmt.Sprintf("%s: conflict", o)
-	case isRefusedByFence(o.err):
-		return fmt.Sprintf("%s: refused, %v", o, o.err)
+	case isFenced(o.err):
+		return fmt.Sprintf("%s: rejected, %v", o, o.err)
 	case errors.Is(o.err, register.ErrUnavailable):
 		return fmt.Sprintf("%s: unavailable", o)
 	}
-	return fmt.Sprintf("%s: end unknown", o)
+	return fmt.Sprintf("%s: outcome unknown", o)
 }
 
-// putFunc takes an order as a coordinator does: one that was taken before changes nothing, one that builds on another
-// generation is refused.
+// putFunc applies a configuration change as a coordinator does: a change that is committed already is acknowledged again,
+// one that builds on another generation is rejected.
 func putFunc(from, to uint64) register.ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		if wasTaken(current, to) {
+		if isCommitted(current, to) {
 			return current, nil
 		}
 		if current.GetConfiguration().GetGeneration() != from {
@@ -183,9 +183,9 @@
 	}
 }
 
-func wasTaken(state *tierpb.ControlState, generation uint64) bool {
-	for _, taken := range state.GetCommittedChanges() {
-		if taken.Generation == generation {
+func isCommitted(state *tierpb.ControlState, generation uint64) bool {
+	for _, committed := range state.GetCommittedChanges() {
+		if committed.Generation == generation {
 			return true
 		}
 	}
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -18,61 +18,61 @@
 
 // node is a machine with at most one process.
 type node struct {
-	number  int
-	address string
-	machine *simulation.Machine
-	fate    *fate
-	process *process // nil while none runs
-	disks   int      // lost so far
-	cut     bool
-	deaf    bool      // hears nothing and is heard
-	frozen  time.Time // until when the process is frozen
+	number             int
+	address            string
+	machine            *simulation.Machine
+	powerLossSource    *powerLossSource
+	process            *process // nil while none runs
+	disks              int      // number of disks lost so far
+	partitioned        bool
+	inboundPartitioned bool      // receives nothing, and its own messages arrive
+	frozen             time.Time // until when the process is frozen
 }
 
-// process is one life of a coordinator: its acceptor, proposer, and where the scenario has it the lease.
+// process is one incarnation of a coordinator: its acceptor, its proposer, and the lease if the scenario has it.
 type process struct {
-	world    *world
-	node     *node
-	life     *simulation.Incarnation
-	ctx      context.Context
-	cancel   context.CancelFunc
-	acceptor *register.Acceptor
-	proposer *register.Proposer
-	holder   *lease.Candidate
-	acting   chan struct{} // holds one token; its owner acts under the lease
-	tenure   tenure        // used by that owner
-	serving  bool
-	seen     *tierpb.ControlState // accepted value that was checked last, and its ballot
-	seenAt   *tierpb.ProposalNumber
-
-	mu    sync.Mutex
-	known *tierpb.ControlState
-	heard []fact       // what its callers heard, in order
-	open  map[int]fact // requests in hand
-	opens int
+	run            *run
+	node           *node
+	incarnation    *simulation.Incarnation
+	ctx            context.Context
+	cancel         context.CancelFunc
+	acceptor       *register.Acceptor
+	proposer       *register.Proposer
+	candidate      *lease.Candidate
+	leaseToken     chan struct{} // holds one token; its owner may make changes under the lease
+	acquisition    acquisition   // used by the owner of the token
+	serving        bool
+	lastAccepted   *tierpb.ControlState // accepted value that was checked last, and its proposal number
+	lastAcceptedAt *tierpb.ProposalNumber
+
+	mu           sync.Mutex
+	known        *tierpb.ControlState
+	observed     []observation       // replies to its calls, in order
+	openRequests map[int]observation // requests that it is handling, by the number that beginRequest returned
+	requestCount int
 }
 
-// start begins a life on what the node's disk holds. It is done in one step, and says whether it succeeded.
-func (n *node) start(w *world, bootstrap bool) bool {
-	life := n.machine.Start()
-	p := &process{world: w, node: n, life: life, open: make(map[int]fact), acting: make(chan struct{}, 1)}
-	p.acting <- struct{}{}
+// start starts a process on the node's disk in one step, and reports whether it succeeded.
+func (n *node) start(r *run, bootstrap bool) bool {
+	incarnation := n.machine.Start()
+	p := &process{run: r, node: n, incarnation: incarnation, openRequests: make(map[int]observation), leaseToken: make(chan struct{}, 1)}
+	p.leaseToken <- struct{}{}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	var err error
 	p.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{
-		Disk: &disk{Disk: life.Mount(), process: p}, Folder: folder, Address: n.address, Bootstrap: bootstrap, Seeds: w.seeds,
+		Disk: &disk{Disk: incarnation.Mount(), process: p}, Folder: folder, Address: n.address, Bootstrap: bootstrap, Seeds: r.seeds,
 	})
 	if err != nil {
-		life.Stop()
+		incarnation.Stop()
 		p.cancel()
 		return false
 	}
-	w.name(p.acceptor.Identity(), n)
-	p.acceptor.Serve(life.Server)
+	r.name(p.acceptor.Identity(), n)
+	p.acceptor.Serve(incarnation.Server)
 	p.proposer = register.NewProposer(register.ProposerOptions{
 		Caller: &caller{process: p}, Local: p.acceptor, KnownState: p.newestKnown, OnChosen: p.learn, Jitter: half,
 	})
-	if w.scenario.Lease {
+	if r.scenario.Lease {
 		p.startLease(bootstrap)
 	}
 	p.serving = true
@@ -80,39 +80,39 @@
 	return true
 }
 
-// startLease adds the grantor, and on the candidates a holder that runs as long as the process.
+// startLease adds the lessor, and on candidates a lease candidate that runs as long as the process.
 func (p *process) startLease(bootstrap bool) {
 	holdBack := lease.MaxTTL
 	if bootstrap {
 		holdBack = 0
 	}
-	grantor := lease.NewLessor(p.acceptor.Identity(), holdBack)
-	grantor.Serve(p.life.Server)
-	if p.node.number >= p.world.scenario.Candidates {
+	lessor := lease.NewLessor(p.acceptor.Identity(), holdBack)
+	lessor.Serve(p.incarnation.Server)
+	if p.node.number >= p.run.scenario.Candidates {
 		return
 	}
-	p.holder = lease.NewCandidate(lease.CandidateOptions{
-		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: grantor, Jitter: half,
+	p.candidate = lease.NewCandidate(lease.CandidateOptions{
+		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: lessor, Jitter: half,
 		Voters: p.voters,
 	})
-	holder := p.holder
-	p.world.running.Go(func() { holder.Run(p.ctx) })
+	candidate := p.candidate
+	p.run.running.Go(func() { candidate.Run(p.ctx) })
 }
 
-// voters are those of the newest value that the process knows to be chosen, and at the start those that all know.
+// voters returns the voters of the newest value that the process knows to be chosen, and initially the first voters.
 func (p *process) voters() []*tierpb.VoterSet {
 	if known := p.newestKnown(); known != nil {
 		return known.Voters
 	}
-	return p.world.firstVoters
+	return p.run.firstVoters
 }
 
-// half is the middle of what a random wait may be.
+// half replaces a random wait by the middle of its range.
 func half(longest time.Duration) time.Duration { return longest / 2 }
 
-// crash ends the process; of what the disk has not synced all is kept or all is lost.
+// crash ends the process; the unsynced writes of its disk are all kept or all lost.
 func (n *node) crash(keep bool) {
-	n.fate.keep = keep
+	n.powerLossSource.keep = keep
 	n.machine.PowerLoss()
 	n.process.cancel()
 	n.process = nil
@@ -130,7 +130,7 @@
 
 func (p *process) hasEnded() bool {
 	select {
-	case <-p.life.Ended():
+	case <-p.incarnation.Ended():
 		return true
 	default:
 		return false
@@ -143,9 +143,9 @@
 	return p.known
 }
 
-// learn takes over a chosen value, from the proposer or as a watch would bring it.
+// learn takes a chosen value, from the proposer or as a watch would deliver it.
 func (p *process) learn(state *tierpb.ControlState) {
-	p.world.checks.chosen(state)
+	p.run.checks.recordChosen(state)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.known == nil || state.GetVersion() > p.known.GetVersion() {
@@ -153,31 +153,31 @@
 	}
 }
 
-// guess takes over a value of which nobody knows whether it is chosen, only to know whom to ask.
-func (p *process) guess(state *tierpb.ControlState) {
+// assume takes a value that may not be chosen, only to know whom to ask.
+func (p *process) assume(state *tierpb.ControlState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known = state
 }
 
-// hears notes what the process has been told, on which all that it believes rests.
-func (p *process) hears(heard fact) {
+// observe records what the process has received; its volatile state follows from these observations.
+func (p *process) observe(observed observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = append(p.heard, heard)
+	p.observed = append(p.observed, observed)
 }
 
-// handles notes a request that came in; the number returned is for handled.
-func (p *process) handles(request fact) int {
+// beginRequest records a request that has come in; the returned number is for endRequest.
+func (p *process) beginRequest(request observation) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opens++
-	p.open[p.opens] = request
-	return p.opens
+	p.requestCount++
+	p.openRequests[p.requestCount] = request
+	return p.requestCount
 }
 
-func (p *process) handled(number int) {
+func (p *process) endRequest(number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, number)
+	delete(p.openRequests, number)
 }
