--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 
 	"pulleygw.example/pulleygw/internal/tier/changelog"
+	"pulleygw.example/pulleygw/internal/tier/coordinator/draining"
 	"pulleygw.example/pulleygw/internal/tier/failpoint"
-	"pulleygw.example/pulleygw/internal/tier/lease"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/settings"
@@ -71,12 +71,10 @@
 
 type process struct {
 	*coordinator
-	points   *stops
-	handler  http.Handler
-	acceptor *register.Acceptor
-	grantor  *lease.Lessor
-	stop     context.CancelFunc
-	done     *sync.WaitGroup
+	points  *stops
+	handler http.Handler
+	stop    context.CancelFunc
+	done    *sync.WaitGroup
 }
 
 // inCluster runs a test with coordinators core-1 to core-count, of which the first three are the seeds.
@@ -135,26 +133,20 @@
 		Name: m.name, Address: m.address, Zone: own.Zone, Role: tierpb.Role_ROLE_COORDINATOR,
 		Identity: acceptor.Identity(), Control: own.Listen.Control,
 	}
-	coordinator := newCoordinator(settings.Fixed(own), c.log(m.name), self, &caller{from: m})
-	coordinator.now, coordinator.directory.now = m.now, m.now
-	coordinator.directory.started = m.now()
-	coordinator.history, err = changelog.OpenSegmentStore(disk, ordersFolder)
+	history, err := changelog.OpenSegmentStore(disk, changesFolder)
+	assert.NilError(c.t, err)
+	drains, err := draining.OpenTable(disk, draining.Folder)
 	assert.NilError(c.t, err)
-	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
 	points := &stops{}
-	coordinator.faults = &failpoint.Points{ShouldStop: points.pass}
-	coordinator.useRegister(acceptor)
-	p := &process{coordinator: coordinator, points: points, handler: coordinator.routes(), acceptor: acceptor, done: &sync.WaitGroup{}}
-	p.grantor = coordinator.newGrantor(acceptor)
-	holder := coordinator.newHolder(p.grantor)
+	coordinator := newCoordinator(options{
+		live: settings.Fixed(own), log: c.log(m.name), self: self, caller: &caller{from: m}, now: m.now,
+		faults: &failpoint.Points{ShouldStop: points.pass}, acceptor: acceptor, history: history, drains: drains,
+	})
+	p := &process{coordinator: coordinator, points: points, handler: coordinator.api.Handler(), done: &sync.WaitGroup{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	parts := []func(context.Context){
-		coordinator.follow, coordinator.learnFirst, coordinator.keepJoining, coordinator.runMaintenance, coordinator.keepOrders,
-		coordinator.keepPlaced, c.candidacy(name, holder),
-	}
-	for _, part := range parts {
-		p.done.Go(func() { part(ctx) })
+	for _, run := range append(coordinator.loops(), c.candidacy(name, coordinator.candidate)) {
+		p.done.Go(func() { run(ctx) })
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +175,7 @@
 			p.done.Wait()
 		}
 	}
-	c.pass(announceEffort + time.Second) // announcements under way end by themselves
+	c.pass(draining.AnnounceTimeout + time.Second) // announcements under way end by themselves
 }
 
 func (c *cluster) at(name string) *process {
@@ -240,7 +232,7 @@
 func (c *cluster) joinStore(request *tierpb.JoinRequest) {
 	for name := range c.machines {
 		if p := c.at(name); p != nil {
-			_, err := p.takeJoin(context.Background(), request.CloneVT())
+			_, err := p.membership.HandleJoin(context.Background(), request.CloneVT())
 			assert.NilError(c.t, err)
 		}
 	}
@@ -248,7 +240,7 @@
 
 // poll asks a coordinator as a follower of a role that knows nothing yet.
 func (p *process) poll(request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
-	return p.watch(context.Background(), request)
+	return p.membership.HandleWatch(context.Background(), request)
 }
 
 var _ watch.Source = (*watch.State)(nil)
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/contact_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"net/http"
-	"net/http/httptest"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
+	"pulleygw.example/pulleygw/internal/tier/coordinator/membership"
 	"pulleygw.example/pulleygw/internal/tier/settings"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 	"pulleygw.example/pulleygw/internal/tier/watch"
@@ -84,7 +84,7 @@
 			if time.Since(began) > 5*callDelay {
 				waited++
 			}
-			c.at("core-1").announced.forget(func(string) bool { return false }) // each is told anew
+			c.at("core-1").announcer.Forget(func(string) bool { return false }) // each is told anew
 			assert.Equal(t, c.at("core-3").readiness(), http.StatusOK)
 			changed = changed || c.at("core-1").state.Control().Epoch > 1
 			c.pass(10 * time.Millisecond)
@@ -111,35 +111,14 @@
 		assert.Equal(t, one.beat("ready", 7), http.StatusServiceUnavailable)
 		_, err = one.poll(&tierpb.WatchRequest{Follower: agent, Incarnation: news.Incarnation, Cursor: news.Cursor})
 		assert.ErrorIs(t, err, watch.ErrNotReady)
-		one.markSilent()
-		assert.Equal(t, one.state.Instance("i-1").State, ready, "marked by a look at old news")
+		one.instances.check()
+		assert.Equal(t, one.state.Instance("i-1").State, stateReady, "marked by a look at old news")
 		c.pass(2 * time.Second)
 		assert.Equal(t, one.readiness(), http.StatusOK)
 		assert.Equal(t, one.beat("ready", 8), http.StatusOK)
 	})
 }
 
-// The bound itself, to the nanosecond: two voters answered a poll that was sent at one time.
-func TestContactCountsUpToItsBound(t *testing.T) {
-	for _, test := range []struct {
-		age    time.Duration
-		status int
-	}{{0, http.StatusOK}, {contactMost, http.StatusOK}, {contactMost + 1, http.StatusServiceUnavailable}} {
-		now := time.Unix(1_000_000, 0)
-		c := newCoordinator(settings.Fixed(&settings.Settings{}), hclog.NewNullLogger(), &tierpb.Node{Identity: 1}, nil)
-		c.now = func() time.Time { return now }
-		c.directory.now = c.now
-		voters := &tierpb.VoterSet{Nodes: []*tierpb.Node{{Identity: 1}, {Identity: 2}, {Identity: 3}}}
-		c.state.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{voters}})
-		c.answered("10.0.2.1:7000", &tierpb.WatchReply{Incarnation: 9, Responder: &tierpb.Responder{Identity: 2}}, now)
-		c.directory.answering("10.0.2.1:7000", true)
-		now = now.Add(test.age)
-		recorder := httptest.NewRecorder()
-		c.routes().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/v1/readyz", nil))
-		assert.Equal(t, recorder.Code, test.status, "after %v", test.age)
-	}
-}
-
 // Polls that are all answered just in time never let contact lapse.
 func TestContactLastsWithPollsThatAreAnsweredJustInTime(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
@@ -174,80 +153,44 @@
 		assert.Assert(t, accepted.Accepted)
 		began := time.Now()
 		assert.Equal(t, c.at("core-1").beat("draining", 1), http.StatusServiceUnavailable)
-		c.pass(contactMost - time.Since(began))
+		c.pass(membership.ContactTimeout - time.Since(began))
 		assert.Equal(t, c.at("core-1").readiness(), http.StatusServiceUnavailable)
 		assert.Equal(t, c.at("core-1").beat("draining", 2), http.StatusServiceUnavailable)
 		assert.Equal(t, two.readiness(), http.StatusServiceUnavailable)
 	})
 }
 
-// What a feed tells of later voters neither renews contact nor ends what there is of it, also where the identity is told
-// again; another process at the address has its own.
-func TestContactBelongsToAFeed(t *testing.T) {
-	now := time.Unix(1_000_000, 0)
-	c := newCoordinator(settings.Fixed(&settings.Settings{}), hclog.NewNullLogger(), &tierpb.Node{Identity: 1}, nil)
-	c.directory.now = func() time.Time { return now }
-	const address = "10.0.2.1:7000"
-	c.directory.answering(address, true)
-	reply := func(feed, identity, epoch uint64) *tierpb.WatchReply {
-		return &tierpb.WatchReply{Incarnation: feed, Responder: &tierpb.Responder{Identity: identity, Epoch: epoch}}
-	}
-	c.answered(address, reply(5, 2, 0), now)
-	assert.Assert(t, c.hasContact(2))
-	now = now.Add(contactMost)
-	c.answered(address, reply(5, 2, 7), now)
-	assert.Assert(t, c.hasContact(2), "ended before its time")
-	now = now.Add(1)
-	assert.Assert(t, !c.hasContact(2), "renewed by one that knows of later voters")
-	c.answered(address, reply(5, 0, 0), now)
-	assert.Assert(t, c.hasContact(2))
-	c.answered(address, reply(6, 0, 0), now)
-	assert.Assert(t, c.hasContact(2), "of the life before, whose poll was answered")
-	c.answered(address, reply(6, 3, 0), now)
-	assert.Assert(t, c.hasContact(3) && !c.hasContact(2))
-}
-
-// Voters that this process accepted and that were not chosen are none once it knows what was chosen in their version.
-func TestVotersThatLostOutAreForgotten(t *testing.T) {
-	c := newCoordinator(settings.Fixed(&settings.Settings{}), hclog.NewNullLogger(), &tierpb.Node{Identity: 1}, nil)
-	state := func(version, epoch uint64) *tierpb.ControlState {
-		return &tierpb.ControlState{Version: version, Epoch: epoch, Voters: []*tierpb.VoterSet{{}}}
-	}
-	accepted := state(3, 2)
-	c.accepted = func() *tierpb.ControlState { return accepted }
-	assert.Equal(t, c.newestVoters().Epoch, uint64(2))
-	c.state.SetControl(state(2, 1))
-	assert.Equal(t, c.newestVoters().Epoch, uint64(2), "they may have been chosen")
-	c.state.SetControl(state(3, 1))
-	assert.Equal(t, c.newestVoters().Epoch, uint64(1))
-	assert.Equal(t, c.answerer(&tierpb.WatchRequest{Incarnation: 1}, &tierpb.WatchReply{Incarnation: 1}).GetEpoch(), uint64(0))
-}
-
 // A freeze that is shorter than contact lasts is no silence of stores that call often.
 func TestShortFreezeMarksNoStoreSilent(t *testing.T) {
 	const period = 500 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
 	own := &settings.Settings{HeartbeatMs: int(period / time.Millisecond)}
-	c := newCoordinator(settings.Fixed(own), hclog.NewNullLogger(), &tierpb.Node{Identity: 1}, nil)
-	c.now = func() time.Time { return now }
-	c.directory.now = c.now
+	clock := func() time.Time { return now }
+	state := watch.NewState()
+	members := membership.New(membership.Options{
+		Self: &tierpb.Node{Identity: 1}, State: state, Accepted: func() *tierpb.ControlState { return nil },
+		Seeds: own.SeedCoordinators, Log: hclog.NewNullLogger(), Now: clock,
+	})
+	monitor := newInstanceMonitor(instanceMonitorOptions{
+		heartbeat: heartbeatPeriod(own), state: state, inContact: members.InContact, log: hclog.NewNullLogger(), now: clock,
+	})
 	voters := &tierpb.VoterSet{Nodes: []*tierpb.Node{{Identity: 1}}}
-	c.state.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{voters}})
-	look := func(sequence uint64) tierpb.InstanceState {
-		c.state.Upsert(&tierpb.Instance{Id: "i-1", Sequence: sequence})
-		c.markSilent()
-		return c.state.Instance("i-1").State
+	state.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{voters}})
+	check := func(sequence uint64) tierpb.InstanceState {
+		state.Upsert(&tierpb.Instance{Id: "i-1", Sequence: sequence})
+		monitor.check()
+		return state.Instance("i-1").State
 	}
 	sequence := uint64(1)
 	for ; sequence < 20; sequence++ {
-		assert.Equal(t, look(sequence), ready)
-		now = now.Add(silenceInterval)
+		assert.Equal(t, check(sequence), stateReady)
+		now = now.Add(failureCheckInterval)
 	}
-	now = now.Add(contactMost - silenceInterval) // nothing was heard, nor could be
-	assert.Equal(t, look(sequence-1), ready)
-	for range 3 * int(5*period/silenceInterval) {
-		now = now.Add(silenceInterval)
-		look(sequence - 1)
+	now = now.Add(membership.ContactTimeout - failureCheckInterval) // nothing was heard, nor could be
+	assert.Equal(t, check(sequence-1), stateReady)
+	for range 3 * int(5*period/failureCheckInterval) {
+		now = now.Add(failureCheckInterval)
+		check(sequence - 1)
 	}
-	assert.Equal(t, look(sequence-1), silent, "a store that says nothing once the process runs again")
+	assert.Equal(t, check(sequence-1), stateSuspect, "a store that says nothing once the process runs again")
 }
--- /dev/null
+++ b/internal/tier/coordinator/controlapi/invariant_test.go
@@ -0,0 +1,5 @@
+package controlapi
+
+import "pulleygw.example/pulleygw/internal/tier/invariant"
+
+func init() { invariant.FailTests() }
--- a/internal/tier/coordinator/retirement.go
+++ b/internal/tier/coordinator/controlapi/retirement.go
@@ -1,4 +1,4 @@
-package coordinator
+package controlapi
 
 import (
 	"fmt"
@@ -7,26 +7,27 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// retirementsKept is how many retirements the register remembers.
-const retirementsKept = 256
+// maxRetirements is how many retirements the register remembers, the newest.
+const maxRetirements = 256
 
-// retirement is an operator's order to empty a turn store's machine.
+// retirement is an operator's request to empty a turn store's machine.
 type retirement struct {
-	node      string
-	tolerance int
-	waiting   *tierpb.Node // a turn store of that name that is no member yet; may be nil
+	node      string       // name of the machine
+	tolerance int          // how many turn stores may be lost at once
+	pending   *tierpb.Node // a turn store of that name that is no member yet; may be nil
 }
 
-// change takes the machine out of the members; its records move while the members before keep being asked. An order
-// given again changes nothing. Whether the machine is empty is for the placement to say, never for the order.
-func (r *retirement) change(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+// apply is a register.ChangeFunc. It takes the machine out of the members; its records move while the members before keep
+// being asked. A request sent again changes nothing. Whether the machine is empty is for the placement to say, never for
+// the request.
+func (r *retirement) apply(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	member := nodeNamed(current.GetStores().GetCurrent(), r.node)
 	if member == nil {
-		return r.changeOutside(current)
+		return r.applyOutside(current)
 	}
 	stores := current.Stores
-	if left := len(stores.Current) - 1; left < r.least() {
-		return nil, r.tooFew(left)
+	if left := len(stores.Current) - 1; left < r.minMembers() {
+		return nil, r.tooFewMembers(left)
 	}
 	if len(stores.Previous) == 0 {
 		stores.Previous = stores.Current
@@ -37,11 +38,11 @@
 	return current, nil
 }
 
-// changeOutside notes the order for a machine whose store is no member now: it waits to become one, or it was one
+// applyOutside records the request for a machine whose store is no member now: it asks to become one, or it was one
 // until lately and may hold what still moves.
-func (r *retirement) changeOutside(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+func (r *retirement) applyOutside(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	stores := current.GetStores()
-	node := r.waiting
+	node := r.pending
 	if node == nil {
 		node = nodeNamed(stores.GetPrevious(), r.node)
 	}
@@ -51,23 +52,23 @@
 		return current, nil
 	case node == nil:
 		return nil, result.New(result.UnknownMachine, fmt.Sprintf("no turn store is named %q", r.node))
-	case len(stores.GetCurrent()) < r.least(): // members wait for it
-		return nil, r.tooFew(len(stores.GetCurrent()))
+	case len(stores.GetCurrent()) < r.minMembers(): // members wait for it
+		return nil, r.tooFewMembers(len(stores.GetCurrent()))
 	}
 	addRetirement(current, &tierpb.Retirement{Node: r.node, Identity: node.Identity})
 	return current, nil
 }
 
-// least is the number of turn stores that bears the loss of as many as are tolerated.
-func (r *retirement) least() int { return 2*r.tolerance + 1 }
+// minMembers is the number of turn stores that bears the loss of as many as are tolerated.
+func (r *retirement) minMembers() int { return 2*r.tolerance + 1 }
 
-func (r *retirement) tooFew(left int) error {
-	return result.New(result.TooFewMachines, fmt.Sprintf("%d turn stores are members without it, want %d", left, r.least()))
+func (r *retirement) tooFewMembers(left int) error {
+	return result.New(result.TooFewMachines, fmt.Sprintf("%d turn stores are members without it, want %d", left, r.minMembers()))
 }
 
 func addRetirement(current *tierpb.ControlState, added *tierpb.Retirement) {
 	current.Retirements = append(current.Retirements, added)
-	if excess := len(current.Retirements) - retirementsKept; excess > 0 {
+	if excess := len(current.Retirements) - maxRetirements; excess > 0 {
 		current.Retirements = current.Retirements[excess:]
 	}
 }
--- a/internal/tier/coordinator/retirement_test.go
+++ b/internal/tier/coordinator/controlapi/retirement_test.go
@@ -1,7 +1,8 @@
-package coordinator
+package controlapi
 
 import (
 	"errors"
+	"fmt"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -10,6 +11,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
+func storeNode(number int) *tierpb.Node {
+	return &tierpb.Node{
+		Name: fmt.Sprintf("store-%d", number), Address: fmt.Sprintf("10.5.0.%d:7001", number),
+		Role: tierpb.Role_ROLE_TURN_STORE, Identity: uint64(1000 + number),
+	}
+}
+
 func storeNodes(numbers ...int) []*tierpb.Node {
 	var nodes []*tierpb.Node
 	for _, number := range numbers {
@@ -28,27 +36,27 @@
 // A store that was abandoned and asks to join again is no member, and may hold the only copy of what moves.
 func TestRetirementOfAPreviousMemberIsNotCompletedAtOnce(t *testing.T) {
 	stores := &tierpb.StoreMembership{Epoch: 2, Current: storeNodes(1, 2, 3), Previous: storeNodes(1, 2, 3, 4)}
-	for _, waiting := range []*tierpb.Node{nil, storeNode(4)} {
+	for _, pending := range []*tierpb.Node{nil, storeNode(4)} {
 		state := &tierpb.ControlState{Stores: stores.CloneVT()}
-		order := &retirement{node: "store-4", tolerance: 1, waiting: waiting}
-		state, err := order.change(state)
+		request := &retirement{node: "store-4", tolerance: 1, pending: pending}
+		state, err := request.apply(state)
 		assert.NilError(t, err)
 		expectRetirement(t, state, storeNode(4).Identity, false)
-		state, err = order.change(state)
+		state, err = request.apply(state)
 		assert.NilError(t, err)
-		assert.Equal(t, len(state.Retirements), 1, "the order sent again")
+		assert.Equal(t, len(state.Retirements), 1, "the request sent again")
 	}
 }
 
 // A machine that was emptied and comes again is not empty for long.
-func TestRetirementOfAMachineThatCameAgainIsAnOrderOfItsOwn(t *testing.T) {
+func TestRetirementOfAMachineThatCameAgainIsARequestOfItsOwn(t *testing.T) {
 	came := storeNode(4)
 	came.Identity = 40
 	state := &tierpb.ControlState{
 		Stores:      &tierpb.StoreMembership{Epoch: 3, Current: storeNodes(1, 2, 3)},
 		Retirements: []*tierpb.Retirement{{Node: "store-4", Identity: storeNode(4).Identity, Completed: true}},
 	}
-	state, err := (&retirement{node: "store-4", tolerance: 1, waiting: came}).change(state)
+	state, err := (&retirement{node: "store-4", tolerance: 1, pending: came}).apply(state)
 	assert.NilError(t, err)
 	expectRetirement(t, state, came.Identity, false)
 	assert.Equal(t, len(state.Retirements), 2)
@@ -59,8 +67,8 @@
 		Stores:      &tierpb.StoreMembership{Epoch: 3, Current: storeNodes(1, 2, 3)},
 		Retirements: []*tierpb.Retirement{{Node: "store-4", Identity: storeNode(4).Identity, Completed: true}},
 	}
-	for _, waiting := range []*tierpb.Node{nil, storeNode(4)} {
-		next, err := (&retirement{node: "store-4", tolerance: 1, waiting: waiting}).change(state)
+	for _, pending := range []*tierpb.Node{nil, storeNode(4)} {
+		next, err := (&retirement{node: "store-4", tolerance: 1, pending: pending}).apply(state)
 		assert.NilError(t, err)
 		assert.Equal(t, len(next.Retirements), 1)
 		expectRetirement(t, next, storeNode(4).Identity, true)
@@ -71,11 +79,11 @@
 	state := &tierpb.ControlState{Stores: &tierpb.StoreMembership{
 		Epoch: 2, Current: storeNodes(1, 2, 3), Previous: storeNodes(1, 2, 3, 4),
 	}}
-	_, err := (&retirement{node: "store-3", tolerance: 1}).change(state)
-	var refused *result.Error
-	assert.Assert(t, errors.As(err, &refused))
+	_, err := (&retirement{node: "store-3", tolerance: 1}).apply(state)
+	var rejection *result.Error
+	assert.Assert(t, errors.As(err, &rejection))
 	state.Stores.Current = storeNodes(1, 2, 3, 5)
-	state, err = (&retirement{node: "store-3", tolerance: 1}).change(state)
+	state, err = (&retirement{node: "store-3", tolerance: 1}).apply(state)
 	assert.NilError(t, err)
 	assert.Equal(t, len(state.Stores.Previous), 4, "the set that was whole last")
 	assert.Equal(t, len(state.Stores.Current), 3)
--- a/internal/tier/coordinator/retire.go
+++ b/internal/tier/coordinator/controlapi/retirements.go
@@ -1,4 +1,4 @@
-package coordinator
+package controlapi
 
 import (
 	"context"
@@ -17,57 +17,58 @@
 	retirementCompleted = "completed"
 )
 
-// retirementOrder is the body of an order to empty a machine.
-type retirementOrder struct {
+// retirementRequest is the body of a request to empty a machine.
+type retirementRequest struct {
 	DeadlineS float64 `json:"deadlineS"`
 }
 
+// retirementBody answers a retirement.
 type retirementBody struct {
 	State string `json:"state"`
 }
 
-func (c *coordinator) postRetirement(w http.ResponseWriter, r *http.Request) {
-	body, refused := readBody(w, r, maximumOrderBytes)
-	if refused != nil {
-		result.Write(w, refused)
+func (a *API) postRetirement(w http.ResponseWriter, r *http.Request) {
+	body, rejection := readBody(w, r, maxRetirementBytes)
+	if rejection != nil {
+		result.Write(w, rejection)
 		return
 	}
-	if err := json.Unmarshal(body, &retirementOrder{}); err != nil && len(body) > 0 {
+	if err := json.Unmarshal(body, &retirementRequest{}); err != nil && len(body) > 0 {
 		result.Write(w, result.New(result.InvalidRetirement, err.Error()))
 		return
 	}
 	name := chi.URLParam(r, "node")
-	sent := &retirement{
-		node: name, tolerance: c.live.Current().FaultTolerance.Members(), waiting: c.directory.waitingStore(name),
+	requested := &retirement{
+		node: name, tolerance: a.options.Live.Current().FaultTolerance.Members(), pending: a.options.Membership.PendingStore(name),
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), c.patienceFor(0))
+	ctx, cancel := context.WithTimeout(r.Context(), a.timeoutFor(0))
 	defer cancel()
-	chosen, err := c.register.Change(ctx, sent.change)
+	chosen, err := a.options.Register.Change(ctx, requested.apply)
 	if err != nil {
-		c.log.Info("retirement not taken", "node", name, "reason", err)
-		result.Write(w, c.retirementRefusal(err))
+		a.options.Log.Info("retirement not committed", "node", name, "reason", err)
+		result.Write(w, a.retirementError(err))
 		return
 	}
-	c.log.Info("retirement taken", "node", name)
+	a.options.Log.Info("retirement committed", "node", name)
 	writeRetirement(w, findRetirement(chosen, name))
 }
 
-// retirementRefusal is the answer to an order that failed. Whether a machine that is no member is known rests on its
+// retirementError is the answer to a request that failed. Whether a machine that is no member is known rests on its
 // calls, of which a coordinator that has just started has had none.
-func (c *coordinator) retirementRefusal(err error) *result.Error {
-	refusal := resultOf(err)
-	if refusal.Code == result.UnknownMachine && c.starting() {
+func (a *API) retirementError(err error) *result.Error {
+	failure := resultOf(err)
+	if failure.Code == result.UnknownMachine && a.options.Membership.Starting() {
 		return result.New(result.NotReady, "")
 	}
-	return refusal
+	return failure
 }
 
 // getRetirement reads the register: the operator takes a machine away on what this answers, with its disk.
-func (c *coordinator) getRetirement(w http.ResponseWriter, r *http.Request) {
+func (a *API) getRetirement(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "node")
-	ctx, cancel := context.WithTimeout(r.Context(), c.patienceFor(0))
+	ctx, cancel := context.WithTimeout(r.Context(), a.timeoutFor(0))
 	defer cancel()
-	current, err := c.register.Read(ctx)
+	current, err := a.options.Register.Read(ctx)
 	if err != nil {
 		result.Write(w, resultOf(err))
 		return
@@ -75,8 +76,8 @@
 	writeRetirement(w, retirementInForce(current, name))
 }
 
-// retirementInForce returns the newest retirement of a machine, nil where there is none: an order that was completed
-// is not about a machine of that name which came again and holds records.
+// retirementInForce returns the newest retirement of a machine, nil where there is none: one that was completed is not
+// about a machine of that name which came again and holds records.
 func retirementInForce(current *tierpb.ControlState, name string) *tierpb.Retirement {
 	found := findRetirement(current, name)
 	stores := current.GetStores()
@@ -89,7 +90,7 @@
 func writeRetirement(w http.ResponseWriter, found *tierpb.Retirement) {
 	switch {
 	case found == nil:
-		result.Write(w, result.New(result.RetirementNotKnown, ""))
+		writeError(w, result.RetirementNotKnown)
 	case found.Completed:
 		writeJSON(w, retirementBody{State: retirementCompleted})
 	default:
--- a/internal/tier/coordinator/cutoff_test.go
+++ b/internal/tier/coordinator/cutoff_test.go
@@ -7,6 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"pulleygw.example/pulleygw/internal/tier/coordinator/membership"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
@@ -77,7 +78,7 @@
 			c.start(name, false)
 		}
 		c.pass(2 * time.Second)
-		assert.DeepEqual(t, c.states("core-2"), []tierpb.InstanceState{draining}) // from its disk, not from core-1
+		assert.DeepEqual(t, c.states("core-2"), []tierpb.InstanceState{stateDraining}) // from its disk, not from core-1
 		assert.Equal(t, c.at("core-1").beat("draining", 3), http.StatusServiceUnavailable)
 		assert.Equal(t, c.at("core-2").beat("draining", 3), http.StatusOK, "the store goes on to the next")
 		c.isolate("core-1", false)
@@ -99,7 +100,7 @@
 		c.start("core-1", false)
 		c.pass(100 * time.Millisecond)
 		assert.Equal(t, post("core-1"), http.StatusServiceUnavailable)
-		c.storesRun(startPatience, "core-2", storeNode(1))
+		c.storesRun(membership.StartupGrace, "core-2", storeNode(1))
 		assert.Equal(t, post("core-1"), http.StatusConflict)
 	})
 }
@@ -138,7 +139,7 @@
 				}
 			}
 			for _, name := range apart {
-				assert.Equal(t, c.at(name).state.Instance("i-1").State, silent, name)
+				assert.Equal(t, c.at(name).state.Instance("i-1").State, stateSuspect, name)
 			}
 		})
 	}
--- a/internal/tier/coordinator/departures_test.go
+++ b/internal/tier/coordinator/departures_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net/http"
-	"sync"
 	"testing"
 	"time"
 
@@ -32,12 +30,12 @@
 			}
 			c.pass(time.Second)
 			for _, name := range names {
-				assert.DeepEqual(t, c.states(name), []tierpb.InstanceState{gone})
+				assert.DeepEqual(t, c.states(name), []tierpb.InstanceState{stateDeregistered})
 			}
 			fresh := c.startEdge("edge", names...)
 			defer fresh.stop()
 			c.pass(time.Second)
-			assert.Equal(t, fresh.state.Instance("i-1").GetState(), gone)
+			assert.Equal(t, fresh.state.Instance("i-1").GetState(), stateDeregistered)
 		})
 	}
 }
@@ -59,7 +57,7 @@
 				c.start(name, false)
 			}
 			c.pass(5 * time.Second)
-			assert.DeepEqual(t, c.states(names...), []tierpb.InstanceState{gone, gone, gone})
+			assert.DeepEqual(t, c.states(names...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
 		})
 	}
 }
@@ -89,31 +87,3 @@
 		assert.Equal(t, status, http.StatusOK)
 	})
 }
-
-// Of stores that leave together each is on disk when it is acknowledged, and one that the list has forgotten is dropped.
-func TestDeparturesAreReadBack(t *testing.T) {
-	disk := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.Traits{}).
-		NewMachine("10.0.0.1:1", rand.New(rand.NewPCG(1, 2))).Start().Mount()
-	kept, err := openDepartures(disk, departuresFolder)
-	assert.NilError(t, err)
-	var group sync.WaitGroup
-	for number := range 50 {
-		group.Go(func() {
-			assert.Check(t, kept.hold(&tierpb.Instance{Id: fmt.Sprint(number), State: tierpb.InstanceState_INSTANCE_DRAINING}) == nil)
-			assert.Check(t, kept.hold(&tierpb.Instance{Id: fmt.Sprint(number), State: gone}) == nil)
-			assert.Check(t, kept.hold(&tierpb.Instance{Id: fmt.Sprint(number), State: tierpb.InstanceState_INSTANCE_DRAINING}) == nil)
-		})
-	}
-	group.Wait()
-	read, err := openDepartures(disk, departuresFolder)
-	assert.NilError(t, err)
-	assert.Equal(t, len(read.all()), 50)
-	for _, instance := range read.all() {
-		assert.Equal(t, instance.State, gone)
-	}
-	read.forget(func(id string) bool { return id == "7" })
-	assert.NilError(t, read.hold(&tierpb.Instance{Id: "more", State: gone}))
-	read, err = openDepartures(disk, departuresFolder)
-	assert.NilError(t, err)
-	assert.Equal(t, len(read.all()), 2)
-}
--- a/internal/tier/coordinator/fence_test.go
+++ b/internal/tier/coordinator/fence_test.go
@@ -95,7 +95,7 @@
 	c.t.Helper()
 	for range 100 {
 		for name := range c.machines {
-			if p := c.at(name); p != nil && p.lease.OwnsLease() {
+			if p := c.at(name); p != nil && p.candidate.OwnsLease() {
 				return name
 			}
 		}
@@ -187,7 +187,7 @@
 		c.pass(5 * time.Second)
 		c.isolate("core-4", false)
 		c.pass(3 * time.Second)
-		assert.Assert(t, c.at("core-4").lease.OwnsLease(), "acquired anew")
+		assert.Assert(t, c.at("core-4").candidate.OwnsLease(), "acquired anew")
 		frozen.thaw()
 		c.pass(5 * time.Second)
 		assert.DeepEqual(t, c.voterNames("core-1"), []string{"core-1", "core-2", "core-3"})
@@ -205,12 +205,12 @@
 			return current, nil
 		})
 		assert.NilError(t, err)
-		tenure := c.at("core-1").lease.Acquisition()
+		tenure := c.at("core-1").candidate.Acquisition()
 		c.storesRun(2*time.Second, "core-1", storeNode(1), storeNode(2), storeNode(3))
 		c.storesRun(3*time.Second, "core-1", storeNode(1), storeNode(2), storeNode(3))
 		current, _ := c.members("core-2")
 		assert.DeepEqual(t, current, []string{"store-1", "store-2", "store-3"})
-		assert.Assert(t, c.at("core-1").lease.Acquisition() > tenure)
+		assert.Assert(t, c.at("core-1").candidate.Acquisition() > tenure)
 		assert.Equal(t, c.term("core-2"), placement.TermOf(chosen).Next(c.at("core-1").self.Identity))
 	})
 }
@@ -219,7 +219,7 @@
 func TestChangeFromAnOldViewIsRefused(t *testing.T) {
 	inClusterLedBy(t, "core-1", 3, 1, func(c *cluster) {
 		p, once, ages := c.at("core-1"), &sync.Once{}, 0
-		tenure := p.lease.Acquisition()
+		tenure := p.candidate.Acquisition()
 		p.points.set(func(passed failpoint.Point) bool {
 			if passed == failpoint.PlacementDecided {
 				ages++
@@ -232,7 +232,7 @@
 		current, _ := c.members("core-2")
 		assert.DeepEqual(t, current, []string{"store-1", "store-2", "store-3"})
 		assert.Equal(t, ages, 2, "the first was refused")
-		assert.Equal(t, p.lease.Acquisition(), tenure, "the lease was not lost")
+		assert.Equal(t, p.candidate.Acquisition(), tenure, "the lease was not lost")
 	})
 }
 
@@ -281,15 +281,3 @@
 		assert.DeepEqual(t, c.voterNames("core-2"), []string{"core-2", "core-3", "core-4"})
 	})
 }
-
-func TestGapInListeningIsNoticed(t *testing.T) {
-	now := time.Unix(1000, 0)
-	l := newListening(func() time.Time { return now })
-	begun := now
-	for range 10 {
-		now = now.Add(longestGap)
-		assert.Equal(t, l.since(), begun)
-	}
-	now = now.Add(longestGap + time.Millisecond)
-	assert.Equal(t, l.since(), now, "it was frozen")
-}
--- a/internal/tier/coordinator/followers_test.go
+++ b/internal/tier/coordinator/followers_test.go
@@ -169,6 +169,6 @@
 		edge := c.startEdge("edge-1", five...)
 		defer edge.stop()
 		c.until(edge, 1, 4*time.Second)
-		assert.Equal(t, edge.state.Instance("i-1").GetState(), ready)
+		assert.Equal(t, edge.state.Instance("i-1").GetState(), stateReady)
 	})
 }
--- a/internal/tier/coordinator/heartbeat_test.go
+++ b/internal/tier/coordinator/heartbeat_test.go
@@ -78,6 +78,6 @@
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, c.at("core-1").beat("ready", 4), http.StatusOK)
 		c.pass(spreadWithin)
-		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{gone, gone, gone})
+		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
 	})
 }
--- a/internal/tier/coordinator/instances_test.go
+++ b/internal/tier/coordinator/instances_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	ready    = tierpb.InstanceState_INSTANCE_READY
-	silent   = tierpb.InstanceState_INSTANCE_SUSPECT
-	draining = tierpb.InstanceState_INSTANCE_DRAINING
-	gone     = tierpb.InstanceState_INSTANCE_DEREGISTERED
+	stateReady        = tierpb.InstanceState_INSTANCE_READY
+	stateSuspect      = tierpb.InstanceState_INSTANCE_SUSPECT
+	stateDraining     = tierpb.InstanceState_INSTANCE_DRAINING
+	stateDeregistered = tierpb.InstanceState_INSTANCE_DEREGISTERED
 )
 
 func heartbeat(state string, sequence int) string {
@@ -52,10 +52,10 @@
 		c.kill("core-2")
 		assert.Equal(t, c.at("core-1").beat("draining", 2), http.StatusOK)
 		c.kill("core-1")
-		assert.DeepEqual(t, c.states("core-3"), []tierpb.InstanceState{draining})
+		assert.DeepEqual(t, c.states("core-3"), []tierpb.InstanceState{stateDraining})
 		c.start("core-2", false)
 		c.pass(2 * time.Second)
-		assert.DeepEqual(t, c.states("core-2"), []tierpb.InstanceState{draining})
+		assert.DeepEqual(t, c.states("core-2"), []tierpb.InstanceState{stateDraining})
 	})
 }
 
@@ -91,17 +91,17 @@
 		all := []string{"core-1", "core-2", "core-3"}
 		assert.Equal(t, c.at("core-1").beat("ready", 3), http.StatusOK)
 		assert.Equal(t, c.at("core-2").beat("draining", 2), http.StatusOK)
-		assert.Assert(t, countOf(draining, c.states(all...)) >= 2, "acknowledged before a majority had it")
+		assert.Assert(t, countOf(stateDraining, c.states(all...)) >= 2, "acknowledged before a majority had it")
 		c.pass(spreadWithin)
-		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{draining, draining, draining})
+		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{stateDraining, stateDraining, stateDraining})
 		status, _ := c.at("core-3").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 		assert.Equal(t, status, http.StatusOK)
-		assert.Assert(t, countOf(gone, c.states(all...)) >= 2, "acknowledged before a majority had it")
+		assert.Assert(t, countOf(stateDeregistered, c.states(all...)) >= 2, "acknowledged before a majority had it")
 		c.pass(spreadWithin)
-		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{gone, gone, gone})
+		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
 		assert.Equal(t, c.at("core-1").beat("ready", 9), http.StatusOK)
 		c.pass(time.Second)
-		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{gone, gone, gone})
+		assert.DeepEqual(t, c.states(all...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
 	})
 }
 
@@ -111,12 +111,12 @@
 			assert.Equal(t, c.at("core-1").beat("ready", sequence), http.StatusOK)
 			c.pass(testHeartbeatMs * time.Millisecond)
 		}
-		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{ready, ready, ready})
+		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{stateReady, stateReady, stateReady})
 		c.pass(4 * testHeartbeatMs * time.Millisecond)
-		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{silent, silent, silent})
+		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{stateSuspect, stateSuspect, stateSuspect})
 		assert.Equal(t, c.at("core-2").beat("ready", 9), http.StatusOK)
 		c.pass(500 * time.Millisecond)
-		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{ready, ready, ready})
+		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{stateReady, stateReady, stateReady})
 	})
 }
 
@@ -126,7 +126,7 @@
 			assert.Equal(t, c.at("core-3").beat("ready", sequence), http.StatusOK)
 			c.pass(testHeartbeatMs * time.Millisecond)
 		}
-		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{ready, ready, ready})
+		assert.DeepEqual(t, c.states("core-1", "core-2", "core-3"), []tierpb.InstanceState{stateReady, stateReady, stateReady})
 	})
 }
 
@@ -161,7 +161,7 @@
 		c.kill("core-1")
 		c.start("core-1", false)
 		c.pass(2 * time.Second)
-		assert.DeepEqual(t, c.states("core-1"), []tierpb.InstanceState{draining})
+		assert.DeepEqual(t, c.states("core-1"), []tierpb.InstanceState{stateDraining})
 	})
 }
 
--- a/internal/tier/coordinator/joint_test.go
+++ b/internal/tier/coordinator/joint_test.go
@@ -222,11 +222,11 @@
 			end()
 			return true
 		})
-		c.at("core-2").handOver(life)
+		c.at("core-2").transfer.Run(life)
 		assert.Assert(t, struck())
 		c.pass(100 * time.Millisecond)
-		assert.Equal(t, len(c.at("core-1").accepted().Voters), 2)
-		c.at("core-1").handOver(context.Background())
+		assert.Equal(t, len(c.at("core-1").acceptor.AcceptedValue().Voters), 2)
+		c.at("core-1").transfer.Run(context.Background())
 		c.kill("core-1")
 		c.pass(1500 * time.Millisecond) // the others find out what was chosen
 		assert.DeepEqual(t, c.voterNames("core-3"), []string{"core-3", "core-4", "core-5"})
@@ -246,7 +246,7 @@
 				close(c.free)
 				c.replaceByEmpty("core-2")
 				c.pass(moment)
-				c.at("core-3").handOver(context.Background())
+				c.at("core-3").transfer.Run(context.Background())
 				c.kill("core-3")
 				c.settled(3, 1)
 			})
@@ -259,7 +259,7 @@
 	inClusterLedBy(t, "core-1", 4, 1, func(c *cluster) {
 		close(c.free)
 		for generation, name := range []string{"core-1", "core-2", "core-3", "core-4", "core-1", "core-2"} {
-			c.at(name).handOver(context.Background())
+			c.at(name).transfer.Run(context.Background())
 			c.kill(name)
 			c.start(name, false)
 			c.pass(time.Second)
@@ -280,7 +280,7 @@
 					c.replaceByEmpty(wiped)
 					return false
 				})
-				c.at("core-2").handOver(context.Background())
+				c.at("core-2").transfer.Run(context.Background())
 				assert.Assert(t, struck())
 				c.kill("core-2")
 				c.settled(3, 1)
--- a/internal/tier/coordinator/membership_test.go
+++ b/internal/tier/coordinator/membership_test.go
@@ -168,7 +168,7 @@
 		c.start("core-4", false)
 		c.pass(2 * time.Second)
 		for _, name := range []string{"core-1", "core-2", "core-3"} {
-			assert.Assert(t, c.at(name).directory.isAnswering(c.machines["core-4"].address), name)
+			assert.Assert(t, c.at(name).membership.IsReachable(c.machines["core-4"].address), name)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 	inCluster(t, 4, 1, func(c *cluster) {
 		assert.Equal(t, c.at("core-4").configured(0, configurationOf(2, "a")), http.StatusOK)
 		c.pass(50 * time.Millisecond)
-		c.at("core-2").handOver(context.Background())
+		c.at("core-2").transfer.Run(context.Background())
 		c.kill("core-2")
 		c.pass(time.Second)
 		assert.DeepEqual(t, c.voterNames("core-1"), []string{"core-1", "core-3", "core-4"})
@@ -188,7 +188,7 @@
 	inCluster(t, 3, 1, func(c *cluster) {
 		assert.Equal(t, c.at("core-1").configured(0, configurationOf(2, "a")), http.StatusOK)
 		c.pass(50 * time.Millisecond)
-		c.at("core-2").handOver(context.Background())
+		c.at("core-2").transfer.Run(context.Background())
 		assert.DeepEqual(t, c.voterNames("core-1"), []string{"core-1", "core-2", "core-3"})
 	})
 }
--- a/internal/tier/coordinator/network_test.go
+++ b/internal/tier/coordinator/network_test.go
@@ -117,15 +117,15 @@
 	case rpc.MethodAccept:
 		return p.acceptor.Accept(decoded(&tierpb.AcceptRequest{}, payload)), nil
 	case rpc.MethodLease:
-		return p.grantor.Handle(decoded(&tierpb.LeaseRequest{}, payload)), nil
+		return p.lessor.Handle(decoded(&tierpb.LeaseRequest{}, payload)), nil
 	case rpc.MethodWatch:
-		return p.watch(ctx, decoded(&tierpb.WatchRequest{}, payload))
+		return p.membership.HandleWatch(ctx, decoded(&tierpb.WatchRequest{}, payload))
 	case rpc.MethodAnnounce:
-		return p.takeAnnounce(ctx, decoded(&tierpb.AnnounceRequest{}, payload))
+		return p.announcer.HandleAnnounce(ctx, decoded(&tierpb.AnnounceRequest{}, payload))
 	case rpc.MethodChangeSegments:
-		return p.takeOrderRuns(ctx, decoded(&tierpb.ChangeSegmentsRequest{}, payload))
+		return p.fetcher.HandleChangeSegments(ctx, decoded(&tierpb.ChangeSegmentsRequest{}, payload))
 	case rpc.MethodJoin:
-		return p.takeJoin(ctx, decoded(&tierpb.JoinRequest{}, payload))
+		return p.membership.HandleJoin(ctx, decoded(&tierpb.JoinRequest{}, payload))
 	}
 	return nil, rpc.ErrRejected
 }
--- a/internal/tier/coordinator/random_placement_test.go
+++ b/internal/tier/coordinator/random_placement_test.go
@@ -131,8 +131,8 @@
 		s.away[name] = back
 	case 2:
 		s.tally.Stops++
-		s.at(name).stopping.Store(true)
-		s.at(name).handOver(context.Background())
+		s.at(name).membership.BeginShutdown()
+		s.at(name).transfer.Run(context.Background())
 		s.kill(name)
 		s.away[name] = back
 	case 3, 4:
@@ -155,7 +155,7 @@
 // holderAmong is the machine that holds the lease where it is not in trouble, else another.
 func (s *placementSchedule) holderAmong(other string) string {
 	for _, name := range s.runningMachines() {
-		if _, found := s.away[name]; !found && s.at(name).lease.OwnsLease() {
+		if _, found := s.away[name]; !found && s.at(name).candidate.OwnsLease() {
 			return name
 		}
 	}
@@ -171,7 +171,7 @@
 		}
 		versions = append(versions, s.at(name).state.Control().GetVersion())
 		if register.IsVoter(s.at(name).state.Control(), s.at(name).self.Identity) {
-			versions = append(versions, s.at(name).accepted().GetVersion())
+			versions = append(versions, s.at(name).acceptor.AcceptedValue().GetVersion())
 		}
 	}
 	return len(slices.Compact(versions)) == 1
--- /dev/null
+++ b/internal/tier/coordinator/register.go
@@ -0,0 +1,33 @@
+package coordinator
+
+import (
+	"context"
+
+	"pulleygw.example/pulleygw/internal/tier/register"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+	"pulleygw.example/pulleygw/internal/tier/watch"
+)
+
+// controlRegister is the proposer that changes the control state, with its changes of voters as methods.
+type controlRegister struct{ *register.Proposer }
+
+// newControlRegister makes a proposer. Whatever it finds to be chosen goes into the state, and into the change history.
+func newControlRegister(o options, state *watch.State) controlRegister {
+	return controlRegister{register.NewProposer(register.ProposerOptions{
+		Caller: o.caller, Local: o.acceptor, KnownState: state.Control, Failpoints: o.faults,
+		OnChosen: func(chosen *tierpb.ControlState) {
+			state.SetControl(chosen)
+			o.history.Observe(chosen)
+		},
+	})}
+}
+
+// ReplaceVoters changes the voters by way of joint voters.
+func (r controlRegister) ReplaceVoters(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
+	return register.Reconfigure(ctx, r.Proposer, change)
+}
+
+// FinishVoters completes a change of voters that was left between its two steps.
+func (r controlRegister) FinishVoters(ctx context.Context) (*tierpb.ControlState, error) {
+	return register.LeaveJoint(ctx, r.Proposer)
+}
--- a/internal/tier/coordinator/stopping_test.go
+++ b/internal/tier/coordinator/stopping_test.go
@@ -14,7 +14,7 @@
 	for _, leader := range []string{"core-1", "core-4"} {
 		t.Run(leader, func(t *testing.T) {
 			inClusterLedBy(t, leader, 5, 1, func(c *cluster) {
-				c.at("core-4").stopping.Store(true)
+				c.at("core-4").membership.BeginShutdown()
 				c.pass(1500 * time.Millisecond)
 				c.kill("core-2")
 				c.pass(4 * time.Second)
--- a/internal/tier/coordinator/trouble_test.go
+++ b/internal/tier/coordinator/trouble_test.go
@@ -119,7 +119,7 @@
 		r.mu.Lock()
 		for id, at := range r.drained {
 			known := edge.state.Instance(id)
-			if known != nil && known.State < draining && at.Before(before) {
+			if known != nil && known.State < stateDraining && at.Before(before) {
 				r.problems = append(r.problems, fmt.Sprintf("an agent has %s as %v", id, known.State))
 			}
 		}
@@ -209,7 +209,7 @@
 	assert.Equal(t, r.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
 	r.pass(2 * time.Second)
 	slices.SortStableFunc(r.names, func(a, b string) int {
-		return boolRank(r.at(b).lease.OwnsLease()) - boolRank(r.at(a).lease.OwnsLease())
+		return boolRank(r.at(b).candidate.OwnsLease()) - boolRank(r.at(a).candidate.OwnsLease())
 	})
 	r.apart = slices.Clone(r.names[:apart])
 	for i := range edgeCount {
@@ -289,8 +289,8 @@
 	for _, name := range r.names {
 		assert.Equal(t, r.at(name).state.Control().Version, control.Version, name)
 		losses := boolRank(slices.Contains(r.apart, name))
-		assert.Equal(t, r.logged(name, "contact with a majority of the voters lost"), losses, name)
-		assert.Equal(t, r.logged(name, "contact with a majority of the voters found"), losses+1, name)
+		assert.Equal(t, r.logged(name, "quorum contact lost"), losses, name)
+		assert.Equal(t, r.logged(name, "quorum contact established"), losses+1, name)
 	}
 	for _, edge := range r.edges {
 		assert.Equal(t, edge.generation(), control.Configuration.Generation)
--- a/internal/tier/rules/promises_test.go
+++ b/internal/tier/rules/promises_test.go
@@ -1,6 +1,7 @@
 package rules
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -47,19 +48,18 @@
 	}
 }
 
-// sourcesBelow joins all sources below a folder but those of tests.
+// sourcesBelow joins all sources below a folder, at any depth, but those of tests.
 func sourcesBelow(t *testing.T, folder string) string {
 	t.Helper()
 	all := strings.Builder{}
-	files, err := filepath.Glob(filepath.Join(folder, "*", "*.go"))
-	assert.NilError(t, err)
-	for _, file := range files {
-		if strings.HasSuffix(file, "_test.go") {
-			continue
+	err := filepath.WalkDir(folder, func(file string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || filepath.Ext(file) != ".go" || strings.HasSuffix(file, "_test.go") {
+			return err
 		}
 		text, err := os.ReadFile(file)
-		assert.NilError(t, err)
 		all.Write(text)
-	}
+		return err
+	})
+	assert.NilError(t, err)
 	return all.String()
 }
