--- a/internal/tier/coordinator/catchup_test.go
+++ b/internal/tier/coordinator/catch_up_test.go
@@ -16,8 +16,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// manyRoutes is a configuration of 350 routes, of which each generation changes one.
-func manyRoutes(generation int) string {
+// largeConfiguration is a configuration of 350 routes, of which each generation changes one.
+func largeConfiguration(generation int) string {
 	var body strings.Builder
 	fmt.Fprintf(&body, `{"generation":%d,"routes":[`, generation)
 	for route := range 350 {
@@ -36,12 +36,12 @@
 	return body.String()
 }
 
-// change has coordinators take configurations of 350 routes in turn, from one generation up to another.
-func (c *cluster) change(names []string, from, to int) {
+// commitLargeChanges has coordinators commit configurations of 350 routes in turn, from one generation up to another.
+func (c *cluster) commitLargeChanges(names []string, from, to int) {
 	c.t.Helper()
 	for generation := from + 1; generation <= to; generation++ {
 		name := names[generation%len(names)]
-		assert.Equal(c.t, c.at(name).configured(generation-1, manyRoutes(generation)), http.StatusOK, "%d", generation)
+		assert.Equal(c.t, c.at(name).putConfiguration(generation-1, largeConfiguration(generation)), http.StatusOK, "%d", generation)
 	}
 }
 
@@ -51,7 +51,7 @@
 	c.t.Helper()
 	p := c.at(name)
 	status, read := p.send(http.MethodGet, "/v1/config", "", "")
-	assert.Assert(c.t, status == http.StatusServiceUnavailable || read == manyRoutes(generation), "%d", status)
+	assert.Assert(c.t, status == http.StatusServiceUnavailable || read == largeConfiguration(generation), "%d", status)
 	agent := &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}
 	reply, err := p.poll(&tierpb.WatchRequest{Follower: agent})
 	told := reply.GetControl().GetConfiguration().GetGeneration()
@@ -63,13 +63,13 @@
 func TestMemberThatMissedHundredsOfChangesComesBack(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		others := []string{"core-1", "core-2"}
-		c.change(others, 0, 3)
+		c.commitLargeChanges(others, 0, 3)
 		c.kill("core-3")
 		last := 503
 		if testing.Short() {
 			last = 103
 		}
-		c.change(others, 3, last)
+		c.commitLargeChanges(others, 3, last)
 		for _, moment := range []time.Duration{0, 1, 2, 3, 5, 20, 300, 1500} {
 			c.start("core-3", false)
 			for range 10 {
@@ -81,9 +81,9 @@
 		c.start("core-3", false)
 		c.kill("core-1")
 		c.assertNothingOld("core-3", last)
-		assert.Equal(c.t, c.untilClear([]string{"core-3"}, last-1, manyRoutes(last)), http.StatusOK)
-		assert.Equal(c.t, c.untilClear([]string{"core-3"}, 3, manyRoutes(9)), http.StatusPreconditionFailed)
-		c.change([]string{"core-3", "core-2"}, last, last+2)
+		assert.Equal(c.t, c.untilDecided([]string{"core-3"}, last-1, largeConfiguration(last)), http.StatusOK)
+		assert.Equal(c.t, c.untilDecided([]string{"core-3"}, 3, largeConfiguration(9)), http.StatusPreconditionFailed)
+		c.commitLargeChanges([]string{"core-3", "core-2"}, last, last+2)
 		c.start("core-1", false)
 		c.pass(time.Second)
 		assert.DeepEqual(c.t, c.generations("core-1", "core-2", "core-3"), []uint64{uint64(last + 2), uint64(last + 2), uint64(last + 2)})
@@ -93,9 +93,9 @@
 // TestAcceptorOfAMemberThatComesBackIsBroughtUpToDate: without a change that would write its value anew, too.
 func TestAcceptorOfAMemberThatComesBackIsBroughtUpToDate(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		c.change([]string{"core-1"}, 0, 1)
+		c.commitLargeChanges([]string{"core-1"}, 0, 1)
 		c.kill("core-3")
-		c.change([]string{"core-1"}, 1, 30)
+		c.commitLargeChanges([]string{"core-1"}, 1, 30)
 		size := c.at("core-1").state.Control().SizeVT()
 		c.pass(time.Second)
 		before := c.counted("core-3")
@@ -128,7 +128,7 @@
 // Bounds of the time in which a member that comes back is to vote with the current state.
 const (
 	shortestCatchUp = 4100 * time.Millisecond // smallest catchUpS of the deployments
-	thinLink        = 30_000_000 / 8          // bytes a second: 30 Mbit/s
+	slowLink        = 30_000_000 / 8          // bytes a second: 30 Mbit/s
 	usualSync       = 4 * time.Millisecond
 	slowSync        = 30 * usualSync
 )
@@ -136,24 +136,24 @@
 // TestMemberVotesWithCurrentStateWithinItsTime logs when a machine that was killed, wiped or replaced by another one votes
 // again with the newest value on its disk, by links and disks as they may be, and bounds it by the shortest catchUpS.
 func TestMemberVotesWithCurrentStateWithinItsTime(t *testing.T) {
-	for _, rate := range []int{0, thinLink} {
+	for _, rate := range []int{0, slowLink} {
 		for _, sync := range []time.Duration{usualSync, slowSync} {
 			if testing.Short() && (rate == 0 || sync == usualSync) {
 				continue
 			}
-			for _, trouble := range []string{"killed", "wiped", "replaced"} {
-				t.Run(fmt.Sprintf("%s, %d bytes/s, syncs of %s", trouble, rate, sync), func(t *testing.T) {
-					inCluster(t, 3, 1, func(c *cluster) { c.comesBack(trouble, rate, sync) })
+			for _, fault := range []string{"killed", "wiped", "replaced"} {
+				t.Run(fmt.Sprintf("%s, %d bytes/s, syncs of %s", fault, rate, sync), func(t *testing.T) {
+					inCluster(t, 3, 1, func(c *cluster) { c.rejoins(fault, rate, sync) })
 				})
 			}
 		}
 	}
 }
 
-func (c *cluster) comesBack(trouble string, rate int, sync time.Duration) {
-	c.change([]string{"core-1"}, 0, 2)
+func (c *cluster) rejoins(fault string, rate int, sync time.Duration) {
+	c.commitLargeChanges([]string{"core-1"}, 0, 2)
 	c.kill("core-3")
-	c.change([]string{"core-1", "core-2"}, 2, 60)
+	c.commitLargeChanges([]string{"core-1", "core-2"}, 2, 60)
 	c.mu.Lock()
 	c.rate = rate
 	c.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 	c.pass(3 * time.Second)
 	name := "core-3"
-	switch trouble {
+	switch fault {
 	case "wiped":
 		c.wipe(name)
 	case "replaced":
@@ -174,7 +174,7 @@
 		assert.Assert(c.t, time.Since(began) < shortestCatchUp)
 		<-time.After(5 * time.Millisecond)
 	}
-	c.t.Logf("%s, %d bytes/s, syncs of %s: votes with the current state after %.3f s and %.2f MB", trouble, rate, sync,
+	c.t.Logf("%s, %d bytes/s, syncs of %s: votes with the current state after %.3f s and %.2f MB", fault, rate, sync,
 		time.Since(began).Seconds(), float64(c.counted(name).received-before)/1e6)
 }
 
@@ -186,21 +186,21 @@
 		accepted.GetConfiguration().GetGeneration() == generation
 }
 
-// soonKnown bounds how long coordinators that were all killed at once may be without a configuration, from the moment at
+// learnTimeout bounds how long coordinators that were all killed at once may be without a configuration, from the moment at
 // which most of them run; one that has waited for the others by then may be in a pause between two polls.
 const (
-	soonKnown  = 150 * time.Millisecond
-	pollsPause = 750 * time.Millisecond
+	learnTimeout = 150 * time.Millisecond
+	pollBackoff  = 750 * time.Millisecond
 )
 
 // TestAllKilledAtOnceKnowTheConfigurationSoon: nobody is left to tell which value is chosen, and agents wait for it.
 func TestAllKilledAtOnceKnowTheConfigurationSoon(t *testing.T) {
 	for apart, most := range map[time.Duration]time.Duration{
-		0: soonKnown, 10 * time.Millisecond: soonKnown, 700 * time.Millisecond: soonKnown + pollsPause,
+		0: learnTimeout, 10 * time.Millisecond: learnTimeout, 700 * time.Millisecond: learnTimeout + pollBackoff,
 	} {
 		inCluster(t, 3, 1, func(c *cluster) {
 			names := []string{"core-1", "core-2", "core-3"}
-			c.change([]string{"core-1"}, 0, 3)
+			c.commitLargeChanges([]string{"core-1"}, 0, 3)
 			for _, name := range names {
 				c.kill(name)
 			}
@@ -221,21 +221,21 @@
 }
 
 // Callers of the control API go on to another coordinator after so long without an answer.
-const callerSilence = time.Second
+const callerTimeout = time.Second
 
-// TestNextOrderAfterTheLossOfACoordinator logs and bounds the time until the next order is acknowledged at another
-// coordinator, whoever is lost, the holder of the lease too, and also where it was in the middle of an order.
-func TestNextOrderAfterTheLossOfACoordinator(t *testing.T) {
-	for _, silent := range []bool{false, true} {
+// TestNextChangeAfterTheLossOfACoordinator logs and bounds the time until the next change is acknowledged at another
+// coordinator, whoever is lost, the lease holder too, and also where it was in the middle of a change.
+func TestNextChangeAfterTheLossOfACoordinator(t *testing.T) {
+	for _, isolated := range []bool{false, true} {
 		for _, lost := range []string{"core-1", "core-2", "core-3"} {
 			for _, busy := range []bool{false, true} {
 				inCluster(t, 3, 1, func(c *cluster) {
-					c.change([]string{"core-1"}, 0, 2)
+					c.commitLargeChanges([]string{"core-1"}, 0, 2)
 					if busy {
-						go c.at(lost).configured(2, manyRoutes(3))
+						go c.at(lost).putConfiguration(2, largeConfiguration(3))
 						<-time.After(2500 * time.Microsecond)
 					}
-					if silent {
+					if isolated {
 						c.isolate(lost, true)
 					} else {
 						c.kill(lost)
@@ -245,10 +245,10 @@
 						asked = "core-2"
 					}
 					began := time.Now()
-					status := c.untilClear([]string{asked}, 2, manyRoutes(3))
+					status := c.untilDecided([]string{asked}, 2, largeConfiguration(3))
 					assert.Equal(c.t, status, http.StatusOK)
-					c.t.Logf("lost %s, silent %v, busy %v: acknowledged after %s", lost, silent, busy, time.Since(began))
-					assert.Assert(c.t, time.Since(began) < callerSilence/10)
+					c.t.Logf("lost %s, isolated %v, busy %v: acknowledged after %s", lost, isolated, busy, time.Since(began))
+					assert.Assert(c.t, time.Since(began) < callerTimeout/10)
 				})
 			}
 		}
@@ -258,7 +258,7 @@
 // TestVotersThatAreNoSeedsFindEachOther: every seed's machine is gone for good, and the voters were all killed at once.
 func TestVotersThatAreNoSeedsFindEachOther(t *testing.T) {
 	inCluster(t, 6, 1, func(c *cluster) {
-		c.change([]string{"core-1"}, 0, 3)
+		c.commitLargeChanges([]string{"core-1"}, 0, 3)
 		c.pass(time.Second)
 		for i := 1; i <= 3; i++ {
 			seed, voter := fmt.Sprintf("core-%d", i), fmt.Sprintf("core-%d", i+3)
@@ -276,7 +276,7 @@
 		}
 		began := time.Now()
 		for !slices.Equal(c.generations(names...), []uint64{3, 3, 3}) {
-			assert.Assert(c.t, time.Since(began) < soonKnown, "%v", c.generations(names...))
+			assert.Assert(c.t, time.Since(began) < learnTimeout, "%v", c.generations(names...))
 			<-time.After(time.Millisecond)
 		}
 		c.t.Logf("known everywhere after %s", time.Since(began))
--- a/internal/tier/coordinator/network_test.go
+++ b/internal/tier/coordinator/cluster_network_test.go
@@ -8,27 +8,27 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// isolate cuts a machine off from all others, or heals it.
-func (c *cluster) isolate(name string, cut bool) {
+// isolate blocks all calls between a machine and the others, or heals it.
+func (c *cluster) isolate(name string, blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for other := range c.machines {
-		c.cut[[2]string{name, other}] = cut && other != name
-		c.cut[[2]string{other, name}] = cut && other != name
+		c.blocked[[2]string{name, other}] = blocked && other != name
+		c.blocked[[2]string{other, name}] = blocked && other != name
 	}
 }
 
-// setCut cuts one direction, or heals it.
-func (c *cluster) setCut(from, to string, cut bool) {
+// setBlocked blocks one direction, or heals it.
+func (c *cluster) setBlocked(from, to string, blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[[2]string{from, to}] = cut
+	c.blocked[[2]string{from, to}] = blocked
 }
 
-func (c *cluster) isCut(from, to string) bool {
+func (c *cluster) isBlocked(from, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut[[2]string{from, to}]
+	return c.blocked[[2]string{from, to}]
 }
 
 // caller makes the calls of one machine.
@@ -40,7 +40,7 @@
 	cluster := c.from.cluster
 	<-time.After(time.Duration(cluster.delay.Load()))
 	to := cluster.machineAt(address)
-	if to == nil || cluster.isCut(c.from.name, to.name) {
+	if to == nil || cluster.isBlocked(c.from.name, to.name) {
 		<-ctx.Done()
 		return rpc.ErrTimeout
 	}
@@ -51,7 +51,7 @@
 	payload := encoded(request)
 	cluster.transfer(c.from, to, len(payload))
 	answer, err := p.dispatch(ctx, method, payload)
-	if ctx.Err() != nil || cluster.isCut(to.name, c.from.name) {
+	if ctx.Err() != nil || cluster.isBlocked(to.name, c.from.name) {
 		<-ctx.Done()
 		return rpc.ErrTimeout
 	}
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -33,14 +33,14 @@
 const machineCount = 8
 
 // cluster is a set of coordinators in one process, under the clock of a synctest bubble. Calls take a millisecond;
-// those to a machine that is down fail at once, those over a cut link get no answer.
+// those to a machine that is down fail at once, those over a blocked link get no answer.
 type cluster struct {
 	t         *testing.T
 	seeds     []string
 	tolerance int
 	mu        sync.Mutex
 	machines  map[string]*machine // by name
-	cut       map[[2]string]bool  // by names, from and to
+	blocked   map[[2]string]bool  // by names, from and to
 	calls     map[rpc.Method]int  // answered
 	rate      int                 // bytes a second of each machine's link and direction; 0 for no limit
 	delay     atomic.Int64        // of each call, in nanoseconds
@@ -66,12 +66,12 @@
 // now is the clock of the machine's process.
 func (m *machine) now() time.Time { return time.Now().Add(time.Duration(m.ahead.Load())) }
 
-// sleepFor has a process find, at its next step, that its clock went on for a while in which it did nothing.
-func (m *machine) sleepFor(duration time.Duration) { m.ahead.Add(int64(duration)) }
+// stall has a process find, at its next step, that its clock went on for a while in which it did nothing.
+func (m *machine) stall(duration time.Duration) { m.ahead.Add(int64(duration)) }
 
 type process struct {
 	*coordinator
-	points  *stops
+	points  *failpointHook
 	handler http.Handler
 	stop    context.CancelFunc
 	done    *sync.WaitGroup
@@ -79,9 +79,10 @@
 
 // inCluster runs a test with coordinators core-1 to core-count, of which the first three are the seeds.
 func inCluster(t *testing.T, count, tolerance int, test func(*cluster)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
-			t: t, tolerance: tolerance, machines: make(map[string]*machine), cut: make(map[[2]string]bool),
+			t: t, tolerance: tolerance, machines: make(map[string]*machine), blocked: make(map[[2]string]bool),
 			calls: make(map[rpc.Method]int),
 		}
 		c.delay.Store(int64(callDelay))
@@ -137,7 +138,7 @@
 	assert.NilError(c.t, err)
 	drains, err := draining.OpenTable(disk, draining.Folder)
 	assert.NilError(c.t, err)
-	points := &stops{}
+	points := &failpointHook{}
 	coordinator := newCoordinator(options{
 		live: settings.Fixed(own), log: c.log(m.name), self: self, caller: &caller{from: m}, now: m.now,
 		faults: &failpoint.Points{ShouldStop: points.pass}, acceptor: acceptor, history: history, drains: drains,
@@ -195,8 +196,8 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// configured sends a configuration.
-func (p *process) configured(ifMatch int, body string) int {
+// putConfiguration sends a configuration.
+func (p *process) putConfiguration(ifMatch int, body string) int {
 	status, _ := p.send(http.MethodPut, "/v1/config", fmt.Sprint(ifMatch), body)
 	return status
 }
--- a/internal/tier/coordinator/configuration_test.go
+++ b/internal/tier/coordinator/configuration_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestConfigurationIsTakenAndReadBack(t *testing.T) {
+func TestConfigurationIsCommittedAndReadBack(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		status, _ := c.at("core-2").send(http.MethodGet, "/v1/config", "", "")
 		assert.Equal(t, status, http.StatusNotFound)
 		body := configurationOf(4, "a")
-		assert.Equal(t, c.at("core-1").configured(0, body), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, body), http.StatusOK)
 		c.pass(50 * time.Millisecond)
 		assert.DeepEqual(t, c.generations("core-1", "core-2", "core-3"), []uint64{4, 4, 4})
 		for name := range map[string]bool{"core-1": true, "core-2": true, "core-3": true} {
@@ -25,7 +25,7 @@
 	})
 }
 
-func TestBadConfigurationsAreRefused(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	good := configurationOf(9, "b")
 	cases := map[string]struct {
 		ifMatch string
@@ -48,27 +48,27 @@
 		"empty":        {"4", "", 400},
 	}
 	inCluster(t, 3, 1, func(c *cluster) {
-		taken := configurationOf(4, "a")
-		assert.Equal(t, c.at("core-1").configured(0, taken), http.StatusOK)
+		committed := configurationOf(4, "a")
+		assert.Equal(t, c.at("core-1").putConfiguration(0, committed), http.StatusOK)
 		for name, test := range cases {
 			status, answer := c.at("core-2").send(http.MethodPut, "/v1/config", test.ifMatch, test.body)
 			assert.Equal(t, status, test.status, "%s: %s", name, answer)
 			_, read := c.at("core-3").send(http.MethodGet, "/v1/config", "", "")
-			assert.Equal(t, read, taken, name)
+			assert.Equal(t, read, committed, name)
 		}
 	})
 }
 
-func TestOrderThatWasTakenIsAcknowledgedAgain(t *testing.T) {
+func TestCommittedChangeIsAcknowledgedAgain(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		for generation := 1; generation <= 4; generation++ {
-			assert.Equal(t, c.at("core-1").configured(generation-1, configurationOf(generation, "a")), http.StatusOK)
+			assert.Equal(t, c.at("core-1").putConfiguration(generation-1, configurationOf(generation, "a")), http.StatusOK)
 		}
 		for _, name := range []string{"core-1", "core-2", "core-3"} {
-			assert.Equal(t, c.at(name).configured(3, configurationOf(4, "a")), http.StatusOK, "newest")
-			assert.Equal(t, c.at(name).configured(1, configurationOf(2, "a")), http.StatusOK, "behind later ones")
-			assert.Equal(t, c.at(name).configured(1, configurationOf(2, "b")), http.StatusPreconditionFailed, "other body")
-			assert.Equal(t, c.at(name).configured(0, configurationOf(2, "a")), http.StatusPreconditionFailed, "other base")
+			assert.Equal(t, c.at(name).putConfiguration(3, configurationOf(4, "a")), http.StatusOK, "newest")
+			assert.Equal(t, c.at(name).putConfiguration(1, configurationOf(2, "a")), http.StatusOK, "behind later ones")
+			assert.Equal(t, c.at(name).putConfiguration(1, configurationOf(2, "b")), http.StatusPreconditionFailed, "other body")
+			assert.Equal(t, c.at(name).putConfiguration(0, configurationOf(2, "a")), http.StatusPreconditionFailed, "other base")
 		}
 		c.pass(50 * time.Millisecond)
 		assert.DeepEqual(t, c.generations("core-2"), []uint64{4})
@@ -78,13 +78,13 @@
 func TestOneOfTwoOperatorsWins(t *testing.T) {
 	for round := range 20 {
 		inCluster(t, 3, 1, func(c *cluster) {
-			assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+			assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 			statuses := make(chan int, 2)
-			orders := []string{configurationOf(2, "x"), configurationOf(2, "y")}
+			changes := []string{configurationOf(2, "x"), configurationOf(2, "y")}
 			for i, name := range []string{"core-1", "core-2"} {
 				go func() {
 					<-time.After(time.Duration(round*(i*2-1)+20) * 200 * time.Microsecond)
-					statuses <- c.at(name).configured(1, orders[i])
+					statuses <- c.at(name).putConfiguration(1, changes[i])
 				}()
 			}
 			first, second := <-statuses, <-statuses
@@ -94,45 +94,45 @@
 	}
 }
 
-func TestCoordinatorThatIsCutOffGivesNoClearAnswer(t *testing.T) {
+func TestIsolatedCoordinatorGivesNoClearAnswer(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.isolate("core-1", true)
-		for _, order := range []struct{ ifMatch, generation int }{{1, 2}, {0, 1}, {0, 7}, {1, 1}} {
+		for _, change := range []struct{ ifMatch, generation int }{{1, 2}, {0, 1}, {0, 7}, {1, 1}} {
 			began := time.Now()
-			status := c.at("core-1").configured(order.ifMatch, configurationOf(order.generation, "a"))
-			assert.Equal(t, status, http.StatusServiceUnavailable, "%v", order)
+			status := c.at("core-1").putConfiguration(change.ifMatch, configurationOf(change.generation, "a"))
+			assert.Equal(t, status, http.StatusServiceUnavailable, "%v", change)
 			assert.Assert(t, time.Since(began) < time.Second)
 		}
 		status, _ := c.at("core-1").send(http.MethodGet, "/v1/config", "", "")
 		assert.Equal(t, status, http.StatusServiceUnavailable)
-		assert.Equal(t, c.at("core-2").configured(1, configurationOf(5, "b")), http.StatusOK)
+		assert.Equal(t, c.at("core-2").putConfiguration(1, configurationOf(5, "b")), http.StatusOK)
 		c.isolate("core-1", false)
 		c.pass(3 * time.Second)
 		assert.DeepEqual(t, c.generations("core-1"), []uint64{5})
-		assert.Equal(t, c.at("core-1").configured(1, configurationOf(2, "a")), http.StatusPreconditionFailed)
+		assert.Equal(t, c.at("core-1").putConfiguration(1, configurationOf(2, "a")), http.StatusPreconditionFailed)
 	})
 }
 
-func TestChangeDoesNotWaitForASilentVoterBehindHigherBallots(t *testing.T) {
+func TestChangeDoesNotWaitForAnUnreachableVoterBehindHigherProposals(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		for generation := range 5 {
-			assert.Equal(t, c.at("core-1").configured(generation, configurationOf(generation+1, "a")), http.StatusOK)
+			assert.Equal(t, c.at("core-1").putConfiguration(generation, configurationOf(generation+1, "a")), http.StatusOK)
 		}
 		c.isolate("core-1", true)
 		began := time.Now()
 		for generation, name := range []string{"core-2", "core-3", "core-2"} {
-			assert.Equal(t, c.at(name).configured(5+generation, configurationOf(6+generation, "b")), http.StatusOK)
+			assert.Equal(t, c.at(name).putConfiguration(5+generation, configurationOf(6+generation, "b")), http.StatusOK)
 		}
 		assert.Assert(t, time.Since(began) < 300*time.Millisecond, "simulated time: %v", time.Since(began))
 	})
 }
 
-func TestOthersLearnWhatACoordinatorAcknowledgedAndDied(t *testing.T) {
+func TestOthersLearnWhatAKilledCoordinatorAcknowledged(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		c.setCut("core-3", "core-1", true) // core-3 neither follows core-1 nor counts for it
+		c.setBlocked("core-3", "core-1", true) // core-3 neither follows core-1 nor counts for it
 		c.pass(2 * time.Second)
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(6, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(6, "a")), http.StatusOK)
 		c.kill("core-1")
 		c.kill("core-2")
 		c.start("core-2", false) // has the value on disk, and does not know that it is chosen
@@ -144,7 +144,7 @@
 func TestAllKilledAtOnceKeepWhatWasAcknowledged(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		names := []string{"core-1", "core-2", "core-3"}
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(6, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(6, "a")), http.StatusOK)
 		for _, name := range names {
 			c.kill(name)
 		}
@@ -156,6 +156,6 @@
 		assert.DeepEqual(t, c.generations(names...), []uint64{6, 6, 6})
 		assert.DeepEqual(t, c.voterNames("core-2"), names)
 		c.kill("core-2") // the wiped machine votes again
-		assert.Equal(t, c.at("core-1").configured(6, configurationOf(7, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(6, configurationOf(7, "a")), http.StatusOK)
 	})
 }
--- a/internal/tier/coordinator/controlapi/body.go
+++ b/internal/tier/coordinator/controlapi/body.go
@@ -33,10 +33,10 @@
 
 // invalid says which field of a body is at fault.
 func invalid(code result.Code, err error) *result.Error {
-	switch fault := err.(type) {
-	case *configuration.Fault:
+	if fault := (*configuration.Fault)(nil); errors.As(err, &fault) {
 		return result.InField(code, fault.Field, fault.Problem)
-	case *registry.FieldError:
+	}
+	if fault := (*registry.FieldError)(nil); errors.As(err, &fault) {
 		return result.InField(code, fault.Field, fault.Problem)
 	}
 	return result.New(code, err.Error())
--- a/internal/tier/coordinator/coordinator_test.go
+++ b/internal/tier/coordinator/coordinator_test.go
@@ -16,6 +16,7 @@
 )
 
 func freePort(t *testing.T) int {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -56,6 +57,7 @@
 
 // putOver sends a configuration over a socket; 0 while nothing listens yet.
 func putOver(t *testing.T, control, body string) int {
+	t.Helper()
 	request, err := http.NewRequest(http.MethodPut, "http://"+control+"/v1/config", strings.NewReader(body))
 	assert.NilError(t, err)
 	request.Header.Set("If-Match", "0")
--- a/internal/tier/coordinator/departures_test.go
+++ b/internal/tier/coordinator/draining_test.go
@@ -12,13 +12,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// The acknowledgement of a leave binds when all coordinators are killed right behind it: the store says nothing more, and
+// The acknowledgement of a deregistration binds when all coordinators are killed right behind it: the instance says nothing more, and
 // edges that had not heard of it would send it requests for as long as it lives.
-func TestLeaveThatWasAcknowledgedOutlivesAKillOfAll(t *testing.T) {
+func TestAcknowledgedDeregistrationSurvivesAKillOfAll(t *testing.T) {
 	for _, size := range []struct{ coordinators, tolerated int }{{3, 1}, {5, 2}} {
 		inCluster(t, size.coordinators, size.tolerated, func(c *cluster) {
 			names := coreNames(size.coordinators)
-			assert.Equal(t, c.at("core-1").beat("ready", 1), http.StatusOK)
+			assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
 			c.pass(time.Second)
 			status, _ := c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 			assert.Equal(t, status, http.StatusOK)
@@ -41,12 +41,12 @@
 }
 
 // The same where as many disks are lost with it as are tolerated.
-func TestLeaveThatWasAcknowledgedOutlivesAKillOfAllAndALostDisk(t *testing.T) {
+func TestAcknowledgedDeregistrationSurvivesAKillOfAllAndALostDisk(t *testing.T) {
 	for lost := range 3 {
 		inCluster(t, 3, 1, func(c *cluster) {
 			names := coreNames(3)
-			assert.Equal(t, c.at("core-2").beat("ready", 1), http.StatusOK)
-			assert.Equal(t, c.at("core-2").beat("draining", 2), http.StatusOK)
+			assert.Equal(t, c.at("core-2").putHeartbeat("ready", 1), http.StatusOK)
+			assert.Equal(t, c.at("core-2").putHeartbeat("draining", 2), http.StatusOK)
 			status, _ := c.at("core-2").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 			assert.Equal(t, status, http.StatusOK)
 			for _, name := range names {
@@ -71,13 +71,13 @@
 	return names
 }
 
-// A leave that the disk did not take is no vote for its acknowledgement; the others' disks may do.
-func TestLeaveIsAcknowledgedByDisksThatTookIt(t *testing.T) {
+// A final state that the disk did not take is no vote for its acknowledgement; the others' disks may do.
+func TestFinalStateIsAcknowledgedByDisksThatSavedIt(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").beat("ready", 1), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
 		c.pass(time.Second)
 		c.machines["core-1"].hardware.Disk.SetFault(simulation.DiskFault{Full: true})
-		assert.Equal(t, c.at("core-1").beat("draining", 2), http.StatusOK, "two others have it")
+		assert.Equal(t, c.at("core-1").putHeartbeat("draining", 2), http.StatusOK, "two others have it")
 		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{Failing: true})
 		status, _ := c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 		assert.Equal(t, status, http.StatusServiceUnavailable)
--- a/internal/tier/coordinator/followers_test.go
+++ b/internal/tier/coordinator/followers_test.go
@@ -21,7 +21,7 @@
 	stop  func()
 }
 
-// startEdge starts an agent that prefers the coordinators in the order of their names.
+// startEdge starts an agent that prefers the coordinators in the change of their names.
 func (c *cluster) startEdge(name string, coordinators ...string) *edge {
 	var targets []watch.Endpoint
 	for _, coordinator := range coordinators {
@@ -55,21 +55,24 @@
 	return time.Since(began), before
 }
 
-// setMinority cuts two of five coordinators off from the other three, or heals the cut; agents reach all.
-func (c *cluster) setMinority(cut bool) { c.setMinorityTo(direction{out: cut, inward: cut}) }
+// isolateMinority partitions two of five coordinators from the other three, or heals that; agents reach all.
+func (c *cluster) isolateMinority(blocked bool) {
+	c.partitionMinority(direction{out: blocked, inward: blocked})
+}
 
-// setMinorityTo is the same for a cut of one direction.
-func (c *cluster) setMinorityTo(to direction) {
+// partitionMinority is the same for a partition of one direction.
+func (c *cluster) partitionMinority(to direction) {
 	for _, minority := range five[:2] {
 		for _, majority := range five[2:] {
-			c.setCut(minority, majority, to.out)
-			c.setCut(majority, minority, to.inward)
+			c.setBlocked(minority, majority, to.out)
+			c.setBlocked(majority, minority, to.inward)
 		}
 	}
 }
 
 // inFive runs a test with five coordinators that all vote.
 func inFive(t *testing.T, test func(*cluster)) {
+	t.Helper()
 	inCluster(t, 5, 2, func(c *cluster) {
 		c.pass(2 * time.Second)
 		assert.DeepEqual(t, c.voterNames("core-1"), five)
@@ -79,36 +82,36 @@
 
 var five = []string{"core-1", "core-2", "core-3", "core-4", "core-5"}
 
-const zoneDelay = 20 * time.Millisecond // between zones
+const interZoneDelay = 20 * time.Millisecond // between zones
 
-// newsUnderCut is the longest after which an agent that can reach the majority has what was acknowledged there: a
+// propagationTimeout is the longest after which an agent that can reach the majority has what was acknowledged there: a
 // coordinator's polls that were under way bring it or fail, and then the agent goes on to another. It is well below
 // configMs, 2 s.
-const newsUnderCut = watch.MaxPollDuration + 200*time.Millisecond
+const propagationTimeout = watch.MaxPollDuration + 200*time.Millisecond
 
-// TestFollowersLeaveCutOffCoordinators has both sources of an agent cut off, at several moments of their polls, with
-// news at any moment and without any, nor heartbeats.
-func TestFollowersLeaveCutOffCoordinators(t *testing.T) {
+// TestFollowersLeaveIsolatedCoordinators has both sources of an agent isolated, at several moments of their polls, with
+// updates at any moment and without any, nor heartbeats.
+func TestFollowersLeaveIsolatedCoordinators(t *testing.T) {
 	for _, way := range directions {
-		for _, gap := range []time.Duration{0, zoneDelay / 2} {
-			t.Run(fmt.Sprintf("%s, news every %v", way.name, gap), func(t *testing.T) {
+		for _, gap := range []time.Duration{0, interZoneDelay / 2} {
+			t.Run(fmt.Sprintf("%s, updates every %v", way.name, gap), func(t *testing.T) {
 				inFive(t, func(c *cluster) {
-					c.delay.Store(int64(zoneDelay))
+					c.delay.Store(int64(interZoneDelay))
 					longest := time.Duration(0)
 					for generation := 1; generation < 24; generation += 3 {
-						assert.Equal(t, c.at("core-1").configured(generation-1, configurationOf(generation, "a")), http.StatusOK)
+						assert.Equal(t, c.at("core-1").putConfiguration(generation-1, configurationOf(generation, "a")), http.StatusOK)
 						edge := c.startEdge("edge-1", five...)
 						c.pass(2*time.Second + time.Duration(generation)*50*time.Millisecond)
-						c.setMinorityTo(way)
+						c.partitionMinority(way)
 						stop := c.registerStores(gap, "core-1", "core-2")
 						for _, next := range []int{generation + 1, generation + 2} { // polls under way may still bring the first
-							assert.Equal(t, c.at("core-3").configured(next-1, configurationOf(next, "a")), http.StatusOK)
-							took, _ := c.until(edge, uint64(next), newsUnderCut)
+							assert.Equal(t, c.at("core-3").putConfiguration(next-1, configurationOf(next, "a")), http.StatusOK)
+							took, _ := c.until(edge, uint64(next), propagationTimeout)
 							longest = max(longest, took)
 						}
 						stop()
 						edge.stop()
-						c.setMinority(false)
+						c.isolateMinority(false)
 						c.pass(3 * time.Second)
 					}
 					t.Logf("a configuration came %v after its acknowledgement at most", longest)
@@ -137,15 +140,15 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// TestFreshAgentTakesNothingOldFromACutOffCoordinator starts agents that know nothing under a cut, whose first choices
-// are both cut off.
-func TestFreshAgentTakesNothingOldFromACutOffCoordinator(t *testing.T) {
+// TestFreshAgentTakesNothingOldFromAnIsolatedCoordinator starts agents that know nothing during a partition, whose first choices
+// are both isolated.
+func TestFreshAgentTakesNothingOldFromAnIsolatedCoordinator(t *testing.T) {
 	inFive(t, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.pass(100 * time.Millisecond)
-		c.setMinority(true)
-		assert.Equal(t, c.at("core-3").configured(1, configurationOf(2, "a")), http.StatusOK)
-		c.pass(newsUnderCut)
+		c.isolateMinority(true)
+		assert.Equal(t, c.at("core-3").putConfiguration(1, configurationOf(2, "a")), http.StatusOK)
+		c.pass(propagationTimeout)
 		for number := range 20 {
 			edge := c.startEdge(fmt.Sprintf("edge-%d", number), five...)
 			_, before := c.until(edge, 2, time.Second)
@@ -155,16 +158,16 @@
 	})
 }
 
-// TestAgentThatReachesNobodyElseTakesWhatACutOffCoordinatorHas keeps an edge machine on the cut-off side in service.
-func TestAgentThatReachesNobodyElseTakesWhatACutOffCoordinatorHas(t *testing.T) {
+// TestAgentThatReachesNobodyElseTakesWhatAnIsolatedCoordinatorHas keeps an edge machine on the isolated side in service.
+func TestAgentThatReachesNobodyElseTakesWhatAnIsolatedCoordinatorHas(t *testing.T) {
 	inFive(t, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
-		assert.Equal(t, c.at("core-1").beat("ready", 1), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
 		c.pass(100 * time.Millisecond)
-		c.setMinority(true)
-		c.pass(newsUnderCut)
+		c.isolateMinority(true)
+		c.pass(propagationTimeout)
 		for _, majority := range five[2:] {
-			c.setCut("edge-1", majority, true)
+			c.setBlocked("edge-1", majority, true)
 		}
 		edge := c.startEdge("edge-1", five...)
 		defer edge.stop()
--- a/internal/tier/coordinator/joint_test.go
+++ b/internal/tier/coordinator/joint_voters_test.go
@@ -16,12 +16,12 @@
 
 // atJoint lets something happen once a machine's proposer comes to the point between the two steps of a change of
 // voters: the joint ones are chosen, the final ones are not proposed. The function says whether that has been.
-func (c *cluster) atJoint(name string, strike func() (dies bool)) (struck func() bool) {
+func (c *cluster) atJoint(name string, fault func() (dies bool)) (struck func() bool) {
 	once, mu, done := &sync.Once{}, &sync.Mutex{}, false
 	c.at(name).points.set(func(passed failpoint.Point) (dies bool) {
 		if passed == failpoint.VotersJoint {
 			once.Do(func() {
-				dies = strike()
+				dies = fault()
 				mu.Lock()
 				defer mu.Unlock()
 				done = true
@@ -43,8 +43,8 @@
 	c.start(name, false)
 }
 
-// settled waits until one set of voters is in force of which all run, and an order is taken at each of them.
-func (c *cluster) settled(size int, generation int) {
+// awaitStableVoters waits until one set of voters is in force of which all run, and a configuration is committed at each of them.
+func (c *cluster) awaitStableVoters(size int, generation int) {
 	c.t.Helper()
 	running := c.runningMachines()
 	var voters []string
@@ -59,7 +59,7 @@
 	assert.Equal(c.t, len(voters), size, "%v of %v", voters, running)
 	for _, name := range voters {
 		assert.Assert(c.t, slices.Contains(running, name), "%s of %v does not run", name, voters)
-		assert.Equal(c.t, c.at(name).configured(generation, configurationOf(generation+1, "a")), http.StatusOK, name)
+		assert.Equal(c.t, c.at(name).putConfiguration(generation, configurationOf(generation+1, "a")), http.StatusOK, name)
 		generation++
 		c.pass(100 * time.Millisecond)
 	}
@@ -90,25 +90,25 @@
 	return names
 }
 
-// jointStrike is a trouble between the two steps of a change of voters that puts core-5 in the place of core-2, which
+// jointFault is a fault between the two steps of a change of voters that puts core-5 in the place of core-2, which
 // was lost; core-4 and core-5 stand by or one of them does, and core-4 holds the lease.
-type jointStrike struct {
+type jointFault struct {
 	name string
 	hit  func(c *cluster) (dies bool)
 	then func(c *cluster)
 }
 
-var jointStrikes = []jointStrike{
+var jointFaults = []jointFault{
 	{"nothing", func(*cluster) bool { return false }, nil},
-	{"the holder dies", func(c *cluster) bool {
+	{"the lease holder dies", func(c *cluster) bool {
 		c.kill("core-4")
 		return true
 	}, nil},
-	{"the holder dies and comes back", func(c *cluster) bool {
+	{"the lease holder dies and comes back", func(c *cluster) bool {
 		c.kill("core-4")
 		return true
 	}, func(c *cluster) { c.start("core-4", false) }},
-	{"the holder is cut off for 20 s", func(c *cluster) bool {
+	{"the lease holder is isolated for 20 s", func(c *cluster) bool {
 		c.isolate("core-4", true)
 		return false
 	}, func(c *cluster) {
@@ -151,14 +151,14 @@
 	}},
 }
 
-// TestTroubleBetweenTheStepsOfAReplacement: a voter is lost, and a second trouble comes while its replacement is half
-// done. The voters come to be three that run, and orders are taken.
-func TestTroubleBetweenTheStepsOfAReplacement(t *testing.T) {
-	for _, strike := range jointStrikes {
-		t.Run(strike.name, func(t *testing.T) {
+// TestFaultBetweenTheStepsOfAReplacement: a voter is lost, and a second fault comes while its replacement is half
+// done. The voters come to be three that run, and changes are committed.
+func TestFaultBetweenTheStepsOfAReplacement(t *testing.T) {
+	for _, fault := range jointFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			inClusterLedBy(t, "core-4", 5, 1, func(c *cluster) {
 				close(c.free)
-				struck := c.atJoint("core-4", func() bool { return strike.hit(c) })
+				struck := c.atJoint("core-4", func() bool { return fault.hit(c) })
 				c.kill("core-2")
 				for range 50 {
 					if c.pass(100 * time.Millisecond); struck() {
@@ -166,18 +166,18 @@
 					}
 				}
 				assert.Assert(t, struck())
-				if strike.then != nil {
-					strike.then(c)
+				if fault.then != nil {
+					fault.then(c)
 				}
-				c.settled(3, 1)
+				c.awaitStableVoters(3, 1)
 			})
 		})
 	}
 }
 
-// TestTwoOfFiveLostWithTroubleBetweenTheSteps: two of five voters are lost at once, and the holder dies or a voter that
+// TestTwoOfFiveLostWithAFaultBetweenTheSteps: two of five voters are lost at once, and the lease holder dies or a voter that
 // stays restarts while their replacement is half done.
-func TestTwoOfFiveLostWithTroubleBetweenTheSteps(t *testing.T) {
+func TestTwoOfFiveLostWithAFaultBetweenTheSteps(t *testing.T) {
 	for _, back := range []string{"core-6", "core-3"} {
 		t.Run(back, func(t *testing.T) {
 			inClusterLedBy(t, "core-6", 7, 2, func(c *cluster) {
@@ -205,15 +205,15 @@
 				assert.Assert(t, struck())
 				c.pass(2 * time.Second)
 				c.start(back, false)
-				c.settled(5, 1)
+				c.awaitStableVoters(5, 1)
 			})
 		})
 	}
 }
 
-// TestStopWhileAnotherChangeOfVotersIsHalfDone: a voter's hand-over is left between its two steps, for its machine was
-// taken away; then the next voter is told to stop, and a third is lost. The first hand-over is finished by the second.
-func TestStopWhileAnotherChangeOfVotersIsHalfDone(t *testing.T) {
+// TestShutdownWhileAnotherChangeOfVotersIsHalfDone: a voter's vote transfer is left between its two steps, for its machine was
+// taken away; then the next voter is told to stop, and a third is lost. The first transfer is finished by the second.
+func TestShutdownWhileAnotherChangeOfVotersIsHalfDone(t *testing.T) {
 	inClusterLedBy(t, "core-6", 6, 1, func(c *cluster) {
 		c.kill("core-6") // nobody holds the lease
 		life, end := context.WithCancel(context.Background())
@@ -231,9 +231,9 @@
 		c.pass(1500 * time.Millisecond) // the others find out what was chosen
 		assert.DeepEqual(t, c.voterNames("core-3"), []string{"core-3", "core-4", "core-5"})
 		c.replaceByEmpty("core-3")
-		assert.Equal(t, c.at("core-5").configured(1, configurationOf(2, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-5").putConfiguration(1, configurationOf(2, "a")), http.StatusOK)
 		close(c.free)
-		c.settled(3, 2)
+		c.awaitStableVoters(3, 2)
 	})
 }
 
@@ -248,14 +248,14 @@
 				c.pass(moment)
 				c.at("core-3").transfer.Run(context.Background())
 				c.kill("core-3")
-				c.settled(3, 1)
+				c.awaitStableVoters(3, 1)
 			})
 		})
 	}
 }
 
-// TestRollWithHandOvers: all coordinators are told to stop one after the other, and start again at once.
-func TestRollWithHandOvers(t *testing.T) {
+// TestRollingRestartWithVoteTransfers: all coordinators are told to stop one after the other, and start again at once.
+func TestRollingRestartWithVoteTransfers(t *testing.T) {
 	inClusterLedBy(t, "core-1", 4, 1, func(c *cluster) {
 		close(c.free)
 		for generation, name := range []string{"core-1", "core-2", "core-3", "core-4", "core-1", "core-2"} {
@@ -263,15 +263,15 @@
 			c.kill(name)
 			c.start(name, false)
 			c.pass(time.Second)
-			assert.Equal(t, c.at("core-4").configured(1+generation, configurationOf(2+generation, "a")), http.StatusOK, name)
+			assert.Equal(t, c.at("core-4").putConfiguration(1+generation, configurationOf(2+generation, "a")), http.StatusOK, name)
 		}
-		c.settled(3, 7)
+		c.awaitStableVoters(3, 7)
 	})
 }
 
-// TestVoterIsWipedBetweenTheStepsOfAHandOver: a voter that is told to stop has made the joint voters when another voter,
+// TestVoterIsWipedBetweenTheStepsOfAVoteTransfer: a voter that is told to stop has made the joint voters when another voter,
 // or the standby that it gives its vote to, loses its disk. It finishes before it ends.
-func TestVoterIsWipedBetweenTheStepsOfAHandOver(t *testing.T) {
+func TestVoterIsWipedBetweenTheStepsOfAVoteTransfer(t *testing.T) {
 	for _, wiped := range []string{"core-1", "core-3", "core-4"} {
 		t.Run(wiped, func(t *testing.T) {
 			inClusterLedBy(t, "core-5", 5, 1, func(c *cluster) {
@@ -283,7 +283,7 @@
 				c.at("core-2").transfer.Run(context.Background())
 				assert.Assert(t, struck())
 				c.kill("core-2")
-				c.settled(3, 1)
+				c.awaitStableVoters(3, 1)
 			})
 		})
 	}
--- a/internal/tier/coordinator/membership_test.go
+++ b/internal/tier/coordinator/membership_test.go
@@ -66,7 +66,7 @@
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, answer, `{"state":"running"}`)
 		status, _ = post("core-3", "store-2")
-		assert.Equal(t, status, http.StatusOK, "the order sent again")
+		assert.Equal(t, status, http.StatusOK, "the request sent again")
 		status, _ = post("core-2", "store-3")
 		assert.Equal(t, status, http.StatusConflict, "too few would be left")
 		_, answer = c.at("core-2").send(http.MethodGet, "/v1/retire/store-2", "", "")
@@ -84,7 +84,7 @@
 }
 
 // A store that has joined before there are members is one of those that records will need.
-func TestRetirementBeforeThereAreMembersIsRefused(t *testing.T) {
+func TestRetirementBeforeThereAreMembersIsRejected(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		for _, joined := range [][]*tierpb.Node{{storeNode(1)}, {storeNode(1), storeNode(2)}} {
 			c.storesRun(500*time.Millisecond, "core-1", joined...)
@@ -108,13 +108,13 @@
 
 func TestWipedCoordinatorVotesAgain(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(3, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(3, "a")), http.StatusOK)
 		c.kill("core-3")
 		c.wipe("core-3")
 		c.start("core-3", false)
 		c.pass(4 * time.Second)
 		c.kill("core-1")
-		assert.Equal(t, c.at("core-2").configured(3, configurationOf(4, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-2").putConfiguration(3, configurationOf(4, "a")), http.StatusOK)
 		c.pass(50 * time.Millisecond)
 		assert.DeepEqual(t, c.generations("core-3"), []uint64{4})
 	})
@@ -123,7 +123,7 @@
 func TestCoordinatorIsReplacedAtAnotherAddress(t *testing.T) {
 	for _, lost := range []string{"core-1", "core-2", "core-3"} {
 		inCluster(t, 3, 1, func(c *cluster) {
-			assert.Equal(t, c.at("core-1").configured(0, configurationOf(3, "a")), http.StatusOK)
+			assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(3, "a")), http.StatusOK)
 			c.pass(100 * time.Millisecond)
 			c.kill(lost)
 			c.pass(time.Second)
@@ -145,18 +145,18 @@
 		assert.DeepEqual(t, c.voterNames("core-5"), []string{"core-1", "core-2", "core-3", "core-4", "core-5"})
 		c.kill("core-1")
 		c.kill("core-2")
-		assert.Equal(t, c.at("core-5").configured(0, configurationOf(3, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-5").putConfiguration(0, configurationOf(3, "a")), http.StatusOK)
 	})
 }
 
 func TestStandbyVotesInTheDeadOnesPlace(t *testing.T) {
 	inCluster(t, 4, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-4").configured(0, configurationOf(2, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-4").putConfiguration(0, configurationOf(2, "a")), http.StatusOK)
 		assert.DeepEqual(t, c.voterNames("core-4"), []string{"core-1", "core-2", "core-3"})
 		c.isolate("core-2", true)
 		c.pass(4 * time.Second)
 		assert.DeepEqual(t, c.voterNames("core-4"), []string{"core-1", "core-3", "core-4"})
-		assert.Equal(t, c.at("core-2").configured(2, configurationOf(3, "a")), http.StatusServiceUnavailable)
+		assert.Equal(t, c.at("core-2").putConfiguration(2, configurationOf(3, "a")), http.StatusServiceUnavailable)
 		c.isolate("core-2", false)
 		c.pass(3 * time.Second)
 		assert.DeepEqual(t, c.voterNames("core-2"), []string{"core-1", "core-3", "core-4"})
@@ -173,9 +173,9 @@
 	})
 }
 
-func TestVoterThatStopsHandsItsVoteOver(t *testing.T) {
+func TestVoterThatStopsTransfersItsVote(t *testing.T) {
 	inCluster(t, 4, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-4").configured(0, configurationOf(2, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-4").putConfiguration(0, configurationOf(2, "a")), http.StatusOK)
 		c.pass(50 * time.Millisecond)
 		c.at("core-2").transfer.Run(context.Background())
 		c.kill("core-2")
@@ -184,9 +184,9 @@
 	})
 }
 
-func TestVoterThatStopsKeepsItsVoteWhereNobodyStandsBy(t *testing.T) {
+func TestVoterThatStopsKeepsItsVoteWithoutAStandby(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(2, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(2, "a")), http.StatusOK)
 		c.pass(50 * time.Millisecond)
 		c.at("core-2").transfer.Run(context.Background())
 		assert.DeepEqual(t, c.voterNames("core-1"), []string{"core-1", "core-2", "core-3"})
--- a/internal/tier/coordinator/troublework_test.go
+++ b/internal/tier/coordinator/partition_workload_test.go
@@ -9,8 +9,8 @@
 	"pulleygw.example/pulleygw/internal/tier/changelog"
 )
 
-// operate is an operator that puts changes on top of what it reads, and sends an order again until it is clear.
-func (r *troubleRun) operate(name string) {
+// operate is an operator that puts changes on top of what it reads, and sends a change again until it is clear.
+func (r *partitionRun) operate(name string) {
 	for number := 0; r.wait(); number++ {
 		base, read := r.readBase()
 		if !read {
@@ -18,7 +18,7 @@
 		}
 		generation := base + 1 + uint64(r.draw(2))
 		body := configurationOf(int(generation), fmt.Sprintf("%s%d", name, number))
-		sent := sentOrder{order: changelog.NewChange(base, generation, []byte(body)), generation: generation}
+		sent := sentChange{change: changelog.NewChange(base, generation, []byte(body)), generation: generation}
 		for sent.status == 0 || sent.status == http.StatusServiceUnavailable {
 			sent.status, _ = r.call(http.MethodPut, "/v1/config", fmt.Sprint(base), body)
 			if !r.wait() {
@@ -27,13 +27,13 @@
 		}
 		sent.at = time.Now()
 		r.mu.Lock()
-		r.orders = append(r.orders, sent)
+		r.changes = append(r.changes, sent)
 		r.mu.Unlock()
 	}
 }
 
 // readBase reads the generation in force, which is not to be older than what was acknowledged before.
-func (r *troubleRun) readBase() (uint64, bool) {
+func (r *partitionRun) readBase() (uint64, bool) {
 	least := r.acknowledged(time.Now())
 	status, answer := r.call(http.MethodGet, "/v1/config", "", "")
 	if status != http.StatusOK {
@@ -47,7 +47,7 @@
 }
 
 // wait lets a moment pass and says whether the run goes on.
-func (r *troubleRun) wait() bool {
+func (r *partitionRun) wait() bool {
 	select {
 	case <-time.After(time.Duration(20+r.draw(150)) * time.Millisecond):
 		return true
@@ -57,7 +57,7 @@
 }
 
 // drainStores has one store after another register, drain and wait for the acknowledgement.
-func (r *troubleRun) drainStores() {
+func (r *partitionRun) drainStores() {
 	for number := 0; ; number++ {
 		id := fmt.Sprintf("i-%d", number)
 		for sequence, state := 1, "ready"; state != "done"; sequence++ {
@@ -78,8 +78,8 @@
 	}
 }
 
-// storeCall is a heartbeat at any coordinator. One that says ready may be taken until the loss of contact is noticed.
-func (r *troubleRun) storeCall(id, state string, sequence int) (int, string) {
+// storeCall is a heartbeat at any coordinator. One that says ready may be committed until the loss of contact is noticed.
+func (r *partitionRun) storeCall(id, state string, sequence int) (int, string) {
 	path := "/v1/instances/" + id
 	if state == "draining" {
 		return r.call(http.MethodPut, path, "", heartbeat(state, sequence))
@@ -88,12 +88,12 @@
 }
 
 // retire has a machine emptied and asks until it is.
-func (r *troubleRun) retire(name string) {
+func (r *partitionRun) retire(name string) {
 	status := 0
 	for status != http.StatusOK && r.wait() {
 		status, _ = r.call(http.MethodPost, "/v1/retire/"+name, "", `{"deadlineS":10}`)
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
-			r.problem("retirement refused with %d", status)
+			r.problem("retirement rejected with %d", status)
 			return
 		}
 	}
@@ -109,13 +109,13 @@
 	}
 }
 
-func (r *troubleRun) markEmptied(name string) {
+func (r *partitionRun) markEmptied(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.emptied[name] = true
 }
 
-func (r *troubleRun) isEmptied(name string) bool {
+func (r *partitionRun) isEmptied(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.emptied[name]
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/quorum_contact_test.go
@@ -22,7 +22,7 @@
 // A wiped machine at a voter's address is another node: with a second voter down the register has no quorum.
 func TestWipedMachineAtAVotersAddressIsNoVote(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.pass(100 * time.Millisecond)
 		c.kill("core-3")
 		c.kill("core-2")
@@ -30,21 +30,21 @@
 		c.start("core-2", false)
 		c.pass(2 * time.Second)
 		one := c.at("core-1")
-		assert.Equal(t, one.configured(1, configurationOf(2, "a")), http.StatusServiceUnavailable, "the register")
+		assert.Equal(t, one.putConfiguration(1, configurationOf(2, "a")), http.StatusServiceUnavailable, "the register")
 		assert.Equal(t, one.readiness(), http.StatusServiceUnavailable)
-		assert.Equal(t, one.beat("ready", 1), http.StatusServiceUnavailable)
-		assert.Equal(t, one.beat("draining", 2), http.StatusServiceUnavailable)
+		assert.Equal(t, one.putHeartbeat("ready", 1), http.StatusServiceUnavailable)
+		assert.Equal(t, one.putHeartbeat("draining", 2), http.StatusServiceUnavailable)
 		c.start("core-3", false)
 		c.pass(3 * time.Second)
 		assert.Equal(t, one.readiness(), http.StatusOK)
-		assert.Equal(t, one.beat("draining", 3), http.StatusOK)
+		assert.Equal(t, one.putHeartbeat("draining", 3), http.StatusOK)
 	})
 }
 
 // A coordinator that lost its disk has no vote of its own, though it runs at a voter's address.
 func TestWipedCoordinatorDoesNotCountItself(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.pass(100 * time.Millisecond)
 		c.kill("core-3")
 		c.kill("core-1")
@@ -54,7 +54,7 @@
 		one := c.at("core-1")
 		assert.DeepEqual(t, c.generations("core-1"), []uint64{1})
 		assert.Equal(t, one.readiness(), http.StatusServiceUnavailable)
-		assert.Equal(t, one.beat("draining", 1), http.StatusServiceUnavailable)
+		assert.Equal(t, one.putHeartbeat("draining", 1), http.StatusServiceUnavailable)
 		assert.Equal(t, c.at("core-2").readiness(), http.StatusServiceUnavailable)
 		c.start("core-3", false)
 		c.pass(4 * time.Second)
@@ -65,13 +65,13 @@
 }
 
 // ackWhileVotersChange is the longest, in simulated time, that a drain's acknowledgement takes where a vote comes from one
-// that has accepted later voters, of which the news is on its way: a wake-up of followers, and some calls.
+// that has accepted later voters, of which the replication is on its way: a wake-up of followers, and some calls.
 const ackWhileVotersChange = 50 * time.Millisecond
 
 // While a voter is wiped or its place is taken, the others acknowledge drains, and all but at once.
 func TestDrainsAreAcknowledgedWhileVotersChange(t *testing.T) {
 	inCluster(t, 4, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.pass(100 * time.Millisecond)
 		c.kill("core-2")
 		c.wipe("core-2")
@@ -79,7 +79,7 @@
 		changed, waited := false, 0
 		for sequence := 1; sequence <= 400; sequence++ {
 			began := time.Now()
-			assert.Equal(t, c.at("core-1").beat("draining", sequence), http.StatusOK, "at %d", sequence)
+			assert.Equal(t, c.at("core-1").putHeartbeat("draining", sequence), http.StatusOK, "at %d", sequence)
 			assert.Assert(t, time.Since(began) <= ackWhileVotersChange, "simulated time: %v", time.Since(began))
 			if time.Since(began) > 5*callDelay {
 				waited++
@@ -90,32 +90,32 @@
 			c.pass(10 * time.Millisecond)
 		}
 		assert.Assert(t, changed, "no change of voters came")
-		assert.Assert(t, waited <= 2, "%d of 400 waited for the news of the change's two steps", waited)
+		assert.Assert(t, waited <= 2, "%d of 400 waited for the replication of the change's two steps", waited)
 		assert.Equal(t, len(c.at("core-1").state.Control().Voters), 1)
 	})
 }
 
-// A process that wakes from a freeze has the results of polls from before its sleep, and nothing else.
-func TestCoordinatorThatWakesIsNotInTouchByOldAnswers(t *testing.T) {
+// A process that resumes after a freeze has the results of polls from before the freeze, and nothing else.
+func TestCoordinatorThatWakesHasNoContactByOldReplies(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		one := c.at("core-1")
 		for sequence := 1; sequence <= 6; sequence++ {
-			assert.Equal(t, one.beat("ready", sequence), http.StatusOK)
+			assert.Equal(t, one.putHeartbeat("ready", sequence), http.StatusOK)
 			c.pass(time.Second)
 		}
 		agent := &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}
-		news, err := one.poll(&tierpb.WatchRequest{Follower: agent})
+		reply, err := one.poll(&tierpb.WatchRequest{Follower: agent})
 		assert.NilError(t, err)
-		c.machines["core-1"].sleepFor(20 * time.Second)
+		c.machines["core-1"].stall(20 * time.Second)
 		assert.Equal(t, one.readiness(), http.StatusServiceUnavailable)
-		assert.Equal(t, one.beat("ready", 7), http.StatusServiceUnavailable)
-		_, err = one.poll(&tierpb.WatchRequest{Follower: agent, Incarnation: news.Incarnation, Cursor: news.Cursor})
+		assert.Equal(t, one.putHeartbeat("ready", 7), http.StatusServiceUnavailable)
+		_, err = one.poll(&tierpb.WatchRequest{Follower: agent, Incarnation: reply.Incarnation, Cursor: reply.Cursor})
 		assert.ErrorIs(t, err, watch.ErrNotReady)
 		one.instances.check()
-		assert.Equal(t, one.state.Instance("i-1").State, stateReady, "marked by a look at old news")
+		assert.Equal(t, one.state.Instance("i-1").State, stateReady, "marked by a check of old data")
 		c.pass(2 * time.Second)
 		assert.Equal(t, one.readiness(), http.StatusOK)
-		assert.Equal(t, one.beat("ready", 8), http.StatusOK)
+		assert.Equal(t, one.putHeartbeat("ready", 8), http.StatusOK)
 	})
 }
 
@@ -131,16 +131,16 @@
 	})
 }
 
-// A coordinator that was cut off while voters changed is a majority of the old ones together with a voter that has
+// A coordinator that was isolated while voters changed is a majority of the old ones together with a voter that has
 // accepted the change, and knows no more than that.
-func TestVotersThatKnowLaterVotersAreNoContactByTheOldOnes(t *testing.T) {
+func TestVotersThatKnowLaterVotersAreNoContactUnderTheOldOnes(t *testing.T) {
 	inCluster(t, 4, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").configured(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
 		c.pass(100 * time.Millisecond)
-		for _, apart := range []string{"core-1", "core-2"} {
+		for _, minority := range []string{"core-1", "core-2"} {
 			for _, other := range []string{"core-3", "core-4"} {
-				c.setCut(apart, other, true)
-				c.setCut(other, apart, true)
+				c.setBlocked(minority, other, true)
+				c.setBlocked(other, minority, true)
 			}
 		}
 		two := c.at("core-2")
@@ -152,16 +152,16 @@
 		})
 		assert.Assert(t, accepted.Accepted)
 		began := time.Now()
-		assert.Equal(t, c.at("core-1").beat("draining", 1), http.StatusServiceUnavailable)
+		assert.Equal(t, c.at("core-1").putHeartbeat("draining", 1), http.StatusServiceUnavailable)
 		c.pass(membership.ContactTimeout - time.Since(began))
 		assert.Equal(t, c.at("core-1").readiness(), http.StatusServiceUnavailable)
-		assert.Equal(t, c.at("core-1").beat("draining", 2), http.StatusServiceUnavailable)
+		assert.Equal(t, c.at("core-1").putHeartbeat("draining", 2), http.StatusServiceUnavailable)
 		assert.Equal(t, two.readiness(), http.StatusServiceUnavailable)
 	})
 }
 
-// A freeze that is shorter than contact lasts is no silence of stores that call often.
-func TestShortFreezeMarksNoStoreSilent(t *testing.T) {
+// A freeze that is shorter than contact lasts is no heartbeat time-out of instances that call often.
+func TestShortFreezeMarksNoInstanceSuspect(t *testing.T) {
 	const period = 500 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
 	own := &settings.Settings{HeartbeatMs: int(period / time.Millisecond)}
@@ -192,5 +192,5 @@
 		now = now.Add(failureCheckInterval)
 		check(sequence - 1)
 	}
-	assert.Equal(t, check(sequence-1), stateSuspect, "a store that says nothing once the process runs again")
+	assert.Equal(t, check(sequence-1), stateSuspect, "an instance without heartbeats once the process runs again")
 }
--- a/internal/tier/coordinator/random_placement_test.go
+++ b/internal/tier/coordinator/random_placement_faults_test.go
@@ -16,22 +16,22 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// placementDays is how many random schedules are played, each of placementDay in the bubble's time.
+// placementSchedules is how many random schedules are played, each of placementScheduleTime in the bubble's time.
 const (
-	placementDays = 12
-	placementDay  = 60 * time.Second
-	sleepLonger   = 10 * time.Second // by which a sleep lasts longer than other troubles
+	placementSchedules    = 12
+	placementScheduleTime = 60 * time.Second
+	extraFreezeTime       = 10 * time.Second // by which a freeze lasts longer than other faults
 )
 
-// valueWatch looks at the values that become known, at any machine, and keeps one of each version.
-type valueWatch struct {
+// valueHistory looks at the values that become known, at any machine, and keeps one of each version.
+type valueHistory struct {
 	t      *testing.T
 	values map[uint64]*tierpb.ControlState
 }
 
-// look fails if two values share a version, and where one is known whose neighbour is, if the step between them breaks
+// observe fails if two values share a version, and where one is known whose neighbour is, if the step between them breaks
 // a rule of placement.
-func (w *valueWatch) look(c *cluster) {
+func (w *valueHistory) observe(c *cluster) {
 	for name := range c.machines {
 		p := c.at(name)
 		if p == nil || p.state.Control() == nil {
@@ -51,7 +51,7 @@
 }
 
 // checkStep: a step that raises the term does nothing else, and one with other members leaves the term.
-func (w *valueWatch) checkStep(from, to *tierpb.ControlState) {
+func (w *valueHistory) checkStep(from, to *tierpb.ControlState) {
 	if from == nil || to == nil {
 		return
 	}
@@ -64,59 +64,59 @@
 	assert.Equal(w.t, from.GetStores().GetEpoch(), to.GetStores().GetEpoch(), "version %d changes the term and the stores", to.Version)
 }
 
-// placementSchedule is one random day of five coordinators of which three vote.
+// placementSchedule is one random schedule of five coordinators of which three vote.
 type placementSchedule struct {
 	*cluster
-	random  *rand.Rand
-	watched *valueWatch
-	away    map[string]time.Time // when a machine is to come back
-	frozen  map[string]*sleeper
-	cutOff  map[string]bool
-	tally   *placementTally
+	random   *rand.Rand
+	watched  *valueHistory
+	away     map[string]time.Time // when a machine is to come back
+	frozen   map[string]*frozenMachine
+	isolated map[string]bool
+	tally    *placementTally
 }
 
 // placementTally counts what the schedules held.
 type placementTally struct{ Wipes, Sleeps, Stops int }
 
-// TestRandomTroubleOfPlacement kills, stops, cuts off and wipes coordinators and freezes holders of the lease at the
-// points of a change, one disk at a time and none while a voter is missing. At rest three voters run and take orders, no
+// TestRandomFaultsDuringPlacement kills, stops, cuts off and wipes coordinators and freezes lease holders at the
+// points of a change, one disk at a time and none while a voter is missing. At rest three voters run and take changes, no
 // two values shared a version, and what raised the term did nothing else.
-func TestRandomTroubleOfPlacement(t *testing.T) {
+func TestRandomFaultsDuringPlacement(t *testing.T) {
 	tally := &placementTally{}
-	for seed := range uint64(placementDays) {
+	for seed := range uint64(placementSchedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			inCluster(t, 5, 1, func(c *cluster) {
 				s := &placementSchedule{
 					cluster: c, random: rand.New(rand.NewPCG(seed, 5)), away: make(map[string]time.Time),
-					frozen: make(map[string]*sleeper), cutOff: make(map[string]bool), tally: tally,
-					watched: &valueWatch{t: c.t, values: make(map[uint64]*tierpb.ControlState)},
+					frozen: make(map[string]*frozenMachine), isolated: make(map[string]bool), tally: tally,
+					watched: &valueHistory{t: c.t, values: make(map[uint64]*tierpb.ControlState)},
 				}
-				defer s.wakeAll()
+				defer s.thawAll()
 				s.play()
 			})
 		})
 	}
-	t.Logf("%d schedules: %+v", placementDays, *tally)
-	assert.Assert(t, tally.Wipes >= placementDays && tally.Sleeps >= placementDays, "hardly anything happened")
+	t.Logf("%d schedules: %+v", placementSchedules, *tally)
+	assert.Assert(t, tally.Wipes >= placementSchedules && tally.Sleeps >= placementSchedules, "hardly anything happened")
 }
 
 func (s *placementSchedule) play() {
-	assert.Equal(s.t, s.at("core-1").configured(0, configurationOf(1, "a")), 200)
-	for ends := time.Now().Add(placementDay); time.Now().Before(ends); {
+	assert.Equal(s.t, s.at("core-1").putConfiguration(0, configurationOf(1, "a")), 200)
+	for ends := time.Now().Add(placementScheduleTime); time.Now().Before(ends); {
 		for range 5 + s.random.IntN(30) {
 			s.pass(50 * time.Millisecond)
-			s.watched.look(s.cluster)
+			s.watched.observe(s.cluster)
 		}
-		s.bringBack(time.Now())
-		s.strike(fmt.Sprintf("core-%d", 1+s.random.IntN(5)))
+		s.heal(time.Now())
+		s.injectFault(fmt.Sprintf("core-%d", 1+s.random.IntN(5)))
 	}
-	s.bringBack(time.Now().Add(time.Hour))
-	s.settled(3, 1)
-	s.watched.look(s.cluster)
+	s.heal(time.Now().Add(time.Hour))
+	s.awaitStableVoters(3, 1)
+	s.watched.observe(s.cluster)
 }
 
-// strike does one thing to a machine that is not in trouble.
-func (s *placementSchedule) strike(name string) {
+// injectFault does one thing to a machine that has no fault yet.
+func (s *placementSchedule) injectFault(name string) {
 	if _, found := s.away[name]; found {
 		return
 	}
@@ -127,7 +127,7 @@
 		s.away[name] = back
 	case 1:
 		s.isolate(name, true)
-		s.cutOff[name] = true
+		s.isolated[name] = true
 		s.away[name] = back
 	case 2:
 		s.tally.Stops++
@@ -136,24 +136,24 @@
 		s.kill(name)
 		s.away[name] = back
 	case 3, 4:
-		s.bringBack(time.Now().Add(time.Hour))
+		s.heal(time.Now().Add(time.Hour))
 		s.pass(4 * time.Second)
-		if s.whole() {
+		if s.fullyReplicated() {
 			s.tally.Wipes++
 			s.kill(name)
 			s.wipe(name)
 			s.away[name] = back
 		}
 	case 5, 6:
-		name = s.holderAmong(name)
+		name = s.leaseHolderOr(name)
 		points := []failpoint.Point{failpoint.PlacementDecided, failpoint.PrepareDone, failpoint.AcceptSending, failpoint.VotersJoint}
 		s.frozen[name] = s.freezeAt(name, points[s.random.IntN(len(points))])
-		s.away[name] = back.Add(sleepLonger)
+		s.away[name] = back.Add(extraFreezeTime)
 	}
 }
 
-// holderAmong is the machine that holds the lease where it is not in trouble, else another.
-func (s *placementSchedule) holderAmong(other string) string {
+// leaseHolderOr is the machine that holds the lease where that has no fault, else another.
+func (s *placementSchedule) leaseHolderOr(other string) string {
 	for _, name := range s.runningMachines() {
 		if _, found := s.away[name]; !found && s.at(name).candidate.OwnsLease() {
 			return name
@@ -162,8 +162,8 @@
 	return other
 }
 
-// whole says that all voters of the newest value run and have it.
-func (s *placementSchedule) whole() bool {
+// fullyReplicated says that all voters of the newest value run and have it.
+func (s *placementSchedule) fullyReplicated() bool {
 	var versions []uint64
 	for _, name := range s.runningMachines() {
 		if !s.votersRun(name) {
@@ -177,45 +177,45 @@
 	return len(slices.Compact(versions)) == 1
 }
 
-// wakeUp ends the sleep of a machine, or the wait for it.
-func (s *placementSchedule) wakeUp(name string) {
-	sleeping := s.frozen[name]
-	if sleeping == nil {
+// thawMachine ends the freeze of a machine, or the wait for it.
+func (s *placementSchedule) thawMachine(name string) {
+	machine := s.frozen[name]
+	if machine == nil {
 		return
 	}
 	delete(s.frozen, name)
-	if sleeping.sleeps() {
+	if machine.isFrozen() {
 		s.tally.Sleeps++
 	}
 	s.at(name).points.set(nil)
-	sleeping.thaw()
+	machine.thaw()
 }
 
-func (s *placementSchedule) wakeAll() {
+func (s *placementSchedule) thawAll() {
 	for name := range s.frozen {
-		s.wakeUp(name)
+		s.thawMachine(name)
 	}
 }
 
-// bringBack ends the troubles that are over by a time.
-func (s *placementSchedule) bringBack(by time.Time) {
+// heal ends the faults that are over by a time.
+func (s *placementSchedule) heal(by time.Time) {
 	for name, back := range s.away {
 		if back.After(by) {
 			continue
 		}
 		delete(s.away, name)
-		s.wakeUp(name)
-		delete(s.cutOff, name)
+		s.thawMachine(name)
+		delete(s.isolated, name)
 		s.isolate(name, false)
 		if s.at(name) == nil {
 			s.start(name, false)
 		}
 	}
-	for name := range s.cutOff {
+	for name := range s.isolated {
 		s.isolate(name, true)
 	}
-	for name, sleeping := range s.frozen {
-		if sleeping.sleeps() {
+	for name, machine := range s.frozen {
+		if machine.isFrozen() {
 			s.isolate(name, true)
 		}
 	}
--- a/internal/tier/coordinator/orphan_test.go
+++ b/internal/tier/coordinator/unconfirmed_instance_test.go
@@ -10,12 +10,12 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// A store that crashes while all coordinators lose their memory is announced by nobody again: no coordinator knows of it, so
-// none finds it silent. An edge that held it has to hear of its silence all the same, as its address goes to other services.
-func TestStoreThatCrashedWithAllCoordinatorsIsSilentAtEdges(t *testing.T) {
+// An instance that crashes while all coordinators lose their memory is announced by nobody again: no coordinator knows of it, so
+// none marks it suspect. An edge that held it has to mark it suspect all the same, as its address goes to other services.
+func TestInstanceThatCrashedWithAllCoordinatorsIsSuspectAtEdges(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		names := coreNames(3)
-		assert.Equal(t, c.at("core-1").beat("ready", 1), http.StatusOK)
+		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
 		edge := c.startEdge("edge", names...)
 		defer edge.stop()
 		c.pass(time.Second)
--- a/internal/tier/rules/promises_test.go
+++ b/internal/tier/rules/promises_test.go
@@ -57,8 +57,9 @@
 			return err
 		}
 		text, err := os.ReadFile(file)
+		assert.NilError(t, err)
 		all.Write(text)
-		return err
+		return nil
 	})
 	assert.NilError(t, err)
 	return all.String()
