--- a/internal/tier/admission/dispatcher.go
+++ b/internal/tier/admission/dispatcher.go
@@ -6,14 +6,22 @@
 	"math/rand/v2"
 	"sync"
 	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/metrics"
 )
 
-// Options of a Dispatcher. Zero values mean the real clock and a random seed.
+var attemptOutcomes = metrics.NewCounterVec("proxy_sends_total", "Attempts at stores by outcome.", "outcome")
+
+// Options configure a Dispatcher.
 type Options struct {
-	Now   func() time.Time
-	Rand  *rand.Rand
-	Zone  string                                             // of the proxy
-	After func(d time.Duration, f func()) (stop func() bool) // runs f once, later; time.AfterFunc where nil
+	// Now is the clock; nil means time.Now.
+	Now func() time.Time
+	// Rand decides which requests are shed; nil means a random seed.
+	Rand *rand.Rand
+	// Zone is the proxy's own zone, whose stores are preferred. Empty matches stores without a zone.
+	Zone string
+	// After runs f once after d, and returns a function that stops it; nil means time.AfterFunc.
+	After func(d time.Duration, f func()) (stop func() bool)
 }
 
 // Dispatcher is the admission stage of one proxy. It is safe for concurrent use.
@@ -22,14 +30,14 @@
 	after func(time.Duration, func()) func() bool
 	start time.Time
 
-	mu      sync.Mutex
-	core    core
-	stop    func() bool // of the timer, nil when there is none
-	timerAt time.Duration
-	timerNo uint64
+	mu              sync.Mutex
+	core            core
+	stop            func() bool   // stops the timer; nil while none is set
+	timerAt         time.Duration // when the timer fires
+	timerGeneration uint64        // of the timer; one that was replaced may still fire
 }
 
-// New makes a Dispatcher that knows no stores yet.
+// New returns a Dispatcher that knows no stores yet.
 func New(o Options) *Dispatcher {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -40,137 +48,107 @@
 	if o.After == nil {
 		o.After = func(d time.Duration, f func()) func() bool { return time.AfterFunc(d, f).Stop }
 	}
-	return &Dispatcher{now: o.Now, after: o.After, start: o.Now(),
-		core: core{zone: o.Zone, random: o.Rand, services: map[string]*service{}}}
-}
-
-// Grant is leave to send a request to a store. Finish must be called once.
-type Grant struct {
-	d        *Dispatcher
-	store    *store
-	class    *class
-	affinity uint64
-	told     Store // the store as it was when the grant was given
-	sentAt   time.Duration
-	quiet    bool // the store was unloaded
-	heard    bool // the first of the answer has come
-	ended    bool
+	return &Dispatcher{
+		now: o.Now, after: o.After, start: o.Now(),
+		core: core{zone: o.Zone, random: o.Rand, services: map[string]*service{}},
+	}
 }
 
-// SetStores tells all stores of a service. Engine says that they generate tokens, and slots how many requests each works on
-// where it does not tell itself.
+// SetStores sets all stores of a service, which is created when it is new. What is known of an instance that stays is kept.
+// Engine says that the stores generate tokens, and slots is the number of requests that each works on at a time, for stores
+// that do not report it; 0 means 8. Requests queued for a store that is gone are assigned to another one.
 func (d *Dispatcher) SetStores(name string, engine bool, slots int, stores []Store) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.since(d.now())
-	v := d.core.services[name]
-	if v == nil {
-		v = newService(name)
-		d.core.services[name] = v
-	}
-	v.engine, v.slots = engine, slots
-	for _, w := range v.set(now, d.since, stores) {
-		d.core.replace(v, w, now)
-	}
-	d.core.release(v, now)
-	d.arm(v, now)
+	now := d.sinceStart(d.now())
+	svc := d.core.services[name]
+	if svc == nil {
+		svc = newService()
+		d.core.services[name] = svc
+	}
+	svc.engine, svc.defaultSlots = engine, slots
+	for _, p := range svc.update(now, d.sinceStart, stores) {
+		d.core.reassign(svc, p, now)
+	}
+	d.core.releaseQueued(svc, now)
+	d.armTimer(svc, now)
 }
 
-// Acquire waits for leave to send a request, as long as it is held. A request whose ctx ends is let go at once.
+// Acquire waits until the request may be sent, and returns a Grant, or else the rejection; the other one is nil. When ctx
+// ends first, the request is rejected with ClientGone.
 func (d *Dispatcher) Acquire(ctx context.Context, r Request) (*Grant, *RejectedError) {
 	d.mu.Lock()
-	now := d.since(d.now())
-	w := &waiter{Request: r, aimAt: d.since(r.Arrival.Add(r.LatencyTarget)), endAt: math.MaxInt64, index: -1}
+	now := d.sinceStart(d.now())
+	p := &pendingRequest{
+		Request: r, targetAt: d.sinceStart(r.Arrival.Add(r.LatencyTarget)), deadlineAt: math.MaxInt64, index: -1,
+	}
 	if !r.Deadline.IsZero() {
-		w.endAt = d.since(r.Deadline)
+		p.deadlineAt = d.sinceStart(r.Deadline)
 	}
-	d.core.arrive(now, w)
-	if w.grant != nil || w.refusal != nil {
+	d.core.submit(now, p)
+	if p.grant != nil || p.rejection != nil {
 		d.mu.Unlock()
-		return d.result(w)
+		return d.result(p)
 	}
-	d.arm(d.core.services[r.Service], now)
+	d.armTimer(d.core.services[r.Service], now)
 	d.mu.Unlock()
 	select {
-	case <-w.done:
+	case <-p.done:
 	case <-ctx.Done():
-		d.mu.Lock()
-		d.core.leave(w)
-		if w.grant != nil { // it was let go in the same moment
-			d.core.finish(w.grant, d.since(d.now()), Cancelled)
-			w.grant, w.refusal = nil, &RejectedError{Reason: ClientGone}
-		}
-		d.mu.Unlock()
+		d.abandon(p)
 	}
-	return d.result(w)
+	return d.result(p)
 }
 
-func (d *Dispatcher) result(w *waiter) (*Grant, *RejectedError) {
-	if w.grant == nil {
-		return nil, w.refusal
+// abandon rejects a request whose context has ended.
+func (d *Dispatcher) abandon(p *pendingRequest) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.core.abandon(p)
+	if p.grant != nil { // it was granted at the same time
+		d.core.finish(p.grant, d.sinceStart(d.now()), Cancelled)
+		p.grant, p.rejection = nil, &RejectedError{Reason: ClientGone}
 	}
-	w.grant.d = d
-	return w.grant, nil
-}
-
-// Store is the store to send to.
-func (g *Grant) Store() Store { return g.told }
-
-// ReportFirstByte tells that a stream's first event has come.
-func (g *Grant) ReportFirstByte() {
-	g.d.mu.Lock()
-	defer g.d.mu.Unlock()
-	g.d.core.answered(g, g.d.since(g.d.now()))
 }
 
-// ReportLoad tells what the store said of its load: requests running and waiting, and its slots.
-func (g *Grant) ReportLoad(running, waiting, slots int) {
-	g.d.mu.Lock()
-	defer g.d.mu.Unlock()
-	g.store.told(g.d.since(g.d.now()), running, waiting, slots)
-}
-
-// Finish tells how the sending ended.
-func (g *Grant) Finish(outcome Outcome) {
-	d := g.d
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.since(d.now())
-	d.core.finish(g, now, outcome)
-	sends.Inc(outcomeNames[outcome])
-	d.arm(g.store.service, now)
+func (d *Dispatcher) result(p *pendingRequest) (*Grant, *RejectedError) {
+	if p.grant == nil {
+		return nil, p.rejection
+	}
+	p.grant.dispatcher = d
+	return p.grant, nil
 }
 
-// since is a moment as the core counts it.
-func (d *Dispatcher) since(t time.Time) time.Duration { return t.Sub(d.start) }
+// sinceStart converts a time to the core's, which is the duration since the Dispatcher was made.
+func (d *Dispatcher) sinceStart(t time.Time) time.Duration { return t.Sub(d.start) }
 
-// arm sets the timer for what a service holds, where it would ring sooner than it does.
-func (d *Dispatcher) arm(v *service, now time.Duration) {
-	at := d.core.next(v, now)
+// armTimer sets the timer for the queued requests of a service, unless it fires earlier anyway.
+func (d *Dispatcher) armTimer(svc *service, now time.Duration) {
+	at := d.core.nextWakeup(svc, now)
 	if at == math.MaxInt64 || d.stop != nil && d.timerAt <= at {
 		return
 	}
 	if d.stop != nil {
 		d.stop()
 	}
-	d.timerNo++
-	number := d.timerNo
-	d.timerAt, d.stop = at, d.after(at-now, func() { d.ring(number) })
+	d.timerGeneration++
+	generation := d.timerGeneration
+	d.timerAt, d.stop = at, d.after(at-now, func() { d.onTimer(generation) })
 }
 
-// ring sweeps all services when the timer has come due.
-func (d *Dispatcher) ring(number uint64) {
+// onTimer sweeps the queues of all services.
+func (d *Dispatcher) onTimer(generation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if number != d.timerNo {
+	if generation != d.timerGeneration {
 		return
 	}
 	d.stop = nil
-	now := d.since(d.now())
-	for _, v := range d.core.services {
-		if v.held > 0 {
-			d.core.sweep(v, now)
-			d.arm(v, now)
+	now := d.sinceStart(d.now())
+	for _, svc := range d.core.services {
+		if svc.queued > 0 {
+			d.core.sweep(svc, now)
+			d.armTimer(svc, now)
 		}
 	}
 }
--- /dev/null
+++ b/internal/tier/admission/latency.go
@@ -0,0 +1,119 @@
+package admission
+
+import (
+	"time"
+
+	"pulleygw.example/pulleygw/internal/shared/curve"
+)
+
+// latencyClass holds the response times of a service's requests that have one latency target and one kind of response.
+// Routes of one service may ask for work that takes several times longer than another's, so each class has its own.
+type latencyClass struct {
+	target    time.Duration
+	streaming bool
+	unloaded  *curve.Histogram // unloaded response times of all stores
+	recent    *curve.Histogram // response times of all stores in the last seconds, whatever the load
+
+	// What follows is read off the histograms by refresh, in seconds.
+	upToDate   bool
+	cdf        []float64 // of unloaded; reused
+	median     float64   // of unloaded
+	tail       float64   // of unloaded
+	recentTail float64   // of recent; 0 while there are too few
+	baseline   float64   // the median, but slow to rise: a long overload must not become the baseline
+	baselineAt time.Duration
+}
+
+// storeLatencies holds a store's unloaded response times in one class.
+type storeLatencies struct {
+	class     *latencyClass
+	histogram *curve.Histogram
+	upToDate  bool
+	tail      float64 // with the other stores' average mixed in
+}
+
+func newLatencyClass(target time.Duration, streaming bool) *latencyClass {
+	return &latencyClass{
+		target: target, streaming: streaming, unloaded: curve.NewRecord(),
+		recent: curve.NewHistogram(curve.RecordLow, curve.RecordHigh, curve.RecordRatio, recentHalfLife),
+	}
+}
+
+// refresh reads the class's values off its histograms, where these have changed. Before any response it assumes a uniform
+// distribution up to a share of the latency target.
+func (c *latencyClass) refresh(now time.Duration) {
+	if c.upToDate {
+		return
+	}
+	c.upToDate = true
+	unloaded := c.unloaded
+	if unloaded.Total == 0 {
+		unloaded = curve.NewRecord()
+		unloaded.FillUniform(c.target.Seconds() * initialTailShare)
+	}
+	c.cdf = curve.Blend(c.cdf, unloaded, unloaded, 0, now)
+	c.median, c.tail = unloaded.Quantile(c.cdf, 0.5), unloaded.Quantile(c.cdf, tailQuantile)
+	c.recentTail = 0
+	if c.recent.Size(now) >= curve.RecordPrior {
+		c.recentTail = c.recent.Quantile(curve.Blend(nil, c.recent, c.recent, 0, now), tailQuantile)
+	}
+	c.refreshBaseline(now)
+}
+
+// refreshBaseline follows the median down at once and up slowly.
+func (c *latencyClass) refreshBaseline(now time.Duration) {
+	risen := c.baseline * (1 + baselineRise*(now-c.baselineAt).Seconds())
+	if c.baseline == 0 || c.unloaded.Size(now) < curve.RecordPrior {
+		risen = c.median
+	}
+	c.baseline, c.baselineAt = min(c.median, risen), now
+}
+
+// recordRecent records a response time under whatever load.
+func (c *latencyClass) recordRecent(now time.Duration, seconds float64) {
+	c.recent.Add(now, seconds)
+	c.upToDate = false
+}
+
+// recordUnloaded records an unloaded response time for the store and for the class.
+func (s *store) recordUnloaded(c *latencyClass, now time.Duration, seconds float64) {
+	own := s.latenciesOf(c)
+	if own == nil {
+		s.latencies = append(s.latencies, storeLatencies{class: c, histogram: curve.NewRecord()})
+		own = &s.latencies[len(s.latencies)-1]
+	}
+	own.histogram.Add(now, seconds)
+	c.unloaded.Add(now, seconds)
+	own.upToDate, c.upToDate = false, false
+}
+
+// latenciesOf returns the store's response times in a class, or nil before the first.
+func (s *store) latenciesOf(c *latencyClass) *storeLatencies {
+	for i := range s.latencies {
+		if s.latencies[i].class == c {
+			return &s.latencies[i]
+		}
+	}
+	return nil
+}
+
+// unloadedTail returns the 99th percentile of the store's unloaded response times in seconds. A store without responses
+// counts as the others' average.
+func (s *store) unloadedTail(c *latencyClass, now time.Duration) float64 {
+	c.refresh(now)
+	own := s.latenciesOf(c)
+	if own == nil {
+		return c.tail
+	}
+	if !own.upToDate {
+		mixed := curve.Blend(nil, own.histogram, c.unloaded, curve.RecordPrior, now)
+		own.tail, own.upToDate = own.histogram.Quantile(mixed, tailQuantile), true
+	}
+	return own.tail
+}
+
+// stallTimeout returns after how many seconds without a first byte a store counts as stalled. A slow store's own
+// distribution does not excuse it, and a load that all stores have does.
+func (s *store) stallTimeout(c *latencyClass, now time.Duration) float64 {
+	return max(min(s.unloadedTail(c, now), c.tail), c.recentTail)
+}
