--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -19,7 +19,7 @@
 
 // instance is one mixer and the wire's numbers for its queries.
 type instance struct {
-	mixer   *policy.Mixer
+	mixer   *policy.Scheduler
 	events  []decision.Event
 	numbers map[float32]decision.QueryID
 	byID    map[decision.QueryID]float32
@@ -119,9 +119,9 @@
 			id := decision.QueryID(e.ID)
 			x.numbers[e.Number], x.byID[id] = id, e.Number
 			x.events = append(x.events, decision.QueryArrived{ID: id, Class: int(e.Class), Tenant: int(e.Tenant),
-				Key: e.Key, Left: time.Duration(e.LeftUs) * time.Microsecond, Parts: int(e.Share)})
+				Key: e.Key, Remaining: time.Duration(e.LeftUs) * time.Microsecond, Subqueries: int(e.Share)})
 		} else if id, ok := x.numbers[e.Number]; ok {
-			x.events = append(x.events, decision.PartArrived{ID: decision.PartID(e.ID), Query: id,
+			x.events = append(x.events, decision.SubqueryArrived{ID: decision.SubqueryID(e.ID), Query: id,
 				Shard: int(e.Shard), Weight: float64(e.Share)})
 		}
 	case wire.Outcome:
@@ -129,12 +129,12 @@
 		if !ok {
 			status = decision.Error
 		}
-		x.events = append(x.events, decision.Outcome{Part: decision.PartID(e.ID), Server: decision.ServerID(e.Server),
-			Attempt: int(e.Attempt), Status: status, Took: time.Duration(e.TookUs) * time.Microsecond})
+		x.events = append(x.events, decision.Outcome{Subquery: decision.SubqueryID(e.ID), Server: decision.ServerID(e.Server),
+			Attempt: int(e.Attempt), Status: status, Latency: time.Duration(e.TookUs) * time.Microsecond})
 	case wire.Gone:
-		x.events = append(x.events, decision.ClientLeft{Query: decision.QueryID(e.ID)})
+		x.events = append(x.events, decision.ClientGone{Query: decision.QueryID(e.ID)})
 	case wire.Probed:
-		x.events = append(x.events, decision.Probed{Server: decision.ServerID(e.Server), OK: e.Status == 0})
+		x.events = append(x.events, decision.HealthChecked{Server: decision.ServerID(e.Server), OK: e.Status == 0})
 	case wire.Timer:
 		x.events = append(x.events, decision.Wake{})
 	}
@@ -149,10 +149,10 @@
 }
 
 var (
-	states   = map[uint8]decision.ServerState{0: decision.Gone, 1: decision.Ready, 2: decision.Draining}
-	kinds    = map[uint8]decision.ListKind{0: decision.Delta, 2: decision.Whole, 3: decision.ListFailed, 4: decision.Cached}
-	statuses = map[uint16]decision.Status{0: decision.OK, 13: decision.Error, 8: decision.Full, 4: decision.TimedOut,
-		14: decision.ConnectFailed, 10: decision.Reset, 1: decision.Cancelled, 9: decision.Moot}
+	states   = map[uint8]decision.ServerState{0: decision.Deregistered, 1: decision.Ready, 2: decision.Draining}
+	kinds    = map[uint8]decision.ListKind{0: decision.Delta, 2: decision.FullList, 3: decision.ListFailed, 4: decision.Cached}
+	statuses = map[uint16]decision.Status{0: decision.OK, 13: decision.Error, 8: decision.Rejected, 4: decision.TimedOut,
+		14: decision.ConnectFailed, 10: decision.Reset, 1: decision.Cancelled, 9: decision.NotSent}
 )
 
 // step lets one instance decide and writes what it wants done. A panic in the decisions is reported.
@@ -167,21 +167,21 @@
 	for _, a := range x.mixer.Step(now, x.events) {
 		switch a := a.(type) {
 		case decision.Send:
-			h.reply.Send(uint64(a.Part), uint32(a.Limit.Microseconds()), uint32(a.Server))
+			h.reply.Send(uint64(a.Subquery), uint32(a.Limit.Microseconds()), uint32(a.Server))
 		case decision.Cancel:
-			h.reply.Cancel(uint64(a.Part), uint8(a.Attempt))
+			h.reply.Cancel(uint64(a.Subquery), uint8(a.Attempt))
 		case decision.Answer:
-			h.reply.Answer(uint64(a.Query), a.Whole)
+			h.reply.Answer(uint64(a.Query), a.Complete)
 			if a.Final {
 				x.forget(a.Query)
 			}
-		case decision.Refuse:
+		case decision.Reject:
 			h.reply.Refuse(uint64(a.Query), uint32(a.RetryAfter.Microseconds()))
 			x.forget(a.Query)
 		case decision.Fail:
 			h.reply.Fail(uint64(a.Query))
 			x.forget(a.Query)
-		case decision.Probe:
+		case decision.HealthCheck:
 			h.reply.Probe(uint32(a.Server))
 		case decision.CloseIdle:
 			h.reply.CloseIdle(uint32(a.Server))
@@ -194,7 +194,7 @@
 		}
 	}
 	for _, e := range x.events {
-		if g, ok := e.(decision.ClientLeft); ok {
+		if g, ok := e.(decision.ClientGone); ok {
 			x.forget(g.Query)
 		}
 	}
--- a/internal/gatherer/decision/actions.go
+++ b/internal/gatherer/decision/actions.go
@@ -2,46 +2,52 @@
 
 import "time"
 
-// Action is something the host is to do, in order, at the Step's time.
+// Action is something that the host is to do, in order, at the time of the step that returned it.
 type Action interface{ action() }
 
-// The actions.
-type (
-	// Send launches an attempt; attempts of a part are numbered from 0 in Send order. Sends of one
-	// Step to one server may share a call.
-	Send struct {
-		Part   PartID
-		Server ServerID
-		Limit  time.Duration // the attempt's time-out
-	}
-	// Cancel stops waiting for an attempt.
-	Cancel struct {
-		Part    PartID
-		Attempt int
-	}
-	// Answer answers a query from the parts that are in. Final is false for the first of two steps.
-	Answer struct {
-		Query        QueryID
-		Whole, Final bool
-	}
-	// Refuse ends a query and promises that trying again is harmless, best after RetryAfter.
-	Refuse struct {
-		Query      QueryID
-		RetryAfter time.Duration
-	}
-	// Fail ends a query and promises nothing.
-	Fail struct{ Query QueryID }
-	// Probe asks a server whether it is there, beside its queue.
-	Probe struct{ Server ServerID }
-	// CloseIdle closes the connections to a server that nothing is out on; the next Send opens a new one.
-	CloseIdle struct{ Server ServerID }
-	// WakeAt asks for a Wake at the first chance at or after At.
-	WakeAt struct{ At time.Duration }
-	// Subscribe asks the server list for its changes from now on.
-	Subscribe struct{}
-	// Log is a line for the on-call staff.
-	Log struct{ Text string }
-)
+// Send starts an attempt. Attempts of a subquery are numbered from 0 in the order of their Sends. Sends of one step
+// to one server may share a call.
+type Send struct {
+	Subquery SubqueryID
+	Server   ServerID
+	Limit    time.Duration // the attempt's time-out
+}
+
+// Cancel stops waiting for an attempt.
+type Cancel struct {
+	Subquery SubqueryID
+	Attempt  int
+}
+
+// Answer answers a query from the subqueries that are done. Final is false for the first of two steps.
+type Answer struct {
+	Query           QueryID
+	Complete, Final bool
+}
+
+// Reject ends a query and guarantees that a retry is harmless, best after RetryAfter.
+type Reject struct {
+	Query      QueryID
+	RetryAfter time.Duration
+}
+
+// Fail ends a query and guarantees nothing.
+type Fail struct{ Query QueryID }
+
+// HealthCheck asks whether a server is reachable, without waiting in its queue.
+type HealthCheck struct{ Server ServerID }
+
+// CloseIdle closes the connections to a server that have nothing in flight. The next Send opens a new one.
+type CloseIdle struct{ Server ServerID }
+
+// WakeAt asks for a Wake event at the first opportunity at or after At.
+type WakeAt struct{ At time.Duration }
+
+// Subscribe subscribes to the changes of the server list from now on.
+type Subscribe struct{}
+
+// Log is a line for on-call staff.
+type Log struct{ Text string }
 
 func (Send) action() {}
 
@@ -49,11 +55,11 @@
 
 func (Answer) action() {}
 
-func (Refuse) action() {}
+func (Reject) action() {}
 
 func (Fail) action() {}
 
-func (Probe) action() {}
+func (HealthCheck) action() {}
 
 func (CloseIdle) action() {}
 
--- a/internal/gatherer/decision/settings.go
+++ b/internal/gatherer/decision/settings.go
@@ -6,71 +6,70 @@
 	"time"
 )
 
-// Effect says what a repeat of a part does.
+// Effect says what a repeated execution of a subquery does.
 type Effect uint8
 
-// The effects a class may have.
+// The effects of a class.
 const (
-	Safe   Effect = iota // repeats are harmless
-	Keyed                // repeats are dropped within Class.Window
-	Unsafe               // a repeat would take effect twice
+	Idempotent    Effect = iota // repeats are harmless
+	Deduplicated                // servers drop repeats within Class.Window
+	NotIdempotent               // a repeat would take effect twice
 )
 
 // Class describes one class of query.
 type Class struct {
-	Aim      time.Duration // answered within this it earns full worth
-	Deadline time.Duration // a client's whole wait over all its tries; 0 if not known
-	Worth    float64       // worth of a whole answer
-	Effect   Effect
-	Window   time.Duration // Keyed: repeats are dropped this long after the first attempt
-	Need     float64       // share of the parts' weight that makes a whole answer
-	Floor    float64       // least share of the parts' weight for any answer
-	Fetch    int           // parts of a second step, 0 for none
-	// MaxAttempts is the most attempts for one part, the first included; 0 for what the Settings say.
-	MaxAttempts int
+	LatencyTarget time.Duration // an answer within this earns the full Value
+	Deadline      time.Duration // the time-out of a client over all its retries; 0 if not known
+	Value         float64       // value of a complete answer, relative to other classes
+	Effect        Effect
+	Window        time.Duration // Deduplicated: repeats are dropped this long after the first attempt
+	Need          float64       // fraction of the subqueries' weight that makes a complete answer
+	Floor         float64       // least fraction of the subqueries' weight for any answer
+	Fetch         int           // subqueries of a second step, 0 for no second step
+	MaxAttempts   int           // most attempts for one subquery, the first included; 0 for what Settings says
 }
 
-// Tenant describes one sharer of the service.
+// Tenant describes one tenant of the service.
 type Tenant struct {
-	PerSecond float64 // queries a second, over all mixers, that count as within its share
+	PerSecond float64 // queries per second, over all instances, that are within its quota
 }
 
-// Rules are the figures of the rules that the operator sets.
+// Rules are the parameters of the rules that the operator sets.
 type Rules struct {
-	AskWithin     time.Duration // ask-mode lists: without a subscription, ask at least this often
-	StartCapacity float64       // share of its capacity that a server starts with
-	Ramp          time.Duration // a started server is warm after this
-	FallMultiple  float64       // sent more than this multiple of what it can do ...
-	FallSpan      time.Duration // ... for this long, a cold server falls over
-	BudgetOn      bool          // whether further attempts are rationed
-	BudgetFree    float64       // further attempts allowed in any span, however little came in
-	BudgetShare   float64       // and this many for each query and part taken in the span
-	BudgetSpan    time.Duration
+	PollWithin       time.Duration // with Settings.Polling: without a subscription, poll the list at least this often
+	StartCapacity    float64       // fraction of its capacity that a server starts with
+	SlowStart        time.Duration // a started server has its full capacity after this
+	OverloadMultiple float64       // sent more than this multiple of its capacity ...
+	OverloadSpan     time.Duration // ... for this long, a server in slow start fails
+	BudgetOn         bool          // whether retries and hedged requests are rationed
+	BudgetFree       float64       // further attempts allowed in any span, whatever the traffic
+	BudgetRatio      float64       // and this many for each query and subquery received in the span
+	BudgetSpan       time.Duration
 }
 
-// Settings are what the operator tells a mixer when it starts.
+// Settings are what the operator configures.
 type Settings struct {
-	Siblings       int // mixers in all, this one included
-	Tick           time.Duration
-	AskMode        bool // the server list answers only when asked
-	Cells          int  // shard s is held by the servers of cells s .. s+Width-1, modulo Cells
+	Instances      int           // schedulers that share the servers, this one included
+	Tick           time.Duration // time between steps
+	Polling        bool          // the server list answers only when asked
+	Cells          int           // shard s is held by the servers of cells s to s+Width-1, modulo Cells
 	Width          int
-	Batch          int           // most parts in one call
-	CallCost       time.Duration // work a call costs the server beside its parts
-	MaxAttempts    int           // attempts for one part where its class says nothing, the first included
-	SecondCopies   bool          // a part may have two attempts out at once
+	Batch          int           // most subqueries in one call
+	CallCost       time.Duration // work that a call costs the server beside its subqueries; 0 for none
+	MaxAttempts    int           // attempts for one subquery where its class says nothing, the first included
+	Hedging        bool          // a subquery may have two attempts in flight
 	Cancel         bool          // attempts may be cancelled
-	Probes         bool          // servers may be probed
-	MaxRetryAfter  time.Duration // longest wait a client will obey
-	OverShareWorth float64       // worth of a query past its tenant's share
-	Connections    int           // that the host may hold to all servers together; 0 for no bound
+	HealthChecks   bool          // servers answer health checks
+	MaxRetryAfter  time.Duration // longest back-off that a client obeys
+	OverQuotaValue float64       // value of a query beyond its tenant's quota
+	Connections    int           // connections that the host may hold to all servers together; 0 for no bound
 	Classes        []Class
 	Tenants        []Tenant
 	Rules          Rules
 }
 
-// Filled gives each class its own most attempts.
-func (set Settings) Filled() Settings {
+// WithDefaults returns the settings with MaxAttempts set in each class.
+func (set Settings) WithDefaults() Settings {
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
 		if c := &set.Classes[i]; c.MaxAttempts == 0 {
@@ -80,7 +79,7 @@
 	return set
 }
 
-// Check names the field that no mixer could work with.
+// Check returns an error that names a field no scheduler could work with.
 func (set Settings) Check() error {
 	switch {
 	case len(set.Classes) == 0:
@@ -89,16 +88,16 @@
 		return fmt.Errorf("settings: Cells is %d, want 1 or more", set.Cells)
 	case set.Width < 1 || set.Width > set.Cells:
 		return fmt.Errorf("settings: Width is %d, want 1 to Cells", set.Width)
-	case set.Siblings < 1:
-		return fmt.Errorf("settings: Siblings is %d, want 1 or more", set.Siblings)
+	case set.Instances < 1:
+		return fmt.Errorf("settings: Siblings is %d, want 1 or more", set.Instances)
 	case set.MaxAttempts < 1:
 		return fmt.Errorf("settings: MaxAttempts is %d, want 1 or more", set.MaxAttempts)
 	case set.Tick <= 0:
 		return fmt.Errorf("settings: Tick is %v, want more than 0", set.Tick)
 	}
 	for i, c := range set.Classes {
-		if c.Aim <= 0 || c.Need <= 0 || c.Need > 1 || c.Floor <= 0 || c.Floor > c.Need || c.Fetch < 0 || c.MaxAttempts < 0 {
-			return fmt.Errorf("settings: Classes[%d] has an impossible Aim, Need, Floor, Fetch or MaxAttempts", i)
+		if c.LatencyTarget <= 0 || c.Need <= 0 || c.Need > 1 || c.Floor <= 0 || c.Floor > c.Need || c.Fetch < 0 || c.MaxAttempts < 0 {
+			return fmt.Errorf("settings: Classes[%d] has an impossible LatencyTarget, Need, Floor, Fetch or MaxAttempts", i)
 		}
 	}
 	return nil
--- a/internal/gatherer/gather/admit.go
+++ b/internal/gatherer/gather/admit.go
@@ -38,14 +38,14 @@
 	r := q.Request
 	first, phased, fetch := c.startSearch(q)
 	c.events = append(c.events, decision.QueryArrived{ID: decision.QueryID(r.id), Class: r.Class, Key: subject(r),
-		Left: max(time.Until(r.Deadline), 0), Parts: len(r.Shards), Phased: phased, Fetch: fetch})
+		Remaining: max(time.Until(r.Deadline), 0), Subqueries: len(r.Shards), Phased: phased, Fetch: fetch})
 	results := partResults(r)
 	for i, s := range r.Shards {
 		c.lastID++
 		p := &part{id: c.lastID, q: q, res: &results[i], place: i, ask: q.askScores(i)}
 		q.parts = append(q.parts, p)
 		c.flight.AddPart(p.id, p)
-		c.events = append(c.events, decision.PartArrived{ID: decision.PartID(p.id), Query: decision.QueryID(r.id),
+		c.events = append(c.events, decision.SubqueryArrived{ID: decision.SubqueryID(p.id), Query: decision.QueryID(r.id),
 			Shard: s.Number, Weight: s.Weight, Later: phased && !slices.Contains(first.Ask, i)})
 	}
 	c.order(q, search.Orders{Skip: first.Skip})
--- a/internal/gatherer/gather/book.go
+++ b/internal/gatherer/gather/book.go
@@ -46,11 +46,11 @@
 	if s != decision.OK {
 		p.res.Last = s
 	}
-	if s == decision.Full || s == decision.ConnectFailed || s == decision.Moot {
+	if s == decision.Rejected || s == decision.ConnectFailed || s == decision.NotSent {
 		c.neverRan(a)
 	}
-	c.events = append(c.events, decision.Outcome{Part: decision.PartID(p.id), Server: a.Server, Attempt: a.Number,
-		Status: s, Took: took})
+	c.events = append(c.events, decision.Outcome{Subquery: decision.SubqueryID(p.id), Server: a.Server, Attempt: a.Number,
+		Status: s, Latency: took})
 }
 
 func (c *Core) ended(a *Attempt) {
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -33,7 +33,7 @@
 	openCap   atomic.Int64 // as set has it
 
 	set       settings.Settings
-	mixer     *policy.Mixer
+	mixer     *policy.Scheduler
 	servers   *mem.Servers
 	flight    *mem.InFlight[*query, *part]
 	out       map[*Attempt]struct{} // attempts that have not ended
@@ -183,11 +183,11 @@
 		c.cancel(a)
 	case decision.Answer:
 		c.relayAnswer(a)
-	case decision.Refuse:
+	case decision.Reject:
 		c.relayRefusal(a)
 	case decision.Fail:
 		c.relayFailure(a)
-	case decision.Probe:
+	case decision.HealthCheck:
 		c.transport.Probe(a.Server)
 	case decision.CloseIdle:
 		c.transport.CloseIdle(a.Server)
@@ -203,12 +203,12 @@
 	id, part := uint64(0), uint64(0)
 	switch a := a.(type) {
 	case decision.Send:
-		part = uint64(a.Part)
+		part = uint64(a.Subquery)
 	case decision.Cancel:
-		part = uint64(a.Part)
+		part = uint64(a.Subquery)
 	case decision.Answer:
 		id = uint64(a.Query)
-	case decision.Refuse:
+	case decision.Reject:
 		id = uint64(a.Query)
 	case decision.Fail:
 		id = uint64(a.Query)
@@ -237,7 +237,7 @@
 		}
 		c.forgetSearch(q)
 		q.plan = nil // what broke must not be asked what came of it
-		c.events = append(c.events, decision.ClientLeft{Query: decision.QueryID(q.id)})
+		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
 		c.tellFinal(q, Result{Kind: Failed, Reason: ReasonPanic, Parts: partResults(q.Request)})
 	}()
 	f()
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -32,10 +32,10 @@
 // start runs a core with one cell of two servers.
 func start(t *testing.T, change func(*Core)) (*Core, *transport) {
 	set := settings.Settings{Classes: []string{"search", "bid"}, Zones: []string{"a"}, Shards: 100, OpenCap: 60, StreamsPerConn: 32}
-	set.Policy = decision.Settings{Siblings: 1, Tick: time.Millisecond, Cells: 1, Width: 1, Batch: 8, CallCost: time.Millisecond, MaxAttempts: 4,
+	set.Policy = decision.Settings{Instances: 1, Tick: time.Millisecond, Cells: 1, Width: 1, Batch: 8, CallCost: time.Millisecond, MaxAttempts: 4,
 		Cancel: true, MaxRetryAfter: 500 * time.Millisecond, Classes: []decision.Class{
-			{Aim: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 0.7},
-			{Aim: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 1, Effect: decision.Keyed, Window: 4 * time.Second}}}
+			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 0.7},
+			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 1, Effect: decision.Deduplicated, Window: 4 * time.Second}}}
 	tr := &transport{make(chan []*Attempt, 100), make(chan *Attempt, 100), make(chan decision.ServerState, 100)}
 	c, err := New(set, 1, tr, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -118,7 +118,7 @@
 // cancelled.
 func TestSilence(t *testing.T) {
 	c, tr := start(t, func(c *Core) { // its usual answers are quick, so that it is admitted
-		c.set.Policy.Classes[1].Aim = 100 * time.Millisecond
+		c.set.Policy.Classes[1].LatencyTarget = 100 * time.Millisecond
 		c.mixer, _ = policy.New(c.set.Policy, 1)
 	})
 	r := ask(1, 1, 2*time.Second)
@@ -144,7 +144,7 @@
 	r := ask(1, 1, 20*time.Second)
 	c.Submit(r)
 	first := (<-tr.calls)[0]
-	c.Outcome(first, decision.Full, "")
+	c.Outcome(first, decision.Rejected, "")
 	second := (<-tr.calls)[0]
 	c.Outcome(second, decision.Error, "")
 	third := (<-tr.calls)[0]
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -171,7 +171,7 @@
 		}
 		if q, ok := c.flight.Query(m.r.id); ok && q.Request == m.r {
 			c.recordFinal(m.r, "left", "")
-			c.events = append(c.events, decision.ClientLeft{Query: decision.QueryID(m.r.id)})
+			c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(m.r.id)})
 			c.forget(q)
 		}
 	case outcome:
@@ -181,7 +181,7 @@
 	case unanswerable:
 		c.guard(m.a.part.q, func() { c.bookUnanswerable(m.a, m.why) })
 	case probed:
-		c.events = append(c.events, decision.Probed{Server: m.server, OK: m.ok})
+		c.events = append(c.events, decision.HealthChecked{Server: m.server, OK: m.ok})
 	case List:
 		c.list(m)
 	case ban:
@@ -202,7 +202,7 @@
 		c.set = m.set
 		c.flight.SetCap(m.set.OpenCap)
 		c.openCap.Store(int64(m.set.OpenCap))
-		c.events = append(c.events, decision.Retuned{Settings: m.set.Policy})
+		c.events = append(c.events, decision.SettingsChanged{Settings: m.set.Policy})
 	case lastCall:
 		c.endBy = m.at
 		c.refuseWaiting()
@@ -230,7 +230,7 @@
 	c.events = append(c.events, decision.ServerList{Kind: kind, Servers: c.infos(news)})
 }
 
-var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}
+var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Deregistered: "gone"}
 
 // infos gives lines of the list the Mixer's form.
 func (c *Core) infos(list []mem.Server) []decision.ServerInfo {
--- a/internal/gatherer/gather/recorder.go
+++ b/internal/gatherer/gather/recorder.go
@@ -33,8 +33,8 @@
 		if in.Attempts == 0 {
 			in.Attempts = c.set.Policy.MaxAttempts
 		}
-		in.Copies = c.set.Policy.SecondCopies
-		if k.Effect == decision.Keyed {
+		in.Copies = c.set.Policy.Hedging
+		if k.Effect == decision.Deduplicated {
 			in.Window = k.Window.Microseconds()
 		}
 		if r.gate != nil {
@@ -62,8 +62,8 @@
 
 var kinds = map[Kind]string{Answered: "answered", Refused: "refused", Failed: "failed"}
 
-var statuses = map[decision.Status]string{decision.OK: "ok", decision.Error: "error", decision.Full: "full", decision.TimedOut: "timed out",
-	decision.ConnectFailed: "not connected", decision.Reset: "reset", decision.Cancelled: "cancelled", decision.Moot: "not sent"}
+var statuses = map[decision.Status]string{decision.OK: "ok", decision.Error: "error", decision.Rejected: "full", decision.TimedOut: "timed out",
+	decision.ConnectFailed: "not connected", decision.Reset: "reset", decision.Cancelled: "cancelled", decision.NotSent: "not sent"}
 
 // recordAttempt tells of an attempt's end; one that never left has no time of leaving.
 func (c *Core) recordAttempt(a *Attempt, s decision.Status) {
@@ -81,6 +81,6 @@
 	if a.called {
 		e.Sent = c.micros(a.handed)
 	}
-	e.Ran = a.called && s != decision.Full && s != decision.ConnectFailed && s != decision.Moot
+	e.Ran = a.called && s != decision.Rejected && s != decision.ConnectFailed && s != decision.NotSent
 	c.recorder(e)
 }
--- a/internal/gatherer/gather/relay.go
+++ b/internal/gatherer/gather/relay.go
@@ -13,17 +13,17 @@
 	q, ok := c.flight.Query(uint64(a.Query))
 	switch {
 	case !ok:
-	case !a.Final && !(q.WholeOnly && !a.Whole):
-		c.fetch(q, a.Whole)
-	case q.WholeOnly && !(a.Whole && q.allIn()):
-		c.events = append(c.events, decision.ClientLeft{Query: a.Query}) // of the first step, all that is left to do
+	case !a.Final && !(q.WholeOnly && !a.Complete):
+		c.fetch(q, a.Complete)
+	case q.WholeOnly && !(a.Complete && q.allIn()):
+		c.events = append(c.events, decision.ClientGone{Query: a.Query}) // of the first step, all that is left to do
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPartial})
 	default:
-		c.finish(q, Result{Kind: Answered, Whole: a.Whole && q.allIn()})
+		c.finish(q, Result{Kind: Answered, Whole: a.Complete && q.allIn()})
 	}
 }
 
-func (c *Core) relayRefusal(r decision.Refuse) {
+func (c *Core) relayRefusal(r decision.Reject) {
 	if q, ok := c.flight.Query(uint64(r.Query)); ok {
 		c.finish(q, Result{Kind: Refused, RetryAfter: r.RetryAfter, Reason: ReasonGivenUp})
 	}
@@ -46,10 +46,10 @@
 	}
 	for _, q := range c.flight.Queries() {
 		kind := Failed
-		if c.set.Policy.Classes[q.Class].Effect == decision.Safe || !slices.ContainsFunc(q.parts, func(p *part) bool { return p.mayRun > 0 }) {
+		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.parts, func(p *part) bool { return p.mayRun > 0 }) {
 			kind = Refused
 		}
-		c.events = append(c.events, decision.ClientLeft{Query: decision.QueryID(q.id)}) // the Mixer calls off what is out
+		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)}) // the Mixer calls off what is out
 		c.finish(q, Result{Kind: kind, Reason: ReasonStopping})
 	}
 }
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -16,7 +16,7 @@
 
 // route makes an attempt of a send and puts it into its server's call.
 func (c *Core) route(s decision.Send) {
-	p, ok := c.flight.Part(uint64(s.Part))
+	p, ok := c.flight.Part(uint64(s.Subquery))
 	if !ok {
 		return // its query has ended in this step
 	}
@@ -24,7 +24,7 @@
 	a := &Attempt{Query: p.q.Name, Class: p.q.Class, Key: p.q.Key, Shard: p.res.Shard, Number: len(p.attempts),
 		Text: p.q.Text, Server: s.Server, Ask: p.ask, Load: p.load, Until: c.start.Add(now - epoch + s.Limit), part: p, sent: now}
 	k := c.set.Policy.Classes[p.q.Class]
-	if k.Effect == decision.Keyed && p.mayRun > 0 {
+	if k.Effect == decision.Deduplicated && p.mayRun > 0 {
 		// Two ticks short of the window: the way to the lot store takes time as well.
 		a.NotAfter = c.start.Add(p.mayRun - epoch + k.Window - 2*c.set.Policy.Tick)
 	}
@@ -34,7 +34,7 @@
 	p.attempts = append(p.attempts, a)
 	c.out[a] = struct{}{}
 	if !c.pass(p.q, a.Number) { // the route's budget of repeats is used up
-		c.report(a, decision.Moot)
+		c.report(a, decision.NotSent)
 		return
 	}
 	p.res.Attempts++
@@ -54,7 +54,7 @@
 // cancel gives up the attempt that the Mixer names. Its outcome follows when that is through.
 func (c *Core) cancel(x decision.Cancel) {
 	for a := range c.out {
-		if a.part.id == uint64(x.Part) && a.Number == x.Attempt {
+		if a.part.id == uint64(x.Subquery) && a.Number == x.Attempt {
 			if a.called {
 				c.transport.Cancel(a)
 			} else {
--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -69,7 +69,7 @@
 	}
 	q.plan, q.at = search.NewPlan(q.Search, phases, ranges, c.index), c.now()
 	fetch = q.plan.ExpectFetch()
-	aim, usual := min(class.Aim, c.at(q.Deadline)-q.at), c.mixer.Usual()
+	aim, usual := min(class.LatencyTarget, c.at(q.Deadline)-q.at), c.mixer.UsualLatency()
 	first = q.plan.Start(q.at, search.Times{End: q.at + max(aim-fetchUsual*usual, aim/2), Usual: usual})
 	if phases == search.Two {
 		c.phased[q] = struct{}{}
@@ -92,11 +92,11 @@
 	}
 	e := decision.Planned{Query: decision.QueryID(q.id)}
 	for _, i := range o.Ask {
-		e.Ask = append(e.Ask, decision.PartID(q.parts[i].id))
+		e.Request = append(e.Request, decision.SubqueryID(q.parts[i].id))
 	}
 	for _, i := range o.Skip {
 		q.parts[i].res.Skipped = true
-		e.Skip = append(e.Skip, decision.PartID(q.parts[i].id))
+		e.Skip = append(e.Skip, decision.SubqueryID(q.parts[i].id))
 	}
 	c.events = append(c.events, e)
 }
@@ -111,7 +111,7 @@
 		c.report(a, decision.OK)
 		return
 	case a.Ask.IDs == nil && !q.plan.Fits(p.place, found):
-		c.report(a, decision.Moot) // another copy may; and nothing speaks against this one
+		c.report(a, decision.NotSent) // another copy may; and nothing speaks against this one
 		return
 	case q.overAnswer(found.Bytes):
 		c.report(a, decision.Error) // as the route has it
@@ -139,9 +139,9 @@
 		return
 	}
 	q := a.part.q
-	c.report(a, decision.Moot)
+	c.report(a, decision.NotSent)
 	if !q.over && q.plan.Refused(uint32(a.Server)) {
-		c.events = append(c.events, decision.ClientLeft{Query: decision.QueryID(q.id)})
+		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
 	}
 }
@@ -169,7 +169,7 @@
 	r.Search, r.Phases = q.plan.Result(), q.plan.Phases
 	sent := slices.ContainsFunc(r.Parts, func(p PartResult) bool { return p.Attempts > 0 })
 	if c.chooser != nil && sent && r.Reason != ReasonQuestion { // one that was refused unsent says nothing of either way
-		c.chooser.Measured(q.Class, q.plan, c.now()-q.at, c.set.Policy.Classes[q.Class].Aim, r.Kind == Answered)
+		c.chooser.Measured(q.Class, q.plan, c.now()-q.at, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
 	}
 }
 
--- a/internal/gatherer/gather/second.go
+++ b/internal/gatherer/gather/second.go
@@ -83,7 +83,7 @@
 		p := &part{id: c.lastID, q: q, res: &PartResult{Shard: q.parts[x.place].res.Shard}, place: x.place, ask: x.ask, load: x.load}
 		q.second = append(q.second, p)
 		c.flight.AddPart(p.id, p)
-		c.events = append(c.events, decision.PartArrived{ID: decision.PartID(p.id), Query: decision.QueryID(q.id),
+		c.events = append(c.events, decision.SubqueryArrived{ID: decision.SubqueryID(p.id), Query: decision.QueryID(q.id),
 			Shard: p.res.Shard, Weight: x.weight, Prefer: x.prefer, Used: x.used})
 	}
 }
--- a/internal/gatherer/gather/second_test.go
+++ b/internal/gatherer/gather/second_test.go
@@ -71,7 +71,7 @@
 	c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 2; two(c) })
 	r := ask(0, 2, 20*time.Second)
 	for _, a := range firstStep(t, c, tr, r, nil, 2) {
-		c.Outcome(a, decision.Full, "")
+		c.Outcome(a, decision.Rejected, "")
 	}
 	for _, a := range collect(t, tr, 2) {
 		c.Outcome(a, decision.OK, "w")
--- a/internal/gatherer/lifecycle/daemon.go
+++ b/internal/gatherer/lifecycle/daemon.go
@@ -79,7 +79,7 @@
 	class := func(n int) (index string, keyed bool) {
 		s := current.Load()
 		// A class that came with a reload stands under its own name.
-		return cmp.Or(indices[s.Classes[n]], s.Classes[n]), s.Policy.Classes[n].Effect != decision.Safe
+		return cmp.Or(indices[s.Classes[n]], s.Classes[n]), s.Policy.Classes[n].Effect != decision.Idempotent
 	}
 	return opensearch.NewStores(opensearch.StoresConfig{Class: class, Shards: set.Shards,
 		ConnectTimeout: set.ConnectTimeout, ConnIdle: set.ConnIdle, WriteFor: set.WriteFor(), MaxConns: conns,
@@ -208,8 +208,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	w := &discovery.Watcher{Addr: d.config.Discovery, Zones: d.settings.Load().Zones, Log: d.log, Tell: d.core.List,
-		Siblings: func() int { return d.settings.Load().Policy.Siblings },
-		Asked:    func() bool { return d.settings.Load().Policy.AskMode }}
+		Siblings: func() int { return d.settings.Load().Policy.Instances },
+		Asked:    func() bool { return d.settings.Load().Policy.Polling }}
 	go func() { w.Run(ctx, seq); close(ended) }()
 	d.unwatch = func() { cancel(); <-ended }
 }
--- a/internal/gatherer/lifecycle/handover.go
+++ b/internal/gatherer/lifecycle/handover.go
@@ -194,8 +194,8 @@
 	}
 	for name, r := range s.Records {
 		cold := int64(-1)
-		if r.ColdFor >= 0 {
-			cold = r.ColdFor.Milliseconds()
+		if r.SlowStartAge >= 0 {
+			cold = r.SlowStartAge.Milliseconds()
 		}
 		x.Records = append(x.Records, handover.Record{Name: name, Answers: r.Answers, Latency: r.Latency,
 			Failing: r.Failing, Cap: r.Cap, ColdMs: cold})
@@ -222,7 +222,7 @@
 		if r.ColdMs >= 0 {
 			cold = time.Duration(r.ColdMs) * time.Millisecond
 		}
-		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, ColdFor: cold}
+		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, SlowStartAge: cold}
 	}
 	return s, nil
 }
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -17,7 +17,7 @@
 
 // LimitClasses are the operator's classes as limits know them.
 func LimitClasses(set *settings.Settings) (list []limits.Class) {
-	effects := map[decision.Effect]limits.Effect{decision.Safe: limits.Safe, decision.Keyed: limits.Keyed, decision.Unsafe: limits.Unsafe}
+	effects := map[decision.Effect]limits.Effect{decision.Idempotent: limits.Safe, decision.Deduplicated: limits.Keyed, decision.NotIdempotent: limits.Unsafe}
 	for i, name := range set.Classes {
 		if set.Class(name) != i {
 			continue // kept for requests in hand only
@@ -27,7 +27,7 @@
 		if attempts == 0 {
 			attempts = set.Policy.MaxAttempts
 		}
-		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], Wanted: k.Aim, GiveUp: k.Deadline, Window: k.Window,
+		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], Wanted: k.LatencyTarget, GiveUp: k.Deadline, Window: k.Window,
 			Attempts: attempts, Floor: k.Floor})
 	}
 	return list
@@ -52,7 +52,7 @@
 			var n int
 			set, n = set.Narrow(i, func(k *decision.Class) {
 				if l.Wanted > 0 {
-					k.Aim = min(k.Aim, l.Wanted)
+					k.LatencyTarget = min(k.LatencyTarget, l.Wanted)
 				}
 				if l.GiveUp > 0 {
 					k.Deadline = min(k.Deadline, l.GiveUp)
--- /dev/null
+++ b/internal/gatherer/mem/cluster/list.go
@@ -0,0 +1,128 @@
+package cluster
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/gatherer/decision"
+	"pulleygw.example/pulleygw/internal/shared/curve"
+)
+
+// Back-off of failed calls for the server list, where it has to be polled.
+const (
+	pollBackoffFirst = 500 * time.Millisecond // doubled with each failure
+	pollBackoffMax   = 4 * time.Second
+)
+
+// ListReceived records the result of a call for the server list, and reports whether it has entries.
+func (st *State) ListReceived(kind decision.ListKind) bool {
+	if kind == decision.ListFailed {
+		st.Subscribed, st.PollBackoff = false, min(2*st.PollBackoff, pollBackoffMax)
+		st.PollAt = st.Now + curve.Duration(curve.Seconds(st.PollBackoff)*(0.5+st.RNG.Float64()/2))
+		st.SetFlag(&st.ListFailing, true, "list failing=%v")
+		return false
+	}
+	if kind != decision.Cached {
+		st.Subscribed, st.PollBackoff = true, pollBackoffFirst
+		st.SetFlag(&st.ListFailing, false, "list failing=%v")
+	}
+	return true
+}
+
+// RenewSubscription subscribes to the server list where that is due.
+func (st *State) RenewSubscription() {
+	if !st.Unsubscribed() || st.Now < st.PollAt {
+		return
+	}
+	st.Emit(decision.Subscribe{})
+	st.PollAt = st.Now + pollBackoffMax
+	if w := st.Settings.Rules.PollWithin / 2; w > 0 {
+		st.PollAt = min(st.PollAt, st.Now+w) // the operator counts us as informed after this time
+	}
+}
+
+// Serves reports whether a server is a replica of a shard.
+func (st *State) Serves(s *Server, shard int) bool {
+	return (s.Cell-shard%st.Settings.Cells+st.Settings.Cells)%st.Settings.Cells < st.Settings.Width
+}
+
+// Apply applies an update of the server list. Change is called with each entry before it takes effect.
+func (st *State) Apply(e decision.ServerList, change func(*Server, decision.ServerInfo)) {
+	old := map[decision.ServerID]bool{}
+	if e.Kind != decision.Delta {
+		for _, s := range st.Order {
+			old[s.ID], s.Listed = s.Listed, false
+		}
+	}
+	for _, i := range e.Servers {
+		if i.Cell < 0 || i.Cell >= st.Settings.Cells || i.Zone < 0 {
+			continue
+		}
+		if i.Nominal <= 0 {
+			i.Nominal = 1
+		}
+		s := st.Servers[i.ID]
+		if s == nil {
+			s = &Server{Record: curve.NewRecord()}
+			st.Servers[i.ID] = s
+			st.Order = append(st.Order, s)
+			s.Started = -1
+		}
+		s.Listed = s.Listed || old[i.ID]
+		change(s, i)
+		s.ListedAt = st.Now
+		s.ServerInfo, s.Listed = i, i.State != decision.Deregistered
+	}
+	st.Reindex()
+	for _, s := range st.Order {
+		if !s.Listed || s.State != decision.Ready { // nothing new is sent there: what is queued goes elsewhere
+			for len(s.Queue) > 0 {
+				sub := s.Dequeue()
+				sub.Server = nil
+			}
+		}
+	}
+}
+
+// Reindex sorts the servers and lists, for each cell, those that hold the shards that begin there.
+func (st *State) Reindex() {
+	slices.SortFunc(st.Order, func(a, b *Server) int { return int(int64(a.ID) - int64(b.ID)) })
+	for i := range st.Replicas {
+		st.Replicas[i] = st.Replicas[i][:0]
+	}
+	for i := range st.Zones {
+		st.Zones[i].Servers = st.Zones[i].Servers[:0]
+	}
+	for _, s := range st.Order {
+		for len(st.Zones) <= s.Zone {
+			st.Zones = append(st.Zones, Zone{Number: len(st.Zones)})
+		}
+		if z := &st.Zones[s.Zone]; s.Listed && s.State == decision.Ready {
+			z.Servers = append(z.Servers, s)
+		}
+		s.Reserve = false
+		for j := 0; s.Listed && j < st.Settings.Width; j++ {
+			first := (s.Cell - j + st.Settings.Cells) % st.Settings.Cells
+			st.Replicas[first] = append(st.Replicas[first], s)
+		}
+	}
+}
+
+// Unsubscribed reports whether the server list has to be polled and is not subscribed to.
+func (st *State) Unsubscribed() bool { return st.Settings.Polling && !st.Subscribed }
+
+// Prune bounds the memory of a long-lived process: it drops the servers off the list and the fingerprints without
+// any activity since unused, and the counts from before received.
+func (st *State) Prune(unused, received time.Duration) {
+	st.Received.Since(received)
+	maps.DeleteFunc(st.Poisoned, func(_ uint64, at time.Duration) bool { return at < unused })
+	st.Order = slices.DeleteFunc(st.Order, func(s *Server) bool {
+		old := !s.Listed && len(s.InFlight) == 0 && len(s.Queue) == 0 &&
+			s.LatencyAt < unused && s.CrashedAt < unused && s.ListedAt < unused
+		if old {
+			delete(st.Servers, s.ID)
+		}
+		return old
+	})
+}
--- a/internal/gatherer/mem/mem_test.go
+++ b/internal/gatherer/mem/mem_test.go
@@ -18,13 +18,13 @@
 	}
 	l.Apply(true, ready("a", "b"), now)
 	news := l.Apply(true, ready("b", "c"), now)
-	if len(news) != 3 || news[0].ID != 2 || news[1].ID != 3 || news[2].Name != "a" || news[2].ID != 1 || news[2].State != decision.Gone {
+	if len(news) != 3 || news[0].ID != 2 || news[1].ID != 3 || news[2].Name != "a" || news[2].ID != 1 || news[2].State != decision.Deregistered {
 		t.Errorf("%+v", news)
 	}
 	if news = l.Apply(false, ready("a"), now.Add(time.Minute)); len(news) != 1 || news[0].ID != 1 {
 		t.Errorf("back: %+v", news)
 	}
-	l.Apply(false, []Server{{Name: "a", State: decision.Gone}}, now)
+	l.Apply(false, []Server{{Name: "a", State: decision.Deregistered}}, now)
 	l.Apply(false, nil, now.Add(keepGone+time.Second))
 	if news = l.Apply(false, ready("a"), now); news[0].ID != 4 || len(l.All()) != 3 {
 		t.Errorf("%+v", news)
@@ -95,7 +95,7 @@
 		t.Errorf("listed meanwhile: %+v", news)
 	}
 	news, ok := l.Unban("a", now)
-	if !ok || len(news) != 2 || news[0].ID != first || news[0].State != decision.Gone || news[1].ID == first ||
+	if !ok || len(news) != 2 || news[0].ID != first || news[0].State != decision.Deregistered || news[1].ID == first ||
 		news[1].State != decision.Ready || !news[1].Born.Equal(now) {
 		t.Errorf("%+v", news)
 	}
--- a/internal/gatherer/mem/servers.go
+++ b/internal/gatherer/mem/servers.go
@@ -55,17 +55,17 @@
 		}
 		e.ID = s.ID
 		*s = e
-		if s.State == decision.Gone {
+		if s.State == decision.Deregistered {
 			s.goneAt = now
 		}
 		news = append(news, l.shown(s))
 	}
 	for name, s := range l.byName {
-		if whole && !named[name] && s.State != decision.Gone {
-			s.State, s.goneAt = decision.Gone, now
+		if whole && !named[name] && s.State != decision.Deregistered {
+			s.State, s.goneAt = decision.Deregistered, now
 			news = append(news, l.shown(s))
 		}
-		if s.State == decision.Gone && now.Sub(s.goneAt) > keepGone {
+		if s.State == decision.Deregistered && now.Sub(s.goneAt) > keepGone {
 			delete(l.byName, name)
 		}
 	}
@@ -111,7 +111,7 @@
 		return nil, true
 	}
 	old := *s
-	old.State = decision.Gone
+	old.State = decision.Deregistered
 	l.last++
 	s.ID = l.last
 	return []Server{old, l.shown(s)}, true
@@ -142,7 +142,7 @@
 func (l *Servers) All() []Server {
 	var all []Server
 	for _, s := range l.byName {
-		if s.State != decision.Gone {
+		if s.State != decision.Deregistered {
 			all = append(all, l.shown(s))
 		}
 	}
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -63,7 +63,7 @@
 		return 0, l, errors.New("the list lacks seq, whole or hosts")
 	}
 	if whole.Bool() {
-		l.Kind = decision.Whole
+		l.Kind = decision.FullList
 	}
 	hosts.ForEach(func(_, h gjson.Result) bool {
 		var s mem.Server
@@ -101,9 +101,9 @@
 	return append(b, "]}"...)
 }
 
-var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}
+var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Deregistered: "gone"}
 
-var states = map[string]decision.ServerState{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
+var states = map[string]decision.ServerState{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Deregistered}
 
 func parseHost(h gjson.Result, zones []string) (mem.Server, error) {
 	s := mem.Server{Name: h.Get("host").String(), Addr: h.Get("dial").String(), Cell: int(h.Get("block").Int()),
@@ -120,7 +120,7 @@
 		return s, errors.New("the list has a line without host")
 	case !ok:
 		return s, fmt.Errorf("the list has an unknown health for host %.80q", s.Name)
-	case state != decision.Gone && (s.Addr == "" || s.Zone < 0):
+	case state != decision.Deregistered && (s.Addr == "" || s.Zone < 0):
 		return s, fmt.Errorf("the list has no dial or an unknown site for host %.80q", s.Name)
 	}
 	if born := h.Get("born_ms").Int(); born > 0 {
@@ -220,13 +220,13 @@
 	if err != nil {
 		return 0, err
 	}
-	if seq == Fresh && l.Kind != decision.Whole {
+	if seq == Fresh && l.Kind != decision.FullList {
 		return 0, errors.New("the list is not whole")
 	}
 	if seq != Fresh && next < seq { // an answer that was long on its way, or an agent that has fallen behind
 		return 0, fmt.Errorf("the list went back from version %d to %d", seq, next)
 	}
-	if ctx.Err() == nil && (l.Kind == decision.Whole || len(l.Servers) > 0) {
+	if ctx.Err() == nil && (l.Kind == decision.FullList || len(l.Servers) > 0) {
 		w.Tell(l)
 	}
 	return next, nil
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
-	if len(told) != 1 || (<-told).Kind != decision.Whole {
+	if len(told) != 1 || (<-told).Kind != decision.FullList {
 		t.Error("told otherwise than once, whole")
 	}
 }
--- a/internal/gatherer/net/frames/conn.go
+++ b/internal/gatherer/net/frames/conn.go
@@ -113,7 +113,7 @@
 	}
 	c.t.end(c.give, decision.Cancelled) // by the close
 	c.give = nil
-	if c.s.State == decision.Gone && c.s.pool.Len() == 0 && c.t.servers[c.s.ID] == c.s {
+	if c.s.State == decision.Deregistered && c.s.pool.Len() == 0 && c.t.servers[c.s.ID] == c.s {
 		delete(c.t.servers, c.s.ID)
 	}
 }
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -299,7 +299,7 @@
 	go func() { c.run(); close(ended) }()
 	tr.Cancel(list[0])
 	r.want(t, 1, decision.Cancelled)
-	tr.Servers([]mem.Server{{ID: 1, Addr: addr, State: decision.Gone}})
+	tr.Servers([]mem.Server{{ID: 1, Addr: addr, State: decision.Deregistered}})
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -204,17 +204,17 @@
 
 // Nothing queued may go to a server since told draining or gone: the rule allows 250 ms after that.
 func TestDrainDropsQueue(t *testing.T) {
-	for _, state := range []decision.ServerState{decision.Draining, decision.Gone} {
+	for _, state := range []decision.ServerState{decision.Draining, decision.Deregistered} {
 		tr, r := transport("127.0.0.1:1", time.Minute)
 		c := parked(tr, nil)
 		tr.Call(1, attempts(3))
 		tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: state}})
-		r.want(t, 3, decision.Moot)
+		r.want(t, 3, decision.NotSent)
 		if len(c.queue) != 0 || c.load != 0 {
 			t.Errorf("queue %v, load %d", c.queue, c.load)
 		}
 		tr.Call(1, attempts(1))
-		r.want(t, 1, decision.Moot)
+		r.want(t, 1, decision.NotSent)
 	}
 }
 
@@ -232,7 +232,7 @@
 	if more, err := c.write(); !more || err != nil { // a write to the pipe would fail: nobody reads
 		t.Errorf("more %v, error %v", more, err)
 	}
-	r.want(t, 2, decision.Moot)
+	r.want(t, 2, decision.NotSent)
 }
 
 // A cancelled part gives its place up, and an answer that crosses that is dropped.
@@ -328,7 +328,7 @@
 	list := attempts(1)
 	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
 	tr.conns = 2
-	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Gone}})
+	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Deregistered}})
 	if tr.conns != 1 || len(tr.servers) != 1 {
 		t.Errorf("%d connections, %d servers while one part is out", tr.conns, len(tr.servers))
 	}
--- a/internal/gatherer/net/frames/receive.go
+++ b/internal/gatherer/net/frames/receive.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-var statuses = map[string]decision.Status{"hit": decision.OK, "fault": decision.Error, "overload": decision.Full}
+var statuses = map[string]decision.Status{"hit": decision.OK, "fault": decision.Error, "overload": decision.Rejected}
 
 // receive handles one frame. An error closes the connection and ends all that is out on it.
 func (c *conn) receive(letter byte, rest []byte) error {
--- a/internal/gatherer/net/frames/transport.go
+++ b/internal/gatherer/net/frames/transport.go
@@ -55,7 +55,7 @@
 	for _, n := range news {
 		s := t.servers[n.ID]
 		if s == nil {
-			if n.State == decision.Gone {
+			if n.State == decision.Deregistered {
 				continue
 			}
 			s = &server{}
@@ -67,10 +67,10 @@
 			for _, c := range s.pool.All() {
 				dropped = append(dropped, c.dropQueue()...)
 			}
-			t.end(dropped, decision.Moot)
+			t.end(dropped, decision.NotSent)
 		}
-		t.closeIdle(s, func(c *conn) bool { return n.State == decision.Gone || c.unfit() })
-		if n.State == decision.Gone && s.pool.Len() == 0 {
+		t.closeIdle(s, func(c *conn) bool { return n.State == decision.Deregistered || c.unfit() })
+		if n.State == decision.Deregistered && s.pool.Len() == 0 {
 			delete(t.servers, n.ID)
 		}
 	}
@@ -100,7 +100,7 @@
 func (t *Transport) call(id decision.ServerID, attempts []*gather.Attempt) {
 	s := t.servers[id]
 	if s == nil || s.State != decision.Ready {
-		t.end(attempts, decision.Moot)
+		t.end(attempts, decision.NotSent)
 		return
 	}
 	c := t.conn(s, len(attempts))
--- a/internal/gatherer/net/frames/write.go
+++ b/internal/gatherer/net/frames/write.go
@@ -82,7 +82,7 @@
 	c.settle()
 	t.mu.Unlock()
 	for _, a := range late {
-		t.report.Outcome(a, decision.Moot, "")
+		t.report.Outcome(a, decision.NotSent, "")
 	}
 	if len(attempts) == 0 {
 		return nil
--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -43,12 +43,12 @@
 // causes describes how a part's last attempt ended.
 var causes = map[decision.Status]cause{
 	decision.Error:         {"query_phase_execution_exception", "the lot store reported a failure"},
-	decision.Full:          {"rejected_execution_exception", "the lot store turned it away"},
+	decision.Rejected:      {"rejected_execution_exception", "the lot store turned it away"},
 	decision.TimedOut:      {"receive_timeout_transport_exception", "no answer in time"},
 	decision.ConnectFailed: {"connect_transport_exception", "no connection to the lot store"},
 	decision.Reset:         {"node_disconnected_exception", "the connection to the lot store broke"},
 	decision.Cancelled:     {"task_cancelled_exception", "given up"},
-	decision.Moot:          {"task_cancelled_exception", "not sent"},
+	decision.NotSent:       {"task_cancelled_exception", "not sent"},
 }
 
 func (a *asked) counts(res gather.Result) (c shardCounts, timedOut bool) {
--- a/internal/gatherer/net/opensearch/calls.go
+++ b/internal/gatherer/net/opensearch/calls.go
@@ -183,9 +183,9 @@
 	}
 	k := set.Policy.Classes[class]
 	switch {
-	case !keyed && k.Effect != decision.Safe:
+	case !keyed && k.Effect != decision.Idempotent:
 		return nil, illegal("index [%s] takes only create", index)
-	case keyed && k.Effect == decision.Safe:
+	case keyed && k.Effect == decision.Idempotent:
 		return nil, illegal("index [%s] takes only _search", index)
 	}
 	wait := k.Deadline
--- a/internal/gatherer/net/opensearch/exchange.go
+++ b/internal/gatherer/net/opensearch/exchange.go
@@ -82,7 +82,7 @@
 		}
 	}
 	t.mu.Unlock()
-	t.endAll(stale, decision.Moot)
+	t.endAll(stale, decision.NotSent)
 	return live
 }
 
@@ -104,7 +104,7 @@
 	switch p.Status {
 	case 200:
 	case 429:
-		t.endAll(live, decision.Full)
+		t.endAll(live, decision.Rejected)
 		return
 	default:
 		t.endAll(live, decision.Error)
@@ -225,7 +225,7 @@
 		hits, status := a.Get("hits"), a.Get("status").Int()
 		switch {
 		case status == 429:
-			items[i].status = decision.Full
+			items[i].status = decision.Rejected
 		case keyed && status == 201:
 			items[i] = item{status: decision.OK, value: a.Raw}
 		case keyed && status == 409:
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -43,7 +43,7 @@
 func front(res gather.Result) (*Front, *core) {
 	c := &core{result: res}
 	set := settings.Settings{Classes: []string{"lot-search", "place-bid"}, Shards: 24}
-	set.Policy.Classes = []decision.Class{{Deadline: 3 * time.Second}, {Deadline: 4 * time.Second, Effect: decision.Keyed}}
+	set.Policy.Classes = []decision.Class{{Deadline: 3 * time.Second}, {Deadline: 4 * time.Second, Effect: decision.Deduplicated}}
 	current := &settings.Current{}
 	current.Store(&set)
 	f := &Front{Core: c, Settings: current, Name: "os"}
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -72,10 +72,10 @@
 		out: map[*gather.Attempt]*memJob{}, most: map[string]int{}, live: map[string]int{}, tries: map[string]int{}}
 	cells := max(o.ranges/4, 1)
 	set := settings.Settings{Classes: []string{"lot-search"}, Zones: []string{"a", "b"}, Shards: o.ranges, OpenCap: 50 * (o.ranges + 1), StreamsPerConn: 32}
-	set.Policy = decision.Settings{Siblings: 1, Tick: 5 * time.Millisecond, Cells: cells, Width: 1, Batch: 8, CallCost: callWork, MaxAttempts: 4,
-		Cancel: true, Probes: true, MaxRetryAfter: 500 * time.Millisecond,
-		Rules:   decision.Rules{StartCapacity: 0.15, Ramp: 17 * time.Second, FallMultiple: 3, FallSpan: 1500 * time.Millisecond},
-		Classes: []decision.Class{{Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3, Need: 1, Floor: 0.7, MaxAttempts: 4}}}
+	set.Policy = decision.Settings{Instances: 1, Tick: 5 * time.Millisecond, Cells: cells, Width: 1, Batch: 8, CallCost: callWork, MaxAttempts: 4,
+		Cancel: true, HealthChecks: true, MaxRetryAfter: 500 * time.Millisecond,
+		Rules:   decision.Rules{StartCapacity: 0.15, SlowStart: 17 * time.Second, OverloadMultiple: 3, OverloadSpan: 1500 * time.Millisecond},
+		Classes: []decision.Class{{LatencyTarget: 1200 * time.Millisecond, Deadline: 3 * time.Second, Value: 3, Need: 1, Floor: 0.7, MaxAttempts: 4}}}
 	if o.change != nil {
 		o.change(&set)
 	}
--- a/internal/gatherer/net/opensearch/stores.go
+++ b/internal/gatherer/net/opensearch/stores.go
@@ -76,10 +76,10 @@
 		}
 		moved := s.Addr != n.Addr
 		s.Server = n
-		if n.State == decision.Gone || moved {
+		if n.State == decision.Deregistered || moved {
 			t.closeIdle(s, time.Now())
 		}
-		if n.State == decision.Gone {
+		if n.State == decision.Deregistered {
 			delete(t.servers, n.ID)
 		}
 	}
--- a/internal/gatherer/net/opensearch/stores_test.go
+++ b/internal/gatherer/net/opensearch/stores_test.go
@@ -31,7 +31,7 @@
 	r <- report{a.Shard, decision.OK, fmt.Sprintf("%d hits of %d", len(f.Hits), f.Total)}
 }
 func (r reports) Unanswerable(a *gather.Attempt, why string) {
-	r <- report{a.Shard, decision.Moot, why}
+	r <- report{a.Shard, decision.NotSent, why}
 }
 func (r reports) Probed(_ decision.ServerID, ok bool) {
 	r <- report{s: map[bool]decision.Status{true: decision.OK, false: decision.Error}[ok]}
@@ -84,8 +84,8 @@
 		want   decision.Status
 	}{
 		{"created", answer(200, create("201")), 0, decision.OK},
-		{"turned away", answer(200, create("429")), 0, decision.Full},
-		{"all turned away", answer(429, "{}"), 0, decision.Full},
+		{"turned away", answer(200, create("429")), 0, decision.Rejected},
+		{"all turned away", answer(429, "{}"), 0, decision.Rejected},
 		{"failed", answer(200, create("500")), 0, decision.Error},
 		{"all failed", answer(503, "{}"), 0, decision.Error},
 		{"there already, on the first try", answer(200, create("409")), 0, decision.Error},
@@ -123,13 +123,13 @@
 	over.Until = time.Now().Add(-time.Millisecond)
 	for _, a := range []*gather.Attempt{late, over} {
 		tr.Call(1, []*gather.Attempt{a})
-		if got := <-r; got.s != decision.Moot && got.s != decision.ConnectFailed { // the dial, too, ends with the time
+		if got := <-r; got.s != decision.NotSent && got.s != decision.ConnectFailed { // the dial, too, ends with the time
 			t.Errorf("status %v", got.s)
 		}
 	}
 	tr.Servers([]mem.Server{{ID: 1, Addr: tr.servers[1].Addr, State: decision.Draining}})
 	tr.Call(1, []*gather.Attempt{bid(0)})
-	if got := <-r; got.s != decision.Moot || asked.Load() != 0 {
+	if got := <-r; got.s != decision.NotSent || asked.Load() != 0 {
 		t.Errorf("status %v, asked %d times", got.s, asked.Load())
 	}
 }
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -88,7 +88,7 @@
 	if !http1.IsName(q.Name) {
 		return nil, bad("Req-Id is missing, too long or has characters other than letters, digits, - and _")
 	}
-	if k.Effect == decision.Keyed && q.Key == "" { // one that may not be repeated at all has none to be known by
+	if k.Effect == decision.Deduplicated && q.Key == "" { // one that may not be repeated at all has none to be known by
 		return nil, bad("Idempotency-Key is missing")
 	}
 	if q.Key != "" && !http1.IsName(q.Key) {
--- a/internal/gatherer/net/platform/platform_test.go
+++ b/internal/gatherer/net/platform/platform_test.go
@@ -32,8 +32,8 @@
 func front(res gather.Result) (*Front, *core) {
 	c := &core{result: res}
 	set := settings.Settings{Classes: []string{"lot-search", "place-bid", "close-lot"}, Shards: 24}
-	set.Policy.Classes = []decision.Class{{Deadline: 3 * time.Second}, {Deadline: 4 * time.Second, Effect: decision.Keyed},
-		{Deadline: 4 * time.Second, Effect: decision.Unsafe}}
+	set.Policy.Classes = []decision.Class{{Deadline: 3 * time.Second}, {Deadline: 4 * time.Second, Effect: decision.Deduplicated},
+		{Deadline: 4 * time.Second, Effect: decision.NotIdempotent}}
 	current := &settings.Current{}
 	current.Store(&set)
 	return &Front{Core: c, Settings: current, Ready: func() bool { return true }}, c
--- a/internal/gatherer/settings/daemon.go
+++ b/internal/gatherer/settings/daemon.go
@@ -109,11 +109,11 @@
 			return s, fmt.Errorf("settings: classes[%d].name is empty, or stands twice", i)
 		case k.Deadline <= 0:
 			return s, fmt.Errorf("settings: classes[%d].deadlineUs is not above 0", i)
-		case k.Aim <= 0:
+		case k.LatencyTarget <= 0:
 			return s, fmt.Errorf("settings: classes[%d].onTimeUs is not above 0", i)
 		case effect != "safe" && effect != "keyed" && effect != "unsafe":
 			return s, fmt.Errorf("settings: classes[%d].effect: %.40q is not known", i, effect)
-		case k.Effect == decision.Keyed && k.Window <= 0:
+		case k.Effect == decision.Deduplicated && k.Window <= 0:
 			return s, fmt.Errorf("settings: classes[%d].memorySpanUs is missing or not above 0", i)
 		}
 	}
--- a/internal/gatherer/settings/settings.go
+++ b/internal/gatherer/settings/settings.go
@@ -94,14 +94,14 @@
 	}
 	f, l, r := o.FamilyInfo, o.Limits, o.Rules
 	s := decision.Settings{
-		Siblings: o.Siblings, Tick: us(o.TickUs), AskMode: o.Discovery == "ask",
+		Instances: o.Siblings, Tick: us(o.TickUs), Polling: o.Discovery == "ask",
 		Cells: f.Positions, Width: f.Width, Batch: f.Batch, CallCost: us(f.CallUs),
-		MaxAttempts: l.MaxAttempts, SecondCopies: l.SecondCopies, Cancel: l.Cancel,
-		Probes:         l.Probes,
-		OverShareWorth: o.OverShareWorth,
+		MaxAttempts: l.MaxAttempts, Hedging: l.SecondCopies, Cancel: l.Cancel,
+		HealthChecks:   l.Probes,
+		OverQuotaValue: o.OverShareWorth,
 		Rules: decision.Rules{
-			AskWithin: us(r.AskWithinUs), StartCapacity: r.StartCapacity,
-			Ramp: us(r.RampTimeUs), FallMultiple: r.FallMultiple, FallSpan: us(r.FallUs),
+			PollWithin: us(r.AskWithinUs), StartCapacity: r.StartCapacity,
+			SlowStart: us(r.RampTimeUs), OverloadMultiple: r.FallMultiple, OverloadSpan: us(r.FallUs),
 			BudgetOn: r.ExtraPerRequest != nil || r.BudgetFree != nil, BudgetSpan: us(r.BudgetSpanUs),
 		},
 	}
@@ -112,12 +112,12 @@
 		s.Rules.BudgetFree = *r.BudgetFree
 	}
 	if r.ExtraPerRequest != nil {
-		s.Rules.BudgetShare = *r.ExtraPerRequest
+		s.Rules.BudgetRatio = *r.ExtraPerRequest
 	}
 	for i, c := range o.Classes {
 		k := decision.Class{
-			Deadline: us(c.DeadlineUs),
-			Aim:      us(c.OnTimeUs), Worth: c.Worth, Window: us(c.MemorySpanUs),
+			Deadline:      us(c.DeadlineUs),
+			LatencyTarget: us(c.OnTimeUs), Value: c.Worth, Window: us(c.MemorySpanUs),
 			Need: at(f.CompleteFrom, i, 1), Floor: at(f.LeastShare, i, 1), MaxAttempts: l.MaxAttempts,
 		}
 		if i < len(f.FetchParts) {
@@ -125,11 +125,11 @@
 		}
 		switch c.Effect {
 		case "safe":
-			k.Effect = decision.Safe
+			k.Effect = decision.Idempotent
 		case "keyed":
-			k.Effect = decision.Keyed
+			k.Effect = decision.Deduplicated
 		default: // what is not known is taken for the worst
-			k.Effect = decision.Unsafe
+			k.Effect = decision.NotIdempotent
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/gatherer/settings/settings_test.go
+++ b/internal/gatherer/settings/settings_test.go
@@ -24,7 +24,7 @@
 	}
 	s := all.Policy
 	c := s.Classes[0]
-	if !s.AskMode || !s.Rules.BudgetOn || s.Rules.BudgetFree != 5 || c.Need != 1 || c.Floor != 1 || c.Fetch != 0 {
+	if !s.Polling || !s.Rules.BudgetOn || s.Rules.BudgetFree != 5 || c.Need != 1 || c.Floor != 1 || c.Fetch != 0 {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	changed := strings.NewReplacer(`"effect":"keyed"`, `"effect":"safe"`, `"maxAttempts":4`, `"maxAttempts":2`, `"shards":24`, `"shards":12`)
 	third, kept := parse(t, changed.Replace(fmt.Sprintf(whole, bid))).Over(second)
-	if n := third.Class("place-bid"); n != 4 || third.Policy.Classes[n].MaxAttempts != 2 || third.Policy.Classes[n].Effect != decision.Safe ||
+	if n := third.Class("place-bid"); n != 4 || third.Policy.Classes[n].MaxAttempts != 2 || third.Policy.Classes[n].Effect != decision.Idempotent ||
 		third.Policy.Classes[1].MaxAttempts != 4 || third.Class("lot-search") != 3 {
 		t.Errorf("effect and attempts changed: %+v %+v", third.Classes, third.Policy.Classes)
 	}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,141 +2,152 @@
 
 import (
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// Extra attempts: repeats, second copies, and parts called off.
+// Further attempts: retries, hedged requests and rerouting.
 
-// repeatable says whether another attempt of the part keeps the rule on effects.
-func (m *Mixer) repeatable(p *fleet.Part) bool {
-	c := p.Q.Terms
-	return p.MayRun < 0 || c.Effect == decision.Safe ||
-		c.Effect == decision.Keyed && m.Now-p.MayRun < c.Window-m.Set.Tick
+// retryable reports whether another attempt of the subquery is safe by the effect of its class.
+func (sc *Scheduler) retryable(sub *cluster.Subquery) bool {
+	c := sub.Parent.Spec
+	return sub.MayRun < 0 || c.Effect == decision.Idempotent ||
+		c.Effect == decision.Deduplicated && sc.Now-sub.MayRun < c.Window-sc.Settings.Tick
 }
 
-// budget says whether another attempt fits; part is the share of the free ones that the caller may use up.
-func (m *Mixer) budget(part float64) bool {
-	r := m.Set.Rules
-	free, each, span := ownFree, ownShare, ownSpan
+// withinBudget reports whether the retry budget allows another attempt. The caller may use up that fraction
+// of the free attempts.
+func (sc *Scheduler) withinBudget(fraction float64) bool {
+	r := sc.Settings.Rules
+	free, ratio, span := defaultBudgetFree, defaultBudgetRatio, defaultBudgetSpan
 	if r.BudgetOn {
-		free, each, span = r.BudgetFree, r.BudgetShare, r.BudgetSpan
+		free, ratio, span = r.BudgetFree, r.BudgetRatio, r.BudgetSpan
 	}
-	used := m.Extras.Since(m.Now - span - m.Set.Tick) // edges counted against us
-	return used+1 <= part*free+each*m.Taken.Since(m.Now-span+m.Set.Tick)
+	used := sc.Retries.Since(sc.Now - span - sc.Settings.Tick) // attempts on the edge of the span count
+	return used+1 <= fraction*free+ratio*sc.Received.Since(sc.Now-span+sc.Settings.Tick)
 }
 
-// again queues a part whose attempts have all failed, or gives it up.
-func (m *Mixer) again(p *fleet.Part) {
-	if len(p.Attempts)+p.Used < p.Q.Terms.MaxAttempts && m.repeatable(p) {
-		parts := []*fleet.Part{p}
-		if m.unproven(p.Q) { // another part first: this one's shard may have lost a server to it
-			parts = p.Q.Current
+// retry queues a subquery whose attempts have all failed, or marks it failed where no more are allowed.
+func (sc *Scheduler) retry(sub *cluster.Subquery) {
+	if len(sub.Attempts)+sub.Used < sub.Parent.Spec.MaxAttempts && sc.retryable(sub) {
+		subs := []*cluster.Subquery{sub}
+		if sc.needsProof(sub.Parent) { // another shard first: this one may have lost a server to the query
+			subs = sub.Parent.Current
 		}
-		m.placeAll(parts)
+		sc.assign(subs)
 		return
 	}
-	p.Dead = true
-	m.replace(p.Q)
-	m.reply(p.Q)
+	sub.Failed = true
+	sc.useSpare(sub.Parent)
+	sc.reply(sub.Parent)
 }
 
-// replace sends a spare part, if any, for one late or lost.
-func (m *Mixer) replace(q *fleet.Query) {
-	if p := q.UseSpare(); p != nil {
-		m.placeAll([]*fleet.Part{p})
+// useSpare sends a spare subquery, if there is one, in place of one that is late or lost.
+func (sc *Scheduler) useSpare(q *cluster.Query) {
+	if sub := q.UseSpare(); sub != nil {
+		sc.assign([]*cluster.Subquery{sub})
 	}
 }
 
-// hedge sends a second copy of a part that is out too long, to a sound replica with room, if it can still be
-// of use there, and of a safe class alone: any other is called off first. All mixers' copies take one mixer's
-// free attempts; failed parts any.
-func (m *Mixer) hedge(p *fleet.Part) {
-	if n := len(p.Attempts); m.Stalled || p.Done || p.Index >= 0 || n == 0 || n+p.Used >= p.Q.Terms.MaxAttempts {
+// hedge sends a second attempt of a subquery that has been in flight too long to a healthy replica with
+// capacity, if it can still be of use there. Only idempotent classes are hedged: others are cancelled first
+// (see reroute). The hedged requests of all instances together may use the free attempts of one; retries of
+// failed ones may use any.
+func (sc *Scheduler) hedge(sub *cluster.Subquery) {
+	q, n := sub.Parent, len(sub.Attempts)
+	if sc.Stalled || sub.Done || sub.QueueIndex >= 0 || n == 0 || n+sub.Used >= q.Spec.MaxAttempts {
 		return
 	}
-	a := p.Attempts[len(p.Attempts)-1]
-	if !a.Live || !m.repeatable(p) || !p.Q.Sure && p.Q.Deaths > 0 {
+	a := sub.Attempts[n-1]
+	if !a.Live || !sc.retryable(sub) || !q.Proven && q.Crashes > 0 {
 		return
 	}
-	if !m.Set.SecondCopies || p.Q.Terms.Effect != decision.Safe {
-		m.move(p, a)
+	if !sc.Settings.Hedging || q.Spec.Effect != decision.Idempotent {
+		sc.reroute(sub, a)
 		return
 	}
-	dear := m.Set.Rules.BudgetOn // where copies are not, all that will be late for the aim get one in time
-	takes := m.Typical + m.waitNow()
-	if dear && m.Shed > 0 || m.Now+curve.Duration(takes) > p.Q.End {
-		return // it is too late for one, or everything is slow and copies are fuel
-	}
-	m.CDF(a.S)
-	age := curve.Seconds(m.Now - a.At)
-	due := m.Now > p.Deadline-curve.Duration(m.Typical) &&
-		(age > a.S.Patience || !dear && age > farTimes*m.Typical)
-	if !due && !m.Zones[a.S.Zone].Far || !m.budget(1/float64(m.Set.Siblings)) {
+	// Without a budget all that will miss the latency target are hedged in time.
+	rationed := sc.Settings.Rules.BudgetOn
+	takes := sc.Typical + sc.waitNow()
+	if rationed && sc.Shed > 0 || sc.Now+curve.Duration(takes) > q.GivesUpAt {
+		return // it is too late, or everything is slow and hedging would add to the load
+	}
+	sc.CDF(a.Server)
+	age := curve.Seconds(sc.Now - a.SentAt)
+	due := sc.Now > sub.Deadline-curve.Duration(sc.Typical) &&
+		(age > a.Server.MaxAge || !rationed && age > lateTimes*sc.Typical)
+	if !due && !sc.Zones[a.Server.Zone].Unreachable || !sc.withinBudget(1/float64(sc.Settings.Instances)) {
 		return
 	}
-	s := m.pick(p)
-	_, _, _, in := fleet.Share(p.Q)
-	last := float64(len(p.Q.Current)-in) <= lastShare*float64(len(p.Q.Current)) // any untried replica will do
-	if s == nil || !m.sendable(s) || m.tier(s, p) > 2 || !last && (m.tier(s, p) > 0 || !m.sound(s)) {
+	s := sc.pick(sub)
+	_, _, _, in := cluster.Progress(q)
+	last := float64(len(q.Current)-in) <= lastFraction*float64(len(q.Current)) // any untried replica will do
+	if s == nil || !sc.sendable(s) || sc.tier(s, sub) > 2 || !last && (sc.tier(s, sub) > 0 || !sc.healthy(s)) {
 		return
 	}
-	m.Turn, s.Turn = m.Turn+1, m.Turn+1
-	m.send(p, s)
+	sc.Turn, s.Turn = sc.Turn+1, sc.Turn+1
+	sc.send(sub, s)
 }
 
-// move calls off a part too long at a server from which nothing has come since, or something sent later
-// has, if a sound replica can still answer it: at twice the tail, or at the tail if that is too late. Scores,
-// which the listings wait for, go sooner. It goes again when the call-off is through.
-func (m *Mixer) move(p *fleet.Part, a *fleet.Attempt) {
-	if !m.Set.Cancel || a.Moved || a.InTurn() {
+// reroute cancels an attempt that has been in flight too long at a server that has answered nothing since, or
+// that has answered something sent later, if a healthy replica can still answer in time: after twice the tail
+// latency, or after the tail where that is too late. Scores, which the listings wait for, are rerouted
+// sooner. The subquery is sent again once the cancellation is confirmed.
+func (sc *Scheduler) reroute(sub *cluster.Subquery, a *cluster.Attempt) {
+	if !sc.Settings.Cancel || a.Rerouted || a.InTurn() {
 		return
 	}
-	m.CDF(a.S)
-	takes, s, age, until := m.Typical+m.waitNow(), m.pick(p), curve.Seconds(m.Now-a.At), m.lastCall(p.Q)
-	scores, tooLong := p.Q.Phased && p.Q.Step == 1, farTimes*m.Typical+m.waitNow()
-	seldom := m.Set.Siblings >= seldomFrom && m.Carried*age < 1 // nothing was to be heard meanwhile
-	if seldom && p.Q.Terms.Floor >= p.Q.Terms.Need {
-		until = p.Q.End // late is worth something, and what lacks is worth nothing
+	sc.CDF(a.Server)
+	q := sub.Parent
+	takes, s, age, until := sc.Typical+sc.waitNow(), sc.pick(sub), curve.Seconds(sc.Now-a.SentAt), sc.answerBy(q)
+	scores, tooLong := q.Phased && q.Step == 1, lateTimes*sc.Typical+sc.waitNow()
+	seldom := sc.Settings.Instances >= seldomFrom && sc.ServerRate*age < 1 // no answer was due meanwhile
+	if seldom && q.Spec.Floor >= q.Spec.Need {
+		until = q.GivesUpAt // a late answer has some value, an incomplete one none
 	}
 	if !scores {
-		tooLong = max(a.S.Patience, tooLong)
-		if !seldom || a.At+curve.Duration(2*tooLong+takes) < until { // there is time for certainty
+		tooLong = max(a.Server.MaxAge, tooLong)
+		if !seldom || a.SentAt+curve.Duration(2*tooLong+takes) < until { // there is time to be certain
 			tooLong *= 2
 		}
 	}
-	if age < tooLong || m.Now+curve.Duration(takes) > until || s == nil || m.tier(s, p) > 0 || !m.sound(s) {
+	if age < tooLong || sc.Now+curve.Duration(takes) > until {
+		return
+	}
+	if s == nil || sc.tier(s, sub) > 0 || !sc.healthy(s) {
 		return
 	}
-	if (scores || seldom || s.AnswerAt > a.At) && m.budget(1) {
-		a.Moved = true
-		m.Do(decision.Cancel{Part: p.ID, Attempt: a.Number})
+	if (scores || seldom || s.AnsweredAt > a.SentAt) && sc.withinBudget(1) {
+		a.Rerouted = true
+		sc.Emit(decision.Cancel{Subquery: sub.ID, Attempt: a.Number})
 	}
 }
 
-// Poison: queries that bring down the servers that begin their parts. A part that comes back clears its
-// query, as the cause kills each time. Servers dying undrained in several zones tell that one is abroad.
+// Poison queries crash the servers that execute them. One subquery that is answered clears its query, as the
+// fault crashes every server. Servers that crash in several zones without having drained raise the alarm.
 
-// unproven says whether only one part of a query may be out until one has come back.
-func (m *Mixer) unproven(q *fleet.Query) bool {
-	return !q.Sure && (q.Deaths > 0 || m.Alarm && len(q.Current) >= proveFrom)
+// needsProof reports whether only one subquery of a query may be in flight until one has been answered.
+func (sc *Scheduler) needsProof(q *cluster.Query) bool {
+	return !q.Proven && (q.Crashes > 0 || sc.Alarm && len(q.Current) >= proveFrom)
 }
 
-// died counts the deaths that a query was out at; what was sent before the last one is the same evidence.
-// One that dies again, with a server seen to have crashed of late, ends, and its like is refused for a while.
-func (m *Mixer) died(q *fleet.Query, a *fleet.Attempt) {
-	if q.Sure || a.At < q.DiedAt {
+// onCrash counts the crashes at which a query was in flight. What was sent before the last one is the same
+// evidence. A query that crashes again, with a server known to have crashed lately, is ended, and queries
+// with the same fingerprint are rejected for a while.
+func (sc *Scheduler) onCrash(q *cluster.Query, a *cluster.Attempt) {
+	if q.Proven || a.SentAt < q.CrashedAt {
 		return
 	}
-	q.Deaths, q.DiedAt = q.Deaths+1, m.Now
-	if dead, _ := m.CountDead(m.Now - deathSpan); dead > 0 && q.Deaths >= deathsMost {
-		m.Suspects[fleet.Likeness(q)] = m.Now
-		m.Log("poison class=%d key=%x", q.Class, q.Key)
-		m.giveUp(q)
+	q.Crashes, q.CrashedAt = q.Crashes+1, sc.Now
+	if crashed, _ := sc.CountCrashed(sc.Now - crashSpan); crashed > 0 && q.Crashes >= poisonCrashes {
+		sc.Poisoned[cluster.Fingerprint(q)] = sc.Now
+		sc.Log("poison class=%d key=%x", q.Class, q.Key)
+		sc.abandon(q)
 	}
 }
 
-func (m *Mixer) suspect(q *fleet.Query) bool {
-	at, is := m.Suspects[fleet.Likeness(q)]
-	return is && m.Now-at <= suspectSpan
+// poisoned reports whether a query with the same fingerprint has lately been found to crash servers.
+func (sc *Scheduler) poisoned(q *cluster.Query) bool {
+	at, is := sc.Poisoned[cluster.Fingerprint(q)]
+	return is && sc.Now-at <= poisonSpan
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,8 +12,8 @@
 func BenchmarkStep(b *testing.B) {
 	const cells, wide = 170, 50
 	set := base()
-	set.Siblings, set.Cells = 77, cells
-	m, err := New(set, 7)
+	set.Instances, set.Cells = 77, cells
+	sched, err := New(set, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -22,8 +22,8 @@
 		list = append(list, decision.ServerInfo{ID: decision.ServerID(i*7919%cells + 1), Cell: i, State: decision.Ready, Nominal: 1})
 	}
 	now := time.Second
-	m.Step(now, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: list}})
-	id, tries := uint64(0), map[decision.PartID]int{}
+	sched.Step(now, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: list}})
+	id, tries := uint64(0), map[decision.SubqueryID]int{}
 	var events []decision.Event
 	out := map[time.Duration][]decision.Event{}
 	for i := 0; b.Loop(); i++ {
@@ -37,17 +37,17 @@
 			}
 			id++
 			q := decision.QueryID(id)
-			events = append(events, decision.QueryArrived{ID: q, Left: 4 * time.Second, Parts: n})
+			events = append(events, decision.QueryArrived{ID: q, Remaining: 4 * time.Second, Subqueries: n})
 			for j := range n {
 				id++
-				events = append(events, decision.PartArrived{ID: decision.PartID(id), Query: q, Shard: (i + j) % cells, Weight: 1 / float64(n)})
+				events = append(events, decision.SubqueryArrived{ID: decision.SubqueryID(id), Query: q, Shard: (i + j) % cells, Weight: 1 / float64(n)})
 			}
 		}
-		for _, a := range m.Step(now, events) {
+		for _, a := range sched.Step(now, events) {
 			if s, ok := a.(decision.Send); ok {
-				at := now + time.Duration(10+(uint64(s.Part)*31)%40)*10*ms
-				out[at] = append(out[at], decision.Outcome{Part: s.Part, Server: s.Server, Attempt: tries[s.Part], Status: decision.OK})
-				tries[s.Part]++
+				at := now + time.Duration(10+(uint64(s.Subquery)*31)%40)*10*ms
+				out[at] = append(out[at], decision.Outcome{Subquery: s.Subquery, Server: s.Server, Attempt: tries[s.Subquery], Status: decision.OK})
+				tries[s.Subquery]++
 			}
 		}
 	}
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -5,166 +5,182 @@
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/curve"
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// Arrival, and the one deadline of a query's parts.
+// Arrival of queries, and the one deadline of all subqueries of a step.
 
-func (m *Mixer) onQuery(e decision.QueryArrived) {
-	m.Taken.Add(m.Now, 1)
-	if m.Queries[e.ID] != nil {
+// onQuery records a new query. Its subqueries follow.
+func (sc *Scheduler) onQuery(e decision.QueryArrived) {
+	sc.Received.Add(sc.Now, 1)
+	if sc.Queries[e.ID] != nil {
 		return
-	} else if e.Class < 0 || e.Class >= len(m.Set.Classes) {
-		m.Do(decision.Refuse{Query: e.ID}) // a class we were not told of: nothing has run
+	} else if e.Class < 0 || e.Class >= len(sc.Settings.Classes) {
+		sc.Emit(decision.Reject{Query: e.ID}) // an unknown class: nothing has run
 		return
 	}
-	q := &fleet.Query{QueryArrived: e, Terms: &m.Set.Classes[e.Class], Step: 1, Want: e.Parts, At: m.Now}
-	q.End, q.AimAt = m.Now+e.Left, m.Now+min(q.Terms.Aim, e.Left) // never beyond the client's own time
-	m.Queries[e.ID], m.Live = q, append(m.Live, q)
+	spec := &sc.Settings.Classes[e.Class]
+	q := &cluster.Query{QueryArrived: e, Spec: spec, Step: 1, Awaited: e.Subqueries, ArrivedAt: sc.Now}
+	q.GivesUpAt = sc.Now + e.Remaining
+	q.TargetAt = sc.Now + min(spec.LatencyTarget, e.Remaining) // never beyond the client's own time-out
+	sc.Queries[e.ID], sc.Live = q, append(sc.Live, q)
 }
 
-func (m *Mixer) onPart(e decision.PartArrived) {
-	m.Taken.Add(m.Now, 1)
-	q := m.Queries[e.Query]
-	if q == nil || m.Parts[e.ID] != nil || e.Shard < 0 {
+// onSubquery records one subquery. With the last of a step, the query is admitted or rejected.
+func (sc *Scheduler) onSubquery(e decision.SubqueryArrived) {
+	sc.Received.Add(sc.Now, 1)
+	q := sc.Queries[e.Query]
+	if q == nil || sc.Subqueries[e.ID] != nil || e.Shard < 0 {
 		return
 	}
-	m.Seq++
+	sc.Seq++
 	if q.Phased && q.Step == 1 {
 		e.Used = 1 // one is left for the listings
 	}
-	p := &fleet.Part{PartArrived: e, Q: q, Index: -1, MayRun: -1, Spare: e.Later}
-	p.Seq = m.Seq
-	m.Parts[e.ID] = p
-	q.Current, q.All = append(q.Current, p), append(q.All, p)
-	if len(q.Current) < q.Want {
+	sub := &cluster.Subquery{SubqueryArrived: e, Parent: q, QueueIndex: -1, MayRun: -1, Spare: e.Later}
+	sub.Seq = sc.Seq
+	sc.Subqueries[e.ID] = sub
+	q.Current, q.All = append(q.Current, sub), append(q.All, sub)
+	if len(q.Current) < q.Awaited {
 		return
 	}
-	m.stamp(q)
-	if q.Step == 1 && (m.suspect(q) || m.refuses(q)) {
-		m.giveUp(q)
+	sc.setDeadlines(q)
+	if q.Step == 1 && (sc.poisoned(q) || sc.rejects(q)) {
+		sc.abandon(q)
 		return
 	}
 	q.Admitted = true
-	if q.Step == 1 && q.Terms.Need < 1 && !q.Phased {
-		m.keepSpares(q)
+	if q.Step == 1 && q.Spec.Need < 1 && !q.Phased {
+		sc.keepSpares(q)
 	}
-	m.placeAll(q.Current)
-	m.stamp(q)
+	sc.assign(q.Current)
+	sc.setDeadlines(q)
 }
 
-// planned takes in what a search's planner made of its answers: parts to ask now, parts to do without, which
-// count as in, and how many the second step has. A part held back on purpose is no miss.
-func (m *Mixer) planned(q *fleet.Query, e decision.Planned) {
+// onPlan applies what a search's planner decided from its answers: subqueries to send now, subqueries to
+// skip, which count as done, and how many the second step has. A subquery withheld on purpose is no missed
+// deadline.
+func (sc *Scheduler) onPlan(q *cluster.Query, e decision.Planned) {
 	if q == nil {
 		return
 	}
-	for _, p := range q.Current {
-		if slices.Contains(e.Skip, p.ID) {
-			m.Settle(p)
-			p.Done, p.Dead, p.Server = true, false, nil
-		} else if p.Spare && slices.Contains(e.Ask, p.ID) {
-			p.Spare, p.Headless = false, p.Deadline <= m.Now
+	for _, sub := range q.Current {
+		if slices.Contains(e.Skip, sub.ID) {
+			sc.Abort(sub)
+			sub.Done, sub.Failed, sub.Server = true, false, nil
+		} else if sub.Spare && slices.Contains(e.Request, sub.ID) {
+			sub.Spare, sub.Headless = false, sub.Deadline <= sc.Now
 		}
 	}
 	if q.Step == 2 {
-		q.Want = e.Fetch
+		q.Awaited = e.Fetch
 	}
-	m.placeAll(q.Current)
-	m.reply(q)
+	sc.assign(q.Current)
+	sc.reply(q)
 }
 
-// stamp gives all parts of a step one deadline: the aim minus the fan-out's unloaded tail.
-func (m *Mixer) stamp(q *fleet.Query) {
-	aimAt := m.stepAim(q)
-	deadline, headless := tailguard.Stamp(m.Now, aimAt, m.FanoutTail(q, tail), maxTailShare)
-	for _, p := range q.Current {
-		p.Deadline, p.Headless = deadline, headless
-		if p.Index >= 0 {
-			p.Server.Reorder(p)
+// setDeadlines gives all subqueries of a step one deadline: the latency target minus the fan-out's unloaded
+// tail.
+func (sc *Scheduler) setDeadlines(q *cluster.Query) {
+	targetAt := sc.stepTarget(q)
+	deadline, headless := tailguard.Stamp(sc.Now, targetAt, sc.FanoutTail(q, tail), maxTailFraction)
+	for _, sub := range q.Current {
+		sub.Deadline, sub.Headless = deadline, headless
+		if sub.QueueIndex >= 0 {
+			sub.Server.Reorder(sub)
 		}
 	}
 }
 
-// stepAim is when a step should be answered: the first of two leaves the second its fan-out's tail. A phased
-// query's listings go to servers that have answered already, as far as these are known.
-func (m *Mixer) stepAim(q *fleet.Query) time.Duration {
-	if q.Step == 2 || q.Terms.Fetch == 0 && !q.Phased {
-		return q.AimAt
+// stepTarget is when a step should be answered: the first of two steps leaves the second its fan-out's tail.
+func (sc *Scheduler) stepTarget(q *cluster.Query) time.Duration {
+	if q.Step == 2 || q.Spec.Fetch == 0 && !q.Phased {
+		return q.TargetAt
 	}
-	return q.AimAt - min(curve.Duration(m.ListingsTail(q, tail))+stepTicks*m.Set.Tick, (q.AimAt-q.At)/2)
+	second := curve.Duration(sc.ListingsTail(q, tail)) + stepTicks*sc.Settings.Tick
+	return q.TargetAt - min(second, (q.TargetAt-q.ArrivedAt)/2)
 }
 
-// keepSpares leaves out the parts that a whole answer can do without, those of the weakest shards: they go
-// when others are late or lost.
-func (m *Mixer) keepSpares(q *fleet.Query) {
-	for _, p := range q.Current {
-		p.Spare, p.Strength = true, 0
-		for _, s := range m.Replicas[p.Shard%m.Set.Cells] {
-			if m.sendable(s) && !m.late(s) {
-				p.Strength += m.turns(s)
+// keepSpares withholds the subqueries that a complete answer can do without, those of the shards with the
+// weakest replicas. They are sent when others are late or lost.
+func (sc *Scheduler) keepSpares(q *cluster.Query) {
+	for _, sub := range q.Current {
+		sub.Spare, sub.Strength = true, 0
+		for _, s := range sc.Replicas[sub.Shard%sc.Settings.Cells] {
+			if sc.sendable(s) && !sc.late(s) {
+				sub.Strength += sc.turnWeight(s)
 			}
 		}
 	}
-	q.UseSpares(q.Terms.Need - weightSlip)
+	q.UseSpares(q.Spec.Need - weightSlip)
 }
 
-// Queues and release: earliest deadline first, below the cap.
+// Queues and release: earliest deadline first, up to the concurrency cap of each server.
 
-// release lets held parts leave, earliest deadline first, while fewer than the cap are out.
-func (m *Mixer) release() {
-	for _, s := range m.Order {
-		var wait []*fleet.Part
-		for len(s.Held) > 0 && len(s.Out) < m.room(s) && (m.sendable(s) || !m.open(s)) {
-			p := s.Next()
-			if !m.open(s) {
-				m.placeAll([]*fleet.Part{p})
+// release sends queued subqueries, earliest deadline first, while fewer than the cap are in flight at their
+// server.
+func (sc *Scheduler) release() {
+	for _, s := range sc.Order {
+		var overBudget []*cluster.Subquery
+		for len(s.Queue) > 0 && len(s.InFlight) < sc.capacity(s) && (sc.sendable(s) || !sc.accepts(s)) {
+			sub := s.Dequeue()
+			if !sc.accepts(s) {
+				sc.assign([]*cluster.Subquery{sub})
 				continue
 			}
-			if len(p.Attempts) > 0 && !p.Cheap && !m.budget(1) {
-				wait = append(wait, p)
+			if len(sub.Attempts) > 0 && !sub.Cheap && !sc.withinBudget(1) {
+				overBudget = append(overBudget, sub)
 				continue
 			}
-			m.send(p, s)
-			o := s.Unsent(p.Q) // the query's other parts share the call
-			for n := 1; o != nil && m.Set.CallCost > 0 && n < m.Set.Batch && m.sendable(s); n, o = n+1, s.Unsent(p.Q) {
-				s.Unhold(o)
-				m.send(o, s)
-			}
+			sc.send(sub, s)
+			sc.fillCall(sub.Parent, s)
 		}
-		for _, p := range wait {
-			s.Hold(p)
+		for _, sub := range overBudget {
+			s.Enqueue(sub)
 		}
 	}
 }
 
-// room is how many of our parts may be out at a server: the cap, and of a cold one its warm share.
-func (m *Mixer) room(s *fleet.Server) int { return max(int(s.Cap*m.warmth(s)), 1) }
+// fillCall sends the query's other subqueries queued for the server, up to the batch size: they share the
+// call.
+func (sc *Scheduler) fillCall(q *cluster.Query, s *cluster.Server) {
+	other := s.Unsent(q)
+	for n := 1; other != nil && sc.Settings.CallCost > 0 && n < sc.Settings.Batch && sc.sendable(s); n++ {
+		s.Unqueue(other)
+		sc.send(other, s)
+		other = s.Unsent(q)
+	}
+}
+
+// capacity is how many of our subqueries may be in flight at a server: its cap, reduced in slow start.
+func (sc *Scheduler) capacity(s *cluster.Server) int { return max(int(s.Cap*sc.slowStartShare(s)), 1) }
 
-// send launches an attempt. Rules kept here: nothing for an ended query, attempts and budget counted,
-// repeats only where the class allows them now.
-func (m *Mixer) send(p *fleet.Part, s *fleet.Server) {
-	if p.Done || p.Q.Ended || len(p.Attempts)+p.Used >= p.Q.Terms.MaxAttempts || !m.repeatable(p) {
+// send starts an attempt. It enforces that nothing is sent for an ended query, that attempts and the retry
+// budget are counted, and that there are further attempts only where the class allows them now.
+func (sc *Scheduler) send(sub *cluster.Subquery, s *cluster.Server) {
+	q := sub.Parent
+	if sub.Done || q.Ended || len(sub.Attempts)+sub.Used >= q.Spec.MaxAttempts || !sc.retryable(sub) {
 		return
 	}
-	if len(p.Attempts) > 0 && !p.Cheap {
-		m.Extras.Add(m.Now, 1)
-	} else if len(p.Attempts) == 0 && !p.Headless && !p.Late {
-		m.Decided.Add(m.Now, 1)
-		if m.wouldMiss(p) {
-			m.Missed.Add(m.Now, 1)
+	if len(sub.Attempts) > 0 && !sub.Cheap {
+		sc.Retries.Add(sc.Now, 1)
+	} else if len(sub.Attempts) == 0 && !sub.Headless && !sub.Late {
+		sc.Decided.Add(sc.Now, 1)
+		if sc.wouldMiss(sub) {
+			sc.Missed.Add(sc.Now, 1)
 		}
 	}
-	idle := len(s.Out) == 0 && s.EndAt > 0 && m.Now-s.EndAt > idleLeast
-	if idle && m.IdleDead {
-		m.Do(decision.CloseIdle{Server: s.ID})
+	idle := len(s.InFlight) == 0 && s.EndedAt > 0 && sc.Now-s.EndedAt > idleLeast
+	if idle && sc.IdleConnsDead {
+		sc.Emit(decision.CloseIdle{Server: s.ID})
 		idle = false
 	}
-	if n := len(s.Out); n > 0 && s.Out[n-1].At == m.Now {
-		idle = s.Out[n-1].Idle // in the same call
+	if n := len(s.InFlight); n > 0 && s.InFlight[n-1].SentAt == sc.Now {
+		idle = s.InFlight[n-1].Idle // in the same call
 	}
-	m.Launch(p, s, idle)
-	m.Do(decision.Send{Part: p.ID, Server: s.ID, Limit: max(p.Q.End-m.Now, m.Set.Tick)})
+	sc.Launch(sub, s, idle)
+	limit := max(q.GivesUpAt-sc.Now, sc.Settings.Tick)
+	sc.Emit(decision.Send{Subquery: sub.ID, Server: s.ID, Limit: limit})
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,33 +10,33 @@
 
 // A host drives a query of two parts to its answer.
 func Example() {
-	m, err := policy.New(decision.Settings{
-		Siblings: 1, Tick: 5 * time.Millisecond, Cells: 2, Width: 2, MaxAttempts: 3,
-		Classes: []decision.Class{{Aim: time.Second, Worth: 1, Need: 1, Floor: 1}},
+	sched, err := policy.New(decision.Settings{
+		Instances: 1, Tick: 5 * time.Millisecond, Cells: 2, Width: 2, MaxAttempts: 3,
+		Classes: []decision.Class{{LatencyTarget: time.Second, Value: 1, Need: 1, Floor: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := 10 * time.Second
-	m.Step(now, []decision.Event{decision.ServerList{Kind: decision.Whole, Servers: []decision.ServerInfo{
+	sched.Step(now, []decision.Event{decision.ServerList{Kind: decision.FullList, Servers: []decision.ServerInfo{
 		{ID: 1, Cell: 0, State: decision.Ready}, {ID: 2, Cell: 1, State: decision.Ready},
 	}}})
-	acts := m.Step(now, []decision.Event{
-		decision.QueryArrived{ID: 7, Left: 3 * time.Second, Parts: 2},
-		decision.PartArrived{ID: 71, Query: 7, Shard: 0, Weight: 0.5},
-		decision.PartArrived{ID: 72, Query: 7, Shard: 1, Weight: 0.5},
+	acts := sched.Step(now, []decision.Event{
+		decision.QueryArrived{ID: 7, Remaining: 3 * time.Second, Subqueries: 2},
+		decision.SubqueryArrived{ID: 71, Query: 7, Shard: 0, Weight: 0.5},
+		decision.SubqueryArrived{ID: 72, Query: 7, Shard: 1, Weight: 0.5},
 	})
 	var outcomes []decision.Event // what the servers would say
 	for _, a := range acts {
 		if s, ok := a.(decision.Send); ok {
-			fmt.Println("send part", s.Part)
-			outcomes = append(outcomes, decision.Outcome{Part: s.Part, Server: s.Server, Status: decision.OK})
+			fmt.Println("send part", s.Subquery)
+			outcomes = append(outcomes, decision.Outcome{Subquery: s.Subquery, Server: s.Server, Status: decision.OK})
 		}
 	}
-	for _, a := range m.Step(now+80*time.Millisecond, outcomes) {
+	for _, a := range sched.Step(now+80*time.Millisecond, outcomes) {
 		if a, ok := a.(decision.Answer); ok {
-			fmt.Println("answer query", a.Query, "whole:", a.Whole)
+			fmt.Println("answer query", a.Query, "whole:", a.Complete)
 		}
 	}
 	// Unordered output:
--- a/policy/phased_test.go
+++ b/policy/phased_test.go
@@ -8,45 +8,45 @@
 )
 
 // phased hands over a phased query of six shards; those from later on wait to be asked for.
-func (b *bed) phased(class, later int, left time.Duration) (decision.QueryID, []decision.PartID) {
+func (b *bed) phased(later int) (decision.QueryID, []decision.SubqueryID) {
 	b.nextID += 100
 	q := decision.QueryID(b.nextID)
-	ev := []decision.Event{decision.QueryArrived{ID: q, Class: class, Left: left, Parts: 6, Phased: true, Fetch: 2}}
-	var ids []decision.PartID
+	ev := []decision.Event{decision.QueryArrived{ID: q, Remaining: 4 * time.Second, Subqueries: 6, Phased: true, Fetch: 2}}
+	var ids []decision.SubqueryID
 	for i := range 6 {
-		id := decision.PartID(b.nextID + uint64(i) + 1)
+		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
 		b.owner[id] = q
 		ids = append(ids, id)
-		ev = append(ev, decision.PartArrived{ID: id, Query: q, Shard: i, Weight: 1.0 / 6, Later: i >= later})
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: i, Weight: 1.0 / 6, Later: i >= later})
 	}
 	b.step(ev...)
 	return q, ids
 }
 
 // fetch hands over the parts of the second step, of the shards given.
-func (b *bed) fetch(q decision.QueryID, used int, prefer decision.ServerID, shards ...int) (ids []decision.PartID) {
+func (b *bed) fetch(q decision.QueryID, used int, prefer decision.ServerID, shards ...int) (ids []decision.SubqueryID) {
 	b.nextID += 100
 	ev := []decision.Event{decision.Planned{Query: q, Fetch: len(shards)}}
 	for i, s := range shards {
-		id := decision.PartID(b.nextID + uint64(i) + 1)
+		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
 		b.owner[id] = q
 		ids = append(ids, id)
-		ev = append(ev, decision.PartArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards)), Prefer: prefer, Used: used})
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards)), Prefer: prefer, Used: used})
 	}
 	b.step(ev...)
 	return ids
 }
 
-func (b *bed) ok(ids ...decision.PartID) {
+func (b *bed) ok(ids ...decision.SubqueryID) {
 	for _, id := range ids {
-		b.step(decision.Outcome{Part: id, Attempt: b.tries[id] - 1, Status: decision.OK})
+		b.step(decision.Outcome{Subquery: id, Attempt: b.tries[id] - 1, Status: decision.OK})
 	}
 }
 
 func (b *bed) nonFinal(q decision.QueryID) (got, whole bool) {
 	for _, a := range b.acts {
 		if a, ok := a.(decision.Answer); ok && a.Query == q && !a.Final {
-			return true, a.Whole
+			return true, a.Complete
 		}
 	}
 	return false, false
@@ -54,7 +54,7 @@
 
 func phasedBase() decision.Settings {
 	set := base()
-	set.SecondCopies, set.MaxAttempts = false, 4
+	set.Hedging, set.MaxAttempts = false, 4
 	set.Classes[0].Floor = 0.7
 	return set
 }
@@ -62,18 +62,18 @@
 // Parts of later waves leave only when they are asked for; a skipped one counts as in and is called off.
 func TestPhasedWaves(t *testing.T) {
 	b := newBed(t, phasedBase(), 0, 1, 2)
-	q, ids := b.phased(0, 4, 4*time.Second)
+	q, ids := b.phased(4)
 	if len(b.sends) != 4 {
 		t.Fatalf("%d parts sent, want the 4 of the first wave", len(b.sends))
 	}
 	b.ok(ids[0], ids[1], ids[2])
-	b.step(decision.Planned{Query: q, Ask: ids[4:5], Skip: []decision.PartID{ids[3], ids[5]}})
+	b.step(decision.Planned{Query: q, Request: ids[4:5], Skip: []decision.SubqueryID{ids[3], ids[5]}})
 	cancelled := false
 	for _, a := range b.acts {
 		c, ok := a.(decision.Cancel)
-		cancelled = cancelled || ok && c.Part == ids[3]
+		cancelled = cancelled || ok && c.Subquery == ids[3]
 	}
-	if len(b.sends) != 5 || b.sends[4].Part != ids[4] || !cancelled {
+	if len(b.sends) != 5 || b.sends[4].Subquery != ids[4] || !cancelled {
 		t.Fatalf("sends %v, cancelled %v", b.sends, cancelled)
 	}
 	b.ok(ids[4])
@@ -87,7 +87,7 @@
 		}
 	}
 	b.ok(fetch...)
-	if a, ok := b.last[q].(decision.Answer); !ok || !a.Whole {
+	if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
 		t.Errorf("final %+v", b.last[q])
 	}
 }
@@ -95,10 +95,10 @@
 // A page of no lots needs no second step.
 func TestPhasedNothingToFetch(t *testing.T) {
 	b := newBed(t, phasedBase(), 0, 1, 2)
-	q, ids := b.phased(0, 6, 4*time.Second)
+	q, ids := b.phased(6)
 	b.ok(ids...)
 	b.fetch(q, 0, 0)
-	if a, ok := b.last[q].(decision.Answer); !ok || !a.Whole {
+	if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
 		t.Errorf("final %+v", b.last[q])
 	}
 }
@@ -106,13 +106,13 @@
 // Under the floor when the scores are due, the query ends at once, long before its client gives up.
 func TestPhasedFloor(t *testing.T) {
 	b := newBed(t, phasedBase(), 0, 1, 2)
-	q, ids := b.phased(0, 6, 4*time.Second)
+	q, ids := b.phased(6)
 	b.ok(ids[0], ids[1], ids[2])
 	for at := b.now + time.Second; b.now < at; {
 		b.now += 10 * ms
 		b.step(decision.Wake{})
 	}
-	if _, ok := b.last[q].(decision.Refuse); !ok {
+	if _, ok := b.last[q].(decision.Reject); !ok {
 		t.Errorf("final %+v after the aim with half of the weight", b.last[q])
 	}
 }
@@ -122,7 +122,7 @@
 func TestPhasedShare(t *testing.T) {
 	for _, lost := range []int{0, 1} {
 		b := newBed(t, phasedBase(), 0, 1, 2)
-		q, ids := b.phased(0, 6, 4*time.Second)
+		q, ids := b.phased(6)
 		start := b.now
 		b.now += 100 * ms
 		b.ok(ids[:5]...)
@@ -143,7 +143,7 @@
 			b.step(decision.Wake{})
 		}
 		a, ok := b.last[q].(decision.Answer)
-		if _, refused := b.last[q].(decision.Refuse); lost == 0 && (!ok || a.Whole) || lost == 1 && !refused {
+		if _, refused := b.last[q].(decision.Reject); lost == 0 && (!ok || a.Complete) || lost == 1 && !refused {
 			t.Errorf("%d listings lost: final %+v", lost, b.last[q])
 		}
 	}
@@ -152,11 +152,11 @@
 // Four attempts at most over both steps: the scores leave one for the listings, which count theirs in.
 func TestPhasedAttempts(t *testing.T) {
 	b := newBed(t, phasedBase(), 0, 1, 2)
-	q, ids := b.phased(0, 6, 4*time.Second)
-	fail := func(id decision.PartID) {
+	q, ids := b.phased(6)
+	fail := func(id decision.SubqueryID) {
 		for n := 0; n < b.tries[id]; n++ {
 			b.now += 10 * ms
-			b.step(decision.Outcome{Part: id, Attempt: n, Status: decision.Error})
+			b.step(decision.Outcome{Subquery: id, Attempt: n, Status: decision.Error})
 		}
 	}
 	b.ok(ids[1:]...)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
@@ -19,30 +19,30 @@
 // base returns settings with three servers' worth of cells, each shard held by all three.
 func base() decision.Settings {
 	return decision.Settings{
-		Siblings: 1, Tick: 5 * ms, Cells: 3, Width: 3, Batch: 1, MaxAttempts: 3,
-		SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second,
+		Instances: 1, Tick: 5 * ms, Cells: 3, Width: 3, Batch: 1, MaxAttempts: 3,
+		Hedging: true, Cancel: true, MaxRetryAfter: time.Second,
 		Classes: []decision.Class{
-			{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decision.Safe, Need: 1, Floor: 1},
-			{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decision.Keyed, Window: 300 * ms, Need: 1, Floor: 1},
-			{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decision.Unsafe, Need: 1, Floor: 1},
-			{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decision.Safe, Need: 1, Floor: 0.5, Fetch: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Deduplicated, Window: 300 * ms, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.NotIdempotent, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5, Fetch: 1},
 		},
-		Rules: decision.Rules{StartCapacity: 0.2, Ramp: 10 * time.Second, FallMultiple: 2,
-			FallSpan: 3 * time.Second},
+		Rules: decision.Rules{StartCapacity: 0.2, SlowStart: 10 * time.Second, OverloadMultiple: 2,
+			OverloadSpan: 3 * time.Second},
 	}
 }
 
 // bed drives a mixer and keeps the books that the rules are judged by.
 type bed struct {
 	t      *testing.T
-	m      *Mixer
+	sched  *Scheduler
 	now    time.Duration
 	nextID uint64
 	finals map[decision.QueryID]int
 	last   map[decision.QueryID]decision.Action
 	sends  []sent
-	tries  map[decision.PartID]int
-	owner  map[decision.PartID]decision.QueryID
+	tries  map[decision.SubqueryID]int
+	owner  map[decision.SubqueryID]decision.QueryID
 	acts   []decision.Action
 	wake   time.Duration // asked for last
 }
@@ -54,12 +54,13 @@
 }
 
 func newBed(t *testing.T, set decision.Settings, cells ...int) *bed {
-	m, err := New(set, 7)
+	t.Helper()
+	sched, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, m: m, now: time.Second, finals: map[decision.QueryID]int{}, last: map[decision.QueryID]decision.Action{},
-		tries: map[decision.PartID]int{}, owner: map[decision.PartID]decision.QueryID{}}
+	b := &bed{t: t, sched: sched, now: time.Second, finals: map[decision.QueryID]int{}, last: map[decision.QueryID]decision.Action{},
+		tries: map[decision.SubqueryID]int{}, owner: map[decision.SubqueryID]decision.QueryID{}}
 	var l []decision.ServerInfo
 	for i, c := range cells {
 		l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: c, State: decision.Ready, Nominal: 1})
@@ -68,29 +69,28 @@
 	return b
 }
 
-func (b *bed) step(events ...decision.Event) []decision.Action {
-	b.acts = append([]decision.Action(nil), b.m.Step(b.now, events)...)
+func (b *bed) step(events ...decision.Event) {
+	b.acts = append([]decision.Action(nil), b.sched.Step(b.now, events)...)
 	for _, a := range b.acts {
 		switch a := a.(type) {
 		case decision.WakeAt:
 			b.wake = a.At
 		case decision.Send:
-			if b.finals[b.owner[a.Part]] > 0 {
-				b.t.Errorf("part %d sent after its query's final answer", a.Part)
+			if b.finals[b.owner[a.Subquery]] > 0 {
+				b.t.Errorf("part %d sent after its query's final answer", a.Subquery)
 			}
-			b.sends = append(b.sends, sent{a, b.now, b.tries[a.Part]})
-			b.tries[a.Part]++
+			b.sends = append(b.sends, sent{a, b.now, b.tries[a.Subquery]})
+			b.tries[a.Subquery]++
 		case decision.Answer:
 			if a.Final {
 				b.final(a.Query, a)
 			}
-		case decision.Refuse:
+		case decision.Reject:
 			b.final(a.Query, a)
 		case decision.Fail:
 			b.final(a.Query, a)
 		}
 	}
-	return b.acts
 }
 
 func (b *bed) final(q decision.QueryID, a decision.Action) {
@@ -102,16 +102,16 @@
 }
 
 // query hands over a query with one part for each shard and returns its ID and its parts'.
-func (b *bed) query(class int, left time.Duration, shards ...int) (decision.QueryID, []decision.PartID) {
+func (b *bed) query(class int, left time.Duration, shards ...int) (decision.QueryID, []decision.SubqueryID) {
 	b.nextID += 100
 	q := decision.QueryID(b.nextID)
-	ev := []decision.Event{decision.QueryArrived{ID: q, Class: class, Left: left, Parts: len(shards)}}
-	var ids []decision.PartID
+	ev := []decision.Event{decision.QueryArrived{ID: q, Class: class, Remaining: left, Subqueries: len(shards)}}
+	var ids []decision.SubqueryID
 	for i, s := range shards {
-		id := decision.PartID(b.nextID + uint64(i) + 1)
+		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
 		b.owner[id] = q
 		ids = append(ids, id)
-		ev = append(ev, decision.PartArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards))})
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards))})
 	}
 	b.step(ev...)
 	return q, ids
@@ -126,7 +126,7 @@
 }
 
 func (b *bed) outcome(s sent, st decision.Status) {
-	b.step(decision.Outcome{Part: s.Part, Server: s.Server, Attempt: s.attempt, Status: st, Took: b.now - s.at})
+	b.step(decision.Outcome{Subquery: s.Subquery, Server: s.Server, Attempt: s.attempt, Status: st, Latency: b.now - s.at})
 }
 
 // warm answers n one-part queries so that there are records.
@@ -149,7 +149,7 @@
 	for _, s := range append([]sent(nil), b.sends...) {
 		b.outcome(s, decision.OK)
 	}
-	if a, ok := b.last[q].(decision.Answer); !ok || !a.Whole {
+	if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
 		t.Fatalf("last word %v, want a whole answer", b.last[q])
 	}
 }
@@ -196,7 +196,7 @@
 		t.Fatalf("%d attempts, want a second within the window", len(b.sends))
 	}
 	b.run(300 * ms) // past the window
-	b.outcome(b.sends[1], decision.Full)
+	b.outcome(b.sends[1], decision.Rejected)
 	b.run(20 * ms)
 	if len(b.sends) != 2 {
 		t.Error("sent again past its window")
@@ -208,7 +208,7 @@
 
 // An unsafe part goes again only when every attempt is known not to have run.
 func TestUnsafe(t *testing.T) {
-	for st, want := range map[decision.Status]int{decision.Error: 1, decision.TimedOut: 1, decision.Reset: 1, decision.Cancelled: 1, decision.Full: 2, decision.ConnectFailed: 2} {
+	for st, want := range map[decision.Status]int{decision.Error: 1, decision.TimedOut: 1, decision.Reset: 1, decision.Cancelled: 1, decision.Rejected: 2, decision.ConnectFailed: 2} {
 		b := newBed(t, base(), 0, 1, 2)
 		q, _ := b.query(2, 4*time.Second, 0)
 		b.run(20 * ms)
@@ -217,7 +217,7 @@
 		if len(b.sends) != want {
 			t.Errorf("status %d: %d attempts, want %d", st, len(b.sends), want)
 		}
-		if _, refused := b.last[q].(decision.Refuse); refused {
+		if _, refused := b.last[q].(decision.Reject); refused {
 			t.Errorf("status %d: refused though it may have run", st)
 		}
 	}
@@ -249,7 +249,7 @@
 // Further attempts stay within the stated budget in every window.
 func TestBudget(t *testing.T) {
 	set := base()
-	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetShare, set.Rules.BudgetSpan = true, 2, 0.05, 10*time.Second
+	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 2, 0.05, 10*time.Second
 	b := newBed(t, set, 0, 1, 2)
 	taken := []time.Duration{}
 	for range 300 {
@@ -316,21 +316,21 @@
 	b.run(50 * ms)
 	b.outcome(b.sends[0], decision.OK)
 	b.run(1000 * ms) // the other stays out: a partial answer saves the aim
-	if b.m.Queries[q] == nil || b.m.Queries[q].Step != 2 {
+	if b.sched.Queries[q] == nil || b.sched.Queries[q].Step != 2 {
 		t.Fatal("no partial first answer by the aim")
 	}
 	b.owner[999] = q
 	k := len(b.sends)
-	b.step(decision.PartArrived{ID: 999, Query: q, Shard: 0, Weight: 1})
+	b.step(decision.SubqueryArrived{ID: 999, Query: q, Shard: 0, Weight: 1})
 	b.run(20 * ms)
 	for _, s := range append([]sent(nil), b.sends[k:]...) {
-		if s.Part == 999 {
+		if s.Subquery == 999 {
 			b.outcome(s, decision.OK)
 			break
 		}
 	}
 	a, ok := b.last[q].(decision.Answer)
-	if !ok || a.Whole {
+	if !ok || a.Complete {
 		t.Errorf("last word %v, want an answer that is not whole", b.last[q])
 	}
 }
@@ -383,8 +383,8 @@
 // sweeps: 80 gatherers that swept each 10 ms gave four of five such answers up to 8 ms late, and nearly in vain.
 func TestPartInTime(t *testing.T) {
 	set := base()
-	set.Tick, set.SecondCopies = ms, false
-	set.Classes[0] = decision.Class{Aim: 300 * ms, Deadline: time.Second, Worth: 1, Effect: decision.Safe, Need: 1, Floor: 0.5}
+	set.Tick, set.Hedging = ms, false
+	set.Classes[0] = decision.Class{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5}
 	for _, offset := range []time.Duration{1, 3, 7, 9} {
 		b := newBed(t, set, 0, 1, 2)
 		b.now += 11 * ms
@@ -393,7 +393,7 @@
 		came := b.now
 		q, ids := b.query(0, time.Second, 0, 1)
 		for _, s := range slices.Clone(b.sends) {
-			if s.Part == ids[0] {
+			if s.Subquery == ids[0] {
 				b.outcome(s, decision.OK)
 			}
 		}
@@ -402,7 +402,7 @@
 			t.Fatalf("offset %v: answered in part while the rest could still come", offset)
 		}
 		b.wakes(came + 299*ms)
-		if a, ok := b.last[q].(decision.Answer); !ok || a.Whole {
+		if a, ok := b.last[q].(decision.Answer); !ok || a.Complete {
 			t.Errorf("offset %v: no answer in part before the aim", offset)
 		}
 	}
@@ -411,10 +411,10 @@
 // thin returns settings of one mixer of a large fleet that meets each server seldom: aims ten times an answer's time.
 func thin() decision.Settings {
 	set := base()
-	set.Siblings, set.Tick, set.SecondCopies, set.MaxAttempts = 80, ms, false, 4
+	set.Instances, set.Tick, set.Hedging, set.MaxAttempts = 80, ms, false, 4
 	set.Classes = []decision.Class{
-		{Aim: 300 * ms, Deadline: time.Second, Worth: 3, Effect: decision.Safe, Need: 1, Floor: 0.7},
-		{Aim: 380 * ms, Deadline: 1300 * ms, Worth: 2, Effect: decision.Keyed, Window: 4 * time.Second, Need: 1, Floor: 1},
+		{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 3, Effect: decision.Idempotent, Need: 1, Floor: 0.7},
+		{LatencyTarget: 380 * ms, Deadline: 1300 * ms, Value: 2, Effect: decision.Deduplicated, Window: 4 * time.Second, Need: 1, Floor: 1},
 	}
 	return set
 }
@@ -441,7 +441,7 @@
 				b.outcome(s, decision.OK)
 			}
 		}
-		if a, ok := b.last[q].(decision.Answer); !ok || !a.Whole {
+		if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
 			t.Errorf("class %d: %d attempts and no answer within the aim", class, len(b.sends))
 		}
 	}
@@ -456,7 +456,7 @@
 	first := b.sends[0]
 	for b.now < first.at+15*ms {
 		for _, s := range b.sends[max(len(b.sends)-1, 0):] {
-			b.outcome(s, decision.Full)
+			b.outcome(s, decision.Rejected)
 		}
 		b.now += ms
 		b.step(decision.Wake{})
@@ -478,7 +478,7 @@
 	b.query(0, time.Second, 0)
 	b.run(2 * ms)
 	n := len(b.sends)
-	b.outcome(b.sends[n-1], decision.Full)
+	b.outcome(b.sends[n-1], decision.Rejected)
 	b.query(0, time.Second, 0)
 	b.run(900 * ms)
 	if len(b.sends) != n {
@@ -494,7 +494,7 @@
 // Where gatherers are few, a part still waits for twice the tail and for news of its next replica: early moves cost there.
 func TestFewMoveAsBefore(t *testing.T) {
 	set := thin()
-	set.Siblings = 3
+	set.Instances = 3
 	b := newBed(t, set, 0, 0, 0)
 	b.warm(60, 30*ms)
 	b.run(3 * time.Second)
@@ -524,13 +524,13 @@
 	}
 	refused, b := [2]int{}, newBed(t, set, cells...)
 	for range 200 {
-		b.m.Shed, b.m.ShedAt, b.m.Wait, b.m.WaitAt = 0.5, b.now, 0.35, b.now
+		b.sched.Shed, b.sched.ShedAt, b.sched.Wait, b.sched.WaitAt = 0.5, b.now, 0.35, b.now
 		for class, at := range [][]int{shards, shards[:1]} {
 			q, _ := b.query(class, time.Second, at...)
-			if _, ok := b.last[q].(decision.Refuse); ok {
+			if _, ok := b.last[q].(decision.Reject); ok {
 				refused[class]++
 			}
-			b.step(decision.ClientLeft{Query: q})
+			b.step(decision.ClientGone{Query: q})
 		}
 	}
 	if refused[0] < 70 || refused[1] > 30 {
@@ -544,8 +544,9 @@
 }
 
 func hangIsLeft(t *testing.T, passed bool) {
+	t.Helper()
 	set := base()
-	set.SecondCopies, set.MaxAttempts = false, 4
+	set.Hedging, set.MaxAttempts = false, 4
 	b := newBed(t, set, 0, 0, 0)
 	b.warm(60, 50*ms)
 	var stuck sent
@@ -553,7 +554,7 @@
 	run := func(steps int) {
 		for range steps {
 			b.run(10 * ms)
-			called = called || stuck.Part > 0 && slices.Contains(b.acts, decision.Action(decision.Cancel{Part: stuck.Part}))
+			called = called || stuck.Subquery > 0 && slices.Contains(b.acts, decision.Action(decision.Cancel{Subquery: stuck.Subquery}))
 		}
 	}
 	for i := range 12 {
@@ -565,19 +566,19 @@
 			}
 		}
 		for _, s := range b.sends[k:] {
-			if s.Server == 1 && stuck.Part == 0 {
+			if s.Server == 1 && stuck.Subquery == 0 {
 				stuck = s
 			} else if s.Server != 1 || passed {
 				b.outcome(s, decision.OK)
 			}
 		}
-		if i == 11 && stuck.Part == 0 {
+		if i == 11 && stuck.Subquery == 0 {
 			t.Fatal("nothing was sent to the server that hangs")
 		}
 	}
 	again := func() (n int) {
 		for _, s := range b.sends {
-			if s.Part == stuck.Part {
+			if s.Subquery == stuck.Subquery {
 				n++
 			}
 		}
@@ -589,7 +590,7 @@
 	}
 	b.outcome(stuck, decision.Cancelled)
 	b.run(10 * ms)
-	if s := b.sends[len(b.sends)-1]; again() != 2 || s.Part != stuck.Part || s.Server == 1 {
+	if s := b.sends[len(b.sends)-1]; again() != 2 || s.Subquery != stuck.Subquery || s.Server == 1 {
 		t.Errorf("%d attempts, the last %+v", again(), s)
 	}
 }
@@ -598,7 +599,7 @@
 // one has a queue: what they answer it need not (a day's sound server was sent four fifths and stood full).
 func TestQuickErrorsAreCheap(t *testing.T) {
 	set := base()
-	set.MaxAttempts, set.SecondCopies, set.Siblings = 4, false, 1
+	set.MaxAttempts, set.Hedging, set.Instances = 4, false, 1
 	b := newBed(t, set, 0, 0, 0)
 	b.warm(30, 60*ms)
 	var due []sent // answers to come; at is when
@@ -627,7 +628,7 @@
 				return false
 			}
 			b.outcome(s, decision.OK)
-			if b.now-asked[b.owner[s.Part]] > 600*ms {
+			if b.now-asked[b.owner[s.Subquery]] > 600*ms {
 				late++
 			}
 			return true
@@ -668,7 +669,7 @@
 // An ask-mode list is subscribed to, and failures are tried again after growing waits.
 func TestAskMode(t *testing.T) {
 	set := base()
-	set.AskMode = true
+	set.Polling = true
 	b := newBed(t, set, 0, 1, 2)
 	asks := func() (n int) {
 		for _, a := range b.acts {
@@ -696,7 +697,7 @@
 	if total != 20 {
 		t.Errorf("asked again %d times after 20 failures", total)
 	}
-	b.step(decision.ServerList{Kind: decision.Whole, Servers: []decision.ServerInfo{{ID: 1, Cell: 0, State: decision.Ready}}})
+	b.step(decision.ServerList{Kind: decision.FullList, Servers: []decision.ServerInfo{{ID: 1, Cell: 0, State: decision.Ready}}})
 	b.run(10 * time.Second)
 	if asks() != 0 {
 		t.Error("asked though subscribed")
@@ -706,14 +707,14 @@
 // Bad input to the public interface is ignored, or refused where a query is owed its answer.
 func TestBadInput(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
-	b.step(decision.QueryArrived{ID: 1, Class: 99, Left: time.Second, Parts: 1}, decision.Outcome{Part: 5}, decision.ClientLeft{Query: 9},
-		decision.PartArrived{ID: 8, Query: 77}, decision.PartArrived{ID: 9, Query: 1, Shard: -4})
-	if _, ok := b.last[1].(decision.Refuse); !ok {
+	b.step(decision.QueryArrived{ID: 1, Class: 99, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: 5}, decision.ClientGone{Query: 9},
+		decision.SubqueryArrived{ID: 8, Query: 77}, decision.SubqueryArrived{ID: 9, Query: 1, Shard: -4})
+	if _, ok := b.last[1].(decision.Reject); !ok {
 		t.Error("a query of an unknown class was not refused")
 	}
 	q, p := b.query(0, time.Second, 0)
 	b.now -= 500 * ms // time going backwards counts as standing still
-	b.step(decision.QueryArrived{ID: q, Left: time.Second, Parts: 1}, decision.Outcome{Part: p[0], Attempt: 7})
+	b.step(decision.QueryArrived{ID: q, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: p[0], Attempt: 7})
 	b.now += 500 * ms
 	b.run(time.Second)
 	if b.finals[q] != 1 {
@@ -786,13 +787,13 @@
 	}
 }
 
-// The module stays readable: at most 1000 lines that are not blank in all of its folder, none over 110 characters.
-func TestSize(t *testing.T) {
+// The package stays readable: no line over 110 characters, no function over 50 lines, no file over 200, blank lines
+// not counted.
+func TestFilesAndFunctionsAreShort(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
-	n := 0
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
@@ -801,17 +802,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		inFile, inFunction := 0, 0
 		for at, line := range strings.Split(string(text), "\n") {
-			if strings.TrimSpace(line) != "" {
-				n++
-			}
 			if l := len([]rune(line)); l > 110 {
 				t.Errorf("%s: line %d has %d characters", name, at+1, l)
 			}
+			if strings.HasPrefix(line, "func ") {
+				inFunction = 0
+			}
+			if strings.TrimSpace(line) != "" {
+				inFile++
+				inFunction++
+			}
+			if line == "}" && inFunction > 50 {
+				t.Errorf("%s: the function that ends at line %d has %d lines, want 50 at most", name, at+1, inFunction)
+			}
+		}
+		if inFile > 200 {
+			t.Errorf("%s has %d lines, want 200 at most", name, inFile)
 		}
-	}
-	if n > 1000 {
-		t.Errorf("%d lines, want 1000 at most", n)
 	}
 }
 
@@ -825,7 +834,7 @@
 	b.run(50 * ms)
 	b.outcome(b.sends[0], decision.OK)
 	b.run(100 * ms)
-	if b.m.Queries[q] == nil || b.m.Queries[q].Step != 1 {
+	if b.sched.Queries[q] == nil || b.sched.Queries[q].Step != 1 {
 		t.Fatal("answered in part long before the aim")
 	}
 }
@@ -874,7 +883,7 @@
 	if len(b.finals) != 300 {
 		t.Errorf("%d of 300 queries have a final answer", len(b.finals))
 	}
-	if len(b.m.Queries) != 0 || len(b.m.Live) != 0 {
+	if len(b.sched.Queries) != 0 || len(b.sched.Live) != 0 {
 		t.Error("ended queries are still on the books")
 	}
 }
@@ -888,9 +897,9 @@
 		for range 20 {
 			b.run(20 * ms)
 			for _, s := range append([]sent(nil), b.sends...) {
-				if b.owner[s.Part] == q {
+				if b.owner[s.Subquery] == q {
 					b.outcome(s, decision.Reset)
-					b.m.Servers[s.Server].DiedAt = b.now // as when the next connection is refused
+					b.sched.Servers[s.Server].CrashedAt = b.now // as when the next connection is refused
 				}
 			}
 		}
@@ -900,12 +909,12 @@
 	if n := len(b.sends); n != 4 {
 		t.Errorf("%d attempts of a query that kills servers, want 3 and one alone", n)
 	}
-	if _, ok := b.last[q].(decision.Refuse); !ok {
+	if _, ok := b.last[q].(decision.Reject); !ok {
 		t.Errorf("last word %v, want Refuse", b.last[q])
 	}
 	b.sends = nil
 	again, _ := b.query(0, 4*time.Second, 0, 1, 2)
-	if _, ok := b.last[again].(decision.Refuse); !ok || len(b.sends) > 0 {
+	if _, ok := b.last[again].(decision.Reject); !ok || len(b.sends) > 0 {
 		t.Error("the same query was not refused when it came again")
 	}
 	if other, _ := b.query(0, 4*time.Second, 1, 2); b.finals[other] > 0 || len(b.sends) == 0 {
@@ -976,10 +985,10 @@
 // breaks and whose server then cannot be reached is.
 func TestLoneResetsAreNoCrashes(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
-	for i, s := range b.m.Order {
+	for i, s := range b.sched.Order {
 		s.Zone = i % 2
 	}
-	b.m.Index()
+	b.sched.Reindex()
 	end := func(st decision.Status) {
 		for i := range 3 {
 			k := len(b.sends)
@@ -994,11 +1003,11 @@
 		b.run(200 * ms)
 	}
 	end(decision.Reset)
-	if b.m.Alarm {
+	if b.sched.Alarm {
 		t.Error("lone resets count as crashes")
 	}
 	end(decision.ConnectFailed)
-	if !b.m.Alarm {
+	if !b.sched.Alarm {
 		t.Error("servers that reset and then refuse do not count as crashes")
 	}
 }
@@ -1007,13 +1016,13 @@
 // sent half of all parts to a zone that had vanished.
 func TestZoneInDoubt(t *testing.T) {
 	set := thin()
-	set.Probes, set.Siblings = true, 4 // no subset
+	set.HealthChecks, set.Instances = true, 4 // no subset
 	b := newBed(t, set)
 	var l []decision.ServerInfo
 	for i := range 40 {
 		l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: 0, State: decision.Ready, Zone: i % 2})
 	}
-	b.step(decision.ServerList{Kind: decision.Whole, Servers: l})
+	b.step(decision.ServerList{Kind: decision.FullList, Servers: l})
 	b.warm(60, 30*ms)
 	there := func(s sent) bool { return s.Server%2 == 0 } // zone 1, from which nothing comes any more
 	for i, n := 0, 0; i < 40; i++ {
@@ -1027,8 +1036,8 @@
 				b.outcome(s, decision.OK)
 			}
 		}
-		if i == 39 && (b.m.Zones[1].Far || slices.ContainsFunc(b.sends[n:], there)) {
-			t.Errorf("far %v, and parts still go there after 250 ms", b.m.Zones[1].Far)
+		if i == 39 && (b.sched.Zones[1].Unreachable || slices.ContainsFunc(b.sends[n:], there)) {
+			t.Errorf("far %v, and parts still go there after 250 ms", b.sched.Zones[1].Unreachable)
 		}
 	}
 }
@@ -1038,18 +1047,18 @@
 func TestFarZone(t *testing.T) {
 	for _, through := range []bool{false, true} {
 		set := base()
-		set.Probes = true
+		set.HealthChecks = true
 		b := newBed(t, set)
 		var l []decision.ServerInfo
 		for i := range 3 {
 			l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: i, State: decision.Ready, Zone: min(i, 1)})
 		}
-		b.step(decision.ServerList{Kind: decision.Whole, Servers: l})
+		b.step(decision.ServerList{Kind: decision.FullList, Servers: l})
 		b.warm(30, 50*ms)
 		probe := func(ok bool) {
 			for _, a := range b.acts {
-				if p, is := a.(decision.Probe); is {
-					b.step(decision.Probed{Server: p.Server, OK: ok})
+				if p, is := a.(decision.HealthCheck); is {
+					b.step(decision.HealthChecked{Server: p.Server, OK: ok})
 				}
 			}
 		}
@@ -1068,17 +1077,17 @@
 				probe(through)
 			}
 		}
-		if far := b.m.Zones[1].Far; far == through {
+		if far := b.sched.Zones[1].Unreachable; far == through {
 			t.Errorf("probes through %v: far is %v", through, far)
 		}
 		if through {
 			continue
 		}
-		if bad := b.m.Servers[2].Bad; bad > badBack {
+		if bad := b.sched.Servers[2].FailureRate; bad > failingBelow {
 			t.Errorf("a server behind the slow way is blamed: %v", bad)
 		}
-		b.step(decision.Probed{Server: 2, OK: true})
-		if b.m.Zones[1].Far {
+		b.step(decision.HealthChecked{Server: 2, OK: true})
+		if b.sched.Zones[1].Unreachable {
 			t.Error("still far after a probe got through")
 		}
 	}
@@ -1097,13 +1106,13 @@
 			for ; k < len(b.sends); k++ { // copies sent meanwhile too
 				b.outcome(b.sends[k], decision.OK)
 			}
-			if _, is := b.last[q].(decision.Refuse); is {
+			if _, is := b.last[q].(decision.Reject); is {
 				r++
 			}
 		}
 		return r
 	}
-	if refused(20, 1200*ms); b.m.Shed == 0 && refused(5, 1200*ms) == 0 {
+	if refused(20, 1200*ms); b.sched.Shed == 0 && refused(5, 1200*ms) == 0 {
 		t.Error("nothing refused though every part waits past its deadline at the servers")
 	}
 	b.run(5 * time.Second)
@@ -1116,14 +1125,14 @@
 // A clock that starts anywhere leaves records and start curves what they are.
 func TestLateClock(t *testing.T) {
 	for _, start := range []time.Duration{0, 300 * time.Hour} {
-		m, _ := New(base(), 7)
-		m.Step(start+time.Second, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: []decision.ServerInfo{{ID: 1, State: decision.Ready}}}})
-		if m.Typical <= 0 || m.Typical > 0.5 {
-			t.Errorf("clock from %v: the start curve's median is %v s", start, m.Typical)
-		}
-		m.Pool.Add(start+time.Second, 0.05)
-		m.SurveyPool()
-		if cdf := m.CDF(m.Servers[1]); !(cdf[len(cdf)-1] > 0.99) {
+		sched, _ := New(base(), 7)
+		sched.Step(start+time.Second, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: []decision.ServerInfo{{ID: 1, State: decision.Ready}}}})
+		if sched.Typical <= 0 || sched.Typical > 0.5 {
+			t.Errorf("clock from %v: the start curve's median is %v s", start, sched.Typical)
+		}
+		sched.Pool.Add(start+time.Second, 0.05)
+		sched.SurveyPool()
+		if cdf := sched.CDF(sched.Servers[1]); !(cdf[len(cdf)-1] > 0.99) {
 			t.Errorf("clock from %v: an unheard server's record ends at %v", start, cdf[len(cdf)-1])
 		}
 	}
@@ -1159,7 +1168,7 @@
 		b.query(0, 4*time.Second, 1)
 		b.run(10 * ms)
 		for _, s := range b.sends[1:] {
-			if s.Part != parts[0] && b.now-s.at == 10*ms {
+			if s.Subquery != parts[0] && b.now-s.at == 10*ms {
 				b.outcome(s, decision.OK)
 			}
 		}
@@ -1167,7 +1176,7 @@
 			t.Fatalf("%d attempts of a keyed part, the first still out", n)
 		}
 	}
-	if !b.m.Parts[parts[0]].Attempts[0].Moved {
+	if !b.sched.Subqueries[parts[0]].Attempts[0].Rerouted {
 		t.Fatal("it was not called off")
 	}
 	b.outcome(b.sends[0], decision.Cancelled)
@@ -1181,10 +1190,10 @@
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(30, 50*ms)
 	b.run(20 * time.Second)
-	s := b.m.Servers[1]
-	b.m.heard(s, 0.5, true) // ten times the usual
-	b.m.surveyServers()
-	if tr := b.m.trust(s); tr >= trusted {
+	s := b.sched.Servers[1]
+	b.sched.recordLatency(s, 0.5, true) // ten times the usual
+	b.sched.surveyServers()
+	if tr := b.sched.weight(s); tr >= healthyWeight {
 		t.Errorf("trust %v after one answer of ten medians, want a suspect", tr)
 	}
 }
@@ -1194,7 +1203,7 @@
 func TestOwnStall(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(30, 50*ms)
-	lat, missed := b.m.Servers[1].Lat, b.m.Missed.Sum
+	lat, missed := b.sched.Servers[1].Latency, b.sched.Missed.Sum
 	for range 8 { // more than the caps let out, so that some are held
 		b.query(0, 4*time.Second, 0, 1, 2)
 	}
@@ -1204,14 +1213,14 @@
 	out, sends := append([]sent(nil), b.sends...), len(b.sends)
 	var ev []decision.Event
 	for _, s := range out[:len(out)-3] {
-		ev = append(ev, decision.Outcome{Part: s.Part, Server: s.Server, Attempt: s.attempt, Status: decision.OK, Took: 50 * ms})
+		ev = append(ev, decision.Outcome{Subquery: s.Subquery, Server: s.Server, Attempt: s.attempt, Status: decision.OK, Latency: 50 * ms})
 	}
 	b.step(ev...)
-	if got := b.m.Servers[1].Lat; got > 2*lat {
+	if got := b.sched.Servers[1].Latency; got > 2*lat {
 		t.Errorf("answer time %v after the stall, %v before", got, lat)
 	}
-	if b.m.Missed.Sum > missed {
-		t.Errorf("%v misses counted of our own stall", b.m.Missed.Sum-missed)
+	if b.sched.Missed.Sum > missed {
+		t.Errorf("%v misses counted of our own stall", b.sched.Missed.Sum-missed)
 	}
 	for _, s := range b.sends[sends:] {
 		if s.attempt > 0 {
@@ -1226,7 +1235,7 @@
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(30, 200*ms)
 	q, _ := b.query(0, 100*ms, 0, 1)
-	if _, ok := b.last[q].(decision.Refuse); !ok || len(b.sends) > 0 {
+	if _, ok := b.last[q].(decision.Reject); !ok || len(b.sends) > 0 {
 		t.Errorf("last word %v and %d parts sent, want a refusal and none", b.last[q], len(b.sends))
 	}
 	if q, _ = b.query(0, 400*ms, 0, 1); b.finals[q] > 0 || len(b.sends) != 2 {
@@ -1238,8 +1247,8 @@
 // that failed may use them all.
 func TestCopiesOfManyMixers(t *testing.T) {
 	set := base()
-	set.Siblings = 50
-	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetShare, set.Rules.BudgetSpan = true, 20, 0.05, 10*time.Second
+	set.Instances = 50
+	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 20, 0.05, 10*time.Second
 	b := newBed(t, set, 0, 1, 2, 0, 1, 2)
 	b.warm(30, 50*ms)
 	b.run(11 * time.Second)
@@ -1289,20 +1298,20 @@
 				b.outcome(s, decision.OK)
 			}
 		}
-		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: id, Cell: 1, State: decision.Gone, Nominal: 1}}})
+		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: id, Cell: 1, State: decision.Deregistered, Nominal: 1}}})
 		b.sends = nil
 	}
-	b.m.Suspects[1] = b.now - time.Hour
+	b.sched.Poisoned[1] = b.now - time.Hour
 	b.run(time.Minute)
 	b.query(0, 4*time.Second, 0)
 	b.run(200 * ms)
-	if n := len(b.m.Servers); n > 10 || len(b.m.Order) != n {
-		t.Errorf("%d servers and %d in order after 200 came and went", n, len(b.m.Order))
+	if n := len(b.sched.Servers); n > 10 || len(b.sched.Order) != n {
+		t.Errorf("%d servers and %d in order after 200 came and went", n, len(b.sched.Order))
 	}
-	if n := len(b.m.Taken.At); n > 1000 {
+	if n := len(b.sched.Received.At); n > 1000 {
 		t.Errorf("%d entries of what was taken, want only the last span's", n)
 	}
-	if n := len(b.m.Suspects); n > 0 {
+	if n := len(b.sched.Poisoned); n > 0 {
 		t.Errorf("%d old suspects kept", n)
 	}
 }
@@ -1312,13 +1321,13 @@
 func TestColdShareOfSmallMixers(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
 	b.run(time.Minute)
-	s := b.m.Servers[2]
+	s := b.sched.Servers[2]
 	s.Started = b.now
 	can := func(after time.Duration) bool {
 		b.now = s.Started + after
 		b.step(decision.Wake{})
-		b.m.Carried = 0.5 / 3 // parts a second that a warm server answers us
-		return b.m.sendable(s)
+		b.sched.ServerRate = 0.5 / 3 // parts a second that a warm server answers us
+		return b.sched.sendable(s)
 	}
 	if can(time.Second) || can(2*time.Second) {
 		t.Error("a part to a server that is cold, though our share is one in ten seconds and more")
@@ -1334,16 +1343,16 @@
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(30, 300*ms) // one part a second and server
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 3, Cell: 2, State: decision.Ready, Nominal: 1, Started: b.now}}})
-	n, cold := 0, b.m.Servers[3]
+	n, cold := 0, b.sched.Servers[3]
 	for range 300 { // 3 s, in which the warm ones are sent a hundred parts a second each, and answer none
-		for _, s := range []*fleet.Server{b.m.Servers[1], b.m.Servers[2]} {
-			p := &fleet.Part{}
-			b.m.Launch(p, s, false)
-			s.Drop(p.Attempts[0])
+		for _, s := range []*cluster.Server{b.sched.Servers[1], b.sched.Servers[2]} {
+			p := &cluster.Subquery{}
+			b.sched.Launch(p, s, false)
+			s.RemoveAttempt(p.Attempts[0])
 		}
 		b.run(10 * ms)
-		if b.m.sendable(cold) {
-			b.m.Launch(&fleet.Part{}, cold, false)
+		if b.sched.sendable(cold) {
+			b.sched.Launch(&cluster.Subquery{}, cold, false)
 			n++
 		}
 	}
@@ -1358,7 +1367,7 @@
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(20, 50*ms)
 	b.query(0, 4*time.Second, 0) // what the class usually has left
-	b.m.Shed = 1
+	b.sched.Shed = 1
 	k := len(b.sends)
 	q, _ := b.query(0, 2*time.Second, 0, 1) // as much less as a late repeat would have
 	b.run(20 * ms)
@@ -1371,13 +1380,13 @@
 func TestStartsSpread(t *testing.T) {
 	first := map[decision.ServerID]int{}
 	for seed := range uint64(30) {
-		m, _ := New(base(), seed)
+		sched, _ := New(base(), seed)
 		var list []decision.ServerInfo
 		for i := range 3 {
 			list = append(list, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: i, State: decision.Ready})
 		}
-		for _, a := range m.Step(time.Second, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: list},
-			decision.QueryArrived{ID: 1, Left: 4 * time.Second, Parts: 1}, decision.PartArrived{ID: 2, Query: 1, Weight: 1}}) {
+		for _, a := range sched.Step(time.Second, []decision.Event{decision.ServerList{Kind: decision.Cached, Servers: list},
+			decision.QueryArrived{ID: 1, Remaining: 4 * time.Second, Subqueries: 1}, decision.SubqueryArrived{ID: 2, Query: 1, Weight: 1}}) {
 			if s, ok := a.(decision.Send); ok {
 				first[s.Server]++
 			}
@@ -1392,11 +1401,11 @@
 // brings a spare, and a lost one ends the query only when what can still come is too little.
 func TestSpareParts(t *testing.T) {
 	set := base()
-	set.Classes[0].Need, set.Classes[0].Floor, set.MaxAttempts, set.SecondCopies = 0.6, 0.6, 1, false
+	set.Classes[0].Need, set.Classes[0].Floor, set.MaxAttempts, set.Hedging = 0.6, 0.6, 1, false
 	set.Width = 1
 	b := newBed(t, set, 0, 1, 2)
 	b.warm(20, 50*ms)
-	b.m.Servers[1].Bad, b.m.Servers[1].BadAt = 0.5, b.now
+	b.sched.Servers[1].FailureRate, b.sched.Servers[1].FailureRateAt = 0.5, b.now
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2, 1, 2)
 	if len(b.sends) != 3 {
 		t.Fatalf("%d parts sent, want the 3 of 5 that make a whole", len(b.sends))
@@ -1454,21 +1463,21 @@
 		b.run(500 * ms)
 		b.outcome(b.sends[k], decision.OK)
 	}
-	s := b.m.Servers[1]
-	p := &fleet.Part{PartArrived: decision.PartArrived{ID: 9}, Q: &fleet.Query{Terms: &b.m.Set.Classes[0], Ended: true}, Index: -1}
-	b.m.Parts[9] = p
-	b.m.Launch(p, s, false)
+	s := b.sched.Servers[1]
+	p := &cluster.Subquery{SubqueryArrived: decision.SubqueryArrived{ID: 9}, Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0], Ended: true}, QueueIndex: -1}
+	b.sched.Subqueries[9] = p
+	b.sched.Launch(p, s, false)
 	b.run(3 * time.Second)
-	b.step(decision.Outcome{Part: 9, Server: 1, Status: decision.Cancelled})
+	b.step(decision.Outcome{Subquery: 9, Server: 1, Status: decision.Cancelled})
 	b.run(6 * time.Second)
-	if got := b.m.trust(s); got >= trusted {
+	if got := b.sched.weight(s); got >= healthyWeight {
 		t.Errorf("trust %.2f two meetings after a silence, want a suspect still", got)
 	}
-	if again := (&fleet.Part{Attempts: p.Attempts}); b.m.tier(b.m.Servers[1], again) == 0 {
+	if again := (&cluster.Subquery{Attempts: p.Attempts}); b.sched.tier(b.sched.Servers[1], again) == 0 {
 		t.Error("a suspect takes a further attempt as if it were sound")
 	}
 	b.run(time.Minute)
-	if b.m.trust(s) < trusted {
+	if b.sched.weight(s) < healthyWeight {
 		t.Error("a suspect for ever")
 	}
 }
@@ -1477,7 +1486,7 @@
 // died unseen: they are closed before the next part, and no server is blamed (incident i57e58a).
 func TestIdleConnectionsDead(t *testing.T) {
 	set := base()
-	set.SecondCopies = false
+	set.Hedging = false
 	b := newBed(t, set, 0, 1, 2)
 	b.warm(30, 50*ms)
 	closed := map[decision.ServerID]bool{}
@@ -1510,9 +1519,9 @@
 	if answered < 30 {
 		t.Errorf("%d of 60 queries answered with %d connections closed, want most once it is known", answered, n)
 	}
-	for _, s := range b.m.Order {
-		if s.Bad > badLog {
-			t.Errorf("server %d is blamed for its connections: %.2f", s.ID, s.Bad)
+	for _, s := range b.sched.Order {
+		if s.FailureRate > failingAbove {
+			t.Errorf("server %d is blamed for its connections: %.2f", s.ID, s.FailureRate)
 		}
 	}
 }
@@ -1523,13 +1532,13 @@
 func TestTrialsAreFew(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
 	b.warm(60, 50*ms)
-	s, p := b.m.Servers[1], &fleet.Part{Q: &fleet.Query{Terms: &b.m.Set.Classes[0]}, Index: -1}
+	s, p := b.sched.Servers[1], &cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0]}, QueueIndex: -1}
 	tier := func(answers float64) int { // a second and server
-		b.m.Carried = answers
-		s.Bad, s.BadAt = 0.9, b.now
-		return b.m.tier(s, p)
+		b.sched.ServerRate = answers
+		s.FailureRate, s.FailureRateAt = 0.9, b.now
+		return b.sched.tier(s, p)
 	}
-	b.m.note(s, false, 1)
+	b.sched.recordOutcome(s, false, 1)
 	if tier(2) != 0 {
 		t.Error("not on trial though it is met twice a second")
 	}
@@ -1549,31 +1558,31 @@
 	b := newBed(t, set, 0, 1, 2)
 	b.warm(60, 50*ms)
 	for range 20 {
-		b.m.heard(b.m.Servers[2], 2, false)
+		b.sched.recordLatency(b.sched.Servers[2], 2, false)
 	}
 	for range 10 {
-		b.m.note(b.m.Servers[3], false, 1)
+		b.sched.recordOutcome(b.sched.Servers[3], false, 1)
 	}
 	for shard, want := range []bool{false, true, true} {
-		p := &fleet.Part{PartArrived: decision.PartArrived{Shard: shard}, Place: tailguard.Place{Deadline: b.now + time.Second}}
-		if got := b.m.wouldMiss(p); got != want {
+		p := &cluster.Subquery{SubqueryArrived: decision.SubqueryArrived{Shard: shard}, Place: tailguard.Place{Deadline: b.now + time.Second}}
+		if got := b.sched.wouldMiss(p); got != want {
 			t.Errorf("shard %d: a miss is %v, want %v", shard, got, want)
 		}
 	}
-	b.m.Shed = 1
+	b.sched.Shed = 1
 	if q, _ := b.query(0, 4*time.Second, 0, 1); b.finals[q] != 1 {
 		t.Error("taken while refusing, though its second shard is slow")
 	}
 	// One that can do without the slow shard is taken without it, and answered as soon as the rest is in
 	// (hanbit-lots hand: operators took out two of a cell's three).
-	b.m.Set.Classes[0].Floor = 0.5
+	b.sched.Settings.Classes[0].Floor = 0.5
 	q, _ := b.query(0, 4*time.Second, 0, 1)
 	if len(b.sends) != 1 || b.finals[q] > 0 {
 		t.Fatalf("%d parts sent, %d final answers", len(b.sends), b.finals[q])
 	}
 	b.now += 50 * ms
 	b.outcome(b.sends[0], decision.OK)
-	if a, ok := b.last[q].(decision.Answer); !ok || a.Whole || !a.Final {
+	if a, ok := b.last[q].(decision.Answer); !ok || a.Complete || !a.Final {
 		t.Errorf("last word %+v", b.last[q])
 	}
 }
@@ -1585,14 +1594,14 @@
 	set.Width = 1
 	b := newBed(t, set, 0, 0, 1, 1, 2, 2)
 	b.warm(40, 50*ms)
-	b.m.Alarm = true
+	b.sched.Alarm = true
 	b.query(0, 4*time.Second, 0, 1, 2)
 	if len(b.sends) != 1 {
 		t.Fatalf("%d parts sent while servers crash, want one", len(b.sends))
 	}
 	b.outcome(b.sends[0], decision.Reset)
 	b.run(20 * ms)
-	if len(b.sends) != 2 || b.sends[1].Part == b.sends[0].Part {
+	if len(b.sends) != 2 || b.sends[1].Subquery == b.sends[0].Subquery {
 		t.Errorf("after a death %v, want one part of another shard", b.sends[1:])
 	}
 }
@@ -1606,10 +1615,10 @@
 	b.warm(20, 50*ms)
 	b.run(time.Second)
 	b.query(0, 4*time.Second, 0, 1, 2)
-	for _, s := range b.m.Order {
-		for _, a := range s.Out {
+	for _, s := range b.sched.Order {
+		for _, a := range s.InFlight {
 			if !a.Idle {
-				t.Errorf("attempt %d of part %d counts as sent on a busy connection", a.Number, a.P.ID)
+				t.Errorf("attempt %d of part %d counts as sent on a busy connection", a.Number, a.Subquery.ID)
 			}
 		}
 	}
@@ -1622,23 +1631,23 @@
 	b.warm(60, 50*ms)
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2, 0, 1, 2, 0, 1)
 	last := b.sends[0]
-	for _, s := range b.m.Order {
+	for _, s := range b.sched.Order {
 		if s.ID != last.Server {
-			s.Bad, s.BadAt, s.FailedAt = 0.9, b.now, b.now
+			s.FailureRate, s.FailureRateAt, s.FailedAt = 0.9, b.now, b.now
 		}
 	}
 	for _, s := range append([]sent(nil), b.sends[1:]...) {
-		b.step(decision.Outcome{Part: s.Part, Server: s.Server, Status: decision.OK})
+		b.step(decision.Outcome{Subquery: s.Subquery, Server: s.Server, Status: decision.OK})
 	}
-	for _, s := range b.m.Order {
+	for _, s := range b.sched.Order {
 		if s.ID != last.Server {
-			s.Bad, s.BadAt = 0.9, b.now
+			s.FailureRate, s.FailureRateAt = 0.9, b.now
 		}
 	}
 	k := len(b.sends)
 	b.run(1500 * ms)
-	if len(b.sends) == k || b.sends[k].Part != last.Part || b.finals[q] > 0 {
-		t.Errorf("sent %v, want a copy of the last part %d", b.sends[k:], last.Part)
+	if len(b.sends) == k || b.sends[k].Subquery != last.Subquery || b.finals[q] > 0 {
+		t.Errorf("sent %v, want a copy of the last part %d", b.sends[k:], last.Subquery)
 	}
 }
 
@@ -1647,8 +1656,8 @@
 	set := base()
 	set.Classes[0].Need, set.Classes[0].Floor = 0.6, 0.6
 	b := newBed(t, set, 0, 1, 2)
-	b.step(decision.QueryArrived{ID: 1, Left: time.Second, Parts: 2},
-		decision.PartArrived{ID: 2, Query: 1, Shard: 0}, decision.PartArrived{ID: 3, Query: 1, Shard: 1})
+	b.step(decision.QueryArrived{ID: 1, Remaining: time.Second, Subqueries: 2},
+		decision.SubqueryArrived{ID: 2, Query: 1, Shard: 0}, decision.SubqueryArrived{ID: 3, Query: 1, Shard: 1})
 	if b.finals[1] != 1 || len(b.sends) > 0 {
 		t.Errorf("%d last words and %d parts sent, want one and none", b.finals[1], len(b.sends))
 	}
@@ -1661,14 +1670,14 @@
 	set.Width = 1
 	b := newBed(t, set, 0, 1)
 	lost, _ := b.query(0, 4*time.Second, 0, 2)
-	if r, ok := b.last[lost].(decision.Refuse); !ok || r.RetryAfter <= 0 {
+	if r, ok := b.last[lost].(decision.Reject); !ok || r.RetryAfter <= 0 {
 		t.Errorf("without a server: %+v", b.last[lost])
 	}
 	held, parts := b.query(2, 4*time.Second, 1)
 	b.now += 10 * ms
-	b.step(decision.Outcome{Part: parts[0], Server: 2, Status: decision.ConnectFailed},
-		decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 1, State: decision.Gone}}})
-	if _, ok := b.last[held].(decision.Refuse); !ok {
+	b.step(decision.Outcome{Subquery: parts[0], Server: 2, Status: decision.ConnectFailed},
+		decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 1, State: decision.Deregistered}}})
+	if _, ok := b.last[held].(decision.Reject); !ok {
 		t.Errorf("its last server gone: %+v", b.last[held])
 	}
 }
@@ -1680,7 +1689,7 @@
 	set := base()
 	set.MaxAttempts = 1
 	set.Classes = append(set.Classes, set.Classes[0])
-	b.step(decision.Retuned{Settings: set})
+	b.step(decision.SettingsChanged{Settings: set})
 	_, after := b.query(len(set.Classes)-1, 4*time.Second, 0)
 	for i := 0; i < len(b.sends); i++ {
 		b.now += 10 * ms
@@ -1695,16 +1704,16 @@
 func TestLearned(t *testing.T) {
 	old := newBed(t, base(), 0, 1, 2)
 	old.warm(60, 50*ms)
-	old.m.note(old.m.Servers[2], false, 1)
-	old.m.Servers[3].ColdFrom = old.now
+	old.sched.recordOutcome(old.sched.Servers[2], false, 1)
+	old.sched.Servers[3].SlowStartFrom = old.now
 	young := newBed(t, base(), 0, 1, 2)
 	young.now += time.Hour
-	young.step(decision.Learned{Records: append(old.m.Records(), decision.Record{Server: 9}, decision.Record{Server: 1, Answers: []float64{1}})})
+	young.step(decision.Learned{Records: append(old.sched.Records(), decision.Record{Server: 9}, decision.Record{Server: 1, Answers: []float64{1}})})
 	young.step()
-	m := young.m
-	if m.Typical != old.m.Typical || m.Servers[1].Lat != old.m.Servers[1].Lat || m.Servers[2].Bad == 0 || m.warmth(m.Servers[3]) > 0.21 {
-		t.Errorf("typical %v, want %v; server 1 %v; server 2 fails %v; server 3 warm %v", m.Typical, old.m.Typical,
-			m.Servers[1].Lat, m.Servers[2].Bad, m.warmth(m.Servers[3]))
+	sched := young.sched
+	if sched.Typical != old.sched.Typical || sched.Servers[1].Latency != old.sched.Servers[1].Latency || sched.Servers[2].FailureRate == 0 || sched.slowStartShare(sched.Servers[3]) > 0.21 {
+		t.Errorf("typical %v, want %v; server 1 %v; server 2 fails %v; server 3 warm %v", sched.Typical, old.sched.Typical,
+			sched.Servers[1].Latency, sched.Servers[2].FailureRate, sched.slowStartShare(sched.Servers[3]))
 	}
 }
 
@@ -1713,18 +1722,18 @@
 func TestPauseIsNoDeath(t *testing.T) {
 	b := newBed(t, base(), 0, 1, 2)
 	b.steady(3 * time.Second)
-	stood, k := b.m.Servers[1], len(b.sends)
+	stood, k := b.sched.Servers[1], len(b.sends)
 	b.steady(280*ms, stood.ID)
 	for _, s := range append([]sent(nil), b.sends[k:]...) {
 		if s.Server == 1 {
 			b.outcome(s, decision.OK) // a second answer of one that was called off is heard by nobody
 		}
 	}
-	if stood.DiedAt != 0 || stood.ColdFrom != 0 {
-		t.Errorf("taken for dead at %v, for cold from %v", stood.DiedAt, stood.ColdFrom)
+	if stood.CrashedAt != 0 || stood.SlowStartFrom != 0 {
+		t.Errorf("taken for dead at %v, for cold from %v", stood.CrashedAt, stood.SlowStartFrom)
 	}
 	b.steady(2 * time.Second)
-	if tr := b.m.trust(stood); tr < trusted {
+	if tr := b.sched.weight(stood); tr < healthyWeight {
 		t.Errorf("trust %v two seconds after a pause", tr)
 	}
 }
@@ -1732,8 +1741,8 @@
 // Nothing assumes that clients wait no longer than some seconds: a query may take 10 s, and a part may be out for 9 of them.
 func TestTenSeconds(t *testing.T) {
 	set := base()
-	set.SecondCopies, set.Cancel = false, false
-	set.Classes[0].Aim, set.Classes[0].Deadline = 5*time.Second, 10*time.Second
+	set.Hedging, set.Cancel = false, false
+	set.Classes[0].LatencyTarget, set.Classes[0].Deadline = 5*time.Second, 10*time.Second
 	b := newBed(t, set, 0, 1, 2)
 	q, _ := b.query(0, 10*time.Second, 0)
 	b.run(9 * time.Second)
@@ -1741,7 +1750,7 @@
 		t.Fatalf("ended with %+v; the part had %v", b.last[q], b.sends[0].Limit)
 	}
 	b.outcome(b.sends[0], decision.OK)
-	if a, ok := b.last[q].(decision.Answer); !ok || !a.Whole {
+	if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
 		t.Errorf("last word %+v", b.last[q])
 	}
 }
@@ -1751,7 +1760,7 @@
 // (kochi-checkin upgrade+hand: five cold ones got 2 to 5 parts a second each beside three that got 60).
 func TestYoungMixerFeedsCold(t *testing.T) {
 	set := base()
-	set.Width, set.Rules.FallMultiple, set.Rules.FallSpan = 1, 1, time.Second
+	set.Width, set.Rules.OverloadMultiple, set.Rules.OverloadSpan = 1, 1, time.Second
 	cold := func(b *bed) int { // parts that a cold server gets within a second, beside a warm one
 		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
 		k := len(b.sends)
@@ -1766,14 +1775,14 @@
 	}
 	old, young := newBed(t, set, 0, 0), newBed(t, set, 0, 0)
 	old.steady(15 * time.Second)
-	young.steady(set.Rules.FallSpan)
+	young.steady(set.Rules.OverloadSpan)
 	want, got := cold(old), cold(young)
 	if want < 5 || got < want*2/3 {
 		t.Errorf("a cold server gets %d parts a second of a young mixer, %d of an old one", got, want)
 	}
 	next := newBed(t, set, 0, 0)
 	next.now = old.now
-	next.step(decision.Learned{Records: old.m.Records(), PerSecond: old.m.PerSecond()})
+	next.step(decision.Learned{Records: old.sched.Records(), PerSecond: old.sched.PerSecond()})
 	if got := cold(next); got < want*2/3 {
 		t.Errorf("a cold server gets %d parts a second of a successor, %d of its predecessor", got, want)
 	}
@@ -1805,29 +1814,29 @@
 		refused              bool
 	}{{0, 200, 200, true}, {0, 200, 0, false}, {0, 2, 2, false}, {4, 200, 200, false}} {
 		set := base()
-		set.Classes = append(set.Classes, decision.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Need: 1, Floor: 0.5})
+		set.Classes = append(set.Classes, decision.Class{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Need: 1, Floor: 0.5})
 		b := newBed(t, set, 0, 0)
 		b.warm(60, 50*ms)
 		for i, n := range []int{x.first, x.second} {
-			s := b.m.Servers[decision.ServerID(i+1)]
+			s := b.sched.Servers[decision.ServerID(i+1)]
 			s.Cap = capRule.Min
 			b.full(s)
 			for range n {
-				s.Hold(&fleet.Part{Q: &fleet.Query{Terms: &b.m.Set.Classes[0]}, Place: tailguard.Place{Seq: uint64(len(s.Held)), Deadline: b.now}})
+				s.Enqueue(&cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0]}, Place: tailguard.Place{Seq: uint64(len(s.Queue)), Deadline: b.now}})
 			}
 		}
 		q, _ := b.query(x.class, 4*time.Second, 0)
-		if _, is := b.last[q].(decision.Refuse); is != x.refused {
+		if _, is := b.last[q].(decision.Reject); is != x.refused {
 			t.Errorf("class %d, %d and %d held: last word %+v", x.class, x.first, x.second, b.last[q])
 		}
 	}
 }
 
 // full makes a server's parts out as many as may be, sent just now.
-func (b *bed) full(s *fleet.Server) {
-	p := &fleet.Part{Q: &fleet.Query{Terms: &b.m.Set.Classes[0], Ended: true}, Index: -1, MayRun: -1}
-	for len(s.Out) < b.m.room(s) {
-		s.Out = append(s.Out, &fleet.Attempt{P: p, S: s, At: b.now, Live: true})
+func (b *bed) full(s *cluster.Server) {
+	p := &cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0], Ended: true}, QueueIndex: -1, MayRun: -1}
+	for len(s.InFlight) < b.sched.capacity(s) {
+		s.InFlight = append(s.InFlight, &cluster.Attempt{Subquery: p, Server: s, SentAt: b.now, Live: true})
 	}
 }
 
@@ -1836,17 +1845,17 @@
 func TestShortestQueue(t *testing.T) {
 	b := newBed(t, base(), 0, 0)
 	b.warm(60, 50*ms)
-	quick, slow := b.m.Servers[1], b.m.Servers[2]
+	quick, slow := b.sched.Servers[1], b.sched.Servers[2]
 	quick.Cap, slow.Cap, slow.Turn = 8, 2, 0
-	quick.Turn = b.m.Turn
+	quick.Turn = b.sched.Turn
 	b.full(quick)
 	b.full(slow)
 	for range 3 {
-		slow.Hold(&fleet.Part{Q: &fleet.Query{}, Place: tailguard.Place{Seq: uint64(len(slow.Held))}})
-		quick.Hold(&fleet.Part{Q: &fleet.Query{}, Place: tailguard.Place{Seq: uint64(len(quick.Held))}})
+		slow.Enqueue(&cluster.Subquery{Parent: &cluster.Query{}, Place: tailguard.Place{Seq: uint64(len(slow.Queue))}})
+		quick.Enqueue(&cluster.Subquery{Parent: &cluster.Query{}, Place: tailguard.Place{Seq: uint64(len(quick.Queue))}})
 	}
-	if p := (&fleet.Part{Q: &fleet.Query{Terms: &b.m.Set.Classes[0]}}); b.m.pick(p) != quick {
-		t.Errorf("put where it takes %.2f s, not %.2f s", b.m.expected(slow), b.m.expected(quick))
+	if p := (&cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0]}}); b.sched.pick(p) != quick {
+		t.Errorf("put where it takes %.2f s, not %.2f s", b.sched.expected(slow), b.sched.expected(quick))
 	}
 }
 
@@ -1858,21 +1867,21 @@
 	b.warm(60, 50*ms)
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
 	b.run(2 * surveyGap) // what warm ones carry is told anew
-	m, still, cold := b.m, b.m.Servers[1], b.m.Servers[2]
+	sched, still, cold := b.sched, b.sched.Servers[1], b.sched.Servers[2]
 	b.full(still)
-	if b.full(cold); m.tier(cold, &fleet.Part{Q: &fleet.Query{Terms: &m.Set.Classes[0]}}) == 2 {
+	if b.full(cold); sched.tier(cold, &cluster.Subquery{Parent: &cluster.Query{Spec: &sched.Settings.Classes[0]}}) == 2 {
 		t.Error("a server is suspect for being cold")
 	}
-	cold.Out = nil
-	for len(still.Held) < 200 {
-		still.Hold(&fleet.Part{Q: &fleet.Query{}, Place: tailguard.Place{Seq: uint64(len(still.Held))}})
+	cold.InFlight = nil
+	for len(still.Queue) < 200 {
+		still.Enqueue(&cluster.Subquery{Parent: &cluster.Query{}, Place: tailguard.Place{Seq: uint64(len(still.Queue))}})
 	}
 	cold.SentAt = b.now
 	_, parts := b.query(0, 4*time.Second, 0)
-	if p := m.Parts[parts[0]]; p.Server != cold {
-		t.Fatalf("held for server %d, where it takes %.2f s, not %.2f s", p.Server.ID, m.expected(still), m.expected(cold))
+	if p := sched.Subqueries[parts[0]]; p.Server != cold {
+		t.Fatalf("held for server %d, where it takes %.2f s, not %.2f s", p.Server.ID, sched.expected(still), sched.expected(cold))
 	}
-	from := m.sendableFrom(cold)
+	from := sched.sendableFrom(cold)
 	for len(b.sends) == 0 && b.now < from+time.Second {
 		b.run(10 * ms)
 	}
@@ -1888,25 +1897,25 @@
 	set.MaxAttempts = 4
 	b := newBed(t, set, 0, 0)
 	b.warm(60, 50*ms)
-	m, sound, errs := b.m, b.m.Servers[1], b.m.Servers[2]
-	errs.Errors, errs.ErrorTook, errs.Bad, errs.BadAt, errs.FailedAt = 0.8, 0.002, 0.9, b.now, b.now+time.Minute // no trial is due there
-	p := &fleet.Part{Q: &fleet.Query{Terms: &m.Set.Classes[0]}}
-	if m.pick(p) != sound {
+	sched, sound, errs := b.sched, b.sched.Servers[1], b.sched.Servers[2]
+	errs.ErrorRate, errs.ErrorLatency, errs.FailureRate, errs.FailureRateAt, errs.FailedAt = 0.8, 0.002, 0.9, b.now, b.now+time.Minute // no trial is due there
+	p := &cluster.Subquery{Parent: &cluster.Query{Spec: &sched.Settings.Classes[0]}}
+	if sched.pick(p) != sound {
 		t.Error("an erring server is asked while the sound one is free")
 	}
-	for len(sound.Held) < 40 {
-		sound.Hold(&fleet.Part{Place: tailguard.Place{Seq: uint64(len(sound.Held))}})
+	for len(sound.Queue) < 40 {
+		sound.Enqueue(&cluster.Subquery{Place: tailguard.Place{Seq: uint64(len(sound.Queue))}})
 	}
-	if m.pick(p) != errs {
-		t.Errorf("one more is held where it takes %.2f s", m.expected(sound))
+	if sched.pick(p) != errs {
+		t.Errorf("one more is held where it takes %.2f s", sched.expected(sound))
 	}
 }
 
 // Each of many mixers keeps to one replica of a shard while it serves, not all to the same; cold ones come beside, and
 // the others where it cannot take a part. Few mixers keep to as many as their host has connections for.
 func TestSubset(t *testing.T) {
-	kept := func(b *bed) (list []*fleet.Server) {
-		for _, s := range b.m.Order {
+	kept := func(b *bed) (list []*cluster.Server) {
+		for _, s := range b.sched.Order {
 			if s.Listed && !s.Reserve {
 				list = append(list, s)
 			}
@@ -1914,11 +1923,11 @@
 		return list
 	}
 	set := base()
-	set.Width, set.Siblings = 1, 400
+	set.Width, set.Instances = 1, 400
 	first := map[decision.ServerID]bool{}
 	for seed := range uint64(20) {
 		b := newBed(t, set, 0, 0, 0, 0)
-		b.m, _ = New(set, seed)
+		b.sched, _ = New(set, seed)
 		b.step(decision.ServerList{Kind: decision.Cached, Servers: []decision.ServerInfo{{ID: 1, State: decision.Ready}, {ID: 2, State: decision.Ready}, {ID: 3, State: decision.Ready}, {ID: 4, State: decision.Ready}}})
 		b.warm(60, 50*ms)
 		own := kept(b)
@@ -1926,12 +1935,12 @@
 			t.Fatalf("a subset of %d", len(own))
 		}
 		first[own[0].ID] = true
-		for _, s := range b.m.Order {
-			if s.Reserve == (s.Lat > 0) {
-				t.Errorf("server %d: of the reserve %v, got a part %v", s.ID, s.Reserve, s.Lat > 0)
+		for _, s := range b.sched.Order {
+			if s.Reserve == (s.Latency > 0) {
+				t.Errorf("server %d: of the reserve %v, got a part %v", s.ID, s.Reserve, s.Latency > 0)
 			}
 		}
-		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: own[0].ID, State: decision.Gone}}})
+		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: own[0].ID, State: decision.Deregistered}}})
 		if next := kept(b); len(next) != 1 || next[0] == own[0] {
 			t.Errorf("with the subset gone, %d are kept to", len(next))
 		}
@@ -1939,12 +1948,12 @@
 	if len(first) != 4 {
 		t.Errorf("20 mixers keep to %d of 4 servers", len(first))
 	}
-	set.Siblings = 36 // by chance one of four would have twice the mixers of another
+	set.Instances = 36 // by chance one of four would have twice the mixers of another
 	if n := len(kept(newBed(t, set, 0, 0, 0, 0))); n < 3 {
 		t.Errorf("each of 36 keeps to %d of 4 servers", n)
 	}
 	for connections, want := range map[int]int{0: 4, 1: 1, 2: 2, 9: 4} {
-		set.Siblings, set.Connections = 3, connections
+		set.Instances, set.Connections = 3, connections
 		if n := len(kept(newBed(t, set, 0, 0, 0, 0))); n != want {
 			t.Errorf("%d connections: %d of 4 servers are kept to, want %d", connections, n, want)
 		}
@@ -1957,8 +1966,8 @@
 	b.query(0, 4*time.Second, 0)
 	b.now += 50 * ms
 	b.outcome(b.sends[0], decision.OK)
-	if s := b.m.Servers[b.sends[0].Server]; b.m.Median != 0 || b.m.trust(s) < 1 {
-		t.Errorf("trust %v after the first answer, with a median of %v", b.m.trust(s), b.m.Median)
+	if s := b.sched.Servers[b.sends[0].Server]; b.sched.Median != 0 || b.sched.weight(s) < 1 {
+		t.Errorf("trust %v after the first answer, with a median of %v", b.sched.weight(s), b.sched.Median)
 	}
 }
 
@@ -1971,7 +1980,7 @@
 	for i := range 3 {
 		cold = append(cold, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: i, State: decision.Ready, Nominal: 1, Started: b.now})
 	}
-	b.step(decision.ServerList{Kind: decision.Delta, Servers: cold}, decision.Outcome{Part: parts[0], Server: b.sends[0].Server, Status: decision.Error})
+	b.step(decision.ServerList{Kind: decision.Delta, Servers: cold}, decision.Outcome{Subquery: parts[0], Server: b.sends[0].Server, Status: decision.Error})
 	for end := b.now + 310*ms; b.now < end; b.now += 10 * ms {
 		b.step(decision.Wake{})
 	}
--- a/policy/records.go
+++ b/policy/records.go
@@ -4,119 +4,129 @@
 	"cmp"
 	"time"
 
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/curve"
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// Records: what is usual, and how far each server is trusted.
+// Records of latency and failures, and the weight of each server.
 
-// survey brings up to date what is compared against; the others' median now and then, as it costs a look.
-func (m *Mixer) survey() {
-	m.Begun = min(m.Begun, m.Now)
-	if m.Surveyed < 0 || m.News {
-		m.SurveyPool()
+// survey updates what servers and queries are compared with. The median over all servers, which costs a pass
+// over them, is updated every surveyGap.
+func (sc *Scheduler) survey() {
+	sc.StartedAt = min(sc.StartedAt, sc.Now)
+	if sc.Surveyed < 0 || sc.PoolChanged {
+		sc.SurveyPool()
 	}
-	// The cap's yardstick follows the pool down at once and up slowly, lest a jam pass for the usual.
-	since := m.Now - m.Surveyed
-	if m.Surveyed < 0 || since >= surveyGap && !m.Stalled {
-		m.Surveyed = m.Now
-		m.Base = min(m.Typical, m.Base*(1+baseRise*curve.Seconds(since)))
-		if m.Base == 0 || m.Pool.Size(m.Now) < curve.RecordPrior {
-			m.Base = m.Typical
+	// The baseline of the caps follows the pool down at once and up slowly, else congestion would become the
+	// norm.
+	since := sc.Now - sc.Surveyed
+	if sc.Surveyed < 0 || since >= surveyGap && !sc.Stalled {
+		sc.Surveyed = sc.Now
+		sc.Baseline = min(sc.Typical, sc.Baseline*(1+baseRise*curve.Seconds(since)))
+		if sc.Baseline == 0 || sc.Pool.Size(sc.Now) < curve.RecordPrior {
+			sc.Baseline = sc.Typical
 		}
-		m.surveyServers()
+		sc.surveyServers()
 	}
-	missed, decided := m.Missed.Since(m.Now-missWindow), m.Decided.Since(m.Now-missWindow)
-	m.Shed, m.ShedAt = refusalRule.Next(m.Shed, m.Now-m.ShedAt, missed, decided), m.Now
-	m.Flip(&m.Shedding, m.Shed > 0, "shedding=%v missed=%.0f of %.0f", missed, decided)
+	missed, decided := sc.Missed.Since(sc.Now-missWindow), sc.Decided.Since(sc.Now-missWindow)
+	sc.Shed, sc.ShedAt = refusalRule.Next(sc.Shed, sc.Now-sc.ShedAt, missed, decided), sc.Now
+	sc.SetFlag(&sc.Shedding, sc.Shed > 0, "shedding=%v missed=%.0f of %.0f", missed, decided)
 }
 
-func (m *Mixer) surveyServers() {
-	m.CountStuck(m.Now - curve.Duration(farTimes*m.Typical))
-	size := m.Survey(func(s *fleet.Server) bool { return m.warmth(s) >= 1 })
-	least := 1 / curve.Seconds(m.Set.Rules.FallSpan) / float64(m.Set.Siblings) // unheard: one part of all mixers
-	span := max(min(usualSpan, m.Now-m.Begun), m.Set.Rules.FallSpan, m.Set.Tick)
-	m.Carried = max(m.Answered.Since(m.Now-usualSpan)/curve.Seconds(span)/max(size, 1), least)
-	m.Lost[1] = min(m.Lost[1], curve.Faded(m.Lost[1], surveyGap, latHalf))
-	m.Flip(&m.IdleDead, m.IdleDead && m.Lost[1] > lossLeast, "idle connections dead=%v")
-	m.Prune(m.Now-curve.RecordHalf, m.Now-max(m.Set.Rules.BudgetSpan, ownSpan)-m.Set.Tick)
-	dead, zones := m.CountDead(m.Now - deathSpan)
-	m.Flip(&m.Alarm, dead >= deathLeast && zones > 1, "crashes=%v servers=%d", dead)
+// surveyServers updates what is derived from all servers together.
+func (sc *Scheduler) surveyServers() {
+	sc.CountStuck(sc.Now - curve.Duration(lateTimes*sc.Typical))
+	size := sc.Survey(func(s *cluster.Server) bool { return sc.slowStartShare(s) >= 1 })
+	// Without any answer: one subquery of all instances together in the overload span.
+	least := 1 / curve.Seconds(sc.Settings.Rules.OverloadSpan) / float64(sc.Settings.Instances)
+	span := max(min(usualSpan, sc.Now-sc.StartedAt), sc.Settings.Rules.OverloadSpan, sc.Settings.Tick)
+	sc.ServerRate = max(sc.Answered.Since(sc.Now-usualSpan)/curve.Seconds(span)/max(size, 1), least)
+	sc.LossRate[1] = min(sc.LossRate[1], curve.Faded(sc.LossRate[1], surveyGap, latencyHalf))
+	sc.SetFlag(&sc.IdleConnsDead, sc.IdleConnsDead && sc.LossRate[1] > lossLeast, "idle connections dead=%v")
+	budgetSpan := max(sc.Settings.Rules.BudgetSpan, defaultBudgetSpan)
+	sc.Prune(sc.Now-curve.RecordHalf, sc.Now-budgetSpan-sc.Settings.Tick)
+	crashed, zones := sc.CountCrashed(sc.Now - crashSpan)
+	sc.SetFlag(&sc.Alarm, crashed >= crashAlarmLeast && zones > 1, "crashes=%v servers=%d", crashed)
 }
 
-// late is the design's skip: the oldest part out is past the 99th percentile of the server's record or of
-// all servers' together, whichever is less: a slow one's own record does not excuse it.
-func (m *Mixer) late(s *fleet.Server) bool {
-	if len(s.Out) == 0 {
+// late reports whether the oldest subquery in flight is past the 99th percentile of the server's own
+// latencies or of all servers' together, whichever is less: a slow server's own record does not excuse it.
+func (sc *Scheduler) late(s *cluster.Server) bool {
+	if len(s.InFlight) == 0 {
 		return false
 	}
-	m.CDF(s)
-	return curve.Seconds(m.Now-s.Out[0].At) > s.Patience
+	sc.CDF(s)
+	return curve.Seconds(sc.Now-s.InFlight[0].SentAt) > s.MaxAge
 }
 
-// heard takes in an answer time.
-func (m *Mixer) heard(s *fleet.Server, sec float64, quiet bool) {
-	s.Lat = cmp.Or(s.Lat, sec)
-	w := max(latWeight, 1-curve.Faded(1, m.Now-s.LatAt, latStale))
-	if sec < capRule.Near*m.Base { // quick again: what held it up is over
-		w = max(w, latBack)
+// recordLatency records a latency in seconds. It enters the histograms only if the server was not loaded by
+// us.
+func (sc *Scheduler) recordLatency(s *cluster.Server, sec float64, unloaded bool) {
+	s.Latency = cmp.Or(s.Latency, sec)
+	w := max(latencyWeight, 1-curve.Faded(1, sc.Now-s.LatencyAt, latencyStale))
+	if sec < capRule.Near*sc.Baseline { // fast again: what slowed it down is over
+		w = max(w, latencyRecovery)
 	}
-	s.Lat, s.LatAt = s.Lat+w*(sec-s.Lat), m.Now
-	if m.trust(s) >= trusted {
-		m.Wait, m.WaitAt = m.waitNow(), m.Now
-		step := waitWeight * (m.Wait + m.Base) // it follows the median: a costly query's parts are no queue
-		if sec < m.Base+m.Wait {
+	s.Latency, s.LatencyAt = s.Latency+w*(sec-s.Latency), sc.Now
+	if sc.weight(s) >= healthyWeight {
+		sc.Wait, sc.WaitAt = sc.waitNow(), sc.Now
+		step := waitWeight * (sc.Wait + sc.Baseline) // follows the median: expensive queries are no queue
+		if sec < sc.Baseline+sc.Wait {
 			step = -step
 		}
-		m.Wait = max(m.Wait+step, 0)
+		sc.Wait = max(sc.Wait+step, 0)
 	}
-	if quiet {
-		s.Record.Add(m.Now, sec)
-		m.Pool.Add(m.Now, sec)
-		s.Fresh, m.News = false, true
+	if unloaded {
+		s.Record.Add(sc.Now, sec)
+		sc.Pool.Add(sc.Now, sec)
+		s.CDFValid, sc.PoolChanged = false, true
 	}
-	s.Cap, s.CapAt = capRule.Next(s.Cap, s.CapAt, m.Now, s.Lat, m.Base)
+	s.Cap, s.CapAt = capRule.Next(s.Cap, s.CapAt, sc.Now, s.Latency, sc.Baseline)
 }
 
-// note takes in a success or a failure.
-func (m *Mixer) note(s *fleet.Server, ok bool, weight float64) {
-	faded := curve.Faded(s.Bad, m.Now-s.BadAt, m.memory(badHalf))
-	s.Bad, s.BadAt = failureRule.Next(faded, ok, weight), m.Now
+// recordOutcome records a success, or a failure that counts with the weight.
+func (sc *Scheduler) recordOutcome(s *cluster.Server, ok bool, weight float64) {
+	faded := curve.Faded(s.FailureRate, sc.Now-s.FailureRateAt, sc.memory(failureHalf))
+	s.FailureRate, s.FailureRateAt = failureRule.Next(faded, ok, weight), sc.Now
 	if !ok {
-		s.FailedAt = m.Now
+		s.FailedAt = sc.Now
 	}
-	m.Flip(&s.WasBad, s.Bad > badLog || s.WasBad && s.Bad > badBack, "failing=%v server=%d", s.ID)
+	failing := s.FailureRate > failingAbove || s.Failing && s.FailureRate > failingBelow
+	sc.SetFlag(&s.Failing, failing, "failing=%v server=%d", s.ID)
 }
 
-// trust is 1 on the ordinary path, and less while a server fails, is slower than the others, or is cold.
-func (m *Mixer) trust(s *fleet.Server) float64 {
+// weight is 1 for an ordinary server and less while it fails, is slower than the others or is in slow start.
+func (sc *Scheduler) weight(s *cluster.Server) float64 {
 	slow := 0.0
-	if m.Median > 0 { // before the first survey there is nothing to be slower than
-		slow = s.LatNow(m.Median, m.Now, m.memory(latHalf)) / max(slowSlack*m.Median, curve.RecordLow)
+	if sc.Median > 0 { // before the first survey there is nothing to be slower than
+		slow = s.LatencyNow(sc.Median, sc.Now, sc.memory(latencyHalf)) / max(slowSlack*sc.Median, curve.RecordLow)
 	}
-	return tailguard.Trust(curve.Faded(s.Bad, m.Now-s.BadAt, m.memory(badHalf)), slow, m.warmth(s))
+	failing := curve.Faded(s.FailureRate, sc.Now-s.FailureRateAt, sc.memory(failureHalf))
+	return tailguard.Trust(failing, slow, sc.slowStartShare(s))
 }
 
-// sound says whether a server is no suspect. To be cold is no fault: it limits the turns and the pace.
-func (m *Mixer) sound(s *fleet.Server) bool { return m.trust(s) >= trusted*m.warmth(s) }
+// healthy reports whether a server is healthy. Slow start is no fault: it limits only the rate.
+func (sc *Scheduler) healthy(s *cluster.Server) bool {
+	return sc.weight(s) >= healthyWeight*sc.slowStartShare(s)
+}
 
-// memory is how long what was seen of a server lasts: at full size the next meeting is far off.
-func (m *Mixer) memory(half time.Duration) time.Duration {
-	return max(half, min(curve.Duration(meetings/max(m.Carried, weightSlip)), memoryMost))
+// memory is the half-life of what was learned of a server: longer where this instance sends to it seldom.
+func (sc *Scheduler) memory(half time.Duration) time.Duration {
+	return max(half, min(curve.Duration(meetings/max(sc.ServerRate, weightSlip)), memoryMost))
 }
 
-// warmth is the share of its capacity that a started server has at the least: 1 when warm.
-func (m *Mixer) warmth(s *fleet.Server) float64 {
-	from := max(s.Started, s.ColdFrom)
+// slowStartShare is the fraction of its capacity that a started server has at least, 1 when it has warmed up.
+func (sc *Scheduler) slowStartShare(s *cluster.Server) float64 {
+	from := max(s.Started, s.SlowStartFrom)
 	if from <= 0 {
 		return 1
 	}
-	return tailguard.Warmth(m.Set.Rules.StartCapacity, m.Now-from, m.Set.Rules.Ramp)
+	return tailguard.Warmth(sc.Settings.Rules.StartCapacity, sc.Now-from, sc.Settings.Rules.SlowStart)
 }
 
-// Usual is what a part sent now takes at a sound server.
-func (m *Mixer) Usual() time.Duration { return curve.Duration(m.Typical + m.waitNow()) }
+// UsualLatency is the expected latency of a subquery sent to a healthy server now.
+func (sc *Scheduler) UsualLatency() time.Duration { return curve.Duration(sc.Typical + sc.waitNow()) }
 
-// waitNow is what sound servers' answers take beyond the usual.
-func (m *Mixer) waitNow() float64 { return curve.Faded(m.Wait, m.Now-m.WaitAt, waitHalf) }
+// waitNow is the time in seconds by which healthy servers' latencies exceed the usual.
+func (sc *Scheduler) waitNow() float64 { return curve.Faded(sc.Wait, sc.Now-sc.WaitAt, waitHalf) }
--- a/policy/refusal.go
+++ b/policy/refusal.go
@@ -5,71 +5,78 @@
 	"slices"
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// Refusal of whole queries before any part is sent: on the miss share.
+// Load shedding: whole queries are rejected before any subquery is sent, by the fraction of missed deadlines.
 
-// refuses decides on a whole query before any part is sent: on the miss share. Where a query can do without
-// those of its parts that would be late, it is taken without them, as of a cell with too few servers left.
-func (m *Mixer) refuses(q *fleet.Query) bool {
-	cost := float64(len(q.Current)) / max(q.Terms.Worth, weightSlip) // what it frees to refuse it, and loses
-	m.Cost = (1-costWeight)*cmp.Or(m.Cost, cost) + costWeight*cost
-	if m.unheld(q) || m.Now+curve.Duration(m.FanoutTail(q, mostDone)+m.waitNow()) > q.End {
-		return true // the client would leave before: work for nobody
+// rejects reports whether a query is to be rejected before any subquery is sent. Where a query can do without
+// the subqueries that would be late, as those of a cell with too few servers left, it is admitted without
+// them.
+func (sc *Scheduler) rejects(q *cluster.Query) bool {
+	// The load that rejecting the query saves, per value lost.
+	cost := float64(len(q.Current)) / max(q.Spec.Value, weightSlip)
+	sc.Cost = (1-costWeight)*cmp.Or(sc.Cost, cost) + costWeight*cost
+	if sc.unserved(q) || sc.Now+curve.Duration(sc.FanoutTail(q, mostDone)+sc.waitNow()) > q.GivesUpAt {
+		return true // the client would time out first: wasted work
 	}
-	sure := q.Terms.Floor >= q.Terms.Need && slices.ContainsFunc(q.Current, func(p *fleet.Part) bool {
-		return m.queued(p) && m.Now+curve.Duration(m.waitAtShard(p)+m.Median) > m.stepAim(q)
+	sure := q.Spec.Floor >= q.Spec.Need && slices.ContainsFunc(q.Current, func(sub *cluster.Subquery) bool {
+		return sc.queued(sub) && sc.Now+curve.Duration(sc.waitAtShard(sub)+sc.Median) > sc.stepTarget(q)
 	})
-	if m.Shed == 0 && !sure {
-		return false // the misses tell what was; wait and room at every shard what is
+	if sc.Shed == 0 && !sure {
+		return false // misses say what has been; waiting time and capacity at every shard what is
 	}
-	shed := sure || m.RNG.Float64() < m.Shed*min(cost/m.Cost, 1)
-	left := q.Drop(func(p *fleet.Part) bool {
-		s := m.pick(p)
-		return m.wouldMiss(p) || shed && (s == nil || len(s.Out)+len(s.Held) >= m.room(s))
+	shed := sure || sc.RNG.Float64() < sc.Shed*min(cost/sc.Cost, 1)
+	remaining := q.Drop(func(sub *cluster.Subquery) bool {
+		s := sc.pick(sub)
+		return sc.wouldMiss(sub) || shed && (s == nil || len(s.InFlight)+len(s.Queue) >= sc.capacity(s))
 	})
-	little := left < q.Terms.Floor-weightSlip || left < q.Terms.Need-weightSlip && q.Terms.Fetch > 0
-	if little && !shed {
-		q.Drop(func(*fleet.Part) bool { return false })
+	tooLittle := remaining < q.Spec.Floor-weightSlip || remaining < q.Spec.Need-weightSlip && q.Spec.Fetch > 0
+	if tooLittle && !shed {
+		q.Drop(func(*cluster.Subquery) bool { return false })
 	}
-	return little && shed
+	return tooLittle && shed
 }
 
-// unheld says whether the list names a ready server for so few of a query's parts that no answer could be
-// given. One that comes back is listed seconds later: the client is told at once, and may come back itself.
-func (m *Mixer) unheld(q *fleet.Query) bool {
+// unserved reports whether so few of a query's shards have a ready server that no answer could be given. A
+// server that comes back is listed seconds later: the client is told at once and may retry by then.
+func (sc *Scheduler) unserved(q *cluster.Query) bool {
 	can := 0.0
-	ready := func(s *fleet.Server) bool { return s.State == decision.Ready }
-	for _, p := range q.Current {
-		if p.Done || fleet.AnyLive(p) || slices.ContainsFunc(m.Replicas[p.Shard%m.Set.Cells], ready) {
-			can += p.Weight
+	ready := func(s *cluster.Server) bool { return s.State == decision.Ready }
+	for _, sub := range q.Current {
+		replicas := sc.Replicas[sub.Shard%sc.Settings.Cells]
+		if sub.Done || cluster.AnyLive(sub) || slices.ContainsFunc(replicas, ready) {
+			can += sub.Weight
 		}
 	}
-	return can < q.Terms.Floor-weightSlip
+	return can < q.Spec.Floor-weightSlip
 }
 
-// wouldMiss says whether a part sent now would still wait at its server when its deadline passes, by what
-// sound servers' answers lately took beyond the usual: among dozens of mixers the queues stand there.
-func (m *Mixer) wouldMiss(p *fleet.Part) bool {
-	return m.Now+curve.Duration(max(m.waitNow(), m.waitAtShard(p))) > p.Deadline
+// wouldMiss reports whether a subquery sent now would still be queued at its server when its deadline passes,
+// by the latency of healthy servers beyond the usual: with dozens of schedulers the queues are at the
+// servers.
+func (sc *Scheduler) wouldMiss(sub *cluster.Subquery) bool {
+	return sc.Now+curve.Duration(max(sc.waitNow(), sc.waitAtShard(sub))) > sub.Deadline
 }
 
-// queued says whether parts of ours wait at each replica of a part's shard: as they leave, it is heard from.
-func (m *Mixer) queued(p *fleet.Part) bool {
-	none := func(s *fleet.Server) bool { return m.open(s) && len(s.Held) == 0 }
-	list := m.Replicas[p.Shard%m.Set.Cells]
-	return slices.ContainsFunc(list, m.open) && !slices.ContainsFunc(list, none)
+// queued reports whether each replica of a subquery's shard has a queue here. As it drains, latencies are
+// learned.
+func (sc *Scheduler) queued(sub *cluster.Subquery) bool {
+	idle := func(s *cluster.Server) bool { return sc.accepts(s) && len(s.Queue) == 0 }
+	list := sc.Replicas[sub.Shard%sc.Settings.Cells]
+	return slices.ContainsFunc(list, sc.accepts) && !slices.ContainsFunc(list, idle)
 }
 
-// waitAtShard is what the quickest replica of a part's shard took beyond the usual, longer the more it fails.
-func (m *Mixer) waitAtShard(p *fleet.Part) float64 {
+// waitAtShard is the expected latency, beyond the usual, at the fastest replica of a subquery's shard, in
+// seconds. It is longer the more the replica fails.
+func (sc *Scheduler) waitAtShard(sub *cluster.Subquery) float64 {
 	best := curve.RecordHigh
-	for _, s := range m.Replicas[p.Shard%m.Set.Cells] {
-		if m.open(s) {
-			best = min(best, m.expected(s)/max(1-curve.Faded(s.Bad, m.Now-s.BadAt, m.memory(badHalf)), weightSlip))
+	for _, s := range sc.Replicas[sub.Shard%sc.Settings.Cells] {
+		if sc.accepts(s) {
+			failing := curve.Faded(s.FailureRate, sc.Now-s.FailureRateAt, sc.memory(failureHalf))
+			best = min(best, sc.expected(s)/max(1-failing, weightSlip))
 		}
 	}
-	return best - m.Median
+	return best - sc.Median
 }
--- a/policy/reply.go
+++ b/policy/reply.go
@@ -6,128 +6,138 @@
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
-	"pulleygw.example/pulleygw/internal/gatherer/mem/fleet"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// Reply: whole, in part, or given up, and what time alone brings.
+// Answers: complete, partial or none, and what the passing of time alone brings.
 
-// reply answers a query when it is time to: whole as soon as it can be, in part when waiting longer
-// would cost the aim, or gives it up when what is lacking cannot come.
-func (m *Mixer) reply(q *fleet.Query) {
-	if q.Ended || !q.Admitted || len(q.Current) < q.Want || len(q.Current) == 0 && q.Step == 1 {
+// reply answers a query when it is time to: completely as soon as it can be, partially when waiting longer
+// would miss the latency target. It ends the query when what is missing can no longer come.
+func (sc *Scheduler) reply(q *cluster.Query) {
+	if q.Ended || !q.Admitted || len(q.Current) < q.Awaited || len(q.Current) == 0 && q.Step == 1 {
 		return
 	}
-	got, can, lost, in := fleet.Share(q)
-	need, floor, over := q.Terms.Need, q.Terms.Floor, m.Now >= m.lastCall(q)
+	got, can, lost, in := cluster.Progress(q)
+	need, floor, over := q.Spec.Need, q.Spec.Floor, sc.Now >= sc.answerBy(q)
 	if q.Step == 2 {
-		need, got, can = 1, got*q.First, can*q.First // a share of a page is one of what was ranked
-		if q.Terms.Floor >= q.Terms.Need {
+		need, got, can = 1, got*q.FirstWeight, can*q.FirstWeight // a fraction of the page, out of what was ranked
+		if q.Spec.Floor >= q.Spec.Need {
 			floor = 1
 		}
 	}
-	whole := got >= need-weightSlip
+	complete := got >= need-weightSlip
 	if q.Step == 2 || need == 1 {
-		whole = in == len(q.Current)
+		complete = in == len(q.Current)
 	}
 	partial := floor < need && got >= floor-weightSlip
 	switch {
-	case whole:
+	case complete:
 	case partial && (over || lost+in == len(q.Current)):
-	case can < floor-weightSlip || over && q.Phased: // what is in and what can still come is too little
-		m.giveUp(q)
+	case can < floor-weightSlip || over && q.Phased: // what has come and what still can is too little
+		sc.abandon(q)
 		return
 	default:
 		return
 	}
-	if q.Step == 1 && (q.Terms.Fetch > 0 || q.Phased) {
-		m.Do(decision.Answer{Query: q.ID, Whole: whole})
-		for _, p := range q.Current {
-			if !p.Done { // abandoned: it no longer counts
-				p.Dead = true
-				m.Settle(p)
-			}
-		}
-		q.Step, q.Want, q.Current, q.FirstWhole, q.First = 2, min(q.Terms.Fetch, in), nil, whole, 1
-		if q.Phased {
-			q.Want, q.First = math.MaxInt, got // until the planner has told
-		}
+	if q.Step == 1 && (q.Spec.Fetch > 0 || q.Phased) {
+		sc.endFirstStep(q, complete, got, in)
 		return
 	}
-	m.Do(decision.Answer{Query: q.ID, Whole: whole && (q.Step == 1 || q.FirstWhole), Final: true})
-	m.End(q)
+	sc.Emit(decision.Answer{Query: q.ID, Complete: complete && (q.Step == 1 || q.FirstComplete), Final: true})
+	sc.End(q)
 }
 
-// lastCall is when an answer must leave to be in time.
-func (m *Mixer) lastCall(q *fleet.Query) time.Duration { return m.stepAim(q) - stepTicks*m.Set.Tick }
+// endFirstStep answers the first of a query's two steps, to which so many subqueries of that weight have come
+// in, and awaits those of the second.
+func (sc *Scheduler) endFirstStep(q *cluster.Query, complete bool, weight float64, in int) {
+	sc.Emit(decision.Answer{Query: q.ID, Complete: complete})
+	for _, sub := range q.Current {
+		if !sub.Done { // it no longer counts
+			sub.Failed = true
+			sc.Abort(sub)
+		}
+	}
+	q.Step, q.Awaited, q.Current, q.FirstComplete, q.FirstWeight = 2, min(q.Spec.Fetch, in), nil, complete, 1
+	if q.Phased {
+		q.Awaited, q.FirstWeight = math.MaxInt, weight // until the planner says how many
+	}
+}
+
+// answerBy is when an answer must leave to meet the latency target.
+func (sc *Scheduler) answerBy(q *cluster.Query) time.Duration {
+	return sc.stepTarget(q) - stepTicks*sc.Settings.Tick
+}
 
-// giveUp gives a query its final answer at once: refused where trying again is harmless, else failed.
-func (m *Mixer) giveUp(q *fleet.Query) {
-	ran := slices.ContainsFunc(q.All, func(p *fleet.Part) bool { return p.MayRun >= 0 })
-	if q.Terms.Effect != decision.Safe && ran {
-		m.Do(decision.Fail{Query: q.ID})
+// abandon ends a query without an answer: rejected where a retry by the client is harmless, else failed.
+func (sc *Scheduler) abandon(q *cluster.Query) {
+	ran := slices.ContainsFunc(q.All, func(sub *cluster.Subquery) bool { return sub.MayRun >= 0 })
+	if q.Spec.Effect != decision.Idempotent && ran {
+		sc.Emit(decision.Fail{Query: q.ID})
 	} else {
-		after := adviseMin + curve.Duration(m.Shed*curve.Seconds(adviseMax-adviseMin))
-		m.Do(decision.Refuse{Query: q.ID, RetryAfter: min(after, m.Set.MaxRetryAfter)})
+		after := retryAfterLeast + curve.Duration(sc.Shed*curve.Seconds(retryAfterMost-retryAfterLeast))
+		sc.Emit(decision.Reject{Query: q.ID, RetryAfter: min(after, sc.Settings.MaxRetryAfter)})
 	}
-	m.End(q)
+	sc.End(q)
 }
 
-// sweep looks at every query for what time alone brings: the client's end, partial answers, hopeless
-// parts, misses and second copies.
-func (m *Mixer) sweep() {
-	soon := curve.Duration(m.Base)
-	m.Live, m.Wanted = slices.DeleteFunc(m.Live, func(q *fleet.Query) bool { return q.Ended }), m.Now+pace
-	for _, q := range m.Live {
-		if at := m.lastCall(q); at > m.Now {
-			m.Wanted = min(m.Wanted, at) // a sweep later would be late
+// sweep checks every query for what time alone brings: the client's time-out, partial answers, subqueries
+// that can no longer be answered, misses and hedged requests.
+func (sc *Scheduler) sweep() {
+	soon := curve.Duration(sc.Baseline)
+	sc.Live, sc.Wanted = slices.DeleteFunc(sc.Live, func(q *cluster.Query) bool { return q.Ended }), sc.Now+pace
+	for _, q := range sc.Live {
+		if at := sc.answerBy(q); at > sc.Now {
+			sc.Wanted = min(sc.Wanted, at) // one sweep later would be too late
 		}
-		if m.reply(q); !q.Ended && m.Now >= q.End-2*m.Set.Tick {
-			m.giveUp(q) // any answer in part was given at the aim
+		if sc.reply(q); !q.Ended && sc.Now >= q.GivesUpAt-2*sc.Settings.Tick {
+			sc.abandon(q) // a partial answer would have been given at the latency target
 		}
-		for _, p := range q.Current {
-			if p.Done || p.Dead || p.Spare || q.Ended {
+		for _, sub := range q.Current {
+			if sub.Done || sub.Failed || sub.Spare || q.Ended {
 				continue
 			}
-			if m.Now > p.Deadline && !p.Replaced {
-				p.Replaced = true
-				m.replace(q)
+			if sc.Now > sub.Deadline && !sub.Replaced {
+				sub.Replaced = true
+				sc.useSpare(q)
 			}
-			if !fleet.AnyLive(p) && q.Admitted {
-				m.mind(p, soon)
+			if !cluster.AnyLive(sub) && q.Admitted {
+				sc.checkPending(sub, soon)
 			} else {
-				m.hedge(p)
+				sc.hedge(sub)
 			}
 		}
 	}
 }
 
-// mind looks after a part that is not out: counts its miss, moves it off a server that went bad and,
-// when refusing, ends its query once the aim is out of reach.
-func (m *Mixer) mind(p *fleet.Part, soon time.Duration) {
-	if m.Now > p.Deadline && !p.Late && !p.Headless && len(p.Attempts) == 0 && !m.unproven(p.Q) && !m.Stalled {
-		p.Late = true
-		m.Missed.Add(m.Now, 1)
-		m.Decided.Add(m.Now, 1)
+// checkPending looks after a subquery with no attempt in flight: it counts a missed deadline, moves the
+// subquery off a server that became unhealthy and, while load is shed, ends its query once the latency target
+// is out of reach.
+func (sc *Scheduler) checkPending(sub *cluster.Subquery, soon time.Duration) {
+	missed := sc.Now > sub.Deadline && !sub.Late && !sub.Headless && len(sub.Attempts) == 0
+	if missed && !sc.needsProof(sub.Parent) && !sc.Stalled {
+		sub.Late = true
+		sc.Missed.Add(sc.Now, 1)
+		sc.Decided.Add(sc.Now, 1)
 	}
-	if m.unheld(p.Q) {
-		m.giveUp(p.Q)
+	if sc.unserved(sub.Parent) {
+		sc.abandon(sub.Parent)
 		return
 	}
-	if !m.repeatable(p) { // held past its window: no attempt can follow
-		p.Server.Unhold(p)
-		m.again(p)
+	if !sc.retryable(sub) { // queued past its deduplication window: no attempt can follow
+		sub.Server.Unqueue(sub)
+		sc.retry(sub)
 		return
 	}
-	if p.Index < 0 {
-		m.placeAll([]*fleet.Part{p})
-	} else if c := m.pick(p); c != p.Server &&
-		(c == nil || !m.open(p.Server) || m.sound(c) && m.tier(c, p) < m.tier(p.Server, p)) {
-		p.Server.Unhold(p) // held where it cannot leave, while another replica has room
-		m.placeAll([]*fleet.Part{p})
+	if sub.QueueIndex < 0 {
+		sc.assign([]*cluster.Subquery{sub})
+	} else if c := sc.pick(sub); c != sub.Server &&
+		(c == nil || !sc.accepts(sub.Server) || sc.healthy(c) && sc.tier(c, sub) < sc.tier(sub.Server, sub)) {
+		sub.Server.Unqueue(sub) // it cannot leave here, while another replica has capacity
+		sc.assign([]*cluster.Subquery{sub})
 	}
-	if m.Shed > 0 && m.Now+soon > p.Q.AimAt &&
-		!slices.ContainsFunc(p.Q.All, func(o *fleet.Part) bool { return len(o.Attempts) > 0 }) {
-		m.giveUp(p.Q) // nothing was sent, so nothing is wasted
+	if sc.Shed > 0 && sc.Now+soon > sub.Parent.TargetAt &&
+		!slices.ContainsFunc(sub.Parent.All, func(o *cluster.Subquery) bool { return len(o.Attempts) > 0 }) {
+		sc.abandon(sub.Parent) // nothing was sent, so nothing is wasted
 	}
 }
