--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// BenchmarkStep is a step of one of 77 mixers among 170 servers, a wide and a narrow query out at all
+// BenchmarkStep is a step of one of 77 schedulers among 170 servers, a wide and a narrow query out at all
 // times. It is reported, never asserted.
 func BenchmarkStep(b *testing.B) {
 	const cells, wide = 170, 50
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// A host drives a query of two parts to its answer.
+// A host drives a query of two subqueries to its answer.
 func Example() {
 	sched, err := policy.New(decision.Settings{
 		Instances: 1, Tick: 5 * time.Millisecond, Cells: 2, Width: 2, MaxAttempts: 3,
@@ -30,17 +30,17 @@
 	var outcomes []decision.Event // what the servers would say
 	for _, a := range acts {
 		if s, ok := a.(decision.Send); ok {
-			fmt.Println("send part", s.Subquery)
+			fmt.Println("send subquery", s.Subquery)
 			outcomes = append(outcomes, decision.Outcome{Subquery: s.Subquery, Server: s.Server, Status: decision.OK})
 		}
 	}
 	for _, a := range sched.Step(now+80*time.Millisecond, outcomes) {
 		if a, ok := a.(decision.Answer); ok {
-			fmt.Println("answer query", a.Query, "whole:", a.Complete)
+			fmt.Println("answer query", a.Query, "complete:", a.Complete)
 		}
 	}
 	// Unordered output:
-	// send part 71
-	// send part 72
-	// answer query 7 whole: true
+	// send subquery 71
+	// send subquery 72
+	// answer query 7 complete: true
 }
--- /dev/null
+++ b/policy/fixture_test.go
@@ -0,0 +1,184 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/gatherer/decision"
+	"pulleygw.example/pulleygw/internal/gatherer/mem/cluster"
+)
+
+const ms = time.Millisecond
+
+// base returns settings with three servers' worth of cells, each shard held by all three.
+func base() decision.Settings {
+	return decision.Settings{
+		Instances: 1, Tick: 5 * ms, Cells: 3, Width: 3, Batch: 1, MaxAttempts: 3,
+		Hedging: true, Cancel: true, MaxRetryAfter: time.Second,
+		Classes: []decision.Class{
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Deduplicated, Window: 300 * ms, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.NotIdempotent, Need: 1, Floor: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5, Fetch: 1},
+		},
+		Rules: decision.Rules{StartCapacity: 0.2, SlowStart: 10 * time.Second, OverloadMultiple: 2,
+			OverloadSpan: 3 * time.Second},
+	}
+}
+
+// fixture drives a scheduler and records what the rules are checked by.
+type fixture struct {
+	t        *testing.T
+	sched    *Scheduler
+	now      time.Duration
+	nextID   uint64
+	finals   map[decision.QueryID]int
+	last     map[decision.QueryID]decision.Action
+	sends    []sent
+	attempts map[decision.SubqueryID]int
+	owner    map[decision.SubqueryID]decision.QueryID
+	actions  []decision.Action
+	wake     time.Duration // asked for last
+}
+
+type sent struct {
+	decision.Send
+	at      time.Duration
+	attempt int
+}
+
+func newFixture(t *testing.T, set decision.Settings, cells ...int) *fixture {
+	t.Helper()
+	sched, err := New(set, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &fixture{t: t, sched: sched, now: time.Second, finals: map[decision.QueryID]int{}, last: map[decision.QueryID]decision.Action{},
+		attempts: map[decision.SubqueryID]int{}, owner: map[decision.SubqueryID]decision.QueryID{}}
+	var l []decision.ServerInfo
+	for i, c := range cells {
+		l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: c, State: decision.Ready, Nominal: 1})
+	}
+	b.step(decision.ServerList{Kind: decision.Cached, Servers: l})
+	return b
+}
+
+func (b *fixture) step(events ...decision.Event) {
+	b.actions = append([]decision.Action(nil), b.sched.Step(b.now, events)...)
+	for _, a := range b.actions {
+		switch a := a.(type) {
+		case decision.WakeAt:
+			b.wake = a.At
+		case decision.Send:
+			if b.finals[b.owner[a.Subquery]] > 0 {
+				b.t.Errorf("subquery %d sent after its query's final answer", a.Subquery)
+			}
+			b.sends = append(b.sends, sent{a, b.now, b.attempts[a.Subquery]})
+			b.attempts[a.Subquery]++
+		case decision.Answer:
+			if a.Final {
+				b.final(a.Query, a)
+			}
+		case decision.Reject:
+			b.final(a.Query, a)
+		case decision.Fail:
+			b.final(a.Query, a)
+		}
+	}
+}
+
+func (b *fixture) final(q decision.QueryID, a decision.Action) {
+	b.finals[q]++
+	b.last[q] = a
+	if b.finals[q] > 1 {
+		b.t.Errorf("query %d has %d final answers", q, b.finals[q])
+	}
+}
+
+// query hands over a query with one subquery for each shard and returns its ID and its subqueries'.
+func (b *fixture) query(class int, left time.Duration, shards ...int) (decision.QueryID, []decision.SubqueryID) {
+	b.nextID += 100
+	q := decision.QueryID(b.nextID)
+	ev := []decision.Event{decision.QueryArrived{ID: q, Class: class, Remaining: left, Subqueries: len(shards)}}
+	var ids []decision.SubqueryID
+	for i, s := range shards {
+		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
+		b.owner[id] = q
+		ids = append(ids, id)
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards))})
+	}
+	b.step(ev...)
+	return q, ids
+}
+
+// run lets time pass in sweeps.
+func (b *fixture) run(d time.Duration) {
+	for end := b.now + d; b.now < end; {
+		b.now += 10 * ms
+		b.step(decision.Wake{})
+	}
+}
+
+func (b *fixture) outcome(s sent, st decision.Status) {
+	b.step(decision.Outcome{Subquery: s.Subquery, Server: s.Server, Attempt: s.attempt, Status: st, Latency: b.now - s.at})
+}
+
+// warm answers n one-subquery queries so that there are records.
+func (b *fixture) warm(n int, took time.Duration) {
+	for range n {
+		k := len(b.sends)
+		b.query(0, 4*time.Second, 0)
+		b.run(took)
+		for _, s := range b.sends[k:] {
+			b.outcome(s, decision.OK)
+		}
+	}
+	b.sends = nil
+}
+
+// A subquery at a server that hangs is cancelled, and goes to another only when that is confirmed: never two at once.
+// The others' answers meanwhile, and none from there, tell a hang from a busy moment. So do answers to subqueries sent
+// there later: its own may have been lost with its connection (hanbit-lots silent).
+// wakes lets time pass as a host does: a step at each WakeAt and none between.
+func (b *fixture) wakes(until time.Duration) {
+	for b.wake > b.now && b.wake <= until {
+		b.now = b.wake
+		b.step(decision.Wake{})
+	}
+}
+
+// manyInstances returns settings of one instance of many that sends to each server seldom; latency targets are ten times the latency.
+func manyInstances() decision.Settings {
+	set := base()
+	set.Instances, set.Tick, set.Hedging, set.MaxAttempts = 80, ms, false, 4
+	set.Classes = []decision.Class{
+		{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 3, Effect: decision.Idempotent, Need: 1, Floor: 0.7},
+		{LatencyTarget: 380 * ms, Deadline: 1300 * ms, Value: 2, Effect: decision.Deduplicated, Window: 4 * time.Second, Need: 1, Floor: 1},
+	}
+	return set
+}
+
+// steady puts a query of one subquery every 20 ms, and answers each after 40 ms, but at servers that stand still.
+func (b *fixture) steady(d time.Duration, still ...decision.ServerID) {
+	for end := b.now + d; b.now < end; {
+		b.query(0, 4*time.Second, 0)
+		for range 2 {
+			b.now += 10 * ms
+			for i := len(b.sends) - 1; i >= 0 && b.now-b.sends[i].at <= 40*ms; i-- {
+				if b.now-b.sends[i].at == 40*ms && !slices.Contains(still, b.sends[i].Server) {
+					b.outcome(b.sends[i], decision.OK)
+				}
+			}
+			b.step(decision.Wake{})
+		}
+	}
+}
+
+// full puts as many subqueries in flight at a server as may be, sent just now.
+func (b *fixture) full(s *cluster.Server) {
+	p := &cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0], Ended: true}, QueueIndex: -1, MayRun: -1}
+	for len(s.InFlight) < b.sched.capacity(s) {
+		s.InFlight = append(s.InFlight, &cluster.Attempt{Subquery: p, Server: s, SentAt: b.now, Live: true})
+	}
+}
--- a/policy/phased_test.go
+++ b/policy/phased_test.go
@@ -8,7 +8,7 @@
 )
 
 // phased hands over a phased query of six shards; those from later on wait to be asked for.
-func (b *bed) phased(later int) (decision.QueryID, []decision.SubqueryID) {
+func (b *fixture) phased(later int) (decision.QueryID, []decision.SubqueryID) {
 	b.nextID += 100
 	q := decision.QueryID(b.nextID)
 	ev := []decision.Event{decision.QueryArrived{ID: q, Remaining: 4 * time.Second, Subqueries: 6, Phased: true, Fetch: 2}}
@@ -23,8 +23,8 @@
 	return q, ids
 }
 
-// fetch hands over the parts of the second step, of the shards given.
-func (b *bed) fetch(q decision.QueryID, used int, prefer decision.ServerID, shards ...int) (ids []decision.SubqueryID) {
+// fetch hands over the subqueries of the second step, of the shards given.
+func (b *fixture) fetch(q decision.QueryID, used int, prefer decision.ServerID, shards ...int) (ids []decision.SubqueryID) {
 	b.nextID += 100
 	ev := []decision.Event{decision.Planned{Query: q, Fetch: len(shards)}}
 	for i, s := range shards {
@@ -37,14 +37,14 @@
 	return ids
 }
 
-func (b *bed) ok(ids ...decision.SubqueryID) {
+func (b *fixture) ok(ids ...decision.SubqueryID) {
 	for _, id := range ids {
-		b.step(decision.Outcome{Subquery: id, Attempt: b.tries[id] - 1, Status: decision.OK})
+		b.step(decision.Outcome{Subquery: id, Attempt: b.attempts[id] - 1, Status: decision.OK})
 	}
 }
 
-func (b *bed) nonFinal(q decision.QueryID) (got, whole bool) {
-	for _, a := range b.acts {
+func (b *fixture) nonFinal(q decision.QueryID) (got, whole bool) {
+	for _, a := range b.actions {
 		if a, ok := a.(decision.Answer); ok && a.Query == q && !a.Final {
 			return true, a.Complete
 		}
@@ -59,17 +59,17 @@
 	return set
 }
 
-// Parts of later waves leave only when they are asked for; a skipped one counts as in and is called off.
+// Parts of later waves leave only when they are asked for; a skipped one counts as in and is cancelled.
 func TestPhasedWaves(t *testing.T) {
-	b := newBed(t, phasedBase(), 0, 1, 2)
+	b := newFixture(t, phasedBase(), 0, 1, 2)
 	q, ids := b.phased(4)
 	if len(b.sends) != 4 {
-		t.Fatalf("%d parts sent, want the 4 of the first wave", len(b.sends))
+		t.Fatalf("%d subqueries sent, want the 4 of the first wave", len(b.sends))
 	}
 	b.ok(ids[0], ids[1], ids[2])
 	b.step(decision.Planned{Query: q, Request: ids[4:5], Skip: []decision.SubqueryID{ids[3], ids[5]}})
 	cancelled := false
-	for _, a := range b.acts {
+	for _, a := range b.actions {
 		c, ok := a.(decision.Cancel)
 		cancelled = cancelled || ok && c.Subquery == ids[3]
 	}
@@ -94,7 +94,7 @@
 
 // A page of no lots needs no second step.
 func TestPhasedNothingToFetch(t *testing.T) {
-	b := newBed(t, phasedBase(), 0, 1, 2)
+	b := newFixture(t, phasedBase(), 0, 1, 2)
 	q, ids := b.phased(6)
 	b.ok(ids...)
 	b.fetch(q, 0, 0)
@@ -103,9 +103,9 @@
 	}
 }
 
-// Under the floor when the scores are due, the query ends at once, long before its client gives up.
+// Under the floor when the scores are due, the query ends at once, long before its client times out.
 func TestPhasedFloor(t *testing.T) {
-	b := newBed(t, phasedBase(), 0, 1, 2)
+	b := newFixture(t, phasedBase(), 0, 1, 2)
 	q, ids := b.phased(6)
 	b.ok(ids[0], ids[1], ids[2])
 	for at := b.now + time.Second; b.now < at; {
@@ -113,7 +113,7 @@
 		b.step(decision.Wake{})
 	}
 	if _, ok := b.last[q].(decision.Reject); !ok {
-		t.Errorf("final %+v after the aim with half of the weight", b.last[q])
+		t.Errorf("final %+v after the latency target with half of the weight", b.last[q])
 	}
 }
 
@@ -121,7 +121,7 @@
 // its listings is one of what was ranked, so that five sixths of the weight and two thirds of the page fail.
 func TestPhasedShare(t *testing.T) {
 	for _, lost := range []int{0, 1} {
-		b := newBed(t, phasedBase(), 0, 1, 2)
+		b := newFixture(t, phasedBase(), 0, 1, 2)
 		q, ids := b.phased(6)
 		start := b.now
 		b.now += 100 * ms
@@ -151,22 +151,22 @@
 
 // Four attempts at most over both steps: the scores leave one for the listings, which count theirs in.
 func TestPhasedAttempts(t *testing.T) {
-	b := newBed(t, phasedBase(), 0, 1, 2)
+	b := newFixture(t, phasedBase(), 0, 1, 2)
 	q, ids := b.phased(6)
 	fail := func(id decision.SubqueryID) {
-		for n := 0; n < b.tries[id]; n++ {
+		for n := 0; n < b.attempts[id]; n++ {
 			b.now += 10 * ms
 			b.step(decision.Outcome{Subquery: id, Attempt: n, Status: decision.Error})
 		}
 	}
 	b.ok(ids[1:]...)
 	fail(ids[0])
-	if b.tries[ids[0]] != 3 {
-		t.Errorf("%d attempts for scores, want 3", b.tries[ids[0]])
+	if b.attempts[ids[0]] != 3 {
+		t.Errorf("%d attempts for scores, want 3", b.attempts[ids[0]])
 	}
 	fetch := b.fetch(q, 3, 0, 1)
 	fail(fetch[0])
-	if b.tries[fetch[0]] != 1 {
-		t.Errorf("%d attempts for listings after 3 for scores, want 1", b.tries[fetch[0]])
+	if b.attempts[fetch[0]] != 1 {
+		t.Errorf("%d attempts for listings after 3 for scores, want 1", b.attempts[fetch[0]])
 	}
 }
