--- a/internal/gatherer/audit/audit.go
+++ b/internal/gatherer/audit/audit.go
@@ -91,13 +91,13 @@
 // Add takes the next entry in.
 func (a *Audit) Add(e record.Entry) {
 	switch e.Kind {
-	case record.Begun:
+	case record.Started:
 		a.settle()
 	case record.Dropped:
 		a.report.Dropped += e.Count
 	case record.Arrived:
 		a.arrived(e)
-	case record.Let:
+	case record.Released:
 		if q := a.requests[e.Request]; q != nil && e.Verdict == "admit" {
 			a.admit(q, e)
 		}
@@ -141,8 +141,8 @@
 	r := a.route(q.arrived.Route)
 	r.inHand++
 	// With entries missing, ends may be: how many are in hand is not known then.
-	if in := q.arrived.In; in != nil && in.Most > 0 && r.inHand > in.Most && a.report.Dropped == 0 {
-		a.breach([]record.Entry{q.arrived, e}, "route %s: %d requests in hand, %d allowed", q.arrived.Route, r.inHand, in.Most)
+	if in := q.arrived.In; in != nil && in.MaxConcurrency > 0 && r.inHand > in.MaxConcurrency && a.report.Dropped == 0 {
+		a.breach([]record.Entry{q.arrived, e}, "route %s: %d requests in hand, %d allowed", q.arrived.Route, r.inHand, in.MaxConcurrency)
 	}
 }
 
@@ -169,9 +169,9 @@
 	if q.let > 0 {
 		a.route(q.arrived.Route).inHand--
 	}
-	if in := q.arrived.In; in != nil && in.GiveUp > 0 && e.At-q.arrived.At > in.GiveUp+stepSlack {
+	if in := q.arrived.In; in != nil && in.Timeout > 0 && e.At-q.arrived.At > in.Timeout+stepSlack {
 		a.breach([]record.Entry{q.arrived, e}, "request %d ended %v after it came, %v allowed", e.Request,
-			time.Duration(e.At-q.arrived.At)*time.Microsecond, time.Duration(in.GiveUp)*time.Microsecond)
+			time.Duration(e.At-q.arrived.At)*time.Microsecond, time.Duration(in.Timeout)*time.Microsecond)
 	}
 }
 
@@ -234,7 +234,7 @@
 				r.further = append(r.further, x)
 			}
 			allowed := 1
-			if in != nil && in.Copies {
+			if in != nil && in.Hedging {
 				allowed = 2
 			}
 			out := slices.DeleteFunc(slices.Clone(list[:i+1]), func(o record.Entry) bool { return o.Sent == 0 || o.Number != e.Number && o.At <= e.Sent })
@@ -273,7 +273,7 @@
 		lo, _ := slices.BinarySearchFunc(r.further, from, func(x record.Entry, t int64) int { return cmp.Compare(x.Sent, t) })
 		f, _ := slices.BinarySearch(r.first, from-in.Span/10)
 		t, _ := slices.BinarySearch(r.first, e.Sent+1)
-		if n, allowed := float64(i+1-lo), in.Free+in.Share*float64(t-f); n > allowed+1 {
+		if n, allowed := float64(i+1-lo), in.Free+in.Ratio*float64(t-f); n > allowed+1 {
 			a.breach(r.further[lo : i+1][max(0, i+1-lo-3):], "route %s: %.0f further attempts within %v, %.1f allowed", name, n, time.Duration(in.Span)*time.Microsecond, allowed)
 			return // one of a route tells it
 		}
--- a/internal/gatherer/audit/audit_test.go
+++ b/internal/gatherer/audit/audit_test.go
@@ -10,7 +10,7 @@
 func ms(n int64) int64 { return 1_790_000_000_000_000 + n*1000 }
 
 func in() *record.InForce {
-	return &record.InForce{Attempts: 2, GiveUp: 3_000_000, Window: 4_000_000, Most: 1, PerSecond: 2, Burst: 1, Share: 0.1, Free: 0.5, Span: 10_000_000}
+	return &record.InForce{Attempts: 2, Timeout: 3_000_000, Window: 4_000_000, MaxConcurrency: 1, PerSecond: 2, Burst: 1, Ratio: 0.1, Free: 0.5, Span: 10_000_000}
 }
 
 func arrived(id uint64, at int64) record.Entry {
@@ -28,9 +28,9 @@
 // Each breach that is put in on purpose is found, with its entries, and none where there is none.
 func TestBreaches(t *testing.T) {
 	loose := arrived(1, 0)
-	loose.In = &record.InForce{Attempts: 4, GiveUp: 9_000_000, Window: 4_000_000}
+	loose.In = &record.InForce{Attempts: 4, Timeout: 9_000_000, Window: 4_000_000}
 	copies := arrived(1, 0)
-	copies.In = &record.InForce{Attempts: 4, GiveUp: 9_000_000, Copies: true}
+	copies.In = &record.InForce{Attempts: 4, Timeout: 9_000_000, Hedging: true}
 	for name, c := range map[string]struct {
 		entries []record.Entry
 		want    string
@@ -47,7 +47,7 @@
 		"too soon":       {[]record.Entry{arrived(1, 0), final(1, 10), arrived(2, 100), final(2, 110)}, "too soon for 2 a second"},
 		"budget":         {[]record.Entry{arrived(1, 0), try(1, 0, 5, 100), try(1, 1, 105, 200), final(1, 210), arrived(2, 600), try(2, 0, 605, 700), try(2, 1, 705, 800), final(2, 810)}, "2 further attempts within 10s"},
 		"never left":     {[]record.Entry{loose, try(1, 0, 5, 100), {Kind: record.Attempt, At: ms(101), Request: 1, Shard: 3, Number: 1, Status: "not sent"}, final(1, 110)}, ""},
-		"another start":  {[]record.Entry{arrived(1, 0), {Kind: record.Begun}, arrived(1, 100), final(1, 110)}, ""},
+		"another start":  {[]record.Entry{arrived(1, 0), {Kind: record.Started}, arrived(1, 100), final(1, 110)}, ""},
 		"entries lacked": {[]record.Entry{{Kind: record.Dropped, Count: 3}, arrived(1, 0), arrived(2, 600)}, ""},
 	} {
 		a := New()
--- a/internal/gatherer/cli/files.go
+++ b/internal/gatherer/cli/files.go
@@ -120,7 +120,7 @@
 				fmt.Fprintf(out, "route: none; class %s as the settings have it\n", class)
 				route = &limits.Route{}
 			} else {
-				fmt.Fprintf(out, "route: %s (%s:%d)\nclass: %s\n", route.Name, files.Limits, route.Line, class)
+				fmt.Fprintf(out, "route: %s (%s:%d)\nclass: %s\n", route.Name, files.Limits, route.LineNumber, class)
 			}
 			k := of[0]
 			for _, x := range of {
@@ -128,11 +128,11 @@
 					k = x
 				}
 			}
-			inherited := map[string]any{"wanted": k.Wanted, "give_up": k.GiveUp, "attempts": k.Attempts, "least": k.Floor}
+			inherited := map[string]any{"wanted": k.LatencyTarget, "give_up": k.Timeout, "attempts": k.Attempts, "least": k.Floor}
 			for _, f := range route.Limits.Fields() {
 				switch {
 				case f[1] != "":
-					fmt.Fprintf(out, "  %-18s %-12s %s:%d\n", f[0], f[1], files.Limits, route.LineOf(f[0]))
+					fmt.Fprintf(out, "  %-18s %-12s %s:%d\n", f[0], f[1], files.Limits, route.LineNumberOf(f[0]))
 				case inherited[f[0]] != nil:
 					fmt.Fprintf(out, "  %-18s %-12v %s (class %s)\n", f[0], inherited[f[0]], files.Config, class)
 				}
--- a/internal/gatherer/cli/operate.go
+++ b/internal/gatherer/cli/operate.go
@@ -49,8 +49,8 @@
 		}}
 }
 
-var kindNames = map[record.Kind]string{record.Arrived: "arrived", record.Let: "let", record.Attempt: "attempt", record.Final: "final",
-	record.Dropped: "dropped", record.Begun: "begun"}
+var kindNames = map[record.Kind]string{record.Arrived: "arrived", record.Released: "let", record.Attempt: "attempt", record.Final: "final",
+	record.Dropped: "dropped", record.Started: "begun"}
 
 // logCommand shows a record, filtered, and goes on as it grows.
 func logCommand() *cobra.Command {
--- a/internal/gatherer/config/config.go
+++ b/internal/gatherer/config/config.go
@@ -26,7 +26,7 @@
 type Limits struct {
 	Routes  []*limits.Route // in the file's order; the table finds the most exact
 	Table   *limits.Table
-	Repeats limits.Repeats // of all routes together
+	Repeats limits.RetryBudget // of all routes together
 }
 
 // Bounds of a file's lists and values.
@@ -93,21 +93,21 @@
 	}
 	table, conflicts := limits.NewTable(c.Limits.Routes)
 	for _, x := range conflicts {
-		places[x.Second].fault("matches the same requests as route %q of line %d, and neither is more exact: say which by its match", x.First.Name, x.First.Line)
+		places[x.Second].fault("matches the same requests as route %q of line %d, and neither is more exact: say which by its match", x.First.Name, x.First.LineNumber)
 	}
 	c.Limits.Table = table
 }
 
-func repeats(p place) limits.Repeats {
+func repeats(p place) limits.RetryBudget {
 	if !p.there() {
-		return limits.Repeats{}
+		return limits.RetryBudget{}
 	}
 	before := len(p.r.faults)
 	m := p.object("share", "free", "span")
 	if len(p.r.faults) > before {
-		return limits.Repeats{}
+		return limits.RetryBudget{}
 	}
-	r := limits.Repeats{Share: m["share"].float(0, 0, 10), Free: m["free"].float(0, 0, 1e6), Span: m["span"].time(0, maxTime)}
+	r := limits.RetryBudget{Ratio: m["share"].float(0, 0, 10), Minimum: m["free"].float(0, 0, 1e6), Span: m["span"].time(0, maxTime)}
 	if r.Span == 0 && !m["span"].there() {
 		p.fault("lacks span, the time over which repeats are counted")
 	}
@@ -117,15 +117,15 @@
 func readRoute(p place, i int, classes []limits.Class) *limits.Route {
 	m := p.object("name", "match", "class", "wanted", "give_up", "attempts", "attempt", "least", "whole", "body", "answer", "depth",
 		"priority", "concurrency", "rate", "repeats")
-	r := &limits.Route{Name: m["name"].text(), Line: p.line(), Class: m["class"].text()}
+	r := &limits.Route{Name: m["name"].text(), LineNumber: p.line(), Class: m["class"].text()}
 	if r.Name == "" {
 		r.Name = fmt.Sprintf("route %d", i+1)
 	}
-	r.Lines = map[string]int{}
+	r.LineNumbers = map[string]int{}
 	for name, at := range m {
-		r.Lines[name] = at.line()
+		r.LineNumbers[name] = at.line()
 		for inner, x := range at.objectQuiet() {
-			r.Lines[name+"."+inner] = x.line()
+			r.LineNumbers[name+"."+inner] = x.line()
 		}
 	}
 	of := classes
@@ -144,24 +144,24 @@
 	}
 	r.Match = readMatch(m["match"])
 	l := &r.Limits
-	l.Wanted, l.GiveUp = m["wanted"].time(0, maxTime), m["give_up"].time(0, maxTime)
+	l.LatencyTarget, l.Timeout = m["wanted"].time(0, maxTime), m["give_up"].time(0, maxTime)
 	l.Attempts = m["attempts"].whole(0, 1, 100)
-	l.Least, l.Whole = m["least"].float(0, 0.01, 1), m["whole"].flag(false)
-	l.Body, l.Answer = m["body"].size(0, 1, 1<<30), m["answer"].size(0, 1, 1<<30)
-	l.Depth, l.Priority = m["depth"].whole(0, 1, 10000), m["priority"].whole(0, 0, 9)
+	l.MinWeight, l.CompleteOnly = m["least"].float(0, 0.01, 1), m["whole"].flag(false)
+	l.MaxBody, l.MaxAnswer = m["body"].size(0, 1, 1<<30), m["answer"].size(0, 1, 1<<30)
+	l.MaxDepth, l.Priority = m["depth"].whole(0, 1, 10000), m["priority"].whole(0, 0, 9)
 	k := m["concurrency"].object("most", "floor", "queue", "wait")
-	l.Concurrency = limits.Concurrency{Most: k["most"].whole(0, 1, 1e6), Floor: k["floor"].whole(0, 1, 1e6), Queue: k["queue"].whole(0, 0, 1e6),
+	l.Concurrency = limits.Concurrency{Max: k["most"].whole(0, 1, 1e6), Floor: k["floor"].whole(0, 1, 1e6), Queue: k["queue"].whole(0, 0, 1e6),
 		Wait: k["wait"].time(0, maxTime)}
 	q := m["rate"].object("per_second", "burst")
 	if m["rate"].there() {
 		l.Rate = limits.Rate{PerSecond: q["per_second"].float(0, 0, 1e9), Burst: q["burst"].whole(1, 1, 1e6)}
 	}
-	l.Repeats = repeats(m["repeats"])
+	l.Retries = repeats(m["repeats"])
 	a := m["attempt"].object("timeout", "wait", "jitter")
 	r.Plan = limits.Plan{Attempts: l.Attempts, Timeout: a["timeout"].time(0, maxTime), Wait: a["wait"].time(0, maxTime), Jitter: a["jitter"].float(0, 0, 1)}
 	told := map[string]bool{}
 	for _, c := range of {
-		for _, b := range append(l.Check(c), r.Plan.Check(c, l.GiveUp)...) {
+		for _, b := range append(l.Check(c), r.Plan.Check(c, l.Timeout)...) {
 			at, first := p, strings.SplitN(b.Field, ".", 2)
 			if x, ok := m[first[0]]; ok {
 				at = x
--- a/internal/gatherer/config/config_test.go
+++ b/internal/gatherer/config/config_test.go
@@ -13,8 +13,8 @@
 )
 
 var classes = []limits.Class{
-	{Name: "lot-search", Wanted: 1200 * time.Millisecond, GiveUp: 3 * time.Second, Attempts: 4, Floor: 0.7},
-	{Name: "place-bid", Effect: limits.Keyed, Wanted: 1500 * time.Millisecond, GiveUp: 4 * time.Second, Window: 4 * time.Second, Attempts: 4, Floor: 1},
+	{Name: "lot-search", LatencyTarget: 1200 * time.Millisecond, Timeout: 3 * time.Second, Attempts: 4, Floor: 0.7},
+	{Name: "place-bid", Effect: limits.Deduplicated, LatencyTarget: 1500 * time.Millisecond, Timeout: 4 * time.Second, Window: 4 * time.Second, Attempts: 4, Floor: 1},
 }
 
 // Each bad file is refused with every fault that it has, each with its line and rule; the good one loads.
@@ -67,11 +67,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Limits.Routes) != 3 || c.Limits.Repeats.Share != 0.3 {
+	if len(c.Limits.Routes) != 3 || c.Limits.Repeats.Ratio != 0.3 {
 		t.Fatalf("%+v", c.Limits)
 	}
 	r := c.Limits.Table.Find(&limits.Request{Front: "opensearch", Method: "POST", Index: "lots-2026"}, "lot-search")
-	if r == nil || r.Name != "dealers" || r.Limits.Concurrency.Most != 20 || r.Limits.Body != 16<<10 || r.Limits.GiveUp != 2*time.Second || r.Limits.Rate.PerSecond != 50 {
+	if r == nil || r.Name != "dealers" || r.Limits.Concurrency.Max != 20 || r.Limits.MaxBody != 16<<10 || r.Limits.Timeout != 2*time.Second || r.Limits.Rate.PerSecond != 50 {
 		t.Errorf("%+v", r)
 	}
 	if r := c.Limits.Table.Find(&limits.Request{Front: "platform"}, "place-bid"); r == nil || r.Name != "bids" || r.Limits.Attempts != 2 {
--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -1,9 +1,11 @@
-// Package gather is the core of the daemon: requests, attempts and outcomes, and no wire.
+// Package gather is the core of the daemon: requests, attempts and outcomes, independent of any wire format.
 //
-// One goroutine owns the Mixer and every table. Fronts, the transport to the lot stores and discovery
-// talk to it by one channel, and it never waits for any of them. What came in is batched into one
-// Step of the Mixer per tick. A request passes these stages, a file each: inbox, limits, admit, route,
-// send, relay, book.
+// One goroutine owns the scheduler and every table. Fronts, the transport to the lot stores and discovery send it
+// messages through one channel, and it never waits for any of them. Events are batched into one step of the scheduler
+// per tick. A request passes these stages, a file each: inbox, limits, admit, route, send, outcomes, relay.
+//
+// A front calls [Core.Submit] with a [Request] and receives exactly one [Result] on its Done channel, unless it calls
+// [Core.ClientGone] first. A [Transport] carries the attempts and reports to the core, which is its [Reporter].
 package gather
 
 import (
@@ -15,33 +17,33 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// Request is one query as a front took it.
+// Request is one query as a front received it.
 type Request struct {
-	Name      string // unique among those in hand
-	Class     int
-	Key       string    // repeats of a keyed class are known by it
-	Deadline  time.Time // when its client stops waiting
-	Shards    []Shard
-	Text      []byte // goes to every shard unchanged; the front must not touch it again
-	WholeOnly bool   // the client wants no partial answer
-	// Search, where set, makes a search of it that a plan leads: its lot stores report by Found. It is only read.
+	Name         string // unique among the requests in flight
+	Class        int
+	Key          string    // repeats of a deduplicated class are recognised by it
+	Deadline     time.Time // when its client times out
+	Shards       []Shard
+	Text         []byte // sent to every shard unchanged; the front must not modify it
+	CompleteOnly bool   // the client accepts no partial answer
+	// Search, where set, makes the request a search led by a plan: its lot stores report by Found. It is only read.
 	Search *search.Query
-	// Origin is what its route is found by, where an installation has limits; nil for no route.
+	// Origin is matched against the routes, where limits are configured; nil for no route.
 	Origin *limits.Request
-	// Done gets the one final answer. It must have room for one, as the core does not wait.
+	// Done receives the one final answer. Its buffer must have room for one, as the core does not wait.
 	Done chan Result
 
-	id         uint64
-	ticket     uint64       // of its arrival
-	gate       *limits.Gate // that admitted it, or where it waits
-	answerMost int          // bytes of lot stores' answers that its route allows; 0 for no bound
-	arrived    time.Duration
+	id             uint64
+	ticket         uint64       // number of its arrival
+	gate           *limits.Gate // that admitted it, or in whose queue it waits
+	maxAnswerBytes int          // of lot stores' answers that its route allows; 0 for no bound
+	arrived        time.Duration
 }
 
-// Shard is one part that a request asks for.
+// Shard is one shard that a request asks.
 type Shard struct {
 	Number int
-	Weight float64 // they add up to 1, but for rounding: the front sees to that
+	Weight float64 // fraction of the answer; the front ensures that they add up to 1, but for rounding
 }
 
 // Kind is how a request ended.
@@ -50,24 +52,24 @@
 // The ways a request may end.
 const (
 	Answered Kind = iota
-	Refused       // trying again is harmless
-	Failed        // nothing is promised
+	Rejected      // a retry is harmless
+	Failed        // nothing is guaranteed
 )
 
 // Result is the final answer of a request.
 type Result struct {
 	Kind       Kind
-	Whole      bool
-	Parts      []PartResult // every part, in the request's order
+	Complete   bool
+	Shards     []ShardResult // every shard, in the order of the request
 	RetryAfter time.Duration
 	Reason     string        // one of the Reason constants, where not answered
-	Second     []PartResult  // of a plain second step: its values are the answer's, not the first one's
-	Search     search.Result // what came of a search; Whole says that nothing is missing there
-	Phases     search.Phases // how a search was put
-	Detail     string        // where Reason is ReasonQuestion, what a lot store says of it
+	Second     []ShardResult // of a plain second step: its values make the answer, not those of the first
+	Search     search.Result // result of a search; Complete says that nothing is missing from it
+	Phases     search.Phases // how a search was executed
+	Detail     string        // where Reason is ReasonQuestion, the lot store's explanation
 }
 
-// Why a request was not answered.
+// The reasons why a request was not answered, as clients see them.
 const (
 	ReasonFull      = "in-flight table full"
 	ReasonDuplicate = "a request of this id is in hand"
@@ -80,40 +82,40 @@
 	ReasonQuestion  = "lot stores cannot answer such a question"
 )
 
-// Values are the parts whose values make the answer: those of the last step that the query came to.
-func (r *Result) Values() []PartResult {
+// Values are the shards whose values make the answer: those of the last step that the query reached.
+func (r *Result) Values() []ShardResult {
 	if r.Second != nil {
 		return r.Second
 	}
-	return r.Parts
+	return r.Shards
 }
 
-// PartResult is what came of one part.
-type PartResult struct {
+// ShardResult is the result of one shard.
+type ShardResult struct {
 	Shard    int
 	OK       bool
 	Value    string
 	Attempts int
 	Last     decision.Status // of the last attempt that ended, where not OK
-	Waiting  bool            // not OK, and still to come when the request ended
-	Skipped  bool            // not asked, or called off, as it could not change the page
+	Pending  bool            // not OK, and still pending when the request ended
+	Skipped  bool            // not sent, or cancelled, as it could not change the page
 }
 
-// Ask is what an attempt of a search asks for, beside its text.
-type Ask struct {
-	Query    *search.Query
-	Scores   bool     // ids and sort values alone
-	IDs      []string // only of these lots; nil for all
-	Extremes bool     // of the first sort key's field too
+// ShardSearch is what an attempt of a search asks for, beside its text.
+type ShardSearch struct {
+	Query      *search.Query
+	ScoresOnly bool     // ids and sort values alone
+	IDs        []string // only of these lots; nil for all
+	Extremes   bool     // of the first sort key's field too
 }
 
-// Load is what an attempt of a plain second step tells of the first one.
+// Load is what an attempt of a plain second step says of the first step.
 type Load struct {
-	From  []int // the shards that were in, in order
-	Whole bool  // what the first step's answer was
+	From          []int // the shards that were done, in order
+	FirstComplete bool  // whether the first step's answer was
 }
 
-// Attempt is one try of a part at a server. All fields are fixed before the transport sees it.
+// Attempt is one attempt of a subquery at a server. The exported fields are fixed before the transport sees it.
 type Attempt struct {
 	Query  string
 	Class  int
@@ -122,30 +124,30 @@
 	Number int
 	Text   []byte
 	Server decision.ServerID
-	Ask    *Ask      // of a search
-	Load   *Load     // of a plain second step
-	Until  time.Time // when the core stops waiting for it
-	// NotAfter, where set, is the last moment at which it may be written: later, a repeat of a keyed
-	// part would no longer be dropped by the lot stores.
+	Search *ShardSearch // of a search
+	Load   *Load        // of a plain second step
+	Until  time.Time    // when the core stops waiting for it
+	// NotAfter, where set, is the last moment at which it may be written: later, the lot stores would no longer
+	// drop a repeat of a deduplicated subquery.
 	NotAfter time.Time
 
-	part    *part
-	sent    time.Duration
-	called  bool          // handed to the transport
-	handed  time.Duration // and when
-	settled time.Duration // when its cancel is through, 0 while it is not cancelled or its server not told
-	outcome bool          // has ended
+	subquery    *subquery
+	sent        time.Duration
+	called      bool          // handed to the transport
+	calledAt    time.Duration // when it was handed to the transport
+	cancelledAt time.Duration // when its cancellation is confirmed, 0 before its server has been told
+	ended       bool          // its outcome is known
 }
 
-// Stale says whether an attempt must no longer be written, however long it waited for that.
+// Stale reports whether an attempt must no longer be written, however long it has waited to be.
 func (a *Attempt) Stale(now time.Time) bool {
 	return !now.Before(a.Until) || !a.NotAfter.IsZero() && now.After(a.NotAfter)
 }
 
-// WriteBy is by when a call of attempts has to be written whole, where a server that does not read is waited for so long:
-// not past the window of any of them.
-func WriteBy(now time.Time, most time.Duration, attempts []*Attempt) time.Time {
-	by := now.Add(most)
+// WriteBy is the deadline for writing a call completely, where a server that does not read is given the time limit. It
+// is not past the deduplication window of any of the attempts.
+func WriteBy(now time.Time, limit time.Duration, attempts []*Attempt) time.Time {
+	by := now.Add(limit)
 	for _, a := range attempts {
 		if !a.NotAfter.IsZero() && a.NotAfter.Before(by) {
 			by = a.NotAfter
@@ -154,39 +156,39 @@
 	return by
 }
 
-// Transport carries attempts to servers. No method may block, nor call its Reporter before it returns:
-// the core's goroutine calls them.
+// Transport carries attempts to servers. The core's goroutine calls its methods: none may block, nor call the Reporter
+// before it returns.
 type Transport interface {
-	// Servers tells what the list now says of some servers.
-	Servers(news []mem.Server)
+	// Servers passes changed entries of the server list.
+	Servers(changed []mem.Server)
 	// Call sends the attempts to one server as one call.
 	Call(server decision.ServerID, attempts []*Attempt)
-	// Cancel gives an attempt up. Of one that has not ended it reports that it is cancelled, and no more, once
-	// its server has been told or the connection was closed: from then on the part may be sent elsewhere.
+	// Cancel cancels an attempt. If it has not ended, the transport reports Cancelled, and nothing more of it, once
+	// its server has been told or the connection was closed: from then on the subquery may be sent elsewhere.
 	Cancel(a *Attempt)
-	// Probe asks whether a server is there.
-	Probe(server decision.ServerID)
-	// CloseIdle closes the connections to a server on which nothing is out.
+	// HealthCheck asks whether a server is reachable.
+	HealthCheck(server decision.ServerID)
+	// CloseIdle closes the connections to a server on which nothing is in flight.
 	CloseIdle(server decision.ServerID)
 }
 
-// Reporter takes what a transport has to tell; it may wait for the core.
+// Reporter receives what a transport reports. Its methods may wait for the core.
 type Reporter interface {
-	// Outcome tells how an attempt ended, with its value where it is OK.
+	// Outcome reports how an attempt ended, with its value where it is OK.
 	Outcome(a *Attempt, s decision.Status, value string)
-	// Scored tells that an attempt ended well, with its value and the score by which a second step chooses shards.
+	// Scored reports that an attempt succeeded, with its value and the score by which a second step chooses shards.
 	Scored(a *Attempt, value string, score float64)
-	// Found tells what an attempt with an Ask brought; it has ended well. The answer has passed its Check.
+	// Found reports that an attempt with a Search succeeded, and its answer, which has passed its Check.
 	Found(a *Attempt, found *search.Answer)
-	// Unanswerable tells that the lot store cannot answer what an attempt with an Ask asks, and why: whoever asked it
-	// is at fault, and the lot store is sound.
+	// Unanswerable reports that the lot store cannot answer what an attempt with a Search asks, and why: the client's
+	// query is at fault, and the lot store is healthy.
 	Unanswerable(a *Attempt, why string)
-	// Probed tells how a probe ended.
-	Probed(server decision.ServerID, ok bool)
+	// HealthChecked reports the result of a health check.
+	HealthChecked(server decision.ServerID, ok bool)
 }
 
-// List is news of the server list.
+// List is an update of the server list.
 type List struct {
 	Kind    decision.ListKind
-	Servers []mem.Server // their IDs are not set yet
+	Servers []mem.Server // their IDs are not set
 }
--- a/internal/gatherer/gather/crossings_test.go
+++ b/internal/gatherer/gather/crossings_test.go
@@ -19,17 +19,17 @@
 	}{
 		"the module's held parts":  {nil, false, nil, func(c *Core, a *Attempt, v string) { c.Outcome(a, decision.OK, v) }},
 		"before a further attempt": {nil, true, func(c *Core, a *Attempt) { c.Outcome(a, decision.ConnectFailed, "") }, func(c *Core, a *Attempt, v string) { c.Outcome(a, decision.OK, v) }},
-		"before its second step":   {two, true, func(c *Core, a *Attempt) { c.Scored(a, "v", 1) }, func(c *Core, a *Attempt, v string) { c.Scored(a, v, 1) }},
+		"before its second step":   {twoSteps, true, func(c *Core, a *Attempt) { c.Scored(a, "v", 1) }, func(c *Core, a *Attempt, v string) { c.Scored(a, v, 1) }},
 	} {
 		c, tr := start(t, x.change)
-		r := ask(0, 1, 20*time.Second)
+		r := newRequest(0, 1, 20*time.Second)
 		var out []*Attempt
 		if x.before {
 			c.Submit(r)
 			out = collect(t, tr, 1)
 		}
 		for range 2 * outAtOnce {
-			c.Submit(ask(0, 1, 10*time.Second)) // due before it
+			c.Submit(newRequest(0, 1, 10*time.Second)) // due before it
 		}
 		out = append(out, collect(t, tr, outAtOnce-len(out))...)
 		if x.before {
@@ -38,8 +38,8 @@
 		} else {
 			c.Submit(r)
 		}
-		c.Leave(r)
-		last := ask(0, 1, 20*time.Second)
+		c.ClientGone(r)
+		last := newRequest(0, 1, 20*time.Second)
 		c.Submit(last)
 		for sent := false; !sent; {
 			for _, a := range out {
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -12,7 +12,7 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// transport is a stand-in that hands calls over to the test.
+// transport is a fake that passes calls to the test.
 type transport struct {
 	calls   chan []*Attempt
 	cancels chan *Attempt
@@ -26,11 +26,12 @@
 }
 func (t *transport) Call(_ decision.ServerID, a []*Attempt) { t.calls <- a }
 func (t *transport) Cancel(a *Attempt)                      { t.cancels <- a }
-func (t *transport) Probe(decision.ServerID)                {}
+func (t *transport) HealthCheck(decision.ServerID)          {}
 func (t *transport) CloseIdle(decision.ServerID)            {}
 
 // start runs a core with one cell of two servers.
 func start(t *testing.T, change func(*Core)) (*Core, *transport) {
+	t.Helper()
 	set := settings.Settings{Classes: []string{"search", "bid"}, Zones: []string{"a"}, Shards: 100, OpenCap: 60, StreamsPerConn: 32}
 	set.Policy = decision.Settings{Instances: 1, Tick: time.Millisecond, Cells: 1, Width: 1, Batch: 8, CallCost: time.Millisecond, MaxAttempts: 4,
 		Cancel: true, MaxRetryAfter: 500 * time.Millisecond, Classes: []decision.Class{
@@ -53,31 +54,33 @@
 
 var names int
 
-func ask(class, parts int, wait time.Duration) *Request {
+// newRequest returns a request of so many shards.
+func newRequest(class, shards int, wait time.Duration) *Request {
 	names++
 	r := &Request{Name: fmt.Sprint(names), Class: class, Deadline: time.Now().Add(wait), Done: make(chan Result, 1)}
-	for i := range parts {
-		r.Shards = append(r.Shards, Shard{i, 1 / float64(parts)})
+	for i := range shards {
+		r.Shards = append(r.Shards, Shard{i, 1 / float64(shards)})
 	}
 	return r
 }
 
-// collect takes calls until so many attempts are out.
+// collect receives calls until it has so many attempts.
 func collect(t *testing.T, tr *transport, n int) (all []*Attempt) {
+	t.Helper()
 	for len(all) < n {
 		call := <-tr.calls
 		if len(call) > 8 {
-			t.Errorf("a call of %d parts", len(call))
+			t.Errorf("a call of %d attempts", len(call))
 		}
 		all = append(all, call...)
 	}
 	return all
 }
 
-// Parts go in calls of at most the batch, and the answer is whole once all are in.
-func TestWhole(t *testing.T) {
+// Subqueries are sent in calls of at most the batch size, and the answer is complete once all are done.
+func TestCompleteAnswer(t *testing.T) {
 	c, tr := start(t, nil)
-	r := ask(0, 20, 20*time.Second)
+	r := newRequest(0, 20, 20*time.Second)
 	c.Submit(r)
 	for n := 0; n < 20; {
 		for _, a := range collect(t, tr, 1) {
@@ -86,26 +89,26 @@
 		}
 	}
 	res := <-r.Done
-	if res.Kind != Answered || !res.Whole || len(res.Parts) != 20 || res.Parts[7].Value != "v7" || res.Parts[7].Attempts != 1 {
+	if res.Kind != Answered || !res.Complete || len(res.Shards) != 20 || res.Shards[7].Value != "v7" || res.Shards[7].Attempts != 1 {
 		t.Errorf("%+v", res)
 	}
 }
 
-// A full table refuses at once and says when to come back.
-func TestFullTable(t *testing.T) {
+// A full in-flight table rejects at once and says when to retry.
+func TestFullInFlightTable(t *testing.T) {
 	c, _ := start(t, nil)
-	c.Submit(ask(0, 50, 20*time.Second))
-	r := ask(0, 10, 20*time.Second)
+	c.Submit(newRequest(0, 50, 20*time.Second))
+	r := newRequest(0, 10, 20*time.Second)
 	c.Submit(r)
-	if res := <-r.Done; res.Kind != Refused || res.Reason != ReasonFull || res.RetryAfter <= 0 {
+	if res := <-r.Done; res.Kind != Rejected || res.Reason != ReasonFull || res.RetryAfter <= 0 {
 		t.Errorf("%+v", res)
 	}
 }
 
-// Two requests of one name could not be told apart at the lot stores: the second fails.
+// Lot stores could not distinguish two requests of one name: the second fails.
 func TestDuplicateName(t *testing.T) {
 	c, _ := start(t, nil)
-	first, second := ask(0, 1, 20*time.Second), ask(0, 1, 20*time.Second)
+	first, second := newRequest(0, 1, 20*time.Second), newRequest(0, 1, 20*time.Second)
 	second.Name = first.Name
 	c.Submit(first)
 	c.Submit(second)
@@ -114,18 +117,18 @@
 	}
 }
 
-// Silence everywhere still ends in one final answer before the client's time is up, and what is out is
+// Where no server answers there is still one final answer before the client times out, and the attempt in flight is
 // cancelled.
-func TestSilence(t *testing.T) {
-	c, tr := start(t, func(c *Core) { // its usual answers are quick, so that it is admitted
+func TestNoServerAnswers(t *testing.T) {
+	c, tr := start(t, func(c *Core) { // its usual latency is low, so that it is admitted
 		c.set.Policy.Classes[1].LatencyTarget = 100 * time.Millisecond
-		c.mixer, _ = policy.New(c.set.Policy, 1)
+		c.scheduler, _ = policy.New(c.set.Policy, 1)
 	})
-	r := ask(1, 1, 2*time.Second)
+	r := newRequest(1, 1, 2*time.Second)
 	c.Submit(r)
 	a := <-tr.calls
 	res := <-r.Done
-	if res.Kind != Failed || res.Reason != ReasonDeadline || res.Parts[0].OK {
+	if res.Kind != Failed || res.Reason != ReasonDeadline || res.Shards[0].OK {
 		t.Errorf("%+v", res)
 	}
 	if got := <-tr.cancels; got != a[0] {
@@ -133,15 +136,15 @@
 	}
 	c.Outcome(a[0], decision.OK, "late") // crosses the cancel, and changes nothing
 	if len(r.Done) != 0 {
-		t.Error("a second final answer")
+		t.Error("per second final answer")
 	}
 }
 
-// A keyed part's repeat carries the end of its window, counted from the first attempt that may have run;
-// one that never ran starts no window.
-func TestKeyedWindow(t *testing.T) {
+// A retry of a deduplicated subquery carries the end of its window, counted from the first attempt that may have run. One
+// that never ran starts no window.
+func TestDeduplicationWindow(t *testing.T) {
 	c, tr := start(t, nil)
-	r := ask(1, 1, 20*time.Second)
+	r := newRequest(1, 1, 20*time.Second)
 	c.Submit(r)
 	first := (<-tr.calls)[0]
 	c.Outcome(first, decision.Rejected, "")
@@ -156,17 +159,17 @@
 		t.Errorf("window ends %v", third.NotAfter)
 	}
 	c.Outcome(third, decision.OK, "v")
-	if res := <-r.Done; !res.Whole || res.Parts[0].Attempts != 3 {
+	if res := <-r.Done; !res.Complete || res.Shards[0].Attempts != 3 {
 		t.Errorf("%+v", res)
 	}
 }
 
-// An answer from part of the weight fails where the client allows none.
-func TestWholeOnly(t *testing.T) {
-	for _, whole := range []bool{false, true} {
-		c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 1; c.mixer, _ = policy.New(c.set.Policy, 1) })
-		r := ask(0, 4, 20*time.Second)
-		r.WholeOnly = whole
+// A partial answer is a failure where the client accepts none.
+func TestCompleteOnly(t *testing.T) {
+	for _, completeOnly := range []bool{false, true} {
+		c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 1; c.scheduler, _ = policy.New(c.set.Policy, 1) })
+		r := newRequest(0, 4, 20*time.Second)
+		r.CompleteOnly = completeOnly
 		c.Submit(r)
 		for _, a := range collect(t, tr, 4) {
 			s := decision.OK
@@ -176,16 +179,16 @@
 			c.Outcome(a, s, "v")
 		}
 		res := <-r.Done
-		if !whole && (res.Kind != Answered || res.Whole) || whole && (res.Kind != Failed || res.Reason != ReasonPartial) {
-			t.Errorf("whole only %v: %+v", whole, res)
+		if !completeOnly && (res.Kind != Answered || res.Complete) || completeOnly && (res.Kind != Failed || res.Reason != ReasonPartial) {
+			t.Errorf("complete only %v: %+v", completeOnly, res)
 		}
-		if res.Parts[2].OK || res.Parts[2].Last != decision.Error || res.Parts[2].Waiting {
-			t.Errorf("%+v", res.Parts[2])
+		if res.Shards[2].OK || res.Shards[2].Last != decision.Error || res.Shards[2].Pending {
+			t.Errorf("%+v", res.Shards[2])
 		}
 	}
 }
 
-// The transport hears of a drain, and nothing goes to that server afterwards.
+// The transport is informed of a draining server, and nothing is sent there afterwards.
 func TestDrainingServer(t *testing.T) {
 	c, tr := start(t, nil)
 	c.List(List{Servers: []mem.Server{{Name: "s1", Addr: "x", State: decision.Draining}}})
@@ -195,7 +198,7 @@
 		}
 	}
 	for range 3 {
-		r := ask(1, 1, 20*time.Second)
+		r := newRequest(1, 1, 20*time.Second)
 		c.Submit(r)
 		a := (<-tr.calls)[0]
 		if a.Server != 2 {
@@ -206,20 +209,20 @@
 	}
 }
 
-// A panic of the Mixer ends what is in hand honestly, and the next request is served.
-func TestMixerPanic(t *testing.T) {
-	r := ask(0, 1, 20*time.Second)
+// A panic of the scheduler fails what is in flight, and the next request is served.
+func TestSchedulerPanic(t *testing.T) {
+	r := newRequest(0, 1, 20*time.Second)
 	c, tr := start(t, func(c *Core) {
-		c.mixer = nil
-		c.Submit(r) // before Run, so that it is in hand at the first step, the one that panics
+		c.scheduler = nil
+		c.Submit(r) // before Run, so that it is in flight at the first step, the one that panics
 	})
 	if res := <-r.Done; res.Kind != Failed || res.Reason != ReasonPanic {
 		t.Errorf("%+v", res)
 	}
-	r = ask(0, 1, 20*time.Second)
+	r = newRequest(0, 1, 20*time.Second)
 	c.Submit(r)
 	c.Outcome((<-tr.calls)[0], decision.OK, "v")
-	if res := <-r.Done; !res.Whole {
+	if res := <-r.Done; !res.Complete {
 		t.Errorf("%+v", res)
 	}
 }
@@ -227,12 +230,12 @@
 // Values of more than an answer can hold are not kept.
 func TestTooManyBytes(t *testing.T) {
 	c, tr := start(t, nil)
-	r := ask(0, 1, 20*time.Second)
+	r := newRequest(0, 1, 20*time.Second)
 	c.Submit(r)
 	for range 4 {
-		c.Outcome((<-tr.calls)[0], decision.OK, string(make([]byte, valuesMost+1)))
+		c.Outcome((<-tr.calls)[0], decision.OK, string(make([]byte, maxValueBytes+1)))
 	}
-	if res := <-r.Done; res.Kind == Answered || res.Parts[0].Value != "" {
+	if res := <-r.Done; res.Kind == Answered || res.Shards[0].Value != "" {
 		t.Errorf("kind %v", res.Kind)
 	}
 }
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -9,16 +9,15 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// What fronts, transport and discovery tell comes through one channel, and here becomes events of
-// the next step here.
+// Inbox: messages of fronts, the transport and discovery arrive through one channel and become events of the next step.
 
 type (
-	left    struct{ r *Request }
-	outcome struct {
+	clientGone struct{ r *Request }
+	outcome    struct {
 		a     *Attempt
 		s     decision.Status
 		value string
-		score *float64 // nil for none
+		score *float64 // nil for a value without one
 	}
 	found struct {
 		a      *Attempt
@@ -28,32 +27,32 @@
 		a   *Attempt
 		why string
 	}
-	probed struct {
+	healthChecked struct {
 		server decision.ServerID
 		ok     bool
 	}
-	ban struct {
+	banChange struct {
 		name string
 		out  bool
-		at   time.Time // since when it is back
-		done chan bool // has room for the one answer
+		at   time.Time // when it was attached again
+		done chan bool // buffered for the one reply
 	}
-	lastCall struct{ at time.Time }
-	snapshot struct{ to chan Snapshot } // has room for the one answer
-	restored struct{ Snapshot }
-	retuned  struct{ set settings.Settings }
+	endBy           struct{ at time.Time }
+	snapshot        struct{ to chan Snapshot } // buffered for the one reply
+	restored        struct{ Snapshot }
+	settingsChanged struct{ set settings.Settings }
 )
 
-// Detach has nothing more sent to a server until Attach, whatever the list says. It returns when that is in
-// force, and false for a name not known.
-func (c *Core) Detach(name string) bool { return c.ban(ban{name: name, out: true}) }
+// Detach stops sending to a server until Attach, whatever the server list says. It returns once that is in force, and
+// false for an unknown name.
+func (c *Core) Detach(name string) bool { return c.ban(banChange{name: name, out: true}) }
 
-// Attach puts a server back, as one that started then.
-func (c *Core) Attach(name string, at time.Time) bool { return c.ban(ban{name: name, at: at}) }
+// Attach ends a Detach. The server counts as one that started at that time.
+func (c *Core) Attach(name string, at time.Time) bool { return c.ban(banChange{name: name, at: at}) }
 
-func (c *Core) ban(b ban) bool {
+func (c *Core) ban(b banChange) bool {
 	b.done = make(chan bool, 1)
-	c.tell(b)
+	c.post(b)
 	select {
 	case ok := <-b.done:
 		return ok
@@ -62,20 +61,20 @@
 	}
 }
 
-// Snapshot is what a successor goes on from.
+// Snapshot is the state that a successor continues from.
 type Snapshot struct {
 	Servers []mem.Server // as listed
 	Banned  []string
-	Back    map[string]time.Time // servers put back, and when
+	Back    map[string]time.Time // when servers were attached again
 	Records map[string]decision.Record
-	// PerSecond is how many parts a second all servers together answered.
+	// PerSecond is how many subqueries per second all servers together answered.
 	PerSecond float64
 }
 
-// Snapshot tells what a successor is to go on from.
+// Snapshot returns the state that a successor is to continue from.
 func (c *Core) Snapshot() (s Snapshot) {
 	to := make(chan Snapshot, 1)
-	c.tell(snapshot{to})
+	c.post(snapshot{to})
 	select {
 	case s = <-to:
 	case <-c.quit:
@@ -83,17 +82,17 @@
 	return s
 }
 
-// Restore goes on from a predecessor's snapshot.
-func (c *Core) Restore(s Snapshot) { c.tell(restored{s}) }
+// Restore continues from a predecessor's snapshot.
+func (c *Core) Restore(s Snapshot) { c.post(restored{s}) }
 
 func (c *Core) snapshot() Snapshot {
-	s := Snapshot{Servers: c.servers.Listed(), Records: map[string]decision.Record{}, PerSecond: c.mixer.PerSecond()}
+	s := Snapshot{Servers: c.servers.Listed(), Records: map[string]decision.Record{}, PerSecond: c.scheduler.PerSecond()}
 	s.Banned, s.Back = c.servers.Bans()
 	names := map[decision.ServerID]string{}
 	for _, x := range s.Servers {
 		names[x.ID] = x.Name
 	}
-	for _, r := range c.mixer.Records() {
+	for _, r := range c.scheduler.Records() {
 		if name := names[r.Server]; name != "" {
 			s.Records[name] = r
 		}
@@ -114,43 +113,44 @@
 	c.events = append(c.events, decision.Learned{Records: records, PerSecond: s.PerSecond})
 }
 
-// Retune puts other settings in force for what is submitted from then on. They must be Over those before.
-func (c *Core) Retune(set settings.Settings) { c.tell(retuned{set}) }
+// ChangeSettings puts settings in force for what is submitted from then on. They must come from Over of the previous ones.
+func (c *Core) ChangeSettings(set settings.Settings) { c.post(settingsChanged{set}) }
 
-// EndBy gives every request its final answer by then, whatever time its client has left.
-func (c *Core) EndBy(at time.Time) { c.tell(lastCall{at}) }
+// EndBy makes every request get its final answer by the given time, whatever its client's time-out.
+func (c *Core) EndBy(at time.Time) { c.post(endBy{at}) }
 
-// Submit hands a request over. Its final answer comes on Done.
-func (c *Core) Submit(r *Request) { c.tell(r) }
+// Submit submits a request. Its final answer is sent on Done.
+func (c *Core) Submit(r *Request) { c.post(r) }
 
-// Leave tells that a request's client has gone away. There is no answer then, unless one was under way.
-func (c *Core) Leave(r *Request) { c.tell(left{r}) }
+// ClientGone reports that a request's client has disconnected. It gets no answer, unless one was already being sent.
+func (c *Core) ClientGone(r *Request) { c.post(clientGone{r}) }
 
-// List tells news of the server list.
-func (c *Core) List(l List) { c.tell(l) }
+// List reports an update of the server list.
+func (c *Core) List(l List) { c.post(l) }
 
 // Outcome implements Reporter.
 func (c *Core) Outcome(a *Attempt, s decision.Status, value string) {
-	c.tell(outcome{a, s, value, nil})
+	c.post(outcome{a, s, value, nil})
 }
 
 // Scored implements Reporter.
 func (c *Core) Scored(a *Attempt, value string, score float64) {
-	c.tell(outcome{a, decision.OK, value, &score})
+	c.post(outcome{a, decision.OK, value, &score})
 }
 
 // Found implements Reporter.
-func (c *Core) Found(a *Attempt, answer *search.Answer) { c.tell(found{a, answer}) }
+func (c *Core) Found(a *Attempt, answer *search.Answer) { c.post(found{a, answer}) }
 
 // Unanswerable implements Reporter.
-func (c *Core) Unanswerable(a *Attempt, why string) { c.tell(unanswerable{a, why}) }
+func (c *Core) Unanswerable(a *Attempt, why string) { c.post(unanswerable{a, why}) }
 
-// Probed implements Reporter.
-func (c *Core) Probed(server decision.ServerID, ok bool) { c.tell(probed{server, ok}) }
+// HealthChecked implements Reporter.
+func (c *Core) HealthChecked(server decision.ServerID, ok bool) { c.post(healthChecked{server, ok}) }
 
-func (c *Core) tell(m any) {
+// post sends a message to the core's goroutine, unless the core has stopped.
+func (c *Core) post(m any) {
 	select {
-	case c.in <- m:
+	case c.inbox <- m:
 	case <-c.quit:
 	}
 }
@@ -161,84 +161,99 @@
 	case *Request:
 		c.arrive(m)
 	case Limits:
-		c.limit(m)
+		c.applyLimits(m)
 	case gateCounts:
 		m.to <- c.countGates()
-	case left:
-		if c.leaveQueue(m.r) {
-			c.recordFinal(m.r, "left", "")
-			return
-		}
-		if q, ok := c.flight.Query(m.r.id); ok && q.Request == m.r {
-			c.recordFinal(m.r, "left", "")
-			c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(m.r.id)})
-			c.forget(q)
-		}
+	case clientGone:
+		c.endForClient(m.r)
 	case outcome:
-		c.guard(m.a.part.q, func() { c.book(m.a, m.s, m.value, m.score) })
+		c.guard(m.a.subquery.q, func() { c.recordOutcome(m.a, m.s, m.value, m.score) })
 	case found:
-		c.guard(m.a.part.q, func() { c.bookFound(m.a, m.answer) })
+		c.guard(m.a.subquery.q, func() { c.recordFound(m.a, m.answer) })
 	case unanswerable:
-		c.guard(m.a.part.q, func() { c.bookUnanswerable(m.a, m.why) })
-	case probed:
+		c.guard(m.a.subquery.q, func() { c.recordUnanswerable(m.a, m.why) })
+	case healthChecked:
 		c.events = append(c.events, decision.HealthChecked{Server: m.server, OK: m.ok})
 	case List:
 		c.list(m)
-	case ban:
-		var news []mem.Server
-		ok := false
-		if m.out {
-			news, ok = c.servers.Ban(m.name)
-		} else {
-			news, ok = c.servers.Unban(m.name, m.at)
-		}
-		c.news(decision.Delta, news)
-		m.done <- ok
+	case banChange:
+		m.done <- c.applyBan(m)
 	case snapshot:
 		m.to <- c.snapshot()
 	case restored:
 		c.restore(m.Snapshot)
-	case retuned:
-		c.set = m.set
-		c.flight.SetCap(m.set.OpenCap)
-		c.openCap.Store(int64(m.set.OpenCap))
-		c.events = append(c.events, decision.SettingsChanged{Settings: m.set.Policy})
-	case lastCall:
+	case settingsChanged:
+		c.applySettings(m.set)
+	case endBy:
 		c.endBy = m.at
-		c.refuseWaiting()
+		c.rejectWaiting()
+	}
+}
+
+// endForClient ends a request whose client has disconnected.
+func (c *Core) endForClient(r *Request) {
+	if c.leaveQueue(r) {
+		c.recordFinal(r, "left", "")
+		return
 	}
+	if q, ok := c.inFlight.Query(r.id); ok && q.Request == r {
+		c.recordFinal(r, "left", "")
+		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(r.id)})
+		c.forget(q)
+	}
+}
+
+// applyBan detaches or attaches a server, and reports whether its name is known.
+func (c *Core) applyBan(b banChange) bool {
+	var changed []mem.Server
+	var ok bool
+	if b.out {
+		changed, ok = c.servers.Ban(b.name)
+	} else {
+		changed, ok = c.servers.Unban(b.name, b.at)
+	}
+	c.applyServers(decision.Delta, changed)
+	return ok
+}
+
+func (c *Core) applySettings(set settings.Settings) {
+	c.set = set
+	c.inFlight.SetLimit(set.OpenCap)
+	c.openCap.Store(int64(set.OpenCap))
+	c.events = append(c.events, decision.SettingsChanged{Settings: set.Policy})
 }
 
-// list brings the list up to date. The transport hears of it first, so that nothing that waits to be
-// written goes to a server that drains or is gone.
+// list applies an update of the server list. The transport is informed first, so that nothing that waits to be written
+// goes to a server that is draining or deregistered.
 func (c *Core) list(l List) {
 	if l.Kind == decision.ListFailed {
 		c.events = append(c.events, decision.ServerList{Kind: l.Kind})
 		return
 	}
-	c.news(l.Kind, c.servers.Apply(l.Kind != decision.Delta, l.Servers, time.Now()))
+	c.applyServers(l.Kind, c.servers.Apply(l.Kind != decision.Delta, l.Servers, time.Now()))
 }
 
-func (c *Core) news(kind decision.ListKind, news []mem.Server) {
-	c.transport.Servers(news)
-	for _, s := range news {
-		if c.index != nil { // what a process promised ends with it
-			c.index.Forget(uint32(s.ID))
+// applyServers passes changed entries of the server list on.
+func (c *Core) applyServers(kind decision.ListKind, changed []mem.Server) {
+	c.transport.Servers(changed)
+	for _, s := range changed {
+		if c.search.index != nil { // bounds learned of a process end with it
+			c.search.index.Forget(uint32(s.ID))
 		}
 		c.log.Info("list", "store", s.ID, "name", s.Name, "addr", s.Addr, "cell", s.Cell, "state", stateNames[s.State])
 	}
-	c.events = append(c.events, decision.ServerList{Kind: kind, Servers: c.infos(news)})
+	c.events = append(c.events, decision.ServerList{Kind: kind, Servers: c.serverInfos(changed)})
 }
 
 var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Deregistered: "gone"}
 
-// infos gives lines of the list the Mixer's form.
-func (c *Core) infos(list []mem.Server) []decision.ServerInfo {
+// serverInfos converts entries of the server list to those of the scheduler.
+func (c *Core) serverInfos(list []mem.Server) []decision.ServerInfo {
 	infos := make([]decision.ServerInfo, 0, len(list))
 	for _, s := range list {
 		i := decision.ServerInfo{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: s.State, Nominal: s.Weight}
-		if !s.Born.IsZero() {
-			i.Started = max(c.at(s.Born), 0)
+		if !s.Started.IsZero() {
+			i.Started = max(c.at(s.Started), 0)
 		}
 		infos = append(infos, i)
 	}
--- a/internal/gatherer/gather/relay.go
+++ b/internal/gatherer/gather/relay.go
@@ -7,30 +7,30 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Relay: the Mixer's final decision on a query goes to its front at once. Nothing is ever held back.
+// Relay: the scheduler's final decision on a query goes to its front at once.
 
 func (c *Core) relayAnswer(a decision.Answer) {
-	q, ok := c.flight.Query(uint64(a.Query))
+	q, ok := c.inFlight.Query(uint64(a.Query))
 	switch {
 	case !ok:
-	case !a.Final && !(q.WholeOnly && !a.Complete):
-		c.fetch(q, a.Complete)
-	case q.WholeOnly && !(a.Complete && q.allIn()):
-		c.events = append(c.events, decision.ClientGone{Query: a.Query}) // of the first step, all that is left to do
+	case !a.Final && (!q.CompleteOnly || a.Complete):
+		c.startSecondStep(q, a.Complete)
+	case q.CompleteOnly && (!a.Complete || !q.pageComplete()):
+		c.events = append(c.events, decision.ClientGone{Query: a.Query}) // ends the query where the first step ended
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPartial})
 	default:
-		c.finish(q, Result{Kind: Answered, Whole: a.Complete && q.allIn()})
+		c.finish(q, Result{Kind: Answered, Complete: a.Complete && q.pageComplete()})
 	}
 }
 
-func (c *Core) relayRefusal(r decision.Reject) {
-	if q, ok := c.flight.Query(uint64(r.Query)); ok {
-		c.finish(q, Result{Kind: Refused, RetryAfter: r.RetryAfter, Reason: ReasonGivenUp})
+func (c *Core) relayRejection(r decision.Reject) {
+	if q, ok := c.inFlight.Query(uint64(r.Query)); ok {
+		c.finish(q, Result{Kind: Rejected, RetryAfter: r.RetryAfter, Reason: ReasonGivenUp})
 	}
 }
 
 func (c *Core) relayFailure(f decision.Fail) {
-	if q, ok := c.flight.Query(uint64(f.Query)); ok {
+	if q, ok := c.inFlight.Query(uint64(f.Query)); ok {
 		reason := ReasonGivenUp
 		if c.now() >= c.at(q.Deadline)-3*c.set.Policy.Tick {
 			reason = ReasonDeadline
@@ -39,59 +39,59 @@
 	}
 }
 
-// endAll ends what is in hand when the last answers are due.
-func (c *Core) endAll(now time.Duration) {
+// endAllDue ends all requests in flight when the last answers are due.
+func (c *Core) endAllDue(now time.Duration) {
 	if c.endBy.IsZero() || now < c.at(c.endBy) {
 		return
 	}
-	for _, q := range c.flight.Queries() {
+	for _, q := range c.inFlight.Queries() {
 		kind := Failed
-		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.parts, func(p *part) bool { return p.mayRun > 0 }) {
-			kind = Refused
+		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.subqueries, func(p *subquery) bool { return p.mayRun > 0 }) {
+			kind = Rejected
 		}
-		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)}) // the Mixer calls off what is out
+		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)}) // the scheduler cancels what is in flight
 		c.finish(q, Result{Kind: kind, Reason: ReasonStopping})
 	}
 }
 
-// finish gives a query its final answer and takes it off the table.
+// finish gives a query its final answer with the results of its shards, and removes it.
 func (c *Core) finish(q *query, r Result) {
-	r.Parts = make([]PartResult, len(q.parts))
-	for i, p := range q.parts {
-		r.Parts[i] = p.result()
+	r.Shards = make([]ShardResult, len(q.subqueries))
+	for i, p := range q.subqueries {
+		r.Shards[i] = p.result()
 	}
 	q.finishSecond(&r)
 	c.finishSearch(q, &r)
-	c.tellFinal(q, r)
+	c.deliver(q, r)
 }
 
-// tellFinal hands a query's final answer over and takes it off the table.
-func (c *Core) tellFinal(q *query, r Result) {
-	q.out(c.now(), r.Kind == Answered)
+// deliver sends a query's final answer to its front and removes the query.
+func (c *Core) deliver(q *query, r Result) {
+	q.leaveRoute(c.now(), r.Kind == Answered)
 	c.recordFinal(q.Request, kinds[r.Kind], r.Reason)
 	q.Done <- r
 	c.forget(q)
 }
 
-// result is what has come of a part so far.
-func (p *part) result() PartResult {
+// result is the result of a subquery so far.
+func (p *subquery) result() ShardResult {
 	r := *p.res
-	r.Waiting = !r.OK && !r.Skipped && (p.cut || len(p.attempts) == 0 ||
-		slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.outcome }))
+	r.Pending = !r.OK && !r.Skipped && (p.unfinished || len(p.attempts) == 0 ||
+		slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }))
 	return r
 }
 
-// forget takes a query off the table. The Mixer has cancelled, or now cancels, what is out for it.
+// forget removes a query. The scheduler has cancelled its attempts in flight, or does so now.
 func (c *Core) forget(q *query) {
 	q.over = true
-	q.out(c.now(), false) // unless finish has told
+	q.leaveRoute(c.now(), false) // unless deliver has reported it
 	c.forgetSearch(q)
-	c.flight.Remove(q.id, q.Name, append(ids(q.parts), ids(q.second)...), time.Now())
+	c.inFlight.Remove(q.id, q.Name, append(ids(q.subqueries), ids(q.second)...), time.Now())
 }
 
-func ids(parts []*part) []uint64 {
-	ids := make([]uint64, len(parts))
-	for i, p := range parts {
+func ids(subqueries []*subquery) []uint64 {
+	ids := make([]uint64, len(subqueries))
+	for i, p := range subqueries {
 		ids[i] = p.id
 	}
 	return ids
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -6,23 +6,23 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Route: the sends of one step to one server travel as one call, up to the batch that the settings give.
+// Route: the sends of one step to one server share a call, up to the batch size of the settings.
 
-// call is what one server is sent at once.
+// call is the attempts that are sent to one server together.
 type call struct {
 	server   decision.ServerID
 	attempts []*Attempt
 }
 
-// route makes an attempt of a send and puts it into its server's call.
-func (c *Core) route(s decision.Send) {
-	p, ok := c.flight.Part(uint64(s.Subquery))
+// addSend makes an attempt of a send and adds it to its server's call.
+func (c *Core) addSend(s decision.Send) {
+	p, ok := c.inFlight.Subquery(uint64(s.Subquery))
 	if !ok {
 		return // its query has ended in this step
 	}
 	now := c.steppedAt
 	a := &Attempt{Query: p.q.Name, Class: p.q.Class, Key: p.q.Key, Shard: p.res.Shard, Number: len(p.attempts),
-		Text: p.q.Text, Server: s.Server, Ask: p.ask, Load: p.load, Until: c.start.Add(now - epoch + s.Limit), part: p, sent: now}
+		Text: p.q.Text, Server: s.Server, Search: p.search, Load: p.load, Until: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
 	k := c.set.Policy.Classes[p.q.Class]
 	if k.Effect == decision.Deduplicated && p.mayRun > 0 {
 		// Two ticks short of the window: the way to the lot store takes time as well.
@@ -32,9 +32,9 @@
 		p.mayRun = now
 	}
 	p.attempts = append(p.attempts, a)
-	c.out[a] = struct{}{}
-	if !c.pass(p.q, a.Number) { // the route's budget of repeats is used up
-		c.report(a, decision.NotSent)
+	c.attempts[a] = struct{}{}
+	if !c.withinBudget(p.q, a.Number) { // the retry budget of the route is used up
+		c.endAttempt(a, decision.NotSent)
 		return
 	}
 	p.res.Attempts++
@@ -47,42 +47,42 @@
 	c.calls = append(c.calls, call{s.Server, []*Attempt{a}})
 }
 
-// settleFor is how long after a server was told of a cancel its part may be sent elsewhere: two connections
-// may be read in another order than they were written, and never are two attempts of a part to be out.
-const settleFor = 5 * time.Millisecond
+// cancelGrace is how long after a server was told of a cancellation the subquery may be sent elsewhere. Two connections
+// may be read in another order than they were written, and two attempts of a subquery must never be in flight.
+const cancelGrace = 5 * time.Millisecond
 
-// cancel gives up the attempt that the Mixer names. Its outcome follows when that is through.
+// cancel cancels an attempt. Its outcome follows when the cancellation is confirmed.
 func (c *Core) cancel(x decision.Cancel) {
-	for a := range c.out {
-		if a.part.id == uint64(x.Subquery) && a.Number == x.Attempt {
+	for a := range c.attempts {
+		if a.subquery.id == uint64(x.Subquery) && a.Number == x.Attempt {
 			if a.called {
 				c.transport.Cancel(a)
 			} else {
-				c.report(a, decision.Cancelled)
+				c.endAttempt(a, decision.Cancelled)
 			}
 			return
 		}
 	}
 }
 
-// dueAt is when an attempt ends if nothing comes for it.
+// dueAt is when an attempt ends if no outcome is reported.
 func (c *Core) dueAt(a *Attempt) time.Duration {
-	if a.settled > 0 {
-		return a.settled
+	if a.cancelledAt > 0 {
+		return a.cancelledAt
 	}
 	return c.at(a.Until)
 }
 
-// expire ends the attempts whose time is up, and those whose cancel has settled.
+// expire ends the attempts that have timed out, and those whose cancellation is confirmed.
 func (c *Core) expire(now time.Duration) {
-	for a := range c.out {
+	for a := range c.attempts {
 		switch {
 		case c.dueAt(a) > now:
-		case a.settled > 0:
-			c.report(a, decision.Cancelled)
+		case a.cancelledAt > 0:
+			c.endAttempt(a, decision.Cancelled)
 		default:
 			c.transport.Cancel(a)
-			c.report(a, decision.TimedOut)
+			c.endAttempt(a, decision.TimedOut)
 		}
 	}
 }
--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -8,58 +8,52 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// Searches: a request with a search.Query is led by a plan, which says what to ask of which range and what the page
-// is. The core carries the plan's orders to the Mixer and lot stores' answers to the plan, and decides nothing.
-
-// searches is the core's own state of searches.
-type searches struct {
-	index   *search.Index   // nil where nothing is to be learnt
-	chooser *search.Chooser // nil where all goes in one phase
-	phased  map[*query]struct{}
-	held    int // bytes of lot stores' answers that are in hand
-	most    int // of held; 0 for no bound
+// Searches: a request with a search.Query is led by a plan, which says what to ask of which range and what the page is.
+// The core passes the plan's orders to the scheduler and the lot stores' answers to the plan, and decides nothing.
+
+// searchState is the core's state of searches.
+type searchState struct {
+	index     *search.Index   // nil where no bounds are to be learned
+	chooser   *search.Chooser // nil where all searches have one phase
+	phased    map[*query]struct{}
+	bytesHeld int // of lot stores' answers queued in memory
+	maxBytes  int // of bytesHeld; 0 for no bound
 }
 
-// fetchUsual is how many usual answer times the plan leaves to the second step, whose end is the Mixer's to say.
+// fetchUsual is how many usual latencies the plan leaves to the second step, whose end the scheduler decides.
 const fetchUsual = 2
 
-// queryMost is the share of all bytes that one query may hold.
-const queryMost = 0.25
+// maxQueryShare is the fraction of maxBytes that one query may hold.
+const maxQueryShare = 0.25
 
-// SearchConfig says how searches are put to lot stores.
+// SearchConfig says how searches are executed.
 type SearchConfig struct {
-	Phases search.Phases // One or Two to force it, 0 for what was measured to be better
-	Ranges int           // there are
-	Bounds int           // that are remembered at the most, about 100 bytes each; 0 for none
-	Bytes  int           // of lot stores' answers in hand at the most; 0 for no bound
+	Phases search.Phases // One or Two to force it, 0 for whichever is measured to be better
+	Ranges int           // number of ranges
+	Bounds int           // remembered at most, about 100 bytes each; 0 for none
+	Bytes  int           // of lot stores' answers queued in memory at most; 0 for no bound
 }
 
-// Searches sets how searches are led. It must come before Run.
-func (c *Core) Searches(s SearchConfig) {
-	c.chooser, c.most = search.NewChooser(s.Phases), s.Bytes
+// ConfigureSearches sets how searches are executed. It must be called before Run.
+func (c *Core) ConfigureSearches(s SearchConfig) {
+	c.search.chooser, c.search.maxBytes = search.NewChooser(s.Phases), s.Bytes
 	if s.Bounds > 0 {
-		c.index = search.NewIndex(s.Ranges, s.Bounds)
+		c.search.index = search.NewIndex(s.Ranges, s.Bounds)
 	}
-	c.phased = map[*query]struct{}{}
+	c.search.phased = map[*query]struct{}{}
 }
 
-// lead is what a query has more if it is a search.
-type lead struct {
-	plan *search.Plan
-	at   time.Duration
-}
-
-// startSearch makes the plan of a query that is a search. It says which ranges are asked first, whether the plan has
-// two steps, and how many parts its second is expected to have.
+// startSearch makes the plan of a query that is a search. It returns the plan's first orders, whether the plan has two
+// steps, and how many subqueries its second step is expected to have.
 func (c *Core) startSearch(q *query) (first search.Orders, phased bool, fetch int) {
 	if q.Search == nil {
 		return first, false, 0
 	}
 	class := c.set.Policy.Classes[q.Class]
 	phases := search.One
-	if c.chooser != nil && class.MaxAttempts > 1 { // the listings want an attempt of their own
-		why := ""
-		if phases, why = c.chooser.Choose(q.Class, q.Search, len(q.Shards)); why != "" {
+	if c.search.chooser != nil && class.MaxAttempts > 1 { // the listings need an attempt of their own
+		var why string
+		if phases, why = c.search.chooser.Choose(q.Class, q.Search, len(q.Shards)); why != "" {
 			c.log.Info("phases changed", "why", why)
 		}
 	}
@@ -67,87 +61,87 @@
 	for i, s := range q.Shards {
 		ranges[i] = search.Range{Number: s.Number, Weight: s.Weight}
 	}
-	q.plan, q.at = search.NewPlan(q.Search, phases, ranges, c.index), c.now()
+	q.plan, q.startedAt = search.NewPlan(q.Search, phases, ranges, c.search.index), c.now()
 	fetch = q.plan.ExpectFetch()
-	aim, usual := min(class.LatencyTarget, c.at(q.Deadline)-q.at), c.mixer.UsualLatency()
-	first = q.plan.Start(q.at, search.Times{End: q.at + max(aim-fetchUsual*usual, aim/2), Usual: usual})
+	target, usual := min(class.LatencyTarget, c.at(q.Deadline)-q.startedAt), c.scheduler.UsualLatency()
+	first = q.plan.Start(q.startedAt, search.Times{End: q.startedAt + max(target-fetchUsual*usual, target/2), Usual: usual})
 	if phases == search.Two {
-		c.phased[q] = struct{}{}
+		c.search.phased[q] = struct{}{}
 	}
 	return first, phases == search.Two, fetch
 }
 
-// askScores is what the first step asks of the range at a place; nil for what is no search.
-func (q *query) askScores(i int) *Ask {
+// firstStepSearch is what the first step asks of the i-th range; nil if the query is no search.
+func (q *query) firstStepSearch(i int) *ShardSearch {
 	if q.plan == nil {
 		return nil
 	}
-	return &Ask{Query: q.Search, Scores: q.plan.Phases == search.Two, Extremes: q.plan.WantsExtremes(i)}
+	return &ShardSearch{Query: q.Search, ScoresOnly: q.plan.Phases == search.Two, Extremes: q.plan.WantsExtremes(i)}
 }
 
-// order brings the plan's orders to the Mixer.
-func (c *Core) order(q *query, o search.Orders) {
+// applyOrders passes the plan's orders to the scheduler.
+func (c *Core) applyOrders(q *query, o search.Orders) {
 	if len(o.Ask)+len(o.Skip) == 0 {
 		return
 	}
 	e := decision.Planned{Query: decision.QueryID(q.id)}
 	for _, i := range o.Ask {
-		e.Request = append(e.Request, decision.SubqueryID(q.parts[i].id))
+		e.Request = append(e.Request, decision.SubqueryID(q.subqueries[i].id))
 	}
 	for _, i := range o.Skip {
-		q.parts[i].res.Skipped = true
-		e.Skip = append(e.Skip, decision.SubqueryID(q.parts[i].id))
+		q.subqueries[i].res.Skipped = true
+		e.Skip = append(e.Skip, decision.SubqueryID(q.subqueries[i].id))
 	}
 	c.events = append(c.events, e)
 }
 
-// bookFound records an answer of a lot store to a search.
-func (c *Core) bookFound(a *Attempt, found *search.Answer) {
-	p, q := a.part, a.part.q
+// recordFound records a lot store's answer to a search.
+func (c *Core) recordFound(a *Attempt, found *search.Answer) {
+	p, q := a.subquery, a.subquery.q
 	switch {
-	case a.outcome:
+	case a.ended:
 		return // timed out while this was on its way
 	case q.over || p.res.OK:
-		c.report(a, decision.OK)
+		c.endAttempt(a, decision.OK)
 		return
-	case a.Ask.IDs == nil && !q.plan.Fits(p.place, found):
-		c.report(a, decision.NotSent) // another copy may; and nothing speaks against this one
+	case a.Search.IDs == nil && !q.plan.Fits(p.index, found):
+		c.endAttempt(a, decision.NotSent) // another replica's may fit, and this one is not at fault
 		return
-	case q.overAnswer(found.Bytes):
-		c.report(a, decision.Error) // as the route has it
+	case q.answerTooLarge(found.Bytes):
+		c.endAttempt(a, decision.Error) // beyond the limit of the route
 		return
-	case c.most > 0 && (c.held+found.Bytes > c.most || float64(q.bytes+found.Bytes) > queryMost*float64(c.most)):
-		c.report(a, decision.Error) // there is no room for it
+	case c.search.maxBytes > 0 && (c.search.bytesHeld+found.Bytes > c.search.maxBytes || float64(q.bytes+found.Bytes) > maxQueryShare*float64(c.search.maxBytes)):
+		c.endAttempt(a, decision.Error) // beyond the limit of memory
 		return
 	}
 	q.bytes += found.Bytes
-	c.held += found.Bytes
-	p.res.OK = a.Ask.IDs != nil || !q.plan.Closed()
+	c.search.bytesHeld += found.Bytes
+	p.res.OK = a.Search.IDs != nil || !q.plan.Closed()
 	sent := a.sent
-	c.report(a, decision.OK)
-	if a.Ask.IDs != nil {
-		q.plan.Listed(p.place, found)
+	c.endAttempt(a, decision.OK)
+	if a.Search.IDs != nil {
+		q.plan.Listed(p.index, found)
 		return
 	}
-	c.order(q, q.plan.Scored(p.place, uint32(a.Server), found, sent, c.now()))
+	c.applyOrders(q, q.plan.Scored(p.index, uint32(a.Server), found, sent, c.now()))
 }
 
-// bookUnanswerable records that a lot store cannot answer a question. It counts as never sent, as nothing speaks
-// against the lot store: one client's bad query must not have all of them taken for failing.
-func (c *Core) bookUnanswerable(a *Attempt, why string) {
-	if a.outcome {
+// recordUnanswerable records that a lot store cannot answer a query. The attempt counts as not sent: one client's bad
+// query must not make all lot stores look unhealthy.
+func (c *Core) recordUnanswerable(a *Attempt, why string) {
+	if a.ended {
 		return
 	}
-	q := a.part.q
-	c.report(a, decision.NotSent)
+	q := a.subquery.q
+	c.endAttempt(a, decision.NotSent)
 	if !q.over && q.plan.Refused(uint32(a.Server)) {
 		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
 	}
 }
 
-// allIn says whether nothing of the page is missing; true of what is no search.
-func (q *query) allIn() bool {
+// pageComplete reports whether nothing of the page is missing. It is true of a query that is no search.
+func (q *query) pageComplete() bool {
 	if q.plan == nil {
 		return true
 	}
@@ -158,7 +152,7 @@
 	return r.Whole()
 }
 
-// finishSearch fills in what came of a search.
+// finishSearch fills in the result of a search.
 func (c *Core) finishSearch(q *query, r *Result) {
 	if q.plan == nil {
 		return
@@ -167,23 +161,23 @@
 		q.plan.Close()
 	}
 	r.Search, r.Phases = q.plan.Result(), q.plan.Phases
-	sent := slices.ContainsFunc(r.Parts, func(p PartResult) bool { return p.Attempts > 0 })
-	if c.chooser != nil && sent && r.Reason != ReasonQuestion { // one that was refused unsent says nothing of either way
-		c.chooser.Measured(q.Class, q.plan, c.now()-q.at, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
+	sent := slices.ContainsFunc(r.Shards, func(p ShardResult) bool { return p.Attempts > 0 })
+	if c.search.chooser != nil && sent && r.Reason != ReasonQuestion { // one rejected before any send says nothing of either
+		c.search.chooser.Measured(q.Class, q.plan, c.now()-q.startedAt, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
 	}
 }
 
-// forgetSearch frees what a search holds.
+// forgetSearch releases the memory of a search.
 func (c *Core) forgetSearch(q *query) {
 	if q.plan != nil {
-		delete(c.phased, q)
-		c.held -= q.bytes
+		delete(c.search.phased, q)
+		c.search.bytesHeld -= q.bytes
 	}
 }
 
-// searchDue is when the next plan wants to be told the time, or due if that is sooner.
+// searchDue is when the next plan wants a tick, or due if that is sooner.
 func (c *Core) searchDue(due time.Duration) time.Duration {
-	for q := range c.phased {
+	for q := range c.search.phased {
 		if d := q.plan.Due(); d > 0 {
 			due = min(due, d)
 		}
@@ -191,11 +185,11 @@
 	return due
 }
 
-// tickSearches tells plans the time.
+// tickSearches passes the time to plans that want it.
 func (c *Core) tickSearches(now time.Duration) {
-	for q := range c.phased {
+	for q := range c.search.phased {
 		if d := q.plan.Due(); d > 0 && now >= d {
-			c.guard(q, func() { c.order(q, q.plan.Tick(now)) })
+			c.guard(q, func() { c.applyOrders(q, q.plan.Tick(now)) })
 		}
 	}
 }
--- a/internal/gatherer/gather/send.go
+++ b/internal/gatherer/gather/send.go
@@ -1,16 +1,16 @@
 package gather
 
-// Send: the calls of a step leave together, when all of its actions are known, so that an attempt that
-// the same step cancelled is not sent at all. They leave behind all that the step has ended, so their time of leaving is
-// read here: by the step's start an attempt would seem to overlap the one that it follows.
+// Send: the calls of a step are sent together, when all of its actions have been carried out, so that an attempt that the
+// same step cancelled is not sent at all. They follow all that the step has ended, so the time of sending is read here:
+// by the time of the step an attempt would seem to overlap the one that it follows.
 
 func (c *Core) sendCalls() {
 	now := c.now()
 	for _, k := range c.calls {
 		attempts := k.attempts[:0]
 		for _, a := range k.attempts {
-			if !a.outcome {
-				a.called, a.handed = true, now
+			if !a.ended {
+				a.called, a.calledAt = true, now
 				attempts = append(attempts, a)
 			}
 		}
--- a/internal/gatherer/lifecycle/daemon.go
+++ b/internal/gatherer/lifecycle/daemon.go
@@ -142,7 +142,7 @@
 		return nil, fmt.Errorf("limits: %w", err)
 	}
 	if f != nil && f.Stores {
-		core.Searches(gather.SearchConfig{Phases: f.Phases, Ranges: c.Settings.Shards,
+		core.ConfigureSearches(gather.SearchConfig{Phases: f.Phases, Ranges: c.Settings.Shards,
 			Bounds: c.MemoryMB << 20 / boundPart / boundBytes, Bytes: c.MemoryMB << 20 / searchPart})
 	}
 	d.tr = tr
@@ -152,7 +152,7 @@
 		if d.record, err = record.Open(record.Config{Dir: c.RecordDir, FileSize: recordFile, Files: recordFiles, Ring: recordRing, Log: logger}); err != nil {
 			return nil, err
 		}
-		core.RecordTo(d.record.Record)
+		core.SetRecorder(d.record.Record)
 		logger.Info("record", "folder", c.RecordDir)
 	}
 	go core.Run()
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -17,7 +17,7 @@
 
 // LimitClasses are the operator's classes as limits know them.
 func LimitClasses(set *settings.Settings) (list []limits.Class) {
-	effects := map[decision.Effect]limits.Effect{decision.Idempotent: limits.Safe, decision.Deduplicated: limits.Keyed, decision.NotIdempotent: limits.Unsafe}
+	effects := map[decision.Effect]limits.Effect{decision.Idempotent: limits.Idempotent, decision.Deduplicated: limits.Deduplicated, decision.NotIdempotent: limits.NotIdempotent}
 	for i, name := range set.Classes {
 		if set.Class(name) != i {
 			continue // kept for requests in hand only
@@ -27,7 +27,7 @@
 		if attempts == 0 {
 			attempts = set.Policy.MaxAttempts
 		}
-		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], Wanted: k.LatencyTarget, GiveUp: k.Deadline, Window: k.Window,
+		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], LatencyTarget: k.LatencyTarget, Timeout: k.Deadline, Window: k.Window,
 			Attempts: attempts, Floor: k.Floor})
 	}
 	return list
@@ -51,17 +51,17 @@
 			l := r.Limits
 			var n int
 			set, n = set.Narrow(i, func(k *decision.Class) {
-				if l.Wanted > 0 {
-					k.LatencyTarget = min(k.LatencyTarget, l.Wanted)
+				if l.LatencyTarget > 0 {
+					k.LatencyTarget = min(k.LatencyTarget, l.LatencyTarget)
 				}
-				if l.GiveUp > 0 {
-					k.Deadline = min(k.Deadline, l.GiveUp)
+				if l.Timeout > 0 {
+					k.Deadline = min(k.Deadline, l.Timeout)
 				}
 				if l.Attempts > 0 {
 					k.MaxAttempts = l.Attempts
 				}
-				if l.Least > 0 {
-					k.Floor = max(k.Floor, min(l.Least, k.Need))
+				if l.MinWeight > 0 {
+					k.Floor = max(k.Floor, min(l.MinWeight, k.Need))
 				}
 			})
 			numbers[key{r.Name, i}] = n
@@ -118,8 +118,8 @@
 		set, l.Class = narrowed(set, c.Limits.Routes)
 		l.Table, l.Repeats = c.Limits.Table, c.Limits.Repeats
 	}
-	d.core.Retune(set)
-	d.core.Limit(l)
+	d.core.ChangeSettings(set)
+	d.core.SetLimits(l)
 	return set
 }
 
--- a/internal/gatherer/limits/budget.go
+++ b/internal/gatherer/limits/budget.go
@@ -11,7 +11,7 @@
 
 const slotCount = 10
 
-func (s *slots) turn(now, span time.Duration) {
+func (s *slots) advance(now, span time.Duration) {
 	step := max(span/slotCount, 1)
 	gone := (now - s.at) / step
 	if gone <= 0 {
@@ -25,12 +25,12 @@
 }
 
 func (s *slots) add(now, span time.Duration, x float64) {
-	s.turn(now, span)
+	s.advance(now, span)
 	s.n[s.head] += x
 }
 
 func (s *slots) sum(now, span time.Duration) (total float64) {
-	s.turn(now, span)
+	s.advance(now, span)
 	for _, x := range s.n {
 		total += x
 	}
@@ -38,22 +38,22 @@
 }
 
 // budget is a retry budget.
-type budget struct{ first, further slots }
+type budget struct{ first, retries slots }
 
-func (b *budget) attempt(r Repeats, now time.Duration) {
+func (b *budget) countFirst(r RetryBudget, now time.Duration) {
 	if r.Span > 0 {
 		b.first.add(now, r.Span, 1)
 	}
 }
 
 // repeat says whether a further attempt fits, and counts it if so.
-func (b *budget) repeat(r Repeats, now time.Duration) bool {
+func (b *budget) retry(r RetryBudget, now time.Duration) bool {
 	if r.Span <= 0 {
 		return true
 	}
-	if b.further.sum(now, r.Span)+1 > r.Free+r.Share*b.first.sum(now, r.Span) {
+	if b.retries.sum(now, r.Span)+1 > r.Minimum+r.Ratio*b.first.sum(now, r.Span) {
 		return false
 	}
-	b.further.add(now, r.Span, 1)
+	b.retries.add(now, r.Span, 1)
 	return true
 }
--- a/internal/gatherer/limits/check.go
+++ b/internal/gatherer/limits/check.go
@@ -10,37 +10,37 @@
 
 // The effects.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Effect = iota
+	Deduplicated
+	NotIdempotent
 )
 
 // Class is what the operator's settings say of a class: limits must stay within.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Wanted   time.Duration
-	GiveUp   time.Duration
+	LatencyTarget   time.Duration
+	Timeout   time.Duration
 	Window   time.Duration // of a keyed class: repeats are dropped so long
 	Attempts int
 	Floor    float64 // least share of any answer
 }
 
 // Breach is one rule that a route's limits break.
-type Breach struct {
+type Violation struct {
 	Field string // as the file has it
 	Rule  string // which rule, and what would be allowed
 }
 
 // Check says how limits break the rules of the class that they are for; none is let through.
-func (l Limits) Check(c Class) (list []Breach) {
-	add := func(field, rule string) { list = append(list, Breach{field, rule}) }
-	wanted, giveUp := l.Wanted, l.GiveUp
+func (l Limits) Check(c Class) (list []Violation) {
+	add := func(field, rule string) { list = append(list, Violation{field, rule}) }
+	wanted, giveUp := l.LatencyTarget, l.Timeout
 	if wanted == 0 {
-		wanted = c.Wanted
+		wanted = c.LatencyTarget
 	}
 	if giveUp == 0 {
-		giveUp = c.GiveUp
+		giveUp = c.Timeout
 	}
 	switch {
 	case l.Attempts < 0:
@@ -48,31 +48,31 @@
 	case l.Attempts > c.Attempts:
 		add("attempts", sprint("the settings allow at most ", c.Attempts, " attempts of a part of ", c.Name))
 	}
-	if l.GiveUp < 0 || l.GiveUp > c.GiveUp {
-		add("give_up", sprint("clients of ", c.Name, " give up at ", c.GiveUp, ": wants more than 0 and at most that"))
+	if l.Timeout < 0 || l.Timeout > c.Timeout {
+		add("give_up", sprint("clients of ", c.Name, " give up at ", c.Timeout, ": wants more than 0 and at most that"))
 	}
-	if l.Wanted < 0 || l.Wanted > c.Wanted {
-		add("wanted", sprint("an answer of ", c.Name, " is wanted within ", c.Wanted, ": wants more than 0 and at most that"))
+	if l.LatencyTarget < 0 || l.LatencyTarget > c.LatencyTarget {
+		add("wanted", sprint("an answer of ", c.Name, " is wanted within ", c.LatencyTarget, ": wants more than 0 and at most that"))
 	} else if wanted > giveUp {
 		add("wanted", sprint("is past the give-up time of ", giveUp))
 	}
-	if l.Least != 0 && (l.Least < c.Floor || l.Least > 1) {
+	if l.MinWeight != 0 && (l.MinWeight < c.Floor || l.MinWeight > 1) {
 		add("least", sprint("an answer of ", c.Name, " needs ", c.Floor, " of the weight: wants that to 1"))
 	}
 	for _, x := range []struct {
 		field string
 		n     int
-	}{{"body", l.Body}, {"answer", l.Answer}, {"depth", l.Depth}, {"priority", l.Priority},
-		{"concurrency.most", l.Concurrency.Most}, {"concurrency.floor", l.Concurrency.Floor}, {"concurrency.queue", l.Concurrency.Queue}} {
+	}{{"body", l.MaxBody}, {"answer", l.MaxAnswer}, {"depth", l.MaxDepth}, {"priority", l.Priority},
+		{"concurrency.most", l.Concurrency.Max}, {"concurrency.floor", l.Concurrency.Floor}, {"concurrency.queue", l.Concurrency.Queue}} {
 		if x.n < 0 {
 			add(x.field, "wants 0 or more")
 		}
 	}
 	k := l.Concurrency
-	if k.Floor > k.Most {
-		add("concurrency.floor", sprint("is over concurrency.most of ", k.Most))
+	if k.Floor > k.Max {
+		add("concurrency.floor", sprint("is over concurrency.most of ", k.Max))
 	}
-	if k.Queue > 0 && k.Most == 0 {
+	if k.Queue > 0 && k.Max == 0 {
 		add("concurrency.queue", "has nothing to wait for without concurrency.most")
 	}
 	if k.Wait < 0 || k.Wait >= giveUp {
@@ -86,9 +86,9 @@
 	} else if r.Burst < 0 || r.PerSecond > 0 && r.Burst == 0 {
 		add("rate.burst", "wants 1 at least")
 	}
-	if b := l.Repeats; b.Span < 0 || b.Span == 0 && (b.Share > 0 || b.Free > 0) {
+	if b := l.Retries; b.Span < 0 || b.Span == 0 && (b.Ratio > 0 || b.Minimum > 0) {
 		add("repeats.span", "wants more than 0")
-	} else if b.Span > 0 && (!(b.Share >= 0) || !(b.Free >= 0) || b.Share+b.Free == 0 || b.Share > float64(c.Attempts)) {
+	} else if b.Span > 0 && (!(b.Ratio >= 0) || !(b.Minimum >= 0) || b.Ratio+b.Minimum == 0 || b.Ratio > float64(c.Attempts)) {
 		add("repeats.share", sprint("a budget of 0 repeats nothing ever, and more than ", c.Attempts, " to one is none: say attempts 1, or leave it out"))
 	}
 	return list
@@ -105,31 +105,31 @@
 
 // Check adds a schedule up: the last attempt of a keyed class must begin inside its window, and the whole must end by the
 // time that the client gives up.
-func (p Plan) Check(c Class, giveUp time.Duration) (list []Breach) {
+func (p Plan) Check(c Class, giveUp time.Duration) (list []Violation) {
 	if p.Timeout == 0 && p.Wait == 0 {
 		return nil
 	}
 	if giveUp == 0 {
-		giveUp = c.GiveUp
+		giveUp = c.Timeout
 	}
 	n := p.Attempts
 	if n == 0 {
 		n = c.Attempts
 	}
 	if p.Timeout < 0 || p.Wait < 0 || !(p.Jitter >= 0 && p.Jitter <= 1) {
-		return []Breach{{"attempt", "wants a time-out and a wait of 0 or more, and a jitter of 0 to 1"}}
+		return []Violation{{"attempt", "wants a time-out and a wait of 0 or more, and a jitter of 0 to 1"}}
 	}
 	wait := p.Wait + time.Duration(p.Jitter*float64(p.Wait))
 	last := time.Duration(n-1) * (p.Timeout + wait) // when the last attempt begins, at the latest
-	if c.Effect == Keyed && n > 1 && last >= c.Window {
-		list = append(list, Breach{"attempt", sprint("the last of ", n, " attempts may begin ", last, " after the first, and repeats of ", c.Name,
+	if c.Effect == Deduplicated && n > 1 && last >= c.Window {
+		list = append(list, Violation{"attempt", sprint("the last of ", n, " attempts may begin ", last, " after the first, and repeats of ", c.Name,
 			" are dropped for ", c.Window, " only: wants less than that")})
 	}
-	if c.Effect == Unsafe && n > 1 {
-		list = append(list, Breach{"attempts", sprint(c.Name, " must not be repeated: wants 1")})
+	if c.Effect == NotIdempotent && n > 1 {
+		list = append(list, Violation{"attempts", sprint(c.Name, " must not be repeated: wants 1")})
 	}
 	if end := last + p.Timeout; end > giveUp {
-		list = append(list, Breach{"attempt", sprint(n, " attempts may end ", end, " after the first began, and clients of ", c.Name, " give up at ", giveUp)})
+		list = append(list, Violation{"attempt", sprint(n, " attempts may end ", end, " after the first began, and clients of ", c.Name, " give up at ", giveUp)})
 	}
 	return list
 }
--- a/internal/gatherer/limits/gate.go
+++ b/internal/gatherer/limits/gate.go
@@ -6,27 +6,27 @@
 )
 
 // Verdict is what becomes of a request on arrival.
-type Verdict uint8
+type Action uint8
 
 // The verdicts.
 const (
-	Admit  Verdict = iota
+	Admit  Action = iota
 	Wait           // it has a place in the queue; Next says when it leaves
-	Refuse         // at once, with when to come back
+	Reject         // at once, with when to come back
 )
 
 // Why a request is refused.
 const (
-	WhyRate  = "the route's rate"
-	WhyFull  = "the route's concurrency, and its queue is full"
-	WhyLate  = "the route's queue: its time would be up before it left"
-	WhyShort = "the time left is under the route's usual answer time"
+	ReasonRate  = "the route's rate"
+	ReasonFull  = "the route's concurrency, and its queue is full"
+	ReasonLate  = "the route's queue: its time would be up before it left"
+	ReasonShort = "the time left is under the route's usual answer time"
 )
 
 // Decision is a verdict with its reason.
 type Decision struct {
-	Verdict    Verdict
-	Why        string
+	Action    Action
+	Reason        string
 	RetryAfter time.Duration
 }
 
@@ -37,7 +37,7 @@
 	rate    gcra
 	budget  budget
 	limit   gradient
-	inHand  int
+	inFlight  int
 	waiting []waiter // by priority, then as they came
 	usual   float64  // smoothed answer time in seconds
 	counts  Counts
@@ -47,11 +47,11 @@
 type Counts struct {
 	Admitted       uint64 `json:"admitted"`
 	Queued         uint64 `json:"queued"`
-	Refused        uint64 `json:"refused"`  // on arrival
-	GivenUp        uint64 `json:"given_up"` // after they had waited
-	Repeats        uint64 `json:"repeats"`
-	RepeatsRefused uint64 `json:"repeats_refused"`
-	InHand         int    `json:"in_hand"`
+	Rejected        uint64 `json:"refused"`  // on arrival
+	TimedOut        uint64 `json:"given_up"` // after they had waited
+	Retries        uint64 `json:"repeats"`
+	RetriesRejected uint64 `json:"repeats_refused"`
+	InFlight         int    `json:"in_hand"`
 	Waiting        int    `json:"waiting"`
 	Limit          int    `json:"limit"` // of concurrency now, 0 for none
 }
@@ -73,28 +73,28 @@
 
 // Arrive decides on a request whose client gives up at end.
 func (g *Gate) Arrive(id uint64, priority int, now, end time.Duration) Decision {
-	if end-now < time.Duration(g.usual*shortOf*float64(time.Second)) {
-		g.counts.Refused++
-		return Decision{Refuse, WhyShort, g.comeBack()}
+	if end-now < time.Duration(g.usual*minTimeShare*float64(time.Second)) {
+		g.counts.Rejected++
+		return Decision{Reject, ReasonShort, g.retryAfter()}
 	}
-	if wait := g.rate.take(g.Limits.Rate, now); wait > 0 {
-		g.counts.Refused++
-		return Decision{Refuse, WhyRate, wait}
+	if wait := g.rate.allow(g.Limits.Rate, now); wait > 0 {
+		g.counts.Rejected++
+		return Decision{Reject, ReasonRate, wait}
 	}
 	c := g.Limits.Concurrency
-	if c.Most == 0 || g.inHand < g.limit.now(c) && len(g.waiting) == 0 {
+	if c.Max == 0 || g.inFlight < g.limit.now(c) && len(g.waiting) == 0 {
 		g.admit()
-		return Decision{Verdict: Admit}
+		return Decision{Action: Admit}
 	}
 	w := waiter{id, priority, min(now+c.Wait, end-time.Duration(g.usual*float64(time.Second))), end}
 	switch {
 	case c.Queue == 0 || w.until <= now:
-		g.counts.Refused++
-		return Decision{Refuse, WhyFull, g.comeBack()}
+		g.counts.Rejected++
+		return Decision{Reject, ReasonFull, g.retryAfter()}
 	case len(g.waiting) >= c.Queue:
 		if last := g.waiting[len(g.waiting)-1]; last.priority >= priority {
-			g.counts.Refused++
-			return Decision{Refuse, WhyFull, g.comeBack()}
+			g.counts.Rejected++
+			return Decision{Reject, ReasonFull, g.retryAfter()}
 		}
 	}
 	i, _ := slices.BinarySearchFunc(g.waiting, priority, func(x waiter, p int) int {
@@ -105,47 +105,47 @@
 	})
 	g.waiting = slices.Insert(g.waiting, i, w)
 	g.counts.Queued++
-	return Decision{Verdict: Wait}
+	return Decision{Action: Wait}
 }
 
 // shortOf is the share of the usual answer time that a request's time must at least be: with less it is work for nobody.
-const shortOf = 0.25
+const minTimeShare = 0.25
 
 func (g *Gate) admit() {
-	g.inHand++
+	g.inFlight++
 	g.counts.Admitted++
 }
 
 // comeBack is when a refused client may well be let in: after an answer time, by when places have come free.
-func (g *Gate) comeBack() time.Duration {
-	return min(max(time.Duration(g.usual*float64(time.Second)), comeBackLeast), comeBackMost)
+func (g *Gate) retryAfter() time.Duration {
+	return min(max(time.Duration(g.usual*float64(time.Second)), retryAfterLeast), retryAfterMost)
 }
 
 // Bounds of what a refused client is told.
 const (
-	comeBackLeast = 100 * time.Millisecond
-	comeBackMost  = 5 * time.Second
+	retryAfterLeast = 100 * time.Millisecond
+	retryAfterMost  = 5 * time.Second
 )
 
 // Given is a request that waited and is decided on now.
-type Given struct {
+type Dequeued struct {
 	ID uint64
 	Decision
 }
 
 // Next decides on those that wait: whose wait is over is refused, and free places are given to the rest. A queue that is
 // longer than its limit by now, as after a reload, gives up those behind it.
-func (g *Gate) Next(now time.Duration) (list []Given) {
+func (g *Gate) Next(now time.Duration) (list []Dequeued) {
 	c := g.Limits.Concurrency
 	kept := g.waiting[:0]
 	for _, w := range g.waiting {
 		switch {
-		case w.until <= now || c.Most > 0 && len(kept) >= max(c.Queue, 0) && g.inHand >= g.limit.now(c):
-			g.counts.GivenUp++
-			list = append(list, Given{w.id, Decision{Refuse, WhyLate, g.comeBack()}})
-		case c.Most == 0 || g.inHand < g.limit.now(c):
+		case w.until <= now || c.Max > 0 && len(kept) >= max(c.Queue, 0) && g.inFlight >= g.limit.now(c):
+			g.counts.TimedOut++
+			list = append(list, Dequeued{w.id, Decision{Reject, ReasonLate, g.retryAfter()}})
+		case c.Max == 0 || g.inFlight < g.limit.now(c):
 			g.admit()
-			list = append(list, Given{w.id, Decision{Verdict: Admit}})
+			list = append(list, Dequeued{w.id, Decision{Action: Admit}})
 		default:
 			kept = append(kept, w)
 		}
@@ -165,7 +165,7 @@
 }
 
 // Leave takes a request out that waits and whose client is gone; false where it does not wait.
-func (g *Gate) Leave(id uint64) bool {
+func (g *Gate) Remove(id uint64) bool {
 	n := len(g.waiting)
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waiter) bool { return w.id == id })
 	return len(g.waiting) < n
@@ -174,8 +174,8 @@
 // Done records the end of an admitted request. Only an answer's time says anything: a refusal by the decision module,
 // or a failure, is none.
 func (g *Gate) Done(took time.Duration, answered bool) {
-	inHand := g.inHand
-	g.inHand = max(g.inHand-1, 0)
+	inHand := g.inFlight
+	g.inFlight = max(g.inFlight-1, 0)
 	if !answered {
 		return
 	}
@@ -187,15 +187,15 @@
 }
 
 // First counts a part's first attempt.
-func (g *Gate) First(now time.Duration) { g.budget.attempt(g.Limits.Repeats, now) }
+func (g *Gate) FirstAttempt(now time.Duration) { g.budget.countFirst(g.Limits.Retries, now) }
 
 // Repeat says whether a part's further attempt fits the route's budget.
-func (g *Gate) Repeat(now time.Duration) bool {
-	ok := g.budget.repeat(g.Limits.Repeats, now)
+func (g *Gate) Retry(now time.Duration) bool {
+	ok := g.budget.retry(g.Limits.Retries, now)
 	if ok {
-		g.counts.Repeats++
+		g.counts.Retries++
 	} else {
-		g.counts.RepeatsRefused++
+		g.counts.RetriesRejected++
 	}
 	return ok
 }
@@ -203,6 +203,6 @@
 // Counts tells what the gate has done so far.
 func (g *Gate) Counts() Counts {
 	c := g.counts
-	c.InHand, c.Waiting, c.Limit = g.inHand, len(g.waiting), g.limit.now(g.Limits.Concurrency)
+	c.InFlight, c.Waiting, c.Limit = g.inFlight, len(g.waiting), g.limit.now(g.Limits.Concurrency)
 	return c
 }
--- a/internal/gatherer/limits/limits.go
+++ b/internal/gatherer/limits/limits.go
@@ -8,19 +8,19 @@
 
 // Limits of one route. The zero value of a field sets no limit of its kind.
 type Limits struct {
-	Wanted   time.Duration // answered within this it earns full worth
-	GiveUp   time.Duration // the longest that a client's deadline counts for
+	LatencyTarget   time.Duration // answered within this it earns full worth
+	Timeout   time.Duration // the longest that a client's deadline counts for
 	Attempts int           // of one part, the first included
-	Least    float64       // share of the weight that an answer needs
-	Whole    bool          // no partial answers, whatever the class allows
-	Body     int           // bytes of a request's body
-	Answer   int           // bytes of lot stores' answers that one request may hold
-	Depth    int           // from + size of a search
+	MinWeight    float64       // share of the weight that an answer needs
+	CompleteOnly    bool          // no partial answers, whatever the class allows
+	MaxBody     int           // bytes of a request's body
+	MaxAnswer   int           // bytes of lot stores' answers that one request may hold
+	MaxDepth    int           // from + size of a search
 	Priority int           // of those that wait, the higher goes first
 
 	Concurrency Concurrency
 	Rate        Rate
-	Repeats     Repeats
+	Retries     RetryBudget
 }
 
 // Fields are the limits that are set, by their names in the file; one that is not set is empty.
@@ -31,18 +31,18 @@
 		}
 		return sprint(x)
 	}
-	c, r, b := l.Concurrency, l.Rate, l.Repeats
-	return [][2]string{{"wanted", set(l.Wanted, l.Wanted > 0)}, {"give_up", set(l.GiveUp, l.GiveUp > 0)}, {"attempts", set(l.Attempts, l.Attempts > 0)},
-		{"least", set(l.Least, l.Least > 0)}, {"whole", set(l.Whole, l.Whole)}, {"body", set(l.Body, l.Body > 0)}, {"answer", set(l.Answer, l.Answer > 0)},
-		{"depth", set(l.Depth, l.Depth > 0)}, {"priority", set(l.Priority, l.Priority > 0)}, {"concurrency.most", set(c.Most, c.Most > 0)},
+	c, r, b := l.Concurrency, l.Rate, l.Retries
+	return [][2]string{{"wanted", set(l.LatencyTarget, l.LatencyTarget > 0)}, {"give_up", set(l.Timeout, l.Timeout > 0)}, {"attempts", set(l.Attempts, l.Attempts > 0)},
+		{"least", set(l.MinWeight, l.MinWeight > 0)}, {"whole", set(l.CompleteOnly, l.CompleteOnly)}, {"body", set(l.MaxBody, l.MaxBody > 0)}, {"answer", set(l.MaxAnswer, l.MaxAnswer > 0)},
+		{"depth", set(l.MaxDepth, l.MaxDepth > 0)}, {"priority", set(l.Priority, l.Priority > 0)}, {"concurrency.most", set(c.Max, c.Max > 0)},
 		{"concurrency.floor", set(c.Floor, c.Floor > 0)}, {"concurrency.queue", set(c.Queue, c.Queue > 0)}, {"concurrency.wait", set(c.Wait, c.Wait > 0)},
-		{"rate.per_second", set(r.PerSecond, r.PerSecond > 0)}, {"rate.burst", set(r.Burst, r.Burst > 0)}, {"repeats.share", set(b.Share, b.Span > 0)},
-		{"repeats.free", set(b.Free, b.Span > 0)}, {"repeats.span", set(b.Span, b.Span > 0)}}
+		{"rate.per_second", set(r.PerSecond, r.PerSecond > 0)}, {"rate.burst", set(r.Burst, r.Burst > 0)}, {"repeats.share", set(b.Ratio, b.Span > 0)},
+		{"repeats.free", set(b.Minimum, b.Span > 0)}, {"repeats.span", set(b.Span, b.Span > 0)}}
 }
 
 // Concurrency bounds the requests of a route that are in hand at once.
 type Concurrency struct {
-	Most  int           // at once; 0 for no limit
+	Max  int           // at once; 0 for no limit
 	Floor int           // where it follows answer times: it never falls under this; 0 for a limit that stands
 	Queue int           // requests that may wait for a place
 	Wait  time.Duration // the longest that one waits
@@ -55,8 +55,8 @@
 }
 
 // Repeats is a retry budget: of a span's attempts, how many may be further ones.
-type Repeats struct {
-	Share float64       // of first attempts; 0 with no Span for no limit
-	Free  float64       // and so many in any span, however little comes in
+type RetryBudget struct {
+	Ratio float64       // of first attempts; 0 with no Span for no limit
+	Minimum  float64       // and so many in any span, however little comes in
 	Span  time.Duration // 0 for no limit
 }
--- a/internal/gatherer/limits/limits_test.go
+++ b/internal/gatherer/limits/limits_test.go
@@ -19,8 +19,8 @@
 )
 
 var (
-	search = Class{Name: "lot-search", Wanted: 1200 * ms, GiveUp: 3 * sec, Attempts: 4, Floor: 0.7}
-	bid    = Class{Name: "place-bid", Effect: Keyed, Wanted: 1500 * ms, GiveUp: 4 * sec, Window: 4 * sec, Attempts: 4, Floor: 1}
+	search = Class{Name: "lot-search", LatencyTarget: 1200 * ms, Timeout: 3 * sec, Attempts: 4, Floor: 0.7}
+	bid    = Class{Name: "place-bid", Effect: Deduplicated, LatencyTarget: 1500 * ms, Timeout: 4 * sec, Window: 4 * sec, Attempts: 4, Floor: 1}
 )
 
 // Limits that are wider than the settings, or that the rules forbid, are told by field; good ones pass.
@@ -31,27 +31,27 @@
 		field string
 	}{
 		{Limits{}, search, ""},
-		{Limits{Attempts: 4, Wanted: sec, GiveUp: 3 * sec, Least: 0.8, Concurrency: Concurrency{Most: 10, Floor: 2, Queue: 5, Wait: 100 * ms},
-			Rate: Rate{5, 2}, Repeats: Repeats{0.2, 1, 10 * sec}}, search, ""},
+		{Limits{Attempts: 4, LatencyTarget: sec, Timeout: 3 * sec, MinWeight: 0.8, Concurrency: Concurrency{Max: 10, Floor: 2, Queue: 5, Wait: 100 * ms},
+			Rate: Rate{5, 2}, Retries: RetryBudget{0.2, 1, 10 * sec}}, search, ""},
 		{Limits{Attempts: 5}, search, "attempts"},
 		{Limits{Attempts: -1}, search, "attempts"},
-		{Limits{GiveUp: 3001 * ms}, search, "give_up"},
-		{Limits{Wanted: 2 * sec}, search, "wanted"},
-		{Limits{Wanted: sec, GiveUp: 500 * ms}, search, "wanted"},
-		{Limits{Least: 0.6}, search, "least"},
-		{Limits{Least: 0.9}, bid, "least"},
-		{Limits{Least: 1.1}, search, "least"},
-		{Limits{Body: -1}, search, "body"},
-		{Limits{Concurrency: Concurrency{Most: 2, Floor: 3}}, search, "concurrency.floor"},
+		{Limits{Timeout: 3001 * ms}, search, "give_up"},
+		{Limits{LatencyTarget: 2 * sec}, search, "wanted"},
+		{Limits{LatencyTarget: sec, Timeout: 500 * ms}, search, "wanted"},
+		{Limits{MinWeight: 0.6}, search, "least"},
+		{Limits{MinWeight: 0.9}, bid, "least"},
+		{Limits{MinWeight: 1.1}, search, "least"},
+		{Limits{MaxBody: -1}, search, "body"},
+		{Limits{Concurrency: Concurrency{Max: 2, Floor: 3}}, search, "concurrency.floor"},
 		{Limits{Concurrency: Concurrency{Queue: 3, Wait: ms}}, search, "concurrency.queue"},
-		{Limits{Concurrency: Concurrency{Most: 1, Queue: 3}}, search, "concurrency.wait"},
-		{Limits{Concurrency: Concurrency{Most: 1, Queue: 3, Wait: 3 * sec}}, search, "concurrency.wait"},
+		{Limits{Concurrency: Concurrency{Max: 1, Queue: 3}}, search, "concurrency.wait"},
+		{Limits{Concurrency: Concurrency{Max: 1, Queue: 3, Wait: 3 * sec}}, search, "concurrency.wait"},
 		{Limits{Rate: Rate{0, 3}}, search, "rate.per_second"},
 		{Limits{Rate: Rate{-1, 3}}, search, "rate.per_second"},
 		{Limits{Rate: Rate{5, 0}}, search, "rate.burst"},
-		{Limits{Repeats: Repeats{Share: 0.2}}, search, "repeats.span"},
-		{Limits{Repeats: Repeats{Span: sec}}, search, "repeats.share"},
-		{Limits{Repeats: Repeats{Share: 5, Span: sec}}, search, "repeats.share"},
+		{Limits{Retries: RetryBudget{Ratio: 0.2}}, search, "repeats.span"},
+		{Limits{Retries: RetryBudget{Span: sec}}, search, "repeats.share"},
+		{Limits{Retries: RetryBudget{Ratio: 5, Span: sec}}, search, "repeats.share"},
 	} {
 		got := c.l.Check(c.class)
 		if c.field == "" && got != nil || c.field != "" && (len(got) != 1 || got[0].Field != c.field) {
@@ -68,7 +68,7 @@
 		{Plan{Attempts: 4, Timeout: 800 * ms}, search, "clients of lot-search give up at 3s"},
 		{Plan{Attempts: 3, Timeout: 800 * ms, Wait: 400 * ms, Jitter: 0.5}, search, "3.6s after"},
 		{Plan{Attempts: 4, Timeout: sec, Wait: 400 * ms}, bid, "dropped for 4s only"},
-		{Plan{Attempts: 2, Timeout: sec}, Class{Name: "pay", Effect: Unsafe, GiveUp: 9 * sec, Attempts: 3}, "must not be repeated"},
+		{Plan{Attempts: 2, Timeout: sec}, Class{Name: "pay", Effect: NotIdempotent, Timeout: 9 * sec, Attempts: 3}, "must not be repeated"},
 		{Plan{Timeout: -1}, search, "0 or more"},
 	} {
 		got := c.p.Check(c.class, 0)
@@ -83,7 +83,7 @@
 func TestGate(t *testing.T) {
 	proptest.Seed(t, 400)
 	rapid.Check(t, func(t *rapid.T) {
-		g := &Gate{Limits: Limits{Concurrency: Concurrency{Most: rapid.IntRange(1, 6).Draw(t, "most"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), Wait: 300 * ms}}}
+		g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: rapid.IntRange(1, 6).Draw(t, "most"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), Wait: 300 * ms}}}
 		if rapid.Bool().Draw(t, "follows") {
 			g.Limits.Concurrency.Floor = 1
 		}
@@ -96,14 +96,14 @@
 		decided := map[uint64]int{}
 		var passed []time.Duration
 		decide := func(n uint64, d Decision) {
-			switch d.Verdict {
+			switch d.Action {
 			case Admit:
 				inHand = append(inHand, n)
 			case Wait:
 				waiting = append(waiting, n)
 				return
-			case Refuse:
-				if d.RetryAfter <= 0 || d.Why == "" {
+			case Reject:
+				if d.RetryAfter <= 0 || d.Reason == "" {
 					t.Fatalf("refused without a time to come back or a reason: %+v", d)
 				}
 			}
@@ -118,7 +118,7 @@
 					t.Fatalf("request %d does not wait", x.ID)
 				}
 				for _, o := range waiting {
-					if x.Verdict == Admit && decided[o] == 0 && (prio[o] > prio[x.ID] || prio[o] == prio[x.ID] && o < x.ID) {
+					if x.Action == Admit && decided[o] == 0 && (prio[o] > prio[x.ID] || prio[o] == prio[x.ID] && o < x.ID) {
 						t.Fatalf("request %d of priority %d goes before %d of %d", x.ID, prio[x.ID], o, prio[o])
 					}
 				}
@@ -133,7 +133,7 @@
 				id++
 				prio[id] = rapid.IntRange(0, 2).Draw(t, "priority")
 				d := g.Arrive(id, prio[id], now, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
-				if d.Why != WhyRate && d.Why != WhyShort {
+				if d.Reason != ReasonRate && d.Reason != ReasonShort {
 					passed = append(passed, now)
 				}
 				decide(id, d)
@@ -144,7 +144,7 @@
 				}
 			case 3:
 				if len(waiting) > 0 && rapid.Bool().Draw(t, "leaves") {
-					if !g.Leave(waiting[0]) {
+					if !g.Remove(waiting[0]) {
 						t.Fatal("one that waits cannot leave")
 					}
 					waiting = waiting[1:]
@@ -152,7 +152,7 @@
 			}
 			next()
 			c := g.Counts()
-			if len(inHand) > g.Limits.Concurrency.Most || c.InHand != len(inHand) || len(waiting) > g.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
+			if len(inHand) > g.Limits.Concurrency.Max || c.InFlight != len(inHand) || len(waiting) > g.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
 				t.Fatalf("%d in hand, %d waiting: %+v", len(inHand), len(waiting), c)
 			}
 			if due := g.Due(); len(waiting) > 0 && due <= now {
@@ -177,34 +177,34 @@
 
 // A fifth of the stores dies and every part wants a repeat: the budget lets through its share and no storm after.
 func TestRepeatBudget(t *testing.T) {
-	g := &Gate{Limits: Limits{Repeats: Repeats{Share: 0.1, Free: 2, Span: 10 * sec}}}
+	g := &Gate{Limits: Limits{Retries: RetryBudget{Ratio: 0.1, Minimum: 2, Span: 10 * sec}}}
 	now, allowed, first := sec, 0, 0
 	for range 20000 { // 1,000 a second
 		now += ms
-		g.First(now)
+		g.FirstAttempt(now)
 		first++
-		if g.Repeat(now) {
+		if g.Retry(now) {
 			allowed++
 		}
 	}
 	if share := float64(allowed) / float64(first); share < 0.08 || share > 0.11 {
 		t.Errorf("%d repeats of %d first attempts", allowed, first)
 	}
-	g.First(now - time.Hour) // a clock that went back counts no less
-	if g.Repeat(now - time.Hour) {
+	g.FirstAttempt(now - time.Hour) // a clock that went back counts no less
+	if g.Retry(now - time.Hour) {
 		t.Error("a clock that went back opened the budget")
 	}
-	if !g.Repeat(now + time.Minute) {
+	if !g.Retry(now + time.Minute) {
 		t.Error("a quiet route may repeat nothing")
 	}
 }
 
 // The limit falls while answers are slower than usual, to its floor and no lower, and comes back after.
 func TestFollowsAnswerTimes(t *testing.T) {
-	g := &Gate{Limits: Limits{Concurrency: Concurrency{Most: 64, Floor: 4}}}
+	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 64, Floor: 4}}}
 	play := func(took time.Duration, answers int) int {
 		for range answers {
-			for g.Counts().InHand < g.Counts().Limit {
+			for g.Counts().InFlight < g.Counts().Limit {
 				g.Arrive(0, 0, 0, time.Hour)
 			}
 			g.Done(took, true)
@@ -221,21 +221,21 @@
 	if n := play(100*ms, 800); n < 48 {
 		t.Errorf("limit %d after the jam", n)
 	}
-	g = &Gate{Limits: Limits{Concurrency: Concurrency{Most: 1}}}
-	if a, b := g.Arrive(1, 0, 0, sec), g.Arrive(2, 0, 0, sec); a.Verdict != Admit || b.Verdict != Refuse || b.Why != WhyFull {
+	g = &Gate{Limits: Limits{Concurrency: Concurrency{Max: 1}}}
+	if a, b := g.Arrive(1, 0, 0, sec), g.Arrive(2, 0, 0, sec); a.Action != Admit || b.Action != Reject || b.Reason != ReasonFull {
 		t.Errorf("a limit of 1: %+v, %+v", a, b)
 	}
 }
 
 // plain is the table as one would write it first.
 func plain(routes []*Route, r *Request, class string) (best *Route) {
-	var at exactness
+	var at specificity
 	for _, x := range routes {
 		literal, open := strings.CutSuffix(x.Match.Index, "*")
 		if x.Match.Index != "" && r.Index != literal && !(open && strings.HasPrefix(r.Index, literal)) || x.Class != "" && x.Class != class || !x.Match.takes(r) {
 			continue
 		}
-		if e := x.exactness(r.Client); best == nil || e.compare(at) > 0 {
+		if e := x.specificity(r.Client); best == nil || e.compare(at) > 0 {
 			best, at = x, e
 		}
 	}
@@ -244,7 +244,7 @@
 
 func routes(n int) (list []*Route) {
 	for i := range n {
-		r := &Route{Name: fmt.Sprint("r", i), Line: i}
+		r := &Route{Name: fmt.Sprint("r", i), LineNumber: i}
 		switch i % 4 {
 		case 0:
 			r.Match.Index = fmt.Sprintf("lots-%d", i)
@@ -268,7 +268,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var list []*Route
 		for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
-			r := &Route{Name: fmt.Sprint(i), Line: i, Class: rapid.SampledFrom([]string{"", "", "c"}).Draw(t, "class")}
+			r := &Route{Name: fmt.Sprint(i), LineNumber: i, Class: rapid.SampledFrom([]string{"", "", "c"}).Draw(t, "class")}
 			r.Match.Index = rapid.Custom(func(t *rapid.T) string { return pieces.Draw(t, "p") }).Draw(t, "index")
 			r.Match.Front = rapid.SampledFrom([]string{"", "", "platform"}).Draw(t, "front")
 			for range rapid.IntRange(0, 2).Draw(t, "nets") {
@@ -292,12 +292,12 @@
 			q.Header = func(string) string { return value }
 			class := rapid.SampledFrom([]string{"c", "d"}).Draw(t, "class")
 			got, want := table.Find(q, class), plain(list, q, class)
-			if got != want && (got == nil || want == nil || got.exactness(q.Client).compare(want.exactness(q.Client)) != 0) {
+			if got != want && (got == nil || want == nil || got.specificity(q.Client).compare(want.specificity(q.Client)) != 0) {
 				t.Fatalf("%+v: found %+v, want %+v", q, got, want)
 			}
 		}
 	})
-	a, b := &Route{Name: "a", Match: Match{Index: "x"}}, &Route{Name: "b", Match: Match{Index: "x"}, Line: 1}
+	a, b := &Route{Name: "a", Match: Match{Index: "x"}}, &Route{Name: "b", Match: Match{Index: "x"}, LineNumber: 1}
 	if _, c := NewTable([]*Route{a, b}); len(c) != 1 || !strings.Contains(c[0].Error(), "routes a and b") {
 		t.Errorf("%v", c)
 	}
@@ -329,13 +329,13 @@
 
 // BenchmarkGate lets a request in and out.
 func BenchmarkGate(b *testing.B) {
-	g := &Gate{Limits: Limits{Concurrency: Concurrency{Most: 100, Floor: 10, Queue: 100, Wait: sec}, Rate: Rate{1e9, 1000}, Repeats: Repeats{0.2, 5, 10 * sec}}}
+	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 100, Floor: 10, Queue: 100, Wait: sec}, Rate: Rate{1e9, 1000}, Retries: RetryBudget{0.2, 5, 10 * sec}}}
 	b.ReportAllocs()
 	now := sec
 	for b.Loop() {
 		now += 100 * time.Microsecond
 		g.Arrive(1, 0, now, now+sec)
-		g.First(now)
+		g.FirstAttempt(now)
 		g.Done(50*ms, true)
 	}
 }
--- a/internal/gatherer/limits/route.go
+++ b/internal/gatherer/limits/route.go
@@ -38,22 +38,22 @@
 	Match  Match
 	Limits Limits
 	Plan   Plan
-	Line   int            // where it stands, for operators
-	Lines  map[string]int // and each of its fields
+	LineNumber   int            // where it stands, for operators
+	LineNumbers  map[string]int // and each of its fields
 }
 
 // LineOf is where a field stands, or the object that it is of; the route's own line where neither is known.
-func (r *Route) LineOf(field string) int {
+func (r *Route) LineNumberOf(field string) int {
 	whole, _, _ := strings.Cut(field, ".")
-	return cmp.Or(r.Lines[field], r.Lines[whole], r.Line)
+	return cmp.Or(r.LineNumbers[field], r.LineNumbers[whole], r.LineNumber)
 }
 
 // exactness orders routes: index before class, header, client group, method and front, as each of these tells more of
 // what is asked than the next.
-type exactness struct{ index, class, header, clients, methods, front int }
+type specificity struct{ index, class, header, clients, methods, front int }
 
-func (r *Route) exactness(client netip.Addr) exactness {
-	x, m := exactness{}, &r.Match
+func (r *Route) specificity(client netip.Addr) specificity {
+	x, m := specificity{}, &r.Match
 	if r.Class != "" {
 		x.class = 1
 	}
@@ -80,7 +80,7 @@
 	return x
 }
 
-func (a exactness) compare(b exactness) int {
+func (a specificity) compare(b specificity) int {
 	return cmp.Or(cmp.Compare(a.index, b.index), cmp.Compare(a.class, b.class), cmp.Compare(a.header, b.header), cmp.Compare(a.clients, b.clients),
 		cmp.Compare(a.methods, b.methods), cmp.Compare(a.front, b.front))
 }
@@ -113,53 +113,53 @@
 // node is a letter of the trie.
 type node struct {
 	next  map[byte]*node
-	exact *bunch // of patterns that end here
-	open  *bunch // of patterns that go on by *
+	exact *routeGroup // of patterns that end here
+	prefix  *routeGroup // of patterns that go on by *
 }
 
 // bunch is the routes of one pattern.
-type bunch struct {
-	list  []*Route           // by exactness, the rest of it
+type routeGroup struct {
+	routes  []*Route           // by exactness, the rest of it
 	byNet *bart.Table[[]int] // places in list by client group, where there are many
 }
 
 const byNetFrom = 8 // so many routes or more of one pattern are looked up by client group
 
 // Conflict is two routes of which neither is more exact for a request that both match.
-type Conflict struct{ First, Second *Route }
+type ConflictError struct{ First, Second *Route }
 
-func (c Conflict) Error() string {
+func (c ConflictError) Error() string {
 	return fmt.Sprintf("routes %s and %s match the same requests, and neither is more exact", c.First.Name, c.Second.Name)
 }
 
 // NewTable makes a table, or says which routes are in each other's way.
-func NewTable(routes []*Route) (*Table, []Conflict) {
+func NewTable(routes []*Route) (*Table, []ConflictError) {
 	t := &Table{routes: routes}
-	bunches := map[string]*bunch{}
+	bunches := map[string]*routeGroup{}
 	for _, r := range routes {
 		b := bunches[r.Match.pattern()]
 		if b == nil {
-			b = &bunch{}
+			b = &routeGroup{}
 			bunches[r.Match.pattern()] = b
-			t.place(r.Match.pattern(), b)
+			t.insert(r.Match.pattern(), b)
 		}
-		b.list = append(b.list, r)
+		b.routes = append(b.routes, r)
 	}
-	var conflicts []Conflict
+	var conflicts []ConflictError
 	for _, b := range bunches {
 		conflicts = append(conflicts, b.conflicts()...)
-		slices.SortStableFunc(b.list, func(x, y *Route) int {
-			return -x.exactness(netip.Addr{}).compare(y.exactness(netip.Addr{}))
+		slices.SortStableFunc(b.routes, func(x, y *Route) int {
+			return -x.specificity(netip.Addr{}).compare(y.specificity(netip.Addr{}))
 		})
-		if len(b.list) >= byNetFrom {
+		if len(b.routes) >= byNetFrom {
 			b.index()
 		}
 	}
-	slices.SortFunc(conflicts, func(a, b Conflict) int { return cmp.Compare(a.Second.Line, b.Second.Line) })
+	slices.SortFunc(conflicts, func(a, b ConflictError) int { return cmp.Compare(a.Second.LineNumber, b.Second.LineNumber) })
 	return t, conflicts
 }
 
-func (t *Table) place(pattern string, b *bunch) {
+func (t *Table) insert(pattern string, b *routeGroup) {
 	literal, open := strings.CutSuffix(pattern, "*")
 	n := &t.root
 	for i := range len(literal) {
@@ -172,21 +172,21 @@
 		n = n.next[literal[i]]
 	}
 	if open || pattern == "" {
-		n.open = b
+		n.prefix = b
 	} else {
 		n.exact = b
 	}
 }
 
 // conflicts finds the pairs of one pattern that some request matches alike.
-func (b *bunch) conflicts() (list []Conflict) {
+func (b *routeGroup) conflicts() (list []ConflictError) {
 	groups := map[string][]*Route{} // of routes that are as exact in all but client groups
-	for _, r := range b.list {
+	for _, r := range b.routes {
 		m := &r.Match
 		key := fmt.Sprint(m.Header, "\x00", m.Header != "", len(m.Methods) > 0, m.Front != "", r.Class)
 		for _, o := range groups[key] {
 			if overlap(&o.Match, m) {
-				list = append(list, Conflict{o, r})
+				list = append(list, ConflictError{o, r})
 				break
 			}
 		}
@@ -210,10 +210,10 @@
 	return slices.ContainsFunc(a.Clients, func(p netip.Prefix) bool { return slices.Contains(b.Clients, p) })
 }
 
-func (b *bunch) index() {
+func (b *routeGroup) index() {
 	b.byNet = &bart.Table[[]int]{}
 	all := []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0"), netip.MustParsePrefix("::/0")}
-	for i, r := range b.list {
+	for i, r := range b.routes {
 		nets := r.Match.Clients
 		if len(nets) == 0 {
 			nets = all
@@ -226,25 +226,25 @@
 }
 
 // find is the most exact route of the bunch that takes a request, nil for none.
-func (b *bunch) find(r *Request, class string) (best *Route) {
-	var at exactness
+func (b *routeGroup) find(r *Request, class string) (best *Route) {
+	var at specificity
 	try := func(x *Route) {
 		if x.Class != "" && x.Class != class || !x.Match.takes(r) {
 			return
 		}
-		if e := x.exactness(r.Client); best == nil || e.compare(at) > 0 {
+		if e := x.specificity(r.Client); best == nil || e.compare(at) > 0 {
 			best, at = x, e
 		}
 	}
 	if b.byNet != nil && r.Client.IsValid() {
 		for _, places := range b.byNet.Supernets(netip.PrefixFrom(r.Client, r.Client.BitLen())) {
 			for _, i := range places {
-				try(b.list[i])
+				try(b.routes[i])
 			}
 		}
 		return best
 	}
-	for _, x := range b.list {
+	for _, x := range b.routes {
 		try(x)
 	}
 	return best
@@ -252,9 +252,9 @@
 
 // Find is the route of a request of a class, nil where none takes it.
 func (t *Table) Find(r *Request, class string) *Route {
-	var open [16]*bunch // patterns on the way, the longest last
+	var open [16]*routeGroup // patterns on the way, the longest last
 	n, depth := &t.root, 0
-	push := func(b *bunch) {
+	push := func(b *routeGroup) {
 		if b != nil {
 			if depth == len(open) { // the shortest is the least exact
 				copy(open[:], open[1:])
@@ -264,12 +264,12 @@
 			depth++
 		}
 	}
-	push(n.open)
+	push(n.prefix)
 	for i := 0; i < len(r.Index); i++ {
 		if n = n.next[r.Index[i]]; n == nil {
 			break
 		}
-		push(n.open)
+		push(n.prefix)
 	}
 	if n != nil && n.exact != nil {
 		if x := n.exact.find(r, class); x != nil {
--- a/internal/gatherer/mem/inflight.go
+++ b/internal/gatherer/mem/inflight.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// keepNames is how long a query's name stays known after its end: another of that name, sent while the
-// first was open, may come just after, and lot stores may still hold parts of the first.
+// keepNames is how long a query's name stays known after its end: another query of that name, sent while the first was
+// in flight, may arrive just after, and lot stores may still work on subqueries of the first.
 const keepNames = time.Second
 
-// InFlight is the table of the queries and parts in hand, at most cap of both together. It is not
-// safe for concurrent use: one goroutine owns it.
+// InFlight is the table of the queries and subqueries in flight. It is not safe for concurrent use: one goroutine owns
+// it.
 type InFlight[Q, P any] struct {
-	cap     int
-	queries map[uint64]Q
-	parts   map[uint64]P
-	names   map[string]struct{}
-	ended   []endedName // the longest ended first
+	limit      int
+	queries    map[uint64]Q
+	subqueries map[uint64]P
+	names      map[string]struct{}
+	endedNames []endedName // in the order of their ends
 }
 
 type endedName struct {
@@ -21,58 +21,58 @@
 	at   time.Time
 }
 
-// NewInFlight makes an empty table with room for cap queries and parts.
-func NewInFlight[Q, P any](cap int) *InFlight[Q, P] {
-	return &InFlight[Q, P]{cap: cap, queries: map[uint64]Q{}, parts: map[uint64]P{}, names: map[string]struct{}{}}
+// NewInFlight returns an empty table for at most limit queries and subqueries together.
+func NewInFlight[Q, P any](limit int) *InFlight[Q, P] {
+	return &InFlight[Q, P]{limit: limit, queries: map[uint64]Q{}, subqueries: map[uint64]P{}, names: map[string]struct{}{}}
 }
 
-// SetCap gives the table another bound. What is in it stays.
-func (t *InFlight[Q, P]) SetCap(cap int) { t.cap = cap }
+// SetLimit changes the limit. What is in the table stays.
+func (t *InFlight[Q, P]) SetLimit(limit int) { t.limit = limit }
 
-// Room says whether a query with so many parts still fits.
-func (t *InFlight[Q, P]) Room(parts int) bool {
-	return len(t.queries)+len(t.parts)+1+parts <= t.cap
+// Fits reports whether a query with so many subqueries still fits.
+func (t *InFlight[Q, P]) Fits(subqueries int) bool {
+	return len(t.queries)+len(t.subqueries)+1+subqueries <= t.limit
 }
 
-// Named says whether a query of that name is in hand, or has just ended.
-func (t *InFlight[Q, P]) Named(name string, now time.Time) bool {
-	for len(t.ended) > 0 && now.Sub(t.ended[0].at) > keepNames {
-		delete(t.names, t.ended[0].name)
-		t.ended = t.ended[1:]
+// HasName reports whether a query of that name is in flight, or has just ended.
+func (t *InFlight[Q, P]) HasName(name string, now time.Time) bool {
+	for len(t.endedNames) > 0 && now.Sub(t.endedNames[0].at) > keepNames {
+		delete(t.names, t.endedNames[0].name)
+		t.endedNames = t.endedNames[1:]
 	}
 	_, ok := t.names[name]
 	return ok
 }
 
-// AddQuery enters a query.
+// AddQuery adds a query.
 func (t *InFlight[Q, P]) AddQuery(id uint64, name string, q Q) {
 	t.queries[id], t.names[name] = q, struct{}{}
 }
 
-// AddPart enters a part.
-func (t *InFlight[Q, P]) AddPart(id uint64, p P) { t.parts[id] = p }
+// AddSubquery adds a subquery.
+func (t *InFlight[Q, P]) AddSubquery(id uint64, p P) { t.subqueries[id] = p }
 
-// Query looks a query up.
+// Query returns the query with the id.
 func (t *InFlight[Q, P]) Query(id uint64) (Q, bool) { q, ok := t.queries[id]; return q, ok }
 
-// Part looks a part up.
-func (t *InFlight[Q, P]) Part(id uint64) (P, bool) { p, ok := t.parts[id]; return p, ok }
+// Subquery returns the subquery with the id.
+func (t *InFlight[Q, P]) Subquery(id uint64) (P, bool) { p, ok := t.subqueries[id]; return p, ok }
 
-// Remove drops a query and its parts; its name stays for a while.
-func (t *InFlight[Q, P]) Remove(id uint64, name string, parts []uint64, now time.Time) {
+// Remove removes a query and its subqueries. Its name stays known for a short time.
+func (t *InFlight[Q, P]) Remove(id uint64, name string, subqueries []uint64, now time.Time) {
 	delete(t.queries, id)
-	t.ended = append(t.ended, endedName{name, now})
-	t.RemoveParts(parts)
+	t.endedNames = append(t.endedNames, endedName{name, now})
+	t.RemoveSubqueries(subqueries)
 }
 
-// RemoveParts drops parts of a query that stays.
-func (t *InFlight[Q, P]) RemoveParts(parts []uint64) {
-	for _, p := range parts {
-		delete(t.parts, p)
+// RemoveSubqueries removes subqueries of a query that stays.
+func (t *InFlight[Q, P]) RemoveSubqueries(subqueries []uint64) {
+	for _, p := range subqueries {
+		delete(t.subqueries, p)
 	}
 }
 
-// Queries lists the queries in hand, in no order.
+// Queries returns the queries in flight, in no order.
 func (t *InFlight[Q, P]) Queries() []Q {
 	all := make([]Q, 0, len(t.queries))
 	for _, q := range t.queries {
@@ -81,5 +81,5 @@
 	return all
 }
 
-// Len is the number of queries and of parts in hand.
-func (t *InFlight[Q, P]) Len() (queries, parts int) { return len(t.queries), len(t.parts) }
+// Len returns the numbers of queries and of subqueries in flight.
+func (t *InFlight[Q, P]) Len() (queries, subqueries int) { return len(t.queries), len(t.subqueries) }
--- a/internal/gatherer/mem/pool.go
+++ b/internal/gatherer/mem/pool.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Conn is a connection that a Pool can choose.
+// Conn is a connection in a Pool.
 type Conn interface {
 	comparable
-	Room() int  // parts that it could still take
-	Load() int  // parts that it has
-	Ready() int // higher is better: established before being opened; 0 for one not to be used
+	Capacity() int // subqueries that it could still take
+	Load() int     // subqueries in flight on it
+	Ready() int    // higher is better: established before still connecting; 0 if unusable
 }
 
-// Pool is the open connections to one server. It has no lock of its own: its owner's covers it.
+// Pool is the open connections to one server. It is not safe for concurrent use: its owner's lock guards it.
 type Pool[C Conn] struct{ conns []C }
 
-// Add puts a new connection in.
+// Add adds a new connection.
 func (p *Pool[C]) Add(c C) { p.conns = append(p.conns, c) }
 
-// Remove takes a connection out and says whether it was in.
+// Remove removes a connection and reports whether it was there.
 func (p *Pool[C]) Remove(c C) bool {
 	i := slices.Index(p.conns, c)
 	if i >= 0 {
@@ -25,12 +25,12 @@
 	return i >= 0
 }
 
-// Pick chooses a connection with room for n parts: of the readiest the emptiest, and of those the one that
-// has rested longest, as a server that closes one right behind an answer does so before that.
+// Pick chooses a connection with capacity for n subqueries: of the readiest the least loaded, and of those the one that
+// has been idle longest, as a server that closes a connection right behind an answer has done so by then.
 func (p *Pool[C]) Pick(n int) (best C, ok bool) {
 	at := -1
 	for i, c := range p.conns {
-		if c.Ready() == 0 || c.Room() < n {
+		if c.Ready() == 0 || c.Capacity() < n {
 			continue
 		}
 		if !ok || c.Ready() > best.Ready() || c.Ready() == best.Ready() && c.Load() < best.Load() {
@@ -43,7 +43,7 @@
 	return best, ok
 }
 
-// All lists the connections.
+// All returns the connections.
 func (p *Pool[C]) All() []C { return slices.Clone(p.conns) }
 
 // Len is the number of connections.
--- a/internal/gatherer/mem/servers.go
+++ b/internal/gatherer/mem/servers.go
@@ -8,85 +8,85 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Server is one lot store as the list last named it.
+// Server is one lot store as the server list last described it.
 type Server struct {
-	ID     decision.ServerID // given here, never used twice
-	Name   string
-	Addr   string
-	Zone   int
-	Cell   int
-	State  decision.ServerState
-	Weight float64
-	Born   time.Time // when it last started; zero for long ago
-	goneAt time.Time
+	ID             decision.ServerID // assigned here, never used twice
+	Name           string
+	Addr           string
+	Zone           int
+	Cell           int
+	State          decision.ServerState
+	Weight         float64
+	Started        time.Time // zero for long ago
+	deregisteredAt time.Time
 }
 
-// Servers is the server list, with the bans that operators set. A ban is kept apart from what the list says: a
-// banned server is shown as draining at the best, whatever is listed meanwhile. It is not safe for concurrent
-// use: one goroutine owns it.
+// Servers is the server list, with the bans that operators set. A banned server is shown as draining at best, whatever
+// the list says meanwhile. Servers is not safe for concurrent use: one goroutine owns it.
 type Servers struct {
 	byName   map[string]*Server
-	last     decision.ServerID
+	lastID   decision.ServerID
 	banned   map[string]struct{}
-	attached map[string]time.Time // when a ban was lifted: the server counts as cold from then
+	attached map[string]time.Time // when a ban was lifted: the server is in slow start from then
 }
 
-// NewServers makes an empty list.
+// NewServers returns an empty list.
 func NewServers() *Servers {
 	return &Servers{byName: map[string]*Server{}, banned: map[string]struct{}{}, attached: map[string]time.Time{}}
 }
 
-// keepGone is how long a server that is gone keeps its number, so that one listed again is known
-// again. It is longer than anything may be out there.
-const keepGone = 2 * time.Minute
+// keepDeregistered is how long a deregistered server keeps its ID, so that one listed again is recognised. It is longer
+// than anything may be in flight there.
+const keepDeregistered = 2 * time.Minute
 
-// Apply applies changes of the list and returns the lines that it brings, numbered; of a whole list, also a line
-// for each server that it lacks and that was not gone before.
-func (l *Servers) Apply(whole bool, entries []Server, now time.Time) []Server {
+// Apply applies an update of the list and returns the changed entries with their IDs. With a full list, they include an
+// entry for each server that is missing from it and was not deregistered before.
+func (l *Servers) Apply(full bool, entries []Server, now time.Time) []Server {
 	named := map[string]bool{}
-	var news []Server
+	var changed []Server
 	for _, e := range entries {
 		named[e.Name] = true
 		s := l.byName[e.Name]
 		if s == nil {
-			l.last++
-			s = &Server{ID: l.last}
+			l.lastID++
+			s = &Server{ID: l.lastID}
 			l.byName[e.Name] = s
 		}
 		e.ID = s.ID
 		*s = e
 		if s.State == decision.Deregistered {
-			s.goneAt = now
+			s.deregisteredAt = now
 		}
-		news = append(news, l.shown(s))
+		changed = append(changed, l.visible(s))
 	}
 	for name, s := range l.byName {
-		if whole && !named[name] && s.State != decision.Deregistered {
-			s.State, s.goneAt = decision.Deregistered, now
-			news = append(news, l.shown(s))
+		if full && !named[name] && s.State != decision.Deregistered {
+			s.State, s.deregisteredAt = decision.Deregistered, now
+			changed = append(changed, l.visible(s))
 		}
-		if s.State == decision.Deregistered && now.Sub(s.goneAt) > keepGone {
+		if s.State == decision.Deregistered && now.Sub(s.deregisteredAt) > keepDeregistered {
 			delete(l.byName, name)
 		}
 	}
-	maps.DeleteFunc(l.attached, func(name string, at time.Time) bool { return l.byName[name] == nil && now.Sub(at) > keepGone })
-	return news
+	maps.DeleteFunc(l.attached, func(name string, at time.Time) bool { return l.byName[name] == nil && now.Sub(at) > keepDeregistered })
+	return changed
 }
 
-// shown is a server as all others are to see it.
-func (l *Servers) shown(s *Server) Server {
+// visible is a server with its ban applied.
+func (l *Servers) visible(s *Server) Server {
 	x := *s
 	if _, is := l.banned[s.Name]; is && x.State == decision.Ready {
 		x.State = decision.Draining
 	}
-	if at := l.attached[s.Name]; at.After(x.Born) {
-		x.Born = at
+	if at := l.attached[s.Name]; at.After(x.Started) {
+		x.Started = at
 	}
 	return x
 }
 
-// Ban takes a server out until Unban, and returns the lines that this brings. A second ban changes nothing.
-func (l *Servers) Ban(name string) (news []Server, ok bool) {
+// Ban bans a server until Unban, and returns the changed entries. It returns false for an unknown name. A second ban
+// changes nothing.
+func (l *Servers) Ban(name string) (changed []Server, ok bool) {
 	s := l.byName[name]
 	if _, is := l.banned[name]; is {
 		return nil, true
@@ -95,12 +95,12 @@
 		return nil, false
 	}
 	l.banned[name] = struct{}{}
-	return []Server{l.shown(s)}, true
+	return []Server{l.visible(s)}, true
 }
 
-// Unban puts a server back, listed or not, and returns the lines that this brings. It counts as started at that
-// time and gets a new number: what was seen of its old process, and what is still out there, is not the new one's.
-func (l *Servers) Unban(name string, at time.Time) (news []Server, ok bool) {
+// Unban ends the ban of a server, listed or not, and returns the changed entries. The server counts as started at that
+// time and gets a new ID: what was learned of its old process, and what is still in flight there, is not the new one's.
+func (l *Servers) Unban(name string, at time.Time) (changed []Server, ok bool) {
 	s := l.byName[name]
 	if _, is := l.banned[name]; !is {
 		return nil, s != nil
@@ -112,17 +112,17 @@
 	}
 	old := *s
 	old.State = decision.Deregistered
-	l.last++
-	s.ID = l.last
-	return []Server{old, l.shown(s)}, true
+	l.lastID++
+	s.ID = l.lastID
+	return []Server{old, l.visible(s)}, true
 }
 
-// Bans tells which names are out, and since when others are back.
+// Bans returns the banned names, and when the bans of others were lifted.
 func (l *Servers) Bans() (out []string, back map[string]time.Time) {
 	return slices.Sorted(maps.Keys(l.banned)), maps.Clone(l.attached)
 }
 
-// Inherit takes over another process's bans. The list is to follow.
+// Inherit adopts another process's bans. The list must be applied afterwards.
 func (l *Servers) Inherit(out []string, back map[string]time.Time) {
 	for _, name := range out {
 		l.banned[name] = struct{}{}
@@ -130,7 +130,7 @@
 	maps.Copy(l.attached, back)
 }
 
-// Listed lists every server known as discovery has it, bans or not, and those lately gone.
+// Listed returns every known server as discovery describes it, without bans, and those lately deregistered.
 func (l *Servers) Listed() (all []Server) {
 	for _, s := range l.byName {
 		all = append(all, *s)
@@ -138,12 +138,12 @@
 	return all
 }
 
-// All lists every server not gone.
+// All returns every server that is not deregistered.
 func (l *Servers) All() []Server {
 	var all []Server
 	for _, s := range l.byName {
 		if s.State != decision.Deregistered {
-			all = append(all, l.shown(s))
+			all = append(all, l.visible(s))
 		}
 	}
 	return all
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -83,8 +83,8 @@
 			b = append(b, ',')
 		}
 		born := int64(0)
-		if !s.Born.IsZero() {
-			born = s.Born.UnixMilli()
+		if !s.Started.IsZero() {
+			born = s.Started.UnixMilli()
 		}
 		b = append(b, `{"host":`...)
 		b = gjson.AppendJSONString(b, s.Name)
@@ -124,7 +124,7 @@
 		return s, fmt.Errorf("the list has no dial or an unknown site for host %.80q", s.Name)
 	}
 	if born := h.Get("born_ms").Int(); born > 0 {
-		s.Born = time.UnixMilli(born)
+		s.Started = time.UnixMilli(born)
 	}
 	return s, nil
 }
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	if err != nil || seq != 43 || l.Kind != decision.Delta || len(l.Servers) != 1 {
 		t.Fatalf("%d %+v %v", seq, l, err)
 	}
-	if s := l.Servers[0]; s.Zone != 1 || s.Cell != 3 || s.State != decision.Draining || s.Weight != 1.5 || s.Born.UnixMilli() != 1700000000000 {
+	if s := l.Servers[0]; s.Zone != 1 || s.Cell != 3 || s.State != decision.Draining || s.Weight != 1.5 || s.Started.UnixMilli() != 1700000000000 {
 		t.Errorf("%+v", s)
 	}
 	var indented bytes.Buffer
--- a/internal/gatherer/net/frames/codec.go
+++ b/internal/gatherer/net/frames/codec.go
@@ -135,7 +135,7 @@
 		from[i] = strconv.Itoa(shard)
 	}
 	whole := 0
-	if l.Whole {
+	if l.FirstComplete {
 		whole = 1
 	}
 	return fmt.Sprintf("from=%s,whole=%d", strings.Join(from, "+"), whole)
--- a/internal/gatherer/net/frames/conn.go
+++ b/internal/gatherer/net/frames/conn.go
@@ -47,7 +47,7 @@
 }
 
 // Room, Load and Ready implement mem.Conn.
-func (c *conn) Room() int { return c.t.Streams - c.load }
+func (c *conn) Capacity() int { return c.t.Streams - c.load }
 
 // Load implements mem.Conn.
 func (c *conn) Load() int { return c.load }
@@ -55,7 +55,7 @@
 // unfit says whether a connection is to take no further part: it is silent, or its server has moved or has started
 // since, and it leads to a process that is no more.
 func (c *conn) unfit() bool {
-	return c.silent || c.addr != c.s.Addr || c.up && c.since.Before(c.s.Born)
+	return c.silent || c.addr != c.s.Addr || c.up && c.since.Before(c.s.Started)
 }
 
 // Ready implements mem.Conn.
@@ -166,7 +166,7 @@
 		t.report.Outcome(a, decision.ConnectFailed, "")
 	}
 	for range probes {
-		t.report.Probed(id, false)
+		t.report.HealthChecked(id, false)
 	}
 }
 
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -87,9 +87,9 @@
 	busy, _ := linked(t, tr, l)
 	list := attempts(2)
 	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
-	started := mem.Server{ID: 1, Addr: l.Addr().String(), State: decision.Ready, Born: time.Now()}
+	started := mem.Server{ID: 1, Addr: l.Addr().String(), State: decision.Ready, Started: time.Now()}
 	young, _ := linked(t, tr, l)
-	young.since = started.Born.Add(time.Microsecond)
+	young.since = started.Started.Add(time.Microsecond)
 	tr.Servers([]mem.Server{started})
 	if !idle.dead || busy.dead || busy.Ready() != 0 || young.dead || young.Ready() == 0 {
 		t.Errorf("idle one closed %v, busy one closed %v, fit %v, young one closed %v, fit %v",
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -56,11 +56,11 @@
 func TestLoad(t *testing.T) {
 	list := attempts(2)
 	first, load := list[0], list[1]
-	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, Whole: true}
+	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
 	if l := partLine(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
-	load.Key, load.Load.Whole = "5c0f", false
+	load.Key, load.Load.FirstComplete = "5c0f", false
 	if l := partLine(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
@@ -113,7 +113,7 @@
 	r.want(t, 3, decision.Reset)
 	tr.Call(1, attempts(3))
 	r.want(t, 3, decision.OK)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	r.want(t, 1, decision.OK)
 
 	refused := standin.Listen(t)
@@ -121,7 +121,7 @@
 	tr, r = transport(refused.Addr().String(), time.Minute)
 	tr.Call(1, attempts(2))
 	r.want(t, 2, decision.ConnectFailed)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	r.want(t, 1, decision.Error)
 }
 
@@ -307,7 +307,7 @@
 func TestIdleCloses(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), 60*time.Millisecond)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/net/frames/receive.go
+++ b/internal/gatherer/net/frames/receive.go
@@ -81,6 +81,6 @@
 	id := c.s.ID
 	c.t.mu.Unlock()
 	if asked {
-		c.t.report.Probed(id, ok)
+		c.t.report.HealthChecked(id, ok)
 	}
 }
--- a/internal/gatherer/net/frames/rig_test.go
+++ b/internal/gatherer/net/frames/rig_test.go
@@ -30,7 +30,7 @@
 
 func (r reports) Unanswerable(*gather.Attempt, string) {}
 
-func (r reports) Probed(_ decision.ServerID, ok bool) {
+func (r reports) HealthChecked(_ decision.ServerID, ok bool) {
 	r.ch <- report{s: map[bool]decision.Status{true: decision.OK, false: decision.Error}[ok]}
 }
 
--- a/internal/gatherer/net/frames/transport.go
+++ b/internal/gatherer/net/frames/transport.go
@@ -170,17 +170,17 @@
 }
 
 // Probe implements gather.Transport.
-func (t *Transport) Probe(id decision.ServerID) {
+func (t *Transport) HealthCheck(id decision.ServerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.servers[id]
 	if s == nil {
-		go t.report.Probed(id, false)
+		go t.report.HealthChecked(id, false)
 		return
 	}
 	c := t.conn(s, 0)
 	if c == nil {
-		go t.report.Probed(id, false)
+		go t.report.HealthChecked(id, false)
 		return
 	}
 	c.probes++
--- a/internal/gatherer/net/frames/write.go
+++ b/internal/gatherer/net/frames/write.go
@@ -51,7 +51,7 @@
 		c.silent = true
 		id := c.s.ID
 		t.mu.Unlock()
-		t.report.Probed(id, false)
+		t.report.HealthChecked(id, false)
 		return true, nil
 	}
 	if c.load == 0 && len(c.asked) == 0 && (c.unfit() || now.Sub(c.idle) > t.ConnIdle/2) {
--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -52,8 +52,8 @@
 }
 
 func (a *asked) counts(res gather.Result) (c shardCounts, timedOut bool) {
-	c.Total = len(res.Parts)
-	for _, p := range res.Parts {
+	c.Total = len(res.Shards)
+	for _, p := range res.Shards {
 		if p.OK {
 			c.Successful++
 			continue
@@ -65,7 +65,7 @@
 		}
 		c.Failed++
 		why := causes[p.Last]
-		if p.Waiting || p.Last == decision.TimedOut {
+		if p.Pending || p.Last == decision.TimedOut {
 			why, timedOut = causes[decision.TimedOut], true
 		}
 		c.Failures = append(c.Failures, shardError{Shard: p.Shard, Index: a.index, Reason: why})
@@ -89,7 +89,7 @@
 			return a.hits(res, counts, timedOut, took)
 		}
 		return a.created(res, counts)
-	case gather.Refused:
+	case gather.Rejected:
 		p := errorResponse(&apiError{429, "rejected_execution_exception", "rejected: " + res.Reason}, nil)
 		// Whole seconds, as the field's definition has them.
 		p.Header.Set("Retry-After", strconv.Itoa(max(int(math.Ceil(res.RetryAfter.Seconds())), 1)))
@@ -151,7 +151,7 @@
 		raws = append(raws, json.RawMessage(h.raw))
 	}
 	relation := "eq"
-	if !res.Whole {
+	if !res.Complete {
 		relation = "gte"
 	}
 	return jsonResponse(200, map[string]any{
@@ -199,7 +199,7 @@
 
 func (a *asked) coverage(res gather.Result) coverage {
 	r := res.Search
-	c := coverage{Whole: res.Whole, Share: r.Share(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
+	c := coverage{Whole: res.Complete, Share: r.Share(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
 		Skipped: len(r.Skipped), Changed: r.Changed, Phases: int(res.Phases)}
 	if c.Missing == nil {
 		c.Missing = []int{}
--- a/internal/gatherer/net/opensearch/ask.go
+++ b/internal/gatherer/net/opensearch/ask.go
@@ -37,7 +37,7 @@
 }
 
 // askBody formats what an attempt asks a range for. text is its search's, as wanted.text formats it.
-func askBody(text []byte, a *gather.Ask, shard int, timeout string) []byte {
+func askBody(text []byte, a *gather.ShardSearch, shard int, timeout string) []byte {
 	root := gjson.ParseBytes(text) // as wanted.text formats it
 	asked := root.Get("query").Raw
 	q := a.Query
@@ -77,12 +77,12 @@
 			b = append(append(append(append(b, `,"`...), name...), `":`...), v...)
 		}
 	}
-	if src := root.Get("_source").Raw; a.Scores {
+	if src := root.Get("_source").Raw; a.ScoresOnly {
 		b = append(b, `,"_source":false`...)
 	} else if src != "" {
 		b = append(append(b, `,"_source":`...), src...)
 	}
-	if a.Scores || a.IDs != nil {
+	if a.ScoresOnly || a.IDs != nil {
 		b = append(b, `,"version":true`...)
 	}
 	switch {
@@ -138,7 +138,7 @@
 
 // parseFound reads one range's answer to a search, and says why where it cannot be used. It walks the text once: at 200
 // ranges looking members up by name, each from the start, took three times as long.
-func parseFound(item gjson.Result, a *gather.Ask) (found *search.Answer, why string) {
+func parseFound(item gjson.Result, a *gather.ShardSearch) (found *search.Answer, why string) {
 	found = &search.Answer{Bytes: len(item.Raw)}
 	var total, aggregations gjson.Result
 	early := false
@@ -205,7 +205,7 @@
 }
 
 // parseHits reads the hits of an answer.
-func parseHits(list gjson.Result, a *gather.Ask) (hits []merge.Hit, why string) {
+func parseHits(list gjson.Result, a *gather.ShardSearch) (hits []merge.Hit, why string) {
 	keys := len(a.Query.Keys)
 	room := a.Query.From + a.Query.Size
 	if a.IDs != nil {
@@ -235,7 +235,7 @@
 			why = "a hit without an id"
 			return false
 		}
-		if !a.Scores {
+		if !a.ScoresOnly {
 			x.Listing = h.Raw
 		}
 		first, n, tie := len(values), 0, ""
--- a/internal/gatherer/net/opensearch/calls.go
+++ b/internal/gatherer/net/opensearch/calls.go
@@ -57,7 +57,7 @@
 		case <-gone:
 			for _, a := range j.asked[i:] {
 				if a.wrong == nil {
-					f.Core.Leave(a.q)
+					f.Core.ClientGone(a.q)
 				}
 			}
 			return nil
--- a/internal/gatherer/net/opensearch/exchange.go
+++ b/internal/gatherer/net/opensearch/exchange.go
@@ -124,12 +124,12 @@
 // deliver reports what came of one attempt.
 func (t *Stores) deliver(id decision.ServerID, a *gather.Attempt, came item) {
 	switch {
-	case a.Ask != nil && came.whole.Get("status").Int() == 400:
+	case a.Search != nil && came.whole.Get("status").Int() == 400:
 		if t.ended(a) {
 			t.report.Unanswerable(a, came.whole.Get("error.reason").String())
 		}
-	case a.Ask != nil && came.status == decision.OK:
-		found, why := parseFound(came.whole, a.Ask)
+	case a.Search != nil && came.status == decision.OK:
+		found, why := parseFound(came.whole, a.Search)
 		if why != "" {
 			t.Log.Warn("answer not believed", "store", id, "reason", why)
 			t.end(a, decision.Error, "")
@@ -170,8 +170,8 @@
 		}
 		target = "/_msearch"
 		fmt.Fprintf(&b, `{"index":%q,"preference":"_shards:%d"}`+"\n", index, a.Shard)
-		if a.Ask != nil {
-			b.Write(askBody(a.Text, a.Ask, a.Shard, left))
+		if a.Search != nil {
+			b.Write(askBody(a.Text, a.Search, a.Shard, left))
 			b.WriteByte('\n')
 			continue
 		}
--- a/internal/gatherer/net/opensearch/front.go
+++ b/internal/gatherer/net/opensearch/front.go
@@ -20,7 +20,7 @@
 // Core is what the front needs of the gatherer's core.
 type Core interface {
 	Submit(*gather.Request)
-	Leave(*gather.Request)
+	ClientGone(*gather.Request)
 	Snapshot() gather.Snapshot
 }
 
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -20,12 +20,12 @@
 )
 
 // limit puts routes in force.
-func (r *rig) limit(t testing.TB, repeats limits.Repeats, routes ...*limits.Route) {
+func (r *rig) limit(t testing.TB, repeats limits.RetryBudget, routes ...*limits.Route) {
 	table, conflicts := limits.NewTable(routes)
 	if conflicts != nil {
 		t.Fatal(conflicts[0])
 	}
-	r.core.Limit(gather.Limits{Table: table, Repeats: repeats})
+	r.core.SetLimits(gather.Limits{Table: table, Repeats: repeats})
 }
 
 // from asks as a client at an address.
@@ -47,7 +47,7 @@
 	r := newRig(o)
 	defer r.stop()
 	if limited {
-		r.limit(t, limits.Repeats{}, greedy(limits.Limits{Concurrency: limits.Concurrency{Most: 4, Queue: 8, Wait: 300 * time.Millisecond}, Rate: limits.Rate{PerSecond: 6, Burst: 4}}))
+		r.limit(t, limits.RetryBudget{}, greedy(limits.Limits{Concurrency: limits.Concurrency{Max: 4, Queue: 8, Wait: 300 * time.Millisecond}, Rate: limits.Rate{PerSecond: 6, Burst: 4}}))
 	}
 	rng := rand.New(rand.NewPCG(1, 9))
 	var mu sync.Mutex
@@ -92,7 +92,7 @@
 	bubble(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
-		r.limit(t, limits.Repeats{Share: 0.05, Free: 2, Span: 10 * time.Second}, &limits.Route{Name: "all"})
+		r.limit(t, limits.RetryBudget{Ratio: 0.05, Minimum: 2, Span: 10 * time.Second}, &limits.Route{Name: "all"})
 		for id, s := range r.stores {
 			if id%3 == 1 {
 				s.trouble = func(int, lots.Phase) (standin.End, time.Duration) { return standin.Fault, 0 }
@@ -104,7 +104,7 @@
 		r.mu.Lock()
 		sent := float64(r.parts)
 		r.mu.Unlock()
-		if c := r.core.Gates()[gather.WholeGate]; c.RepeatsRefused == 0 || c.Repeats == 0 || float64(c.Repeats) > 2+0.05*sent {
+		if c := r.core.Gates()[gather.AllRoutes]; c.RetriesRejected == 0 || c.Retries == 0 || float64(c.Retries) > 2+0.05*sent {
 			t.Errorf("%v parts sent, %+v", sent, c)
 		}
 	})
@@ -117,8 +117,8 @@
 	bubble(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
-		one := limits.Limits{GiveUp: time.Second, Depth: 50, Body: 120, Concurrency: limits.Concurrency{Most: 1, Queue: 2, Wait: 400 * time.Millisecond}}
-		r.limit(t, limits.Repeats{}, greedy(one))
+		one := limits.Limits{Timeout: time.Second, MaxDepth: 50, MaxBody: 120, Concurrency: limits.Concurrency{Max: 1, Queue: 2, Wait: 400 * time.Millisecond}}
+		r.limit(t, limits.RetryBudget{}, greedy(one))
 		statuses := make(chan int, 10)
 		ask := func(gone <-chan struct{}) {
 			if p := r.from("10.0.0.1", "timeout=1m", tractors, gone); p != nil {
@@ -178,8 +178,8 @@
 			go ask(nil)
 		}
 		time.Sleep(20 * time.Millisecond)
-		one.Concurrency = limits.Concurrency{Most: 1}
-		r.limit(t, limits.Repeats{}, greedy(one))
+		one.Concurrency = limits.Concurrency{Max: 1}
+		r.limit(t, limits.RetryBudget{}, greedy(one))
 		got := map[int]int{}
 		for range 3 {
 			got[<-statuses]++
@@ -187,7 +187,7 @@
 		if got[200] < 1 || got[200]+got[429] != 3 {
 			t.Errorf("queue taken away: %v", got)
 		}
-		r.core.Limit(gather.Limits{})
+		r.core.SetLimits(gather.Limits{})
 		if p := r.from("10.0.0.1", "size=51", tractors, nil); p.Status != 200 {
 			t.Errorf("no limits: %d", p.Status)
 		}
@@ -221,15 +221,15 @@
 		o.record = func(e record.Entry) { entries++; a.Add(e) }
 		r := newRig(o)
 		rng := rand.New(rand.NewPCG(5, 5))
-		l := limits.Limits{GiveUp: 2 * time.Second, Concurrency: limits.Concurrency{Most: 6, Queue: 10, Wait: 300 * time.Millisecond},
-			Rate: limits.Rate{PerSecond: 30, Burst: 10}, Repeats: limits.Repeats{Share: 0.1, Free: 3, Span: 5 * time.Second}}
-		r.limit(t, limits.Repeats{}, greedy(l))
+		l := limits.Limits{Timeout: 2 * time.Second, Concurrency: limits.Concurrency{Max: 6, Queue: 10, Wait: 300 * time.Millisecond},
+			Rate: limits.Rate{PerSecond: 30, Burst: 10}, Retries: limits.RetryBudget{Ratio: 0.1, Minimum: 3, Span: 5 * time.Second}}
+		r.limit(t, limits.RetryBudget{}, greedy(l))
 		var all sync.WaitGroup
 		for i := range 600 {
 			time.Sleep(time.Duration(rng.ExpFloat64() * float64(50*time.Millisecond)))
 			if i == 300 {
-				l.Concurrency.Most, l.Rate.PerSecond = 3, 4 // under half of what comes
-				r.limit(t, limits.Repeats{}, greedy(l))
+				l.Concurrency.Max, l.Rate.PerSecond = 3, 4 // under half of what comes
+				r.limit(t, limits.RetryBudget{}, greedy(l))
 			}
 			if i%50 == 0 {
 				bad, end := rng.IntN(6), []standin.End{standin.Fault, standin.Silent, standin.Hit}[rng.IntN(3)]
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -37,7 +37,7 @@
 }
 
 func (c *core) Submit(r *gather.Request)      { c.asked = r; r.Done <- c.result }
-func (c *core) Leave(*gather.Request)         {}
+func (c *core) ClientGone(*gather.Request)         {}
 func (c *core) Snapshot() (s gather.Snapshot) { return s }
 
 func front(res gather.Result) (*Front, *core) {
@@ -95,8 +95,8 @@
 // An answer from part of the weight says so in the API's own terms, and a search that allows none is
 // handed to the core as such.
 func TestPartial(t *testing.T) {
-	f, c := front(gather.Result{Parts: []gather.PartResult{{Shard: 4, OK: true, Value: "a"}, {Shard: 5, OK: true, Value: "b"},
-		{Shard: 6, Attempts: 1, Waiting: true}, {Shard: 7, Attempts: 4, Last: decision.Error}}})
+	f, c := front(gather.Result{Shards: []gather.ShardResult{{Shard: 4, OK: true, Value: "a"}, {Shard: 5, OK: true, Value: "b"},
+		{Shard: 6, Attempts: 1, Pending: true}, {Shard: 7, Attempts: 4, Last: decision.Error}}})
 	p := call(f, "GET", "/lots/_search?preference=_shards:4,5,6,7&allow_partial_search_results=false&timeout=2s", "")
 	r := gjson.ParseBytes(p.Body)
 	if p.Status != 200 || !r.Get("timed_out").Bool() || r.Get("_shards.total").Int() != 4 || r.Get("_shards.successful").Int() != 2 ||
@@ -104,18 +104,18 @@
 		r.Get("hits.total.relation").String() != "gte" {
 		t.Errorf("%d %s", p.Status, p.Body)
 	}
-	if !c.asked.WholeOnly || len(c.asked.Shards) != 4 || time.Until(c.asked.Deadline) > 2*time.Second {
+	if !c.asked.CompleteOnly || len(c.asked.Shards) != 4 || time.Until(c.asked.Deadline) > 2*time.Second {
 		t.Errorf("asked %+v", c.asked)
 	}
 }
 
 // Refusals tell when to come back in whole seconds; a failed create's status is none that clients repeat.
 func TestRefusedAndFailed(t *testing.T) {
-	f, _ := front(gather.Result{Kind: gather.Refused, RetryAfter: 300 * time.Millisecond})
+	f, _ := front(gather.Result{Kind: gather.Rejected, RetryAfter: 300 * time.Millisecond})
 	if p := call(f, "GET", "/lots/_search", ""); p.Status != 429 || p.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %v", p.Status, p.Header)
 	}
-	f, c := front(gather.Result{Kind: gather.Failed, Reason: gather.ReasonDeadline, Parts: []gather.PartResult{{Shard: 1, Waiting: true}}})
+	f, c := front(gather.Result{Kind: gather.Failed, Reason: gather.ReasonDeadline, Shards: []gather.ShardResult{{Shard: 1, Pending: true}}})
 	p := call(f, "PUT", "/bids/_doc/b1?op_type=create", "{}")
 	if p.Status != 500 || gjson.GetBytes(p.Body, "error.failed_shards.0.reason.type").String() != "receive_timeout_transport_exception" {
 		t.Errorf("%d %s", p.Status, p.Body)
@@ -133,7 +133,7 @@
 	hits := func(scores string) string {
 		return `{"total":{"value":3,"relation":"eq"},"hits":[` + scores + `]}`
 	}
-	f, _ := front(gather.Result{Whole: true, Parts: []gather.PartResult{
+	f, _ := front(gather.Result{Complete: true, Shards: []gather.ShardResult{
 		{Shard: 0, OK: true, Value: hits(`{"_id":"a","_score":1.5},{"_id":"b","_score":0.5}`)},
 		{Shard: 1, OK: true, Value: hits(`{"_id":"c","_score":2.5},{"_id":"d","_score":1}`)}}})
 	r := gjson.ParseBytes(call(f, "GET", "/lots/_search?size=3", "").Body)
@@ -143,7 +143,7 @@
 }
 
 func TestParseGarbage(t *testing.T) {
-	f, _ := front(gather.Result{Whole: true, Parts: []gather.PartResult{{OK: true}}})
+	f, _ := front(gather.Result{Complete: true, Shards: []gather.ShardResult{{OK: true}}})
 	proptest.CheckParser(t, true, func(b []byte) error {
 		p := call(f, "POST", "/lots/_search", string(b))
 		if p.Status != 200 && p.Status != 400 {
--- a/internal/gatherer/net/opensearch/parse.go
+++ b/internal/gatherer/net/opensearch/parse.go
@@ -22,7 +22,7 @@
 	switch v := params.Get("allow_partial_search_results"); v {
 	case "", "true":
 	case "false":
-		a.q.WholeOnly = true
+		a.q.CompleteOnly = true
 	default:
 		return illegal("failed to parse value [%.40s] as only [true] or [false] are allowed", v)
 	}
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -39,7 +39,7 @@
 		return errors.New("not JSON")
 	}
 	q := &search.Query{Keys: []merge.Key{{Field: merge.Score, Desc: true}}, Size: 10, Count: search.CountAnyhow}
-	for _, ask := range []*gather.Ask{{Query: q, Scores: true}, {Query: q, IDs: []string{"a", "b"}}, {Query: q}} {
+	for _, ask := range []*gather.ShardSearch{{Query: q, ScoresOnly: true}, {Query: q, IDs: []string{"a", "b"}}, {Query: q}} {
 		found, why := parseFound(gjson.ParseBytes(b), ask)
 		if why != "" {
 			return errors.New(why)
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -228,7 +228,7 @@
 				set.Policy.Classes = append(slices.Clone(set.Policy.Classes), decision.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Need: 1, Floor: 1, MaxAttempts: 1})
 				set.Classes = append(slices.Clone(set.Classes), "other")
 				go func() {
-					r.core.Retune(set)
+					r.core.ChangeSettings(set)
 					r.core.Detach("s-0-0")
 				}()
 				return standin.Hit, 0
--- a/internal/gatherer/net/opensearch/points.go
+++ b/internal/gatherer/net/opensearch/points.go
@@ -76,7 +76,7 @@
 		return nil, e
 	}
 	a.q.Search.Every = true
-	a.q.WholeOnly = params.Get("allow_partial_pit_creation") == "false"
+	a.q.CompleteOnly = params.Get("allow_partial_pit_creation") == "false"
 	created := r.At
 	a.format = func(res gather.Result, _ time.Duration) *http1.Response {
 		pin := &pages.Pin{Index: index, Ends: created.Add(keep), Ranges: a.shards, Versions: map[int]int64{}}
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -192,7 +192,7 @@
 	if e != nil {
 		b.Fatal(e.reason)
 	}
-	ask := &gather.Ask{Query: w.Query, Scores: true}
+	ask := &gather.ShardSearch{Query: w.Query, ScoresOnly: true}
 	var items []string
 	var ranges []search.Range
 	for s := range 200 {
--- a/internal/gatherer/net/opensearch/rig_stores_test.go
+++ b/internal/gatherer/net/opensearch/rig_stores_test.go
@@ -63,12 +63,12 @@
 
 func (r *rig) CloseIdle(decision.ServerID) {}
 
-func (r *rig) Probe(id decision.ServerID) {
+func (r *rig) HealthCheck(id decision.ServerID) {
 	time.AfterFunc(2*wayThere, func() {
 		r.mu.Lock()
 		ok := !r.stores[id].dead
 		r.mu.Unlock()
-		r.report.Probed(id, ok)
+		r.report.HealthChecked(id, ok)
 	})
 }
 
@@ -82,7 +82,7 @@
 		r.live[key]++
 		r.tries[key]++
 		r.most[key] = max(r.most[key], r.live[key])
-		body := askBody(a.Text, a.Ask, a.Shard, "1s")
+		body := askBody(a.Text, a.Search, a.Shard, "1s")
 		p := lots.PhaseOf(gjson.ParseBytes(body))
 		if s.asked[p] == nil {
 			s.asked[p] = map[int]int{}
@@ -125,7 +125,7 @@
 		}
 		j.state = 1
 		s.free--
-		body := gjson.ParseBytes(askBody(j.a.Text, j.a.Ask, j.a.Shard, "1s"))
+		body := gjson.ParseBytes(askBody(j.a.Text, j.a.Search, j.a.Shard, "1s"))
 		p := lots.PhaseOf(body)
 		end, more := standin.Hit, time.Duration(0)
 		if s.trouble != nil {
@@ -161,7 +161,7 @@
 		}
 		return
 	}
-	found, why := parseFound(gjson.Parse(item), j.a.Ask)
+	found, why := parseFound(gjson.Parse(item), j.a.Search)
 	r.mu.Lock()
 	r.bytes += len(item)
 	r.mu.Unlock()
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -84,10 +84,10 @@
 	if err != nil {
 		panic(err)
 	}
-	core.Searches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, Bounds: o.bounds, Bytes: o.bytes})
+	core.ConfigureSearches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, Bounds: o.bounds, Bytes: o.bytes})
 	r.core, r.report = core, core
 	if o.record != nil {
-		core.RecordTo(o.record)
+		core.SetRecorder(o.record)
 	}
 	current := &settings.Current{}
 	current.Store(&set)
@@ -152,7 +152,7 @@
 	}
 	whole := *q.Query
 	whole.From, whole.Size, whole.Count = 0, 100000, search.CountAll
-	ask := &gather.Ask{Query: &whole}
+	ask := &gather.ShardSearch{Query: &whole}
 	for s := range r.ranges {
 		if slices.Contains(without, s) {
 			continue
--- a/internal/gatherer/net/opensearch/stores.go
+++ b/internal/gatherer/net/opensearch/stores.go
@@ -232,22 +232,22 @@
 }
 
 // Probe implements gather.Transport.
-func (t *Stores) Probe(id decision.ServerID) {
+func (t *Stores) HealthCheck(id decision.ServerID) {
 	go func() {
 		c, open, ok := t.take(id)
 		if !ok {
-			t.report.Probed(id, false)
+			t.report.HealthChecked(id, false)
 			return
 		}
 		defer func() { t.put(id, c) }()
 		if !open && c.Dial(context.Background(), t.ConnectTimeout) != nil {
-			t.report.Probed(id, false)
+			t.report.HealthChecked(id, false)
 			return
 		}
 		deadline := time.Now().Add(t.ConnectTimeout)
 		if c.Write(deadline, "GET", "/", nil, nil) != nil {
 			c.Close()
-			t.report.Probed(id, false)
+			t.report.HealthChecked(id, false)
 			return
 		}
 		p, err := c.Read(deadline)
@@ -256,6 +256,6 @@
 		} else {
 			p.Release()
 		}
-		t.report.Probed(id, err == nil && p.Status == 200)
+		t.report.HealthChecked(id, err == nil && p.Status == 200)
 	}()
 }
--- a/internal/gatherer/net/opensearch/stores_test.go
+++ b/internal/gatherer/net/opensearch/stores_test.go
@@ -33,7 +33,7 @@
 func (r reports) Unanswerable(a *gather.Attempt, why string) {
 	r <- report{a.Shard, decision.NotSent, why}
 }
-func (r reports) Probed(_ decision.ServerID, ok bool) {
+func (r reports) HealthChecked(_ decision.ServerID, ok bool) {
 	r <- report{s: map[bool]decision.Status{true: decision.OK, false: decision.Error}[ok]}
 }
 
@@ -107,7 +107,7 @@
 	if got := <-r; got.s != decision.ConnectFailed {
 		t.Errorf("refused: status %v", got.s)
 	}
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	if got := <-r; got.s != decision.Error {
 		t.Errorf("probe: %v", got.s)
 	}
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -20,7 +20,7 @@
 // Core is what a front needs of the gatherer's core.
 type Core interface {
 	Submit(*gather.Request)
-	Leave(*gather.Request)
+	ClientGone(*gather.Request)
 }
 
 // Front answers queries and the platform's questions after the daemon's state.
@@ -57,7 +57,7 @@
 	case res := <-q.Done:
 		return render(res)
 	case <-gone:
-		f.Core.Leave(q)
+		f.Core.ClientGone(q)
 		return nil
 	}
 }
@@ -165,7 +165,7 @@
 func render(res gather.Result) *http1.Response {
 	switch res.Kind {
 	case gather.Answered:
-		b := fmt.Appendf(nil, `{"finished":%v,"found":[`, res.Whole)
+		b := fmt.Appendf(nil, `{"finished":%v,"found":[`, res.Complete)
 		for _, p := range res.Values() {
 			if !p.OK {
 				continue
@@ -178,7 +178,7 @@
 		}
 		return &http1.Response{Status: 200, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}},
 			Body: append(b, "]}"...)}
-	case gather.Refused:
+	case gather.Rejected:
 		p := http1.Text(503, res.Reason)
 		if res.Reason == gather.ReasonFull {
 			p.Status = 429
--- a/internal/gatherer/net/platform/platform_test.go
+++ b/internal/gatherer/net/platform/platform_test.go
@@ -25,7 +25,7 @@
 		r.Done <- c.result
 	}
 }
-func (c *core) Leave(*gather.Request) { c.left = true }
+func (c *core) ClientGone(*gather.Request) { c.left = true }
 
 const none gather.Kind = 99
 
@@ -50,7 +50,7 @@
 const good = `{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5,"seed":"91f03b7c55d20a64"}],"body":"c41e77d0"}`
 
 func TestQuery(t *testing.T) {
-	f, c := front(gather.Result{Parts: []gather.PartResult{{Shard: 3, OK: true, Value: `5b"e2`}, {Shard: 9}}})
+	f, c := front(gather.Result{Shards: []gather.ShardResult{{Shard: 3, OK: true, Value: `5b"e2`}, {Shard: 9}}})
 	r := post("/lot-search/x", good)
 	p := f.Handle(r, nil)
 	if p.Status != 200 || string(p.Body) != `{"finished":false,"found":[{"bucket":3,"item":"5b\"e2"}]}` {
@@ -78,8 +78,8 @@
 		status int
 		after  string
 	}{
-		{gather.Result{Kind: gather.Refused, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{gather.Result{Kind: gather.Refused, Reason: gather.ReasonFull, RetryAfter: 500 * time.Millisecond}, 429, "0.500"},
+		{gather.Result{Kind: gather.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{gather.Result{Kind: gather.Rejected, Reason: gather.ReasonFull, RetryAfter: 500 * time.Millisecond}, 429, "0.500"},
 		{gather.Result{Kind: gather.Failed, Reason: gather.ReasonDeadline}, 504, ""},
 		{gather.Result{Kind: gather.Failed, Reason: gather.ReasonDuplicate}, 409, ""},
 		{gather.Result{Kind: gather.Failed}, 502, ""},
--- a/internal/gatherer/record/record.go
+++ b/internal/gatherer/record/record.go
@@ -27,11 +27,11 @@
 // The kinds.
 const (
 	Arrived Kind = iota + 1 // a request came, and what its route decided
-	Let                     // one that waited was let in or given up
+	Released                     // one that waited was let in or given up
 	Attempt                 // an attempt has ended
 	Final                   // a request has its final answer, or its client left
 	Dropped                 // so many entries before this one found no room
-	Begun                   // a process began: numbers of requests begin again
+	Started                   // a process began: numbers of requests begin again
 )
 
 // Steps of an attempt past the first one's 0.
@@ -68,13 +68,13 @@
 // InForce are the limits that a request came under; times in microseconds, 0 for no limit.
 type InForce struct {
 	Attempts  int     `msgpack:"a"`
-	GiveUp    int64   `msgpack:"g"`
+	Timeout    int64   `msgpack:"g"`
 	Window    int64   `msgpack:"w,omitempty"` // of a keyed class
-	Copies    bool    `msgpack:"c,omitempty"` // a part may have two attempts out at once
-	Most      int     `msgpack:"m,omitempty"`
+	Hedging    bool    `msgpack:"c,omitempty"` // a part may have two attempts out at once
+	MaxConcurrency      int     `msgpack:"m,omitempty"`
 	PerSecond float64 `msgpack:"r,omitempty"`
 	Burst     int     `msgpack:"b,omitempty"`
-	Share     float64 `msgpack:"s,omitempty"` // of the route's repeats
+	Ratio     float64 `msgpack:"s,omitempty"` // of the route's repeats
 	Free      float64 `msgpack:"f,omitempty"`
 	Span      int64   `msgpack:"p,omitempty"`
 }
@@ -128,7 +128,7 @@
 		fmt.Sscanf(filepath.Base(names[len(names)-1]), "record-%d", &next)
 		next++ // never behind what may be a torn end
 	}
-	w.Record(Entry{Kind: Begun, At: time.Now().UnixMicro()})
+	w.Record(Entry{Kind: Started, At: time.Now().UnixMicro()})
 	go w.run(next)
 	return w, nil
 }
--- a/internal/gatherer/record/record_test.go
+++ b/internal/gatherer/record/record_test.go
@@ -45,7 +45,7 @@
 	read := func() (torn int) {
 		last, count = -1, 0
 		torn, err := Read(dir, func(e Entry) error {
-			if e.Kind == Begun {
+			if e.Kind == Started {
 				return nil
 			}
 			if int(e.At) <= last || e.Request != uint64(e.At) {
