--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -56,11 +56,11 @@
 func TestLoad(t *testing.T) {
 	list := attempts(2)
 	first, load := list[0], list[1]
-	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, Whole: true}
+	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
 	if l := partLine(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
-	load.Key, load.Load.Whole = "5c0f", false
+	load.Key, load.Load.FirstComplete = "5c0f", false
 	if l := partLine(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
@@ -113,7 +113,7 @@
 	r.want(t, 3, decision.Reset)
 	tr.Call(1, attempts(3))
 	r.want(t, 3, decision.OK)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	r.want(t, 1, decision.OK)
 
 	refused := standin.Listen(t)
@@ -121,7 +121,7 @@
 	tr, r = transport(refused.Addr().String(), time.Minute)
 	tr.Call(1, attempts(2))
 	r.want(t, 2, decision.ConnectFailed)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	r.want(t, 1, decision.Error)
 }
 
@@ -204,17 +204,17 @@
 
 // Nothing queued may go to a server since told draining or gone: the rule allows 250 ms after that.
 func TestDrainDropsQueue(t *testing.T) {
-	for _, state := range []decision.ServerState{decision.Draining, decision.Gone} {
+	for _, state := range []decision.ServerState{decision.Draining, decision.Deregistered} {
 		tr, r := transport("127.0.0.1:1", time.Minute)
 		c := parked(tr, nil)
 		tr.Call(1, attempts(3))
 		tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: state}})
-		r.want(t, 3, decision.Moot)
+		r.want(t, 3, decision.NotSent)
 		if len(c.queue) != 0 || c.load != 0 {
 			t.Errorf("queue %v, load %d", c.queue, c.load)
 		}
 		tr.Call(1, attempts(1))
-		r.want(t, 1, decision.Moot)
+		r.want(t, 1, decision.NotSent)
 	}
 }
 
@@ -232,7 +232,7 @@
 	if more, err := c.write(); !more || err != nil { // a write to the pipe would fail: nobody reads
 		t.Errorf("more %v, error %v", more, err)
 	}
-	r.want(t, 2, decision.Moot)
+	r.want(t, 2, decision.NotSent)
 }
 
 // A cancelled part gives its place up, and an answer that crosses that is dropped.
@@ -307,7 +307,7 @@
 func TestIdleCloses(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), 60*time.Millisecond)
-	tr.Probe(1)
+	tr.HealthCheck(1)
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -328,7 +328,7 @@
 	list := attempts(1)
 	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
 	tr.conns = 2
-	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Gone}})
+	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Deregistered}})
 	if tr.conns != 1 || len(tr.servers) != 1 {
 		t.Errorf("%d connections, %d servers while one part is out", tr.conns, len(tr.servers))
 	}
--- a/internal/gatherer/net/frames/write.go
+++ b/internal/gatherer/net/frames/write.go
@@ -51,7 +51,7 @@
 		c.silent = true
 		id := c.s.ID
 		t.mu.Unlock()
-		t.report.Probed(id, false)
+		t.report.HealthChecked(id, false)
 		return true, nil
 	}
 	if c.load == 0 && len(c.asked) == 0 && (c.unfit() || now.Sub(c.idle) > t.ConnIdle/2) {
@@ -82,7 +82,7 @@
 	c.settle()
 	t.mu.Unlock()
 	for _, a := range late {
-		t.report.Outcome(a, decision.Moot, "")
+		t.report.Outcome(a, decision.NotSent, "")
 	}
 	if len(attempts) == 0 {
 		return nil
--- a/internal/gatherer/net/opensearch/calls.go
+++ b/internal/gatherer/net/opensearch/calls.go
@@ -57,7 +57,7 @@
 		case <-gone:
 			for _, a := range j.asked[i:] {
 				if a.wrong == nil {
-					f.Core.Leave(a.q)
+					f.Core.ClientGone(a.q)
 				}
 			}
 			return nil
@@ -183,9 +183,9 @@
 	}
 	k := set.Policy.Classes[class]
 	switch {
-	case !keyed && k.Effect != decision.Safe:
+	case !keyed && k.Effect != decision.Idempotent:
 		return nil, illegal("index [%s] takes only create", index)
-	case keyed && k.Effect == decision.Safe:
+	case keyed && k.Effect == decision.Idempotent:
 		return nil, illegal("index [%s] takes only _search", index)
 	}
 	wait := k.Deadline
