--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -5,13 +5,13 @@
 var seededFaults = []seededFault{
 	{
 		name: "prepare not persisted", file: "register/acceptor.go",
-		old:     "if err := a.savePromise(ballot); err != nil {",
+		old:     "if err := a.savePrepared(number); err != nil {",
 		changed: "if err := error(nil); err != nil {",
 	},
 	{
 		name: "accept acknowledged before it is durable", file: "register/acceptor.go",
-		old:     "if err := a.saveValue(request.Proposal, request.Value); err != nil {",
-		changed: "go func() { _ = a.saveValue(request.Proposal, request.Value) }()\n\tif err := error(nil); err != nil {",
+		old:     "if err := a.saveAccepted(request.Proposal, request.Value); err != nil {",
+		changed: "go func() { _ = a.saveAccepted(request.Proposal, request.Value) }()\n\tif err := error(nil); err != nil {",
 	},
 	{
 		name: "version counts as durable without a sync of its folder", file: "storage/versions.go",
@@ -19,8 +19,8 @@
 		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
-		name: "restart forgets that an accept implies a prepare", file: "register/acceptor.go",
-		old:     "\t\tstate.promised = state.accepted\n",
+		name: "restart forgets that an accept implies a prepare", file: "register/acceptor_storage.go",
+		old:     "\t\tstate.prepared = state.accepted // an accept is a prepare, too, and does not write the other file\n",
 		changed: "",
 	},
 	{
@@ -29,24 +29,24 @@
 		changed: "func (a *Acceptor) Prepare(request *tierpb.PrepareRequest) *tierpb.PrepareReply {\n\tif false {",
 	},
 	{
-		name: "acceptor keeps its identity after the loss of its disk", file: "register/acceptor.go",
+		name: "acceptor keeps its identity after the loss of its disk", file: "register/acceptor_storage.go",
 		old:     "a.identity = NewIdentity(options.Address)",
 		changed: "a.identity = InitialIdentity(options.Address)",
 	},
 	{
 		name: "accept does not check the prepared proposal", file: "register/acceptor.go",
-		old:     "if higher(state.promised, request.Proposal) {\n\t\treturn &tierpb.AcceptReply{",
+		old:     "if isHigher(state.prepared, request.Proposal) {\n\t\treturn &tierpb.AcceptReply{",
 		changed: "if false {\n\t\treturn &tierpb.AcceptReply{",
 	},
 	{
 		name: "prepare does not check the prepared proposal", file: "register/acceptor.go",
-		old:     "if higher(state.promised, request.Proposal) {\n\t\treturn &tierpb.PrepareReply{",
+		old:     "if isHigher(state.prepared, request.Proposal) {\n\t\treturn &tierpb.PrepareReply{",
 		changed: "if false {\n\t\treturn &tierpb.PrepareReply{",
 	},
 	{
-		name: "any accepted value instead of that of the highest proposal", file: "register/round.go",
-		old:     "if c.best != nil && !higher(reply.Accepted, c.best.Accepted) {",
-		changed: "if c.best != nil {",
+		name: "any accepted value instead of that of the highest proposal", file: "register/prepare.go",
+		old:     "if t.best != nil && !isHigher(reply.Accepted, t.best.Accepted) {",
+		changed: "if t.best != nil {",
 	},
 	{
 		name: "joint quorum counts the new voters only", file: "register/quorum.go",
@@ -54,22 +54,22 @@
 		changed: "for _, set := range voters[len(voters)-1:] {\n\t\tcount := 0",
 	},
 	{
-		name: "old voters removed before the joint configuration is chosen", file: "register/voters.go",
+		name: "old voters removed before the joint configuration is chosen", file: "register/reconfigure.go",
 		old:     "return len(current.GetVoters()) == 2 && len(next.GetVoters()) == 1",
 		changed: "return false",
 		also: &seededFault{
 			file:    "register/accept.go",
-			old:     "count.voters = append(append(count.voters, current.GetVoters()...), next.GetVoters()...)",
-			changed: "count.voters = append(count.voters, next.GetVoters()...)",
+			old:     "tracker.voters = append(append(tracker.voters, current.GetVoters()...), next.GetVoters()...)",
+			changed: "tracker.voters = append(tracker.voters, next.GetVoters()...)",
 		},
 	},
 	{
 		name: "conflict answered from a value that is not chosen", file: "register/proposer.go",
-		old:     "if prepared.chosen {\n\t\treturn attemptResult{done: true",
-		changed: "if true {\n\t\treturn attemptResult{done: true",
+		old:     "if prepared.chosen {\n\t\treturn attemptResult{completed: true",
+		changed: "if true {\n\t\treturn attemptResult{completed: true",
 	},
 	{
-		name: "read answered from the value of one acceptor", file: "register/peek.go",
+		name: "read answered from the value of one acceptor", file: "register/read.go",
 		old:     "if !found.chosen {",
 		changed: "if found.value == nil {",
 	},
@@ -85,8 +85,8 @@
 	},
 	{
 		name: "proposer id reused after a restart", file: "register/proposer.go",
-		old:     "number: draw(owner)}",
-		changed: "number: mix(owner, time.Time{}, nil)}",
+		old:     "number: uniqueNumber(owner)}",
+		changed: "number: hashNumber(owner, time.Time{}, nil)}",
 	},
 	{
 		name: "restarted lessor grants without waiting for the longest TTL", file: "lease/grantor.go",
--- a/internal/tier/register/accept.go
+++ b/internal/tier/register/accept.go
@@ -7,85 +7,86 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// acceptance is the end of an accept phase.
-type acceptance struct {
-	quorum  bool
-	sent    bool   // at least one accept has left
-	highest uint64 // counter met in refusals
-	err     error
+// acceptResult is the result of an accept phase.
+type acceptResult struct {
+	quorum           bool
+	sent             bool   // at least one accept was sent
+	highestRejection uint64 // highest counter found in rejections, 0 without any
+	err              error  // of a failpoint
 }
 
-type vote struct {
-	from  uint64
+// acceptAnswer is the result of one accept call.
+type acceptAnswer struct {
+	from  uint64              // identity
 	reply *tierpb.AcceptReply // nil where the call failed
 }
 
-// voteCount follows the answers to accepts.
-type voteCount struct {
+// acceptTracker counts the replies to accepts.
+type acceptTracker struct {
 	voters   []*tierpb.VoterSet
-	answers  chan vote
-	open     identities // sent and not answered
-	accepted identities
+	answers  chan acceptAnswer
+	pending  identitySet // sent and not answered
+	accepted identitySet
 }
 
-// accept sends a value to the voters of the value that it is based on and to its own, and waits for a quorum of
-// both. Accepts that are under way then go on by themselves.
-func (r *round) accept(ctx context.Context, current, next *tierpb.ControlState) acceptance {
-	phase, cancel := context.WithTimeout(context.WithoutCancel(ctx), callsOfAPhase*r.timeout)
-	count := &voteCount{open: identities{}, accepted: identities{}}
-	count.voters = append(append(count.voters, current.GetVoters()...), next.GetVoters()...)
-	result := r.sendAccepts(phase, count, next)
-	for result.err == nil && !count.decided() {
+// accept sends a value to the voters of the value that it is based on and to its own, and waits for a quorum of both.
+// Accepts in flight are not cancelled when it returns.
+func (p *proposal) accept(ctx context.Context, current, next *tierpb.ControlState) acceptResult {
+	phase, cancel := context.WithTimeout(context.WithoutCancel(ctx), callsPerPhase*p.callTimeout)
+	tracker := &acceptTracker{pending: identitySet{}, accepted: identitySet{}}
+	tracker.voters = append(append(tracker.voters, current.GetVoters()...), next.GetVoters()...)
+	result := p.sendAccepts(phase, tracker, next)
+	for result.err == nil && !tracker.isDecided() {
 		select {
-		case answer := <-count.answers:
-			result.highest = max(result.highest, count.take(answer))
+		case answer := <-tracker.answers:
+			result.highestRejection = max(result.highestRejection, tracker.record(answer))
 		case <-phase.Done():
-			count.open = identities{}
+			tracker.pending = identitySet{}
 		case <-ctx.Done():
-			count.open = identities{}
+			tracker.pending = identitySet{}
 		}
 	}
-	result.quorum = HasQuorum(count.voters, count.accepted.has)
-	go drain(count.answers, len(count.open), cancel)
+	result.quorum = HasQuorum(tracker.voters, tracker.accepted.has)
+	go awaitAnswers(tracker.answers, len(tracker.pending), cancel)
 	return result
 }
 
-func (r *round) sendAccepts(phase context.Context, count *voteCount, value *tierpb.ControlState) (result acceptance) {
-	targets := VoterNodes(&tierpb.ControlState{Voters: count.voters})
-	count.answers = make(chan vote, len(targets))
+func (p *proposal) sendAccepts(phase context.Context, tracker *acceptTracker, value *tierpb.ControlState) (result acceptResult) {
+	targets := VoterNodes(&tierpb.ControlState{Voters: tracker.voters})
+	tracker.answers = make(chan acceptAnswer, len(targets))
 	for _, node := range targets {
-		if result.err = r.proposer.options.Failpoints.At(failpoint.AcceptSending); result.err != nil {
+		if result.err = p.proposer.options.Failpoints.At(failpoint.AcceptSending); result.err != nil {
 			return result
 		}
 		result.sent = true
-		count.open.add(node.GetIdentity())
+		tracker.pending.add(node.GetIdentity())
 		go func() {
-			count.answers <- vote{from: node.GetIdentity(), reply: r.callAccept(phase, node, value)}
+			tracker.answers <- acceptAnswer{from: node.GetIdentity(), reply: p.callAccept(phase, node, value)}
 		}()
 	}
 	return result
 }
 
-// take counts an answer and returns the counter of a higher ballot where it was refused for one.
-func (c *voteCount) take(answer vote) (highest uint64) {
-	delete(c.open, answer.from)
+// record counts an answer and returns the counter of the higher proposal number for which it was rejected, if any.
+func (t *acceptTracker) record(answer acceptAnswer) (rejectedBy uint64) {
+	delete(t.pending, answer.from)
 	if answer.reply.GetAccepted() {
-		c.accepted.add(answer.from)
+		t.accepted.add(answer.from)
 		return 0
 	}
 	return answer.reply.GetHighestPrepared().GetCounter()
 }
 
-// decided says whether there is a quorum, or cannot be one.
-func (c *voteCount) decided() bool {
-	if HasQuorum(c.voters, c.accepted.has) {
+// isDecided reports whether there is a quorum, or none is possible any more.
+func (t *acceptTracker) isDecided() bool {
+	if HasQuorum(t.voters, t.accepted.has) {
 		return true
 	}
-	return !HasQuorum(c.voters, func(identity uint64) bool { return c.accepted.has(identity) || c.open.has(identity) })
+	return !HasQuorum(t.voters, func(identity uint64) bool { return t.accepted.has(identity) || t.pending.has(identity) })
 }
 
-// drain lets the calls that are under way come to their end before their context is let go.
-func drain(answers <-chan vote, count int, cancel context.CancelFunc) {
+// awaitAnswers waits for the calls in flight before their context is released.
+func awaitAnswers(answers <-chan acceptAnswer, count int, cancel context.CancelFunc) {
 	defer cancel()
 	for range count {
 		<-answers
--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -42,19 +42,19 @@
 	return state
 }
 
-func ballotOf(counter uint64) *tierpb.ProposalNumber {
+func proposalNumber(counter uint64) *tierpb.ProposalNumber {
 	return &tierpb.ProposalNumber{Counter: counter, Proposer: 7}
 }
 
 func (a *Acceptor) prepareFor(counter uint64) *tierpb.PrepareReply {
-	return a.Prepare(&tierpb.PrepareRequest{Identity: a.identity, Proposal: ballotOf(counter)})
+	return a.Prepare(&tierpb.PrepareRequest{Identity: a.identity, Proposal: proposalNumber(counter)})
 }
 
 func (a *Acceptor) acceptFor(counter, generation uint64) *tierpb.AcceptReply {
-	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Proposal: ballotOf(counter), Value: valueOf(generation)})
+	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Proposal: proposalNumber(counter), Value: valueOf(generation)})
 }
 
-func TestIdentityOfTheFirstStartFollowsFromTheAddress(t *testing.T) {
+func TestInitialIdentityFollowsFromTheAddress(t *testing.T) {
 	machine := machineAlone(1)
 	first := openOn(t, machine, true)
 	assert.Equal(t, first.Identity(), InitialIdentity(machine.Address()))
@@ -69,21 +69,21 @@
 	assert.Assert(t, wiped.AcceptedValue() == nil)
 }
 
-func TestNumbersDifferWhereOneOfTheirSourcesFails(t *testing.T) {
+func TestUniqueNumbersDifferIfOneOfTheirSourcesFails(t *testing.T) {
 	at, random := time.Unix(1000, 0), []byte("random")
-	number := mix("one", at, random)
-	assert.Assert(t, number != mix("other", at, random))
-	assert.Assert(t, number != mix("one", at.Add(1), random))
-	assert.Assert(t, number != mix("one", at, []byte("another")))
+	number := hashNumber("one", at, random)
+	assert.Assert(t, number != hashNumber("other", at, random))
+	assert.Assert(t, number != hashNumber("one", at.Add(1), random))
+	assert.Assert(t, number != hashNumber("one", at, []byte("another")))
 	assert.Assert(t, NewIdentity("one") != InitialIdentity("one"))
 }
 
-func TestSeedsAgreeInAnyOrder(t *testing.T) {
+func TestInitialStateDoesNotDependOnTheOrderOfSeeds(t *testing.T) {
 	turned := []string{testSeeds[2], testSeeds[0], testSeeds[1], testSeeds[0]}
 	assert.Assert(t, InitialState(turned).EqualVT(InitialState(testSeeds)))
 }
 
-func TestFirstStartThatWasStoppedIsDoneAgain(t *testing.T) {
+func TestInterruptedFirstStartIsRepeated(t *testing.T) {
 	for _, point := range []failpoint.Point{failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.IdentityUnsaved} {
 		machine := machineAlone(uint64(point))
 		_, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return passed == point }})
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestPromisesAndValuesOutliveALossOfPower(t *testing.T) {
+func TestPreparedAndAcceptedSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(50) {
 		machine := machineAlone(seed)
 		acceptor := openOn(t, machine, true)
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestValueOfAFailedSaveNeverComesUp: the failed save may have left the value on disk; once a promise was given
+// TestValueOfAFailedSaveNeverReappears: the failed save may have left the value on disk; once a promise was given
 // without telling of it, it must not appear after a restart.
-func TestValueOfAFailedSaveNeverComesUp(t *testing.T) {
+func TestValueOfAFailedSaveNeverReappears(t *testing.T) {
 	for _, failing := range []failpoint.Point{failpoint.VersionSynced, failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.VersionRemoved} {
 		machine := machineAlone(uint64(failing))
 		stop := false
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestAcceptanceIsToldOnlyWhenItIsOnDisk(t *testing.T) {
+func TestAcceptedValueIsVisibleOnlyOnceOnDisk(t *testing.T) {
 	machine := machineAlone(1)
 	var acceptor *Acceptor
 	passed := 0
@@ -152,8 +152,8 @@
 	assert.Equal(t, passed, 4)
 }
 
-func TestDamagedDiskIsAnotherNode(t *testing.T) {
-	for _, series := range []string{identitySeries, promiseSeries, acceptedSeries} {
+func TestDamagedFileLeadsToANewIdentity(t *testing.T) {
+	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
 		machine := machineAlone(1)
 		acceptor := openOn(t, machine, true)
 		assert.Assert(t, acceptor.prepareFor(5).Prepared)
@@ -167,10 +167,10 @@
 	}
 }
 
-// TestMissingFileIsAnotherNode: an acceptor whose file of promises or of the accepted value is gone has forgotten what it
+// TestMissingFileLeadsToANewIdentity: an acceptor whose file of promises or of the accepted value is gone has forgotten what it
 // told others, as one whose file is damaged.
-func TestMissingFileIsAnotherNode(t *testing.T) {
-	for _, series := range []string{identitySeries, promiseSeries, acceptedSeries} {
+func TestMissingFileLeadsToANewIdentity(t *testing.T) {
+	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
 		for _, bootstrap := range []bool{true, false} {
 			machine := machineAlone(1)
 			acceptor := openOn(t, machine, bootstrap)
@@ -186,42 +186,42 @@
 	}
 }
 
-// TestFolderOfABuildBeforeIsCompleted: builds before wrote no file that tells which others there are. Their folders are
+// TestFolderOfAnOlderBuildIsCompleted: builds before wrote no file that tells which others there are. Their folders are
 // read as they were, and from then on a file that goes is missed.
-func TestFolderOfABuildBeforeIsCompleted(t *testing.T) {
-	for _, unwritten := range []string{promiseSeries, acceptedSeries, "none"} {
+func TestFolderOfAnOlderBuildIsCompleted(t *testing.T) {
+	for _, unwritten := range []string{preparedFile, acceptedFile, "none"} {
 		machine := machineAlone(1)
 		before := openOn(t, machine, false)
-		machine.Disk.RemoveMatching(completeSeries + "-")
+		machine.Disk.RemoveMatching(completeFile + "-")
 		machine.Disk.RemoveMatching(unwritten + "-")
 		read := openOn(t, machine, false)
 		assert.Assert(t, !read.Fresh() && read.Identity() == before.Identity(), unwritten)
 		assert.Equal(t, openOn(t, machine, false).Identity(), before.Identity())
-		machine.Disk.RemoveMatching(promiseSeries + "-")
+		machine.Disk.RemoveMatching(preparedFile + "-")
 		assert.Assert(t, openOn(t, machine, false).Identity() != before.Identity())
 	}
 }
 
-func TestCallsThatWaitForAStalledDiskAreBounded(t *testing.T) {
+func TestRequestsPendingOnAStalledDiskAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := machineAlone(1)
 		acceptor := openOn(t, machine, true)
 		machine.Freeze()
-		ended := make(chan bool, 3*maxWaiting)
-		for i := range 3 * maxWaiting {
+		ended := make(chan bool, 3*maxPendingRequests)
+		for i := range 3 * maxPendingRequests {
 			go func() { ended <- acceptor.prepareFor(uint64(i + 1)).Prepared }()
 		}
 		synctest.Wait()
 		refused := len(ended)
-		assert.Equal(t, refused, 2*maxWaiting)
+		assert.Equal(t, refused, 2*maxPendingRequests)
 		machine.Thaw()
-		for range 3 * maxWaiting {
+		for range 3 * maxPendingRequests {
 			<-ended
 		}
 	})
 }
 
-func TestDiskUseIsBounded(t *testing.T) {
+func TestAcceptorDiskUseIsBounded(t *testing.T) {
 	machine := machineAlone(1)
 	acceptor := openOn(t, machine, true)
 	longest := 0
--- a/internal/tier/register/cost_test.go
+++ b/internal/tier/register/change_cost_test.go
@@ -21,9 +21,9 @@
 	return &tierpb.Configuration{Generation: generation, Body: bytes.Repeat(route, 350)}
 }
 
-// TestCostOfAChange logs what a change and a read of a large value cost, and bounds the number of syncs: a prepare and
+// TestChangeCost logs what a change and a read of a large value cost, and bounds the number of syncs: a prepare and
 // an accept are two syncs each, of the file and of the folder.
-func TestCostOfAChange(t *testing.T) {
+func TestChangeCost(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		change := func(generation uint64) {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -195,7 +195,7 @@
 	}
 	for _, m := range c.members {
 		state := m.current().state.Load()
-		c.t.Logf("%s/%x promised %v accepted %v %s", m.machine.Address(), m.current().Identity(), state.promised,
+		c.t.Logf("%s/%x prepared %v accepted %v %s", m.machine.Address(), m.current().Identity(), state.prepared,
 			state.accepted, sets(state.value))
 		c.t.Logf("    knows %s; proposer newest %s", sets(m.newestKnown()), sets(m.changer().newest))
 	}
--- a/internal/tier/register/orders_test.go
+++ b/internal/tier/register/conflicting_changes_test.go
@@ -58,9 +58,9 @@
 		r.reached, r.apart, r.equal, r.late, r.lost, r.crossing)
 }
 
-// TestOrderThatIsGivenUpInItsAcceptsMeetsAnother plays all ways in which the accepts of an order that ran out of time
+// TestAbandonedAcceptsCompeteWithAnotherChange plays all ways in which the accepts of an order that ran out of time
 // reach some acceptors, and a second order under the same number completes or overwrites it.
-func TestOrderThatIsGivenUpInItsAcceptsMeetsAnother(t *testing.T) {
+func TestAbandonedAcceptsCompeteWithAnotherChange(t *testing.T) {
 	ends := map[string]int{}
 	for _, crossing := range []crossing{noCrossing, halfBefore, halfBetween, wholeBetween} {
 		for way := range 16 * 4 * 2 * 2 * 2 {
--- a/internal/tier/register/repeat_test.go
+++ b/internal/tier/register/duplicate_messages_test.go
@@ -16,10 +16,10 @@
 	accept  bool
 }
 
-// TestRepeatedAndLateCallsOfRounds: prepares and accepts of some rounds reach an acceptor twice, late and in any order, with
+// TestDuplicateAndLateMessages: prepares and accepts of some rounds reach an acceptor twice, late and in any order, with
 // restarts between. A promise is kept, what was accepted does not go back, a ballot has one value, and a call that comes again
 // gets the answer that it would have got, or a refusal.
-func TestRepeatedAndLateCallsOfRounds(t *testing.T) {
+func TestDuplicateAndLateMessages(t *testing.T) {
 	const rounds, seeds = 4, 200
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,14 +62,14 @@
 	}
 }
 
-// TestRepeatedAcceptIsAnsweredAlike: an accept that comes again is answered as before, and one for another node is refused.
-func TestRepeatedAcceptIsAnsweredAlike(t *testing.T) {
+// TestDuplicateAcceptIsAcknowledgedAgain: an accept that comes again is answered as before, and one for another node is refused.
+func TestDuplicateAcceptIsAcknowledgedAgain(t *testing.T) {
 	acceptor := openOn(t, machineAlone(1), true)
 	assert.Assert(t, acceptor.prepareFor(5).Prepared)
 	for range 3 {
 		assert.Assert(t, acceptor.acceptFor(5, 9).Accepted)
 	}
-	late := acceptor.Accept(&tierpb.AcceptRequest{Identity: acceptor.Identity() + 1, Proposal: ballotOf(6), Value: valueOf(10)})
+	late := acceptor.Accept(&tierpb.AcceptRequest{Identity: acceptor.Identity() + 1, Proposal: proposalNumber(6), Value: valueOf(10)})
 	assert.Assert(t, late.WrongIdentity && !late.Accepted)
 	assert.Equal(t, acceptor.AcceptedValue().GetConfiguration().GetGeneration(), uint64(9))
 }
--- a/internal/tier/register/points_test.go
+++ b/internal/tier/register/failpoints_test.go
@@ -58,10 +58,10 @@
 	return c.members[1]
 }
 
-// TestEveryPointOfAChange stops a process at each point in turn, the proposer's and a voter's, with each kind of
+// TestFaultAtEveryFailpoint stops a process at each point in turn, the proposer's and a voter's, with each kind of
 // strike. What was acknowledged before stays, what was acknowledged then stays too, and the same order sent again
 // is acknowledged.
-func TestEveryPointOfAChange(t *testing.T) {
+func TestFaultAtEveryFailpoint(t *testing.T) {
 	for point := failpoint.PrepareSending; point <= failpoint.LastPoint; point++ {
 		for _, strike := range strikes {
 			for victim := range 2 {
--- a/internal/tier/register/trouble_test.go
+++ b/internal/tier/register/faults_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) { test(t, newCluster(t, 1, seeds, count, calm)) })
 }
 
-func TestFrozenProposerWakesWithAnOldBallot(t *testing.T) {
+func TestFrozenProposerResumesWithAnOutdatedProposal(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		sleeper := c.members[3]
 		sleeper.stopWhen(func(point failpoint.Point) bool {
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestOrderWithLostAnswerIsAcknowledgedWhenItIsSentAgain(t *testing.T) {
+func TestChangeWithLostReplyIsAcknowledgedOnRetry(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		proposer := c.members[3]
 		proposer.stopWhen(func(point failpoint.Point) bool {
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestOneWayCutsOfOneVoter(t *testing.T) {
+func TestOneWayPartitionOfOneVoter(t *testing.T) {
 	for _, hears := range []bool{true, false} {
 		inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 			lonely := c.members[2].machine.Address()
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestSlowOrDeadVoterDoesNotSlowAChange(t *testing.T) {
+func TestSlowOrDeadVoterDoesNotDelayAChange(t *testing.T) {
 	troubles := map[string]func(*member){
 		"frozen":    func(m *member) { m.machine.Freeze() },
 		"dark":      func(m *member) { m.machine.PowerLoss() },
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestConflictRestsOnAChosenValue(t *testing.T) {
+func TestConflictIsBasedOnAChosenValue(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		writer := c.members[3]
 		writer.stopWhen(func(point failpoint.Point) bool {
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestWipedVoterIsAnotherNodeAndJoinsByAChangeOfVoters(t *testing.T) {
+func TestWipedVoterRejoinsUnderANewIdentity(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		c.members[0].mustPut(0, 1)
 		old := c.members[2].current().Identity()
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestUnsafeStepsOfVotersAreRefused(t *testing.T) {
+func TestUnsafeChangesOfVotersAreRejected(t *testing.T) {
 	inBubble(t, 3, 6, func(t *testing.T, c *cluster) {
 		foreign := &tierpb.VoterSet{Nodes: []*tierpb.Node{c.members[3].node(), c.members[4].node(), c.members[0].node()}}
 		steps := map[string]func(*tierpb.ControlState){
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestProposersInParallelAllComeToAnEnd(t *testing.T) {
+func TestConcurrentProposersAllComplete(t *testing.T) {
 	inBubble(t, 3, 5, func(t *testing.T, c *cluster) {
 		ended := make(chan error, len(c.members))
 		for i, m := range c.members {
@@ -225,7 +225,7 @@
 	})
 }
 
-func TestFullOrFailingDiskOfOneVoterIsBorne(t *testing.T) {
+func TestFullOrFailingDiskOfOneVoterIsTolerated(t *testing.T) {
 	for _, trouble := range []simulation.DiskFault{{Full: true}, {SyncFails: true}} {
 		inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 			sick := c.members[2]
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestAllKilledAtOnceOnACutCore(t *testing.T) {
+func TestAllProcessesKilledAtOnce(t *testing.T) {
 	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
 		c.members[0].mustPut(0, 1)
 		for round := range 5 {
@@ -260,9 +260,9 @@
 	})
 }
 
-// TestOldVotersGoOnlyOnceTheJointOnesAreChosen leads a joint value to one acceptor only. Were the old voters dropped on
+// TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen leads a joint value to one acceptor only. Were the old voters dropped on
 // the ground of it, two of the new ones and two of the old ones could each take a change of their own.
-func TestOldVotersGoOnlyOnceTheJointOnesAreChosen(t *testing.T) {
+func TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen(t *testing.T) {
 	inBubble(t, 3, 6, func(t *testing.T, c *cluster) {
 		first, second, third, joiner := c.members[0], c.members[1], c.members[2], c.members[3]
 		acceptsReachOnlyFirst := func(proposer *member) {
@@ -315,7 +315,7 @@
 	})
 }
 
-func TestLostMessageIsSentAgain(t *testing.T) {
+func TestLostMessageIsRetried(t *testing.T) {
 	inBubble(t, 3, 4, func(t *testing.T, c *cluster) {
 		traits := calm
 		traits.LossRate = 0.4
@@ -349,7 +349,7 @@
 	}
 }
 
-func TestOneVoterAloneKeepsItsValue(t *testing.T) {
+func TestSingleVoterKeepsItsValue(t *testing.T) {
 	inBubble(t, 1, 1, func(t *testing.T, c *cluster) {
 		c.members[0].mustPut(0, 1)
 		c.members[0].machine.PowerLoss()
--- a/internal/tier/register/size_test.go
+++ b/internal/tier/register/folder_size_test.go
@@ -34,9 +34,9 @@
 	return s.Disk.Create(path)
 }
 
-// TestDiskAndStartOfAnAcceptorDoNotGrow logs the files of an acceptor and what its start costs after hundreds and
+// TestAcceptorDiskAndStartCostDoNotGrow logs the files of an acceptor and what its start costs after hundreds and
 // thousands of changes of 350 routes, and bounds both.
-func TestDiskAndStartOfAnAcceptorDoNotGrow(t *testing.T) {
+func TestAcceptorDiskAndStartCostDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 1, calm)
 		m := c.members[0]
--- a/internal/tier/register/identity.go
+++ b/internal/tier/register/identity.go
@@ -12,35 +12,39 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// drawnIdentity is set in identities that were drawn and not in those that follow from an address.
-const drawnIdentity = 1 << 63
+// randomIdentityBit is set in every identity of NewIdentity and clear in every one of InitialIdentity, so that the two
+// kinds never collide.
+const randomIdentityBit = 1 << 63
 
-// InitialIdentity is the identity of the coordinator with this inner address at the first start of the whole system.
+// identityBytes is the length of an identity on disk, a big-endian number.
+const identityBytes = 8
+
+// InitialIdentity returns the identity of the coordinator with this inner address at the first start of the whole system.
 func InitialIdentity(address string) uint64 {
 	digest := sha256.Sum256([]byte(address))
-	return binary.BigEndian.Uint64(digest[:])&^drawnIdentity | 1
+	return binary.BigEndian.Uint64(digest[:])&^randomIdentityBit | 1
 }
 
-// NewIdentity draws an identity for the node with this inner address whose disk was found empty.
-func NewIdentity(address string) uint64 { return draw(address) | drawnIdentity }
+// NewIdentity returns a unique identity for the node with this inner address, whose disk was found empty.
+func NewIdentity(address string) uint64 { return uniqueNumber(address) | randomIdentityBit }
 
-// draw returns a number that no other process draws, nor another life of this one.
-func draw(owner string) uint64 {
+// uniqueNumber returns a number that no other process gets, nor another incarnation of this one.
+func uniqueNumber(owner string) uint64 {
 	var random [16]byte
 	_, _ = rand.Read(random[:]) // never fails
-	return mix(owner, time.Now(), random[:])
+	return hashNumber(owner, time.Now(), random[:])
 }
 
-// mix makes a number of whose it is, the time and randomness, so that one of these may fail: machines that start from
-// one image, a clock that was set back.
-func mix(owner string, at time.Time, random []byte) uint64 {
+// hashNumber derives a number from its owner, the time and randomness together, because one of them alone may fail to
+// differ: machines started from one image share a random seed, and a clock may be set back.
+func hashNumber(owner string, at time.Time, random []byte) uint64 {
 	text := binary.BigEndian.AppendUint64([]byte(owner), uint64(at.UnixNano()))
 	digest := sha256.Sum256(append(text, random...))
 	return binary.BigEndian.Uint64(digest[:])
 }
 
-// InitialState is the value that the register has at the first start, known to all without talk: version 0, and
-// the coordinators that the seeds name as voters.
+// InitialState returns the value of the register at the first start of the whole system: version 0, with the coordinators
+// at the seed addresses as voters. All coordinators compute the same one, whatever the order of the seeds.
 func InitialState(seeds []string) *tierpb.ControlState {
 	addresses := slices.Clone(seeds)
 	slices.Sort(addresses)
@@ -59,8 +63,8 @@
 func encodeIdentity(identity uint64) []byte { return binary.BigEndian.AppendUint64(nil, identity) }
 
 func decodeIdentity(payload []byte) (uint64, error) {
-	if len(payload) != 8 {
-		return 0, eris.New("identity file of the wrong length")
+	if len(payload) != identityBytes {
+		return 0, eris.Errorf("identity file of %d bytes, expected %d", len(payload), identityBytes)
 	}
 	return binary.BigEndian.Uint64(payload), nil
 }
--- a/internal/tier/register/random_test.go
+++ b/internal/tier/register/linearizability_test.go
@@ -38,7 +38,7 @@
 	history []porcupine.Operation
 	next    uint64 // generation to be put next
 	newest  uint64 // generation that was seen last
-	wiped   identities
+	wiped   identitySet
 	wipedAt time.Time
 	planned []plannedVoters
 	calm    bool
@@ -94,7 +94,7 @@
 		MinDelay: 500 * time.Microsecond, MaxDelay: 10 * time.Millisecond,
 		LossRate: random.Float64() * 0.1, LateRate: random.Float64() * 0.1, MaxLateDelay: 3 * time.Second, DuplicateRate: random.Float64() * 0.1,
 	}
-	s := &schedule{cluster: newCluster(t, seed, 3, count, traits), wiped: identities{}}
+	s := &schedule{cluster: newCluster(t, seed, 3, count, traits), wiped: identitySet{}}
 	s.random = random
 	if random.IntN(2) == 0 {
 		s.stopAnywhere(sum, random.Float64()*0.01)
@@ -247,7 +247,7 @@
 func (s *schedule) nextVoters(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
 	set := state.Voters[len(state.Voters)-1].Nodes
 	nodes := append([]*tierpb.Node{}, set...)
-	present := identities{}
+	present := identitySet{}
 	for _, node := range nodes {
 		present.add(node.Identity)
 	}
@@ -351,7 +351,7 @@
 	}
 }
 
-// wipe empties a disk where every set of voters that anybody has accepted keeps a majority of identities.
+// wipe empties a disk where every set of voters that anybody has accepted keeps a majority of identitySet.
 func (s *schedule) wipe(m *member, sum *tally) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/register/quorum.go
+++ b/internal/tier/register/quorum.go
@@ -1,18 +1,17 @@
-// Package register is a compare-and-swap register after CASPaxos that holds the whole control state. The value names
-// its own voters; a proposer changes it in two quorum rounds; there is no log and no leader.
 package register
 
 import (
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// identities is a set of nodes.
-type identities map[uint64]struct{}
+// identitySet is a set of node identities.
+type identitySet map[uint64]struct{}
 
-func (set identities) add(identity uint64)      { set[identity] = struct{}{} }
-func (set identities) has(identity uint64) bool { _, found := set[identity]; return found }
+func (set identitySet) add(identity uint64)      { set[identity] = struct{}{} }
+func (set identitySet) has(identity uint64) bool { _, found := set[identity]; return found }
 
-// HasQuorum says whether those for which has is true are a majority of each voter set.
+// HasQuorum reports whether the identities for which has is true are a majority of each voter set. No voter sets have
+// no quorum.
 func HasQuorum(voters []*tierpb.VoterSet, has func(identity uint64) bool) bool {
 	if len(voters) == 0 {
 		return false
@@ -31,10 +30,10 @@
 	return true
 }
 
-// VoterNodes returns the members of all voter sets of a state, each once.
+// VoterNodes returns the members of all voter sets of a state, each identity once, in the order of the sets.
 func VoterNodes(state *tierpb.ControlState) []*tierpb.Node {
 	var nodes []*tierpb.Node
-	seen := identities{}
+	seen := identitySet{}
 	for _, set := range state.GetVoters() {
 		for _, node := range set.GetNodes() {
 			if !seen.has(node.GetIdentity()) {
@@ -46,7 +45,7 @@
 	return nodes
 }
 
-// IsVoter says whether a state names an identity among its voters.
+// IsVoter reports whether a state has an identity in one of its voter sets.
 func IsVoter(state *tierpb.ControlState, identity uint64) bool {
 	for _, node := range VoterNodes(state) {
 		if node.GetIdentity() == identity {
@@ -56,13 +55,10 @@
 	return false
 }
 
-// sameMembers says whether two sets have the same identities.
+// sameMembers reports whether two voter sets have the same identities.
 func sameMembers(one, other *tierpb.VoterSet) bool {
-	members := identities{}
-	for _, node := range one.GetNodes() {
-		members.add(node.GetIdentity())
-	}
-	others := identities{}
+	members := identitiesOf(one)
+	others := identitySet{}
 	for _, node := range other.GetNodes() {
 		if !members.has(node.GetIdentity()) {
 			return false
@@ -72,14 +68,10 @@
 	return len(members) == len(others)
 }
 
-// higher says whether a ballot is above another; nil is the lowest.
-func higher(ballot, than *tierpb.ProposalNumber) bool {
-	if ballot.GetCounter() != than.GetCounter() {
-		return ballot.GetCounter() > than.GetCounter()
+func identitiesOf(set *tierpb.VoterSet) identitySet {
+	identities := identitySet{}
+	for _, node := range set.GetNodes() {
+		identities.add(node.GetIdentity())
 	}
-	return ballot.GetProposer() > than.GetProposer()
-}
-
-func sameBallot(one, other *tierpb.ProposalNumber) bool {
-	return one.GetCounter() == other.GetCounter() && one.GetProposer() == other.GetProposer()
+	return identities
 }
--- a/internal/tier/register/register_test.go
+++ b/internal/tier/register/restart_test.go
@@ -34,7 +34,7 @@
 	return reply.UnmarshalVT(data)
 }
 
-func TestChangeSurvivesRestartOnTheDisk(t *testing.T) {
+func TestChangeSurvivesRestart(t *testing.T) {
 	seeds := []string{"10.0.0.1:7380", "10.0.0.2:7380", "10.0.0.3:7380"}
 	folders := map[string]string{}
 	open := func(bootstrap bool) (direct, *Proposer) {
