--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -1,7 +1,6 @@
 package register
 
 import (
-	"math/rand/v2"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -9,53 +8,11 @@
 	"gotest.tools/v3/assert"
 
 	"pulleygw.example/pulleygw/internal/tier/failpoint"
-	"pulleygw.example/pulleygw/internal/tier/simulation"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-var testSeeds = []string{"10.0.0.1:7380", "10.0.0.2:7380", "10.0.0.3:7380"}
-
-// machineAlone is a machine of which only the disk is used.
-func machineAlone(seed uint64) *simulation.Machine {
-	random := rand.New(rand.NewPCG(seed, 0))
-	return simulation.NewNetwork(random, calm).NewMachine(testSeeds[0], random)
-}
-
-func openOn(t *testing.T, machine *simulation.Machine, bootstrap bool) *Acceptor {
-	t.Helper()
-	acceptor, err := openWith(machine, bootstrap, nil)
-	assert.NilError(t, err)
-	return acceptor
-}
-
-func openWith(machine *simulation.Machine, bootstrap bool, points *failpoint.Points) (*Acceptor, error) {
-	return OpenAcceptor(AcceptorOptions{
-		Disk: machine.Start().Mount(), Folder: folder, Address: machine.Address(), Bootstrap: bootstrap, Seeds: testSeeds,
-		Failpoints: points,
-	})
-}
-
-func valueOf(generation uint64) *tierpb.ControlState {
-	state := InitialState(testSeeds)
-	state.Version = generation
-	state.Configuration = &tierpb.Configuration{Generation: generation}
-	return state
-}
-
-func proposalNumber(counter uint64) *tierpb.ProposalNumber {
-	return &tierpb.ProposalNumber{Counter: counter, Proposer: 7}
-}
-
-func (a *Acceptor) prepareFor(counter uint64) *tierpb.PrepareReply {
-	return a.Prepare(&tierpb.PrepareRequest{Identity: a.identity, Proposal: proposalNumber(counter)})
-}
-
-func (a *Acceptor) acceptFor(counter, generation uint64) *tierpb.AcceptReply {
-	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Proposal: proposalNumber(counter), Value: valueOf(generation)})
-}
-
 func TestInitialIdentityFollowsFromTheAddress(t *testing.T) {
-	machine := machineAlone(1)
+	machine := standaloneMachine(1)
 	first := openOn(t, machine, true)
 	assert.Equal(t, first.Identity(), InitialIdentity(machine.Address()))
 	assert.Assert(t, IsVoter(first.AcceptedValue(), first.Identity()))
@@ -79,13 +36,13 @@
 }
 
 func TestInitialStateDoesNotDependOnTheOrderOfSeeds(t *testing.T) {
-	turned := []string{testSeeds[2], testSeeds[0], testSeeds[1], testSeeds[0]}
-	assert.Assert(t, InitialState(turned).EqualVT(InitialState(testSeeds)))
+	reordered := []string{testSeeds[2], testSeeds[0], testSeeds[1], testSeeds[0]}
+	assert.Assert(t, InitialState(reordered).EqualVT(InitialState(testSeeds)))
 }
 
 func TestInterruptedFirstStartIsRepeated(t *testing.T) {
 	for _, point := range []failpoint.Point{failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.IdentityUnsaved} {
-		machine := machineAlone(uint64(point))
+		machine := standaloneMachine(uint64(point))
 		_, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return passed == point }})
 		assert.ErrorIs(t, err, failpoint.ErrStopped)
 		machine.PowerLoss()
@@ -97,7 +54,7 @@
 
 func TestPreparedAndAcceptedSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(50) {
-		machine := machineAlone(seed)
+		machine := standaloneMachine(seed)
 		acceptor := openOn(t, machine, true)
 		assert.Assert(t, acceptor.prepareFor(5).Prepared)
 		assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
@@ -114,11 +71,11 @@
 	}
 }
 
-// TestValueOfAFailedSaveNeverReappears: the failed save may have left the value on disk; once a promise was given
-// without telling of it, it must not appear after a restart.
+// TestValueOfAFailedSaveNeverReappears: the failed save may have left the value on disk. Once a prepare was granted
+// without reporting it, it must not appear after a restart.
 func TestValueOfAFailedSaveNeverReappears(t *testing.T) {
 	for _, failing := range []failpoint.Point{failpoint.VersionSynced, failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.VersionRemoved} {
-		machine := machineAlone(uint64(failing))
+		machine := standaloneMachine(uint64(failing))
 		stop := false
 		acceptor, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return stop && point == failing }})
 		assert.NilError(t, err)
@@ -135,15 +92,15 @@
 }
 
 func TestAcceptedValueIsVisibleOnlyOnceOnDisk(t *testing.T) {
-	machine := machineAlone(1)
+	machine := standaloneMachine(1)
 	var acceptor *Acceptor
 	passed := 0
 	acceptor, err := openWith(machine, true, &failpoint.Points{ShouldStop: func(point failpoint.Point) bool {
 		if acceptor != nil && point < failpoint.VersionFolderSynced && point >= failpoint.VersionCreated {
 			passed++
 			assert.Assert(t, acceptor.AcceptedValue().Configuration == nil)
-			peeked := acceptor.Prepare(&tierpb.PrepareRequest{Identity: acceptor.identity})
-			assert.Equal(t, peeked.Accepted.GetCounter(), uint64(0))
+			queried := acceptor.Prepare(&tierpb.PrepareRequest{Identity: acceptor.identity})
+			assert.Equal(t, queried.Accepted.GetCounter(), uint64(0))
 		}
 		return false
 	}})
@@ -154,7 +111,7 @@
 
 func TestDamagedFileLeadsToANewIdentity(t *testing.T) {
 	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
-		machine := machineAlone(1)
+		machine := standaloneMachine(1)
 		acceptor := openOn(t, machine, true)
 		assert.Assert(t, acceptor.prepareFor(5).Prepared)
 		assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
@@ -167,12 +124,12 @@
 	}
 }
 
-// TestMissingFileLeadsToANewIdentity: an acceptor whose file of promises or of the accepted value is gone has forgotten what it
-// told others, as one whose file is damaged.
+// TestMissingFileLeadsToANewIdentity: an acceptor whose file of the prepared number or of the accepted value is missing
+// has forgotten what it replied to others, like one whose file is damaged.
 func TestMissingFileLeadsToANewIdentity(t *testing.T) {
 	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
 		for _, bootstrap := range []bool{true, false} {
-			machine := machineAlone(1)
+			machine := standaloneMachine(1)
 			acceptor := openOn(t, machine, bootstrap)
 			assert.Assert(t, acceptor.prepareFor(5).Prepared)
 			assert.Assert(t, acceptor.acceptFor(5, 1).Accepted)
@@ -186,25 +143,25 @@
 	}
 }
 
-// TestFolderOfAnOlderBuildIsCompleted: builds before wrote no file that tells which others there are. Their folders are
-// read as they were, and from then on a file that goes is missed.
+// TestFolderOfAnOlderBuildIsCompleted: older builds did not record which files exist. Their folders are read as they are, and
+// from then on a missing file counts as lost.
 func TestFolderOfAnOlderBuildIsCompleted(t *testing.T) {
 	for _, unwritten := range []string{preparedFile, acceptedFile, "none"} {
-		machine := machineAlone(1)
-		before := openOn(t, machine, false)
+		machine := standaloneMachine(1)
+		first := openOn(t, machine, false)
 		machine.Disk.RemoveMatching(completeFile + "-")
 		machine.Disk.RemoveMatching(unwritten + "-")
 		read := openOn(t, machine, false)
-		assert.Assert(t, !read.Fresh() && read.Identity() == before.Identity(), unwritten)
-		assert.Equal(t, openOn(t, machine, false).Identity(), before.Identity())
+		assert.Assert(t, !read.Fresh() && read.Identity() == first.Identity(), unwritten)
+		assert.Equal(t, openOn(t, machine, false).Identity(), first.Identity())
 		machine.Disk.RemoveMatching(preparedFile + "-")
-		assert.Assert(t, openOn(t, machine, false).Identity() != before.Identity())
+		assert.Assert(t, openOn(t, machine, false).Identity() != first.Identity())
 	}
 }
 
 func TestRequestsPendingOnAStalledDiskAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := machineAlone(1)
+		machine := standaloneMachine(1)
 		acceptor := openOn(t, machine, true)
 		machine.Freeze()
 		ended := make(chan bool, 3*maxPendingRequests)
@@ -212,8 +169,8 @@
 			go func() { ended <- acceptor.prepareFor(uint64(i + 1)).Prepared }()
 		}
 		synctest.Wait()
-		refused := len(ended)
-		assert.Equal(t, refused, 2*maxPendingRequests)
+		rejected := len(ended)
+		assert.Equal(t, rejected, 2*maxPendingRequests)
 		machine.Thaw()
 		for range 3 * maxPendingRequests {
 			<-ended
@@ -222,14 +179,14 @@
 }
 
 func TestAcceptorDiskUseIsBounded(t *testing.T) {
-	machine := machineAlone(1)
+	machine := standaloneMachine(1)
 	acceptor := openOn(t, machine, true)
-	longest := 0
+	largest := 0
 	for i := range uint64(500) {
 		assert.Assert(t, acceptor.prepareFor(i+1).Prepared)
 		assert.Assert(t, acceptor.acceptFor(i+1, i).Accepted)
-		longest = max(longest, machine.Disk.Bytes())
+		largest = max(largest, machine.Disk.Bytes())
 	}
 	size := valueOf(500).SizeVT()
-	assert.Assert(t, longest < 2*size+1000, "%d bytes for a value of %d", longest, size)
+	assert.Assert(t, largest < 2*size+1000, "%d bytes for a value of %d", largest, size)
 }
--- a/internal/tier/register/change_cost_test.go
+++ b/internal/tier/register/change_cost_test.go
@@ -1,10 +1,10 @@
 package register
 
 import (
-	"bytes"
 	"context"
 	"fmt"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
@@ -13,22 +13,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// largeConfiguration is about as long as a configuration of 350 routes.
-func largeConfiguration(generation uint64) *tierpb.Configuration {
-	route := []byte(`{"name":"r-%d","hostname":"host%d.example","pathPrefix":"/prefix%d/","kind":"streaming","timeoutMs":5000,` +
-		`"targetLatencyMs":250,"priority":0,"backend":"service-a","maxAttempts":2,"retained":true,"retentionS":60.0,` +
-		`"sessionAffinity":true,"resumable":false,"gap_aim_ms":400},`)
-	return &tierpb.Configuration{Generation: generation, Body: bytes.Repeat(route, 350)}
-}
-
-// TestChangeCost logs what a change and a read of a large value cost, and bounds the number of syncs: a prepare and
-// an accept are two syncs each, of the file and of the folder.
+// TestChangeCost logs the cost of a change and of a read of a large value, and bounds the number of syncs: a prepare and
+// an accept take two syncs each, of the file and of the folder.
 func TestChangeCost(t *testing.T) {
-	inBubble(t, 3, 3, func(t *testing.T, c *cluster) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCalmCluster(t, 3, 3)
 		change := func(generation uint64) {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := c.members[0].changer().Change(ctx, func(state *tierpb.ControlState) (*tierpb.ControlState, error) {
+			_, err := c.members[0].currentProposer().Change(ctx, func(state *tierpb.ControlState) (*tierpb.ControlState, error) {
 				state.Configuration = largeConfiguration(generation)
 				return state, nil
 			})
@@ -36,13 +29,13 @@
 			<-time.After(time.Second)
 		}
 		change(1)
-		size := c.members[0].current().AcceptedValue().SizeVT()
+		size := c.members[0].currentAcceptor().AcceptedValue().SizeVT()
 		cost := c.measure(func() { change(2) })
 		t.Logf("change of a value of %d bytes: %s", size, cost)
 		assert.Equal(t, cost.disk.FileSyncs, 2*3)
 		assert.Equal(t, cost.disk.FolderSyncs, 2*3)
-		assert.Assert(t, cost.disk.BytesWritten < 3*(size+500), "a promise does not rewrite the value")
-		assert.Assert(t, cost.network < 2*(size+1000), "the value goes out to each other voter, and does not come back")
+		assert.Assert(t, cost.disk.BytesWritten < 3*(size+500), "a prepare does not rewrite the value")
+		assert.Assert(t, cost.network < 2*(size+1000), "the value is sent to each other voter once, and not returned")
 		cost = c.measure(func() { c.members[0].mustRead() })
 		t.Logf("read: %s", cost)
 		assert.Equal(t, cost.disk, simulation.DiskStats{})
@@ -50,7 +43,7 @@
 	})
 }
 
-// cost is what was written, synced and sent.
+// cost counts what was written, synced and sent.
 type cost struct {
 	disk    simulation.DiskStats
 	network int
@@ -61,9 +54,9 @@
 		c.disk.BytesWritten, c.disk.FileSyncs, c.disk.FolderSyncs, c.network)
 }
 
-func (c *cluster) measure(work func()) cost {
+func (c *cluster) measure(operation func()) cost {
 	before := c.total()
-	work()
+	operation()
 	after := c.total()
 	return cost{
 		disk: simulation.DiskStats{
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -17,7 +17,7 @@
 
 const folder = "data"
 
-// cluster is a set of coordinators in a simulated network; it runs in a synctest bubble.
+// cluster is a set of coordinators in a simulated network. It runs in a synctest bubble.
 type cluster struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -26,7 +26,7 @@
 	members []*member
 }
 
-// member is one machine with its present process.
+// member is one machine with its current process.
 type member struct {
 	cluster *cluster
 	machine *simulation.Machine
@@ -34,12 +34,13 @@
 	mu       sync.Mutex
 	acceptor *Acceptor
 	proposer *Proposer
-	known    *tierpb.ControlState // newest chosen value that has come to this process
+	known    *tierpb.ControlState // newest chosen value that this process knows
 	stop     func(failpoint.Point) bool
 }
 
-// newCluster starts count coordinators for the first time, of which the first are the seeds.
+// newCluster bootstraps count coordinators, of which the first are the seeds.
 func newCluster(t *testing.T, seed uint64, seeds, count int, traits simulation.LinkConditions) *cluster {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
 	c := &cluster{t: t, random: random, network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 2)), traits)}
 	for i := range count {
@@ -57,7 +58,7 @@
 	return c
 }
 
-// end lets every goroutine of the bubble come to its end.
+// end lets every goroutine of the bubble return.
 func (c *cluster) end() {
 	for _, m := range c.members {
 		m.machine.Kill()
@@ -66,35 +67,35 @@
 	<-time.After(time.Minute)
 }
 
-// start begins a new life on whatever the disk holds; it says whether that life got through its start.
+// start starts a new incarnation on whatever the disk holds, and reports whether it completed its start.
 func (m *member) start(bootstrap bool) bool {
-	life := m.machine.Start()
-	points := &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return m.stopsAt(life, point) }}
+	incarnation := m.machine.Start()
+	points := &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return m.stopsAt(incarnation, point) }}
 	acceptor, err := OpenAcceptor(AcceptorOptions{
-		Disk: life.Mount(), Folder: folder, Address: m.machine.Address(), Bootstrap: bootstrap, Seeds: m.cluster.seeds,
+		Disk: incarnation.Mount(), Folder: folder, Address: m.machine.Address(), Bootstrap: bootstrap, Seeds: m.cluster.seeds,
 		Failpoints: points,
 	})
 	if err != nil {
-		life.Stop()
+		incarnation.Stop()
 		return false
 	}
-	acceptor.Serve(life.Server)
-	life.Listen()
+	acceptor.Serve(incarnation.Server)
+	incarnation.Listen()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.known = nil
 	m.acceptor = acceptor
 	m.proposer = NewProposer(ProposerOptions{
-		Caller: life.Caller(), Local: acceptor, KnownState: m.newestKnown, OnChosen: m.learn, Failpoints: points,
-		Jitter: m.cluster.pause,
+		Caller: incarnation.Caller(), Local: acceptor, KnownState: m.newestKnown, OnChosen: m.learn, Failpoints: points,
+		Jitter: m.cluster.jitter,
 	})
 	return true
 }
 
-// stopsAt ends the life that passes a point where the test says so.
-func (m *member) stopsAt(life *simulation.Incarnation, point failpoint.Point) bool {
+// stopsAt stops the incarnation that passes a failpoint where the test says so.
+func (m *member) stopsAt(incarnation *simulation.Incarnation, point failpoint.Point) bool {
 	select {
-	case <-life.Ended():
+	case <-incarnation.Ended():
 		return true
 	default:
 	}
@@ -104,7 +105,7 @@
 	if stop == nil || !stop(point) {
 		return false
 	}
-	life.Stop()
+	incarnation.Stop()
 	return true
 }
 
@@ -120,7 +121,7 @@
 	return m.known
 }
 
-// learn takes over a chosen value, as a watch would bring it.
+// learn updates the known value, as a watch would.
 func (m *member) learn(state *tierpb.ControlState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,39 +131,39 @@
 }
 
 func (m *member) node() *tierpb.Node {
-	return &tierpb.Node{Address: m.machine.Address(), Identity: m.current().Identity(), Role: tierpb.Role_ROLE_COORDINATOR}
+	return &tierpb.Node{Address: m.machine.Address(), Identity: m.currentAcceptor().Identity(), Role: tierpb.Role_ROLE_COORDINATOR}
 }
 
-func (m *member) current() *Acceptor {
+func (m *member) currentAcceptor() *Acceptor {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.acceptor
 }
 
-func (m *member) changer() *Proposer {
+func (m *member) currentProposer() *Proposer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.proposer
 }
 
-func (c *cluster) pause(longest time.Duration) time.Duration { return longest / 2 }
+func (c *cluster) jitter(longest time.Duration) time.Duration { return longest / 2 }
 
-// put changes the configuration from one generation to the next, as an operator does; it returns the generation
-// that is current.
+// put changes the configuration from one generation to the next, as an operator does, and returns the current
+// generation.
 func (m *member) put(limit time.Duration, from, to uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	chosen, err := m.changer().Change(ctx, putFunc(from, to))
+	chosen, err := m.currentProposer().Change(ctx, putFunc(from, to))
 	return chosen.GetConfiguration().GetGeneration(), err
 }
 
-// errConflict is a 412.
+// errConflict stands for the answer 412.
 var errConflict = fmt.Errorf("another generation is current")
 
 func putFunc(from, to uint64) ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-		for _, taken := range current.CommittedChanges {
-			if taken.Generation == to {
+		for _, committed := range current.CommittedChanges {
+			if committed.Generation == to {
 				return current, nil
 			}
 		}
@@ -178,10 +179,10 @@
 func (m *member) read(limit time.Duration) (*tierpb.ControlState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	return m.changer().Read(ctx)
+	return m.currentProposer().Read(ctx)
 }
 
-// describe logs what every member holds.
+// describe logs the state of every member.
 func (c *cluster) describe() {
 	sets := func(state *tierpb.ControlState) (text string) {
 		for _, set := range state.GetVoters() {
@@ -194,10 +195,10 @@
 		return fmt.Sprintf("version %d epoch %d %s", state.GetVersion(), state.GetEpoch(), text)
 	}
 	for _, m := range c.members {
-		state := m.current().state.Load()
-		c.t.Logf("%s/%x prepared %v accepted %v %s", m.machine.Address(), m.current().Identity(), state.prepared,
+		state := m.currentAcceptor().state.Load()
+		c.t.Logf("%s/%x prepared %v accepted %v %s", m.machine.Address(), m.currentAcceptor().Identity(), state.prepared,
 			state.accepted, sets(state.value))
-		c.t.Logf("    knows %s; proposer newest %s", sets(m.newestKnown()), sets(m.changer().newest))
+		c.t.Logf("    knows %s; proposer newest %s", sets(m.newestKnown()), sets(m.currentProposer().newest))
 	}
 }
 
@@ -220,19 +221,67 @@
 	assert.Equal(m.cluster.t, generation, to)
 }
 
-// calm are links without trouble.
+// calm are links without faults.
 var calm = simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 2 * time.Millisecond}
 
-// share brings the newest chosen value, or where nobody knows one an accepted value, to all, as watches would.
+// share makes the newest chosen value, or an accepted one where none is known, known to all members, as watches would.
 func (c *cluster) share() {
 	for _, m := range c.members {
 		for _, other := range c.members {
 			if state := other.newestKnown(); state != nil {
 				m.learn(state)
 			}
-			if state := other.current().AcceptedValue(); m.newestKnown() == nil && state != nil {
+			if state := other.currentAcceptor().AcceptedValue(); m.newestKnown() == nil && state != nil {
 				m.learn(state)
 			}
 		}
 	}
 }
+
+// newCalmCluster bootstraps a cluster with calm links and a fixed seed.
+func newCalmCluster(t *testing.T, seeds, count int) *cluster {
+	t.Helper()
+	return newCluster(t, 1, seeds, count, calm)
+}
+
+// partition cuts the links between two groups.
+func partition(c *cluster, one, other []*member) {
+	for _, m := range one {
+		for _, n := range other {
+			c.network.Partition(m.machine.Address(), n.machine.Address(), true)
+			c.network.Partition(n.machine.Address(), m.machine.Address(), true)
+		}
+	}
+}
+
+// changeVoters replaces the third voter by the fourth member.
+func (c *cluster) changeVoters(m *member) error {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	_, err := ChangeVoters(ctx, m.currentProposer(), func(current *tierpb.ControlState) []*tierpb.Node {
+		set := current.Voters[0].Nodes
+		return []*tierpb.Node{set[0], set[1], c.members[3].node()}
+	})
+	return err
+}
+
+// leaveJoint completes an incomplete change of voters.
+func (c *cluster) leaveJoint(m *member) {
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	state, err := LeaveJoint(ctx, m.currentProposer())
+	assert.NilError(c.t, err)
+	assert.Equal(c.t, len(state.Voters), 1)
+}
+
+// revive restarts all processes, and lets those with empty disks learn what is known.
+func (c *cluster) revive() {
+	for _, m := range c.members {
+		m.machine.Thaw()
+		for !m.machine.Running() {
+			m.start(false)
+		}
+	}
+	<-time.After(5 * time.Second)
+	c.share()
+}
--- a/internal/tier/register/conflicting_changes_test.go
+++ b/internal/tier/register/conflicting_changes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/bits"
 	"testing"
@@ -15,11 +16,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// send sends an order as an operator does; nil is an acknowledgement and errConflict a refusal.
+// send sends a configuration change as an operator does; nil is an acknowledgement and errConflict a rejection.
 func (m *member) send(limit time.Duration, sent changelog.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	_, err := m.changer().Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+	_, err := m.currentProposer().Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		switch changelog.Classify(current, nil, sent) {
 		case changelog.Applicable:
 			current.Configuration = &tierpb.Configuration{Generation: sent.Generation}
@@ -33,139 +34,156 @@
 	return err
 }
 
-// change of voters that crosses the orders.
-type crossing string
+// reconfiguration is a change of voters that runs concurrently with the configuration changes.
+type reconfiguration string
 
 const (
-	noCrossing   crossing = "voters stay"
-	halfBefore   crossing = "voters joint before the first order"
-	halfBetween  crossing = "voters joint between the orders"
-	wholeBetween crossing = "voters replaced between the orders"
+	noReconfiguration reconfiguration = "voters unchanged"
+	jointBefore       reconfiguration = "voters joint before the first change"
+	jointBetween      reconfiguration = "voters joint between the changes"
+	completeBetween   reconfiguration = "voters replaced between the changes"
 )
 
-// rivalry is one way in which two orders under one number meet.
-type rivalry struct {
-	reached  int // bits: the members that the accepts of the first order reach before it is given up
-	apart    int // voter that the second operator's coordinator does not reach; 3 for none
-	equal    bool
-	late     bool // the first order's accepts go on to all members while the second one is under way
-	lost     bool // one of the members reached loses its disk after the second operator was told
-	crossing crossing
+// competition is one way in which two changes to the same generation compete.
+type competition struct {
+	reached         int // bit mask of the members that the accepts of the first change reach before it is abandoned
+	unreachable     int // voter that the second operator's coordinator cannot reach; 3 for none
+	identical       bool
+	lateAccepts     bool // the first change's accepts are retried at all members while the second one is in flight
+	diskLost        bool // one of the members reached loses its disk after the second operator was answered
+	reconfiguration reconfiguration
 }
 
-func (r rivalry) String() string {
-	return fmt.Sprintf("accepts %04b, apart %d, equal %v, late %v, lost %v, %s",
-		r.reached, r.apart, r.equal, r.late, r.lost, r.crossing)
+func (r competition) String() string {
+	return fmt.Sprintf("accepts %04b, unreachable %d, identical %v, late %v, disk lost %v, %s",
+		r.reached, r.unreachable, r.identical, r.lateAccepts, r.diskLost, r.reconfiguration)
 }
 
-// TestAbandonedAcceptsCompeteWithAnotherChange plays all ways in which the accepts of an order that ran out of time
-// reach some acceptors, and a second order under the same number completes or overwrites it.
+// Endings of a competition.
+const (
+	firstCommitted     = "first committed"
+	secondCommitted    = "second committed"
+	identicalCommitted = "both committed, identical"
+)
+
+// TestAbandonedAcceptsCompeteWithAnotherChange tries all ways in which the accepts of a change that timed out reach
+// some acceptors, and a second change to the same generation completes or overwrites it.
 func TestAbandonedAcceptsCompeteWithAnotherChange(t *testing.T) {
-	ends := map[string]int{}
-	for _, crossing := range []crossing{noCrossing, halfBefore, halfBetween, wholeBetween} {
-		for way := range 16 * 4 * 2 * 2 * 2 {
-			r := rivalry{
-				reached: way % 16, apart: way / 16 % 4, equal: way/64%2 == 1, late: way/128%2 == 1, lost: way/256 == 1,
-				crossing: crossing,
+	endings := map[string]int{}
+	for _, reconfiguration := range []reconfiguration{noReconfiguration, jointBefore, jointBetween, completeBetween} {
+		for number := range 16 * 4 * 2 * 2 * 2 {
+			r := competition{
+				reached:         number % 16,
+				unreachable:     number / 16 % 4,
+				identical:       number/64%2 == 1,
+				lateAccepts:     number/128%2 == 1,
+				diskLost:        number/256 == 1,
+				reconfiguration: reconfiguration,
+			}
+			if r.diskLost && (r.reached == 0 || r.lateAccepts) {
+				continue
 			}
-			if r.lost && (r.reached == 0 || r.late) || r.reached&8 != 0 && crossing != halfBefore { // only then is the fourth member a voter
+			if r.reached&8 != 0 && reconfiguration != jointBefore { // only then is the fourth member a voter
 				continue
 			}
-			if testing.Short() && way%3 != 0 {
+			if testing.Short() && number%3 != 0 {
 				continue
 			}
-			synctest.Test(t, func(t *testing.T) { ends[r.play(t)]++ })
+			synctest.Test(t, func(t *testing.T) { endings[r.run(t)]++ })
 			if t.Failed() {
 				t.Fatalf("%s", r)
 			}
 		}
 	}
-	t.Logf("%v", ends)
-	for _, end := range []string{"first taken", "second taken", "both taken, equal"} {
-		assert.Assert(t, ends[end] > 0, "no way led to: %s", end)
+	t.Logf("%v", endings)
+	for _, end := range []string{firstCommitted, secondCommitted, identicalCommitted} {
+		assert.Assert(t, endings[end] > 0, "no case ended with: %s", end)
 	}
 }
 
-func (r rivalry) play(t *testing.T) string {
+// run plays one competition and returns how it ended.
+func (r competition) run(t *testing.T) string {
+	t.Helper()
 	c := newCluster(t, 1, 3, 5, calm)
-	loser, rival := c.members[4], c.members[0]
+	abandoning, competing := c.members[4], c.members[0]
 	first := changelog.NewChange(0, 7, []byte("one"))
 	second := changelog.NewChange(0, 7, []byte("two"))
-	if r.equal {
+	if r.identical {
 		second = first
 	}
-	if r.crossing == halfBefore {
-		r.change(c)
+	if r.reconfiguration == jointBefore {
+		r.reconfigure(c)
 	}
-	r.lose(c, loser, first)
-	if r.crossing == halfBetween || r.crossing == wholeBetween {
-		r.change(c)
+	r.sendAndAbandon(c, abandoning, first)
+	if r.reconfiguration == jointBetween || r.reconfiguration == completeBetween {
+		r.reconfigure(c)
 	}
-	if r.apart < 3 && c.members[r.apart] != rival {
-		separate(c, []*member{rival}, []*member{c.members[r.apart]})
+	if r.unreachable < 3 && c.members[r.unreachable] != competing {
+		partition(c, []*member{competing}, []*member{c.members[r.unreachable]})
 	}
-	told := rival.send(time.Second, second)
-	if r.lost {
+	secondResult := competing.send(time.Second, second)
+	if r.diskLost {
 		c.members[bits.TrailingZeros(uint(r.reached))].machine.Wipe()
 	}
 	c.network.Heal()
 	<-time.After(3 * time.Second)
 	c.revive()
-	return r.judge(t, c, first, second, told)
+	return r.verifyRetries(t, c, first, second, secondResult)
 }
 
-// change has a coordinator change the voters, or stop in the middle of that.
-func (r rivalry) change(c *cluster) {
+// reconfigure has a coordinator change the voters, or stop between the two steps.
+func (r competition) reconfigure(c *cluster) {
 	manager := c.members[2]
-	if r.crossing != wholeBetween {
+	if r.reconfiguration != completeBetween {
 		manager.stopWhen(func(point failpoint.Point) bool { return point == failpoint.VotersJoint })
 	}
 	_ = c.changeVoters(manager)
 	manager.stopWhen(nil)
 }
 
-// lose sends an order whose accepts reach some members only and whose answers are lost.
-func (r rivalry) lose(c *cluster, loser *member, sent changelog.Change) {
-	loser.stopWhen(func(point failpoint.Point) bool {
+// sendAndAbandon sends a change whose accepts reach some members only and whose replies are lost.
+func (r competition) sendAndAbandon(c *cluster, abandoning *member, sent changelog.Change) {
+	abandoning.stopWhen(func(point failpoint.Point) bool {
 		for i, m := range c.members[:4] {
 			if point == failpoint.AcceptSending {
-				c.network.Partition(loser.machine.Address(), m.machine.Address(), r.reached&(1<<i) == 0)
-				c.network.Partition(m.machine.Address(), loser.machine.Address(), true)
+				c.network.Partition(abandoning.machine.Address(), m.machine.Address(), r.reached&(1<<i) == 0)
+				c.network.Partition(m.machine.Address(), abandoning.machine.Address(), true)
 			}
 		}
 		return false
 	})
-	err := loser.send(300*time.Millisecond, sent)
+	err := abandoning.send(300*time.Millisecond, sent)
 	assert.ErrorIs(c.t, err, ErrUncertain)
-	loser.stopWhen(nil)
-	if r.late {
-		c.network.Heal() // calls that found no answer are made again
+	abandoning.stopWhen(nil)
+	if r.lateAccepts {
+		c.network.Heal() // calls that timed out are retried
 	}
 }
 
-// judge has both operators send their orders again, to every coordinator.
-func (r rivalry) judge(t *testing.T, c *cluster, first, second changelog.Change, told error) string {
-	taken := map[string]bool{}
-	for round := range 2 {
+// verifyRetries has both operators retry their changes at every coordinator, and returns how the competition ended.
+func (r competition) verifyRetries(t *testing.T, c *cluster, first, second changelog.Change, secondResult error) string {
+	t.Helper()
+	outcomes := map[string]bool{}
+	for attempt := range 2 {
 		for i, m := range c.members {
 			other, one := m.send(20*time.Second, second), m.send(20*time.Second, first)
 			for _, err := range []error{one, other} {
-				assert.Assert(t, err == nil || err == errConflict, "at %d: %v", i, err)
+				assert.Assert(t, err == nil || errors.Is(err, errConflict), "at %d: %v", i, err)
 			}
-			assert.Assert(t, r.equal || (one == nil) != (other == nil), "at %d: %v and %v", i, one, other)
-			taken[fmt.Sprintf("%v/%v", one, other)] = true
-			if told == nil || told == errConflict {
-				assert.Equal(t, other, told, "the second operator was told otherwise before, round %d", round)
+			assert.Assert(t, r.identical || (one == nil) != (other == nil), "at %d: %v and %v", i, one, other)
+			outcomes[fmt.Sprintf("%v/%v", one, other)] = true
+			if secondResult == nil || errors.Is(secondResult, errConflict) {
+				assert.Equal(t, other, secondResult, "the second operator was answered differently before, attempt %d", attempt)
 			}
 		}
 	}
-	assert.Equal(t, len(taken), 1, "coordinators differ: %v", taken)
+	assert.Equal(t, len(outcomes), 1, "coordinators disagree: %v", outcomes)
 	switch {
-	case r.equal:
-		assert.Assert(t, taken["<nil>/<nil>"], "equal orders are one")
-		return "both taken, equal"
-	case taken["<nil>/"+errConflict.Error()]:
-		return "first taken"
+	case r.identical:
+		assert.Assert(t, outcomes["<nil>/<nil>"], "identical changes are one")
+		return identicalCommitted
+	case outcomes["<nil>/"+errConflict.Error()]:
+		return firstCommitted
 	}
-	return "second taken"
+	return secondCommitted
 }
--- a/internal/tier/register/folder_size_test.go
+++ b/internal/tier/register/folder_size_test.go
@@ -11,31 +11,31 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// startUp is what an acceptor reads and writes when it starts.
-type startUp struct {
+// countingDisk counts what an acceptor reads and writes when it starts.
+type countingDisk struct {
 	storage.Disk
 	lists, reads, bytes, written int
 }
 
-func (s *startUp) List(folder string) ([]string, error) {
+func (s *countingDisk) List(folder string) ([]string, error) {
 	s.lists++
 	return s.Disk.List(folder)
 }
 
-func (s *startUp) Read(path string) ([]byte, error) {
+func (s *countingDisk) Read(path string) ([]byte, error) {
 	data, err := s.Disk.Read(path)
 	s.reads++
 	s.bytes += len(data)
 	return data, err
 }
 
-func (s *startUp) Create(path string) (storage.File, error) {
+func (s *countingDisk) Create(path string) (storage.File, error) {
 	s.written++
 	return s.Disk.Create(path)
 }
 
-// TestAcceptorDiskAndStartCostDoNotGrow logs the files of an acceptor and what its start costs after hundreds and
-// thousands of changes of 350 routes, and bounds both.
+// TestAcceptorDiskAndStartCostDoNotGrow logs and bounds the files of an acceptor and the cost of its start after hundreds
+// and thousands of changes of 350 routes.
 func TestAcceptorDiskAndStartCostDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 1, calm)
@@ -44,11 +44,11 @@
 		for change := uint64(1); change <= 5000; change++ {
 			changelog.Append(value, changelog.NewChange(change-1, change, []byte{byte(change)}))
 			value.Version, value.Configuration = change, largeConfiguration(change)
-			ballot := &tierpb.ProposalNumber{Counter: change, Proposer: 1}
-			identity := m.current().Identity()
-			assert.Assert(t, m.current().Prepare(&tierpb.PrepareRequest{Identity: identity, Proposal: ballot}).Prepared)
-			accept := &tierpb.AcceptRequest{Identity: identity, Proposal: ballot, Value: value.CloneVT()}
-			assert.Assert(t, m.current().Accept(accept).Accepted)
+			number := &tierpb.ProposalNumber{Counter: change, Proposer: 1}
+			identity := m.currentAcceptor().Identity()
+			assert.Assert(t, m.currentAcceptor().Prepare(&tierpb.PrepareRequest{Identity: identity, Proposal: number}).Prepared)
+			accept := &tierpb.AcceptRequest{Identity: identity, Proposal: number, Value: value.CloneVT()}
+			assert.Assert(t, m.currentAcceptor().Accept(accept).Accepted)
 			if change == 500 || change == 5000 {
 				m.checkFolder(change, value.SizeVT())
 			}
@@ -58,17 +58,17 @@
 
 func (m *member) checkFolder(changes uint64, size int) {
 	t := m.cluster.t
-	opened := &startUp{Disk: m.machine.Start().Mount()}
-	acceptor, err := OpenAcceptor(AcceptorOptions{Disk: opened, Folder: folder, Address: m.machine.Address()})
+	disk := &countingDisk{Disk: m.machine.Start().Mount()}
+	acceptor, err := OpenAcceptor(AcceptorOptions{Disk: disk, Folder: folder, Address: m.machine.Address()})
 	assert.NilError(t, err)
-	names, err := opened.Disk.List(folder)
+	names, err := disk.Disk.List(folder)
 	assert.NilError(t, err)
 	t.Logf("%d changes, value of %d bytes: %d files, %d bytes; start: %d lists, %d reads of %d bytes, %d files written",
-		changes, size, len(names), m.machine.Disk.Bytes(), opened.lists, opened.reads, opened.bytes, opened.written)
+		changes, size, len(names), m.machine.Disk.Bytes(), disk.lists, disk.reads, disk.bytes, disk.written)
 	assert.Equal(t, acceptor.AcceptedValue().Version, changes)
-	assert.Equal(t, len(names), 4, "%v", names) // identity, promise, accepted value, and that these are there
+	assert.Equal(t, len(names), 4, "%v", names) // identity, prepared number, accepted value, completeness
 	assert.Assert(t, m.machine.Disk.Bytes() < size+1000)
-	assert.Equal(t, opened.reads, 4)
-	assert.Equal(t, opened.written, 0)
+	assert.Equal(t, disk.reads, 4)
+	assert.Equal(t, disk.written, 0)
 	assert.Assert(t, m.start(false))
 }
--- a/internal/tier/register/linearizability_model_test.go
+++ b/internal/tier/register/linearizability_model_test.go
@@ -6,39 +6,40 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is what a client asked and was told.
+// operation is the request of a client.
 type operation struct {
 	read     bool
 	from, to uint64
 }
 
+// outcome is the answer to an operation.
 type outcome struct {
-	generation uint64
-	conflict   bool
-	unknown    bool
-	untaken    bool
+	generation  uint64
+	conflict    bool
+	unknown     bool
+	notExecuted bool
 }
 
-// registerModel is a compare-and-swap register of generations. A change whose end is not known may have been made
-// at any time until the end of the history; one that was given up before anything left has not been made.
+// registerModel is a compare-and-swap register of generations. A change with an unknown outcome may take effect
+// at any time until the end of the history; one that was abandoned before a value was sent never does.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked, told := state.(uint64), input.(operation), output.(outcome)
+		current, request, answer := state.(uint64), input.(operation), output.(outcome)
 		switch {
-		case told.untaken:
+		case answer.notExecuted:
 			return true, current
-		case asked.read:
-			return told.unknown || told.generation == current, current
-		case told.unknown:
-			if current == asked.from {
-				return true, asked.to
+		case request.read:
+			return answer.unknown || answer.generation == current, current
+		case answer.unknown:
+			if current == request.from {
+				return true, request.to
 			}
 			return true, current
-		case told.conflict:
-			return current != asked.from, current
+		case answer.conflict:
+			return current != request.from, current
 		}
-		return current == asked.from, asked.to
+		return current == request.from, request.to
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
--- a/internal/tier/register/linearizability_test.go
+++ b/internal/tier/register/linearizability_test.go
@@ -25,39 +25,39 @@
 	seedCount = flag.Int("seeds", 60, "number of random schedules")
 )
 
-// Length of a random schedule in the time of its bubble, and what it takes to come to rest afterwards.
+// Simulated time of a random schedule with faults, and of the recovery afterwards.
 const (
-	troubleTime = 20 * time.Second
-	restTime    = 60 * time.Second
+	faultTime    = 20 * time.Second
+	recoveryTime = 60 * time.Second
 )
 
-// schedule is one random run.
+// schedule is one random run of operations and faults.
 type schedule struct {
 	*cluster
-	mu      sync.Mutex
-	history []porcupine.Operation
-	next    uint64 // generation to be put next
-	newest  uint64 // generation that was seen last
-	wiped   identitySet
-	wipedAt time.Time
-	planned []plannedVoters
-	calm    bool
+	mu         sync.Mutex
+	history    []porcupine.Operation
+	next       uint64 // next generation to put
+	newest     uint64 // generation seen last
+	wiped      identitySet
+	wipedAt    time.Time
+	planned    []plannedVoters
+	recovering bool
 }
 
-// plannedVoters is a set that somebody may be about to propose.
+// plannedVoters is a voter set that a proposer may be about to propose.
 type plannedVoters struct {
 	at    time.Time
 	nodes []*tierpb.Node
 }
 
-// planTime is how long a plan may be under way.
+// planTime bounds how long a plan may be in flight.
 const planTime = 20 * time.Second
 
-// wipeInterval is the least time between two losses of a disk: a machine counts as lost until it has caught up.
+// wipeInterval is the minimum time between two disk losses: a machine counts as lost until it has caught up.
 const wipeInterval = 5 * time.Second
 
-// TestRandomSchedulesAreLinearizable plays changes, reads and changes of voters among kills, losses of power and
-// disks, cuts, freezes and full disks, and checks every history.
+// TestRandomSchedulesAreLinearizable runs changes, reads and changes of voters during kills, losses of power and
+// disks, partitions, freezes and full disks, and checks that every history is linearizable.
 func TestRandomSchedulesAreLinearizable(t *testing.T) {
 	count := *seedCount
 	if testing.Short() {
@@ -66,7 +66,7 @@
 	var sum tally
 	for i := range count {
 		seed := *firstSeed + uint64(i)
-		synctest.Test(t, func(t *testing.T) { playSchedule(t, seed, &sum) })
+		synctest.Test(t, func(t *testing.T) { runSchedule(t, seed, &sum) })
 		if t.Failed() {
 			t.FailNow()
 		}
@@ -74,15 +74,16 @@
 	t.Logf("%d schedules: %+v", count, sum)
 }
 
-// tally counts what the schedules held, so that one in which nothing happens is seen.
+// tally counts what happened in the schedules, so that a run in which nothing happens is noticed.
 type tally struct {
 	Done, Conflicts, Unknown, Unavailable, Reads int
-	Kills, Powerless, Wipes, Replaced, Stops     int
+	Kills, PowerLosses, Wipes, Replaced, Stops   int
 	Versions, Epochs                             uint64
 	Undecided                                    int // histories that porcupine could not decide in time
 }
 
-func playSchedule(t *testing.T, seed uint64, sum *tally) {
+func runSchedule(t *testing.T, seed uint64, sum *tally) {
+	t.Helper()
 	defer func() {
 		if t.Failed() {
 			t.Logf("seed %d failed", seed)
@@ -97,18 +98,18 @@
 	s := &schedule{cluster: newCluster(t, seed, 3, count, traits), wiped: identitySet{}}
 	s.random = random
 	if random.IntN(2) == 0 {
-		s.stopAnywhere(sum, random.Float64()*0.01)
+		s.stopAtFailpoints(sum, random.Float64()*0.01)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), troubleTime)
+	ctx, cancel := context.WithTimeout(t.Context(), faultTime)
 	defer cancel()
 	var clients sync.WaitGroup
 	for i := range 2 + random.IntN(4) {
-		clients.Go(func() { s.client(ctx, i, rand.New(rand.NewPCG(seed, 100+uint64(i))), sum) })
+		clients.Go(func() { s.runClient(ctx, i, rand.New(rand.NewPCG(seed, 100+uint64(i))), sum) })
 	}
-	clients.Go(func() { s.manage(ctx, rand.New(rand.NewPCG(seed, 200)), sum) })
-	s.trouble(ctx, sum)
+	clients.Go(func() { s.replaceVoters(ctx, rand.New(rand.NewPCG(seed, 200)), sum) })
+	s.injectFaults(ctx, sum)
 	clients.Wait()
-	s.rest(sum)
+	s.recoverAll(sum)
 	result := porcupine.CheckOperationsTimeout(registerModel, s.history, 30*time.Second)
 	if result == porcupine.Unknown {
 		sum.Undecided++
@@ -116,8 +117,8 @@
 	assert.Assert(t, result != porcupine.Illegal, "seed %d: history is not linearizable", seed)
 }
 
-// stopAnywhere ends processes at the fault points that they pass, by chance.
-func (s *schedule) stopAnywhere(sum *tally, share float64) {
+// stopAtFailpoints stops processes at random failpoints.
+func (s *schedule) stopAtFailpoints(sum *tally, share float64) {
 	for i, m := range s.members {
 		random := rand.New(rand.NewPCG(uint64(i), math.Float64bits(share)))
 		var mu sync.Mutex
@@ -130,43 +131,43 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			sum.Stops++
-			return !s.calm
+			return !s.recovering
 		})
 	}
 }
 
-// client puts and reads until ctx ends, at any member.
-func (s *schedule) client(ctx context.Context, number int, random *rand.Rand, sum *tally) {
+// runClient puts and reads at random members until ctx ends.
+func (s *schedule) runClient(ctx context.Context, number int, random *rand.Rand, sum *tally) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(random.IntN(300)) * time.Millisecond)
 		m := s.members[random.IntN(len(s.members))]
 		if m.machine.Running() {
-			s.act(number, m, random, sum)
+			s.operate(number, m, random, sum)
 		}
 	}
 }
 
-func (s *schedule) act(number int, m *member, random *rand.Rand, sum *tally) {
+func (s *schedule) operate(number int, m *member, random *rand.Rand, sum *tally) {
 	limit := time.Duration(200+random.IntN(3000)) * time.Millisecond
-	asked := operation{read: random.IntN(3) == 0}
-	if !asked.read {
-		asked.from, asked.to = s.draw(random)
+	request := operation{read: random.IntN(3) == 0}
+	if !request.read {
+		request.from, request.to = s.nextGenerations(random)
 	}
 	called := time.Now()
-	var told outcome
+	var answer outcome
 	var err error
-	if asked.read {
+	if request.read {
 		var state *tierpb.ControlState
 		state, err = m.read(limit)
-		told.generation = state.GetConfiguration().GetGeneration()
+		answer.generation = state.GetConfiguration().GetGeneration()
 	} else {
-		told.generation, err = m.put(limit, asked.from, asked.to)
+		answer.generation, err = m.put(limit, request.from, request.to)
 	}
-	s.record(number, asked, told, err, called, sum)
+	s.record(number, request, answer, err, called, sum)
 }
 
-// draw returns the generations of a change, mostly on top of the newest.
-func (s *schedule) draw(random *rand.Rand) (from, to uint64) {
+// nextGenerations returns the generations of a change, mostly on top of the newest.
+func (s *schedule) nextGenerations(random *rand.Rand) (from, to uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
@@ -177,37 +178,37 @@
 	return from, s.next
 }
 
-func (s *schedule) record(number int, asked operation, told outcome, err error, called time.Time, sum *tally) {
+func (s *schedule) record(number int, request operation, answer outcome, err error, called time.Time, sum *tally) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := time.Now().UnixNano()
 	switch {
-	case err == nil && asked.read:
+	case err == nil && request.read:
 		sum.Reads++
-		s.newest = told.generation
+		s.newest = answer.generation
 	case err == nil:
 		sum.Done++
-		s.newest = asked.to
+		s.newest = request.to
 	case errors.Is(err, errConflict):
-		told.conflict = true
+		answer.conflict = true
 		sum.Conflicts++
 	case errors.Is(err, ErrUncertain):
-		told.unknown = true
+		answer.unknown = true
 		ended = math.MaxInt64
 		sum.Unknown++
 	case errors.Is(err, ErrUnavailable):
-		told.untaken = true
+		answer.notExecuted = true
 		sum.Unavailable++
 	default:
 		assert.NilError(s.t, err)
 	}
 	s.history = append(s.history, porcupine.Operation{
-		ClientId: number, Input: asked, Call: called.UnixNano(), Output: told, Return: ended,
+		ClientId: number, Input: request, Call: called.UnixNano(), Output: answer, Return: ended,
 	})
 }
 
-// manage replaces voters, as holders of the placement lease do, sometimes two at once.
-func (s *schedule) manage(ctx context.Context, random *rand.Rand, sum *tally) {
+// replaceVoters changes voters, as placement lease holders do, sometimes two at once.
+func (s *schedule) replaceVoters(ctx context.Context, random *rand.Rand, sum *tally) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
 		m := s.members[random.IntN(len(s.members))]
@@ -215,11 +216,11 @@
 			continue
 		}
 		choices := rand.New(rand.NewPCG(random.Uint64(), 0))
-		choose := func(state *tierpb.ControlState) []*tierpb.Node { return s.plan(state, choices) }
+		choose := func(state *tierpb.ControlState) []*tierpb.Node { return s.planVoters(state, choices) }
 		limited, cancel := context.WithTimeout(ctx, 3*time.Second)
 		done := func() {
 			defer cancel()
-			if _, err := ChangeVoters(limited, m.changer(), choose); err == nil {
+			if _, err := ChangeVoters(limited, m.currentProposer(), choose); err == nil {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				sum.Replaced++
@@ -233,8 +234,8 @@
 	}
 }
 
-// plan chooses voters and keeps the choice, so that no disk is wiped on which it rests.
-func (s *schedule) plan(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
+// planVoters chooses voters and records the choice, so that no disk is wiped on which it relies.
+func (s *schedule) planVoters(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nodes := s.nextVoters(state, random)
@@ -242,8 +243,8 @@
 	return nodes
 }
 
-// nextVoters puts one node in the place of a voter, of a wiped one where there is one; at times it adds or drops two,
-// so that the number stays odd.
+// nextVoters replaces one voter, a wiped one where there is one. At times it adds or drops two, so that the number stays
+// odd.
 func (s *schedule) nextVoters(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
 	set := state.Voters[len(state.Voters)-1].Nodes
 	nodes := append([]*tierpb.Node{}, set...)
@@ -273,8 +274,8 @@
 	return nodes
 }
 
-// trouble does one thing after the other until ctx ends.
-func (s *schedule) trouble(ctx context.Context, sum *tally) {
+// injectFaults injects random faults until ctx ends.
+func (s *schedule) injectFaults(ctx context.Context, sum *tally) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(s.random.IntN(800)) * time.Millisecond)
 		m := s.members[s.random.IntN(len(s.members))]
@@ -284,16 +285,16 @@
 			sum.Kills++
 			m.machine.Kill()
 		case 1:
-			sum.Powerless++
+			sum.PowerLosses++
 			m.machine.PowerLoss()
 		case 2:
 			s.wipe(m, sum)
 		case 3:
-			s.allAtOnce(sum)
+			s.failAll(sum)
 		case 4:
 			s.network.Partition(m.machine.Address(), other.machine.Address(), true)
 		case 5:
-			s.cutOff(m)
+			s.isolate(m)
 		case 6:
 			s.network.Heal()
 		case 7:
@@ -314,11 +315,11 @@
 	}
 }
 
-// allAtOnce kills all processes, or takes all power, at the same moment; one disk may go with it.
-func (s *schedule) allAtOnce(sum *tally) {
-	powerless := s.random.IntN(2) == 0
+// failAll kills all processes, or cuts all power, at the same moment; one disk may be lost with it.
+func (s *schedule) failAll(sum *tally) {
+	powerLoss := s.random.IntN(2) == 0
 	for _, m := range s.members {
-		if powerless {
+		if powerLoss {
 			m.machine.PowerLoss()
 		} else {
 			m.machine.Kill()
@@ -330,8 +331,8 @@
 	s.thawAndStart(true)
 }
 
-// cutOff cuts one member from all others, both ways.
-func (s *schedule) cutOff(m *member) {
+// isolate partitions one member from all others in both directions.
+func (s *schedule) isolate(m *member) {
 	for _, other := range s.members {
 		s.network.Partition(m.machine.Address(), other.machine.Address(), true)
 		s.network.Partition(other.machine.Address(), m.machine.Address(), true)
@@ -351,17 +352,17 @@
 	}
 }
 
-// wipe empties a disk where every set of voters that anybody has accepted keeps a majority of identitySet.
+// wipe empties a disk if every voter set that any member has accepted keeps a majority of its identities.
 func (s *schedule) wipe(m *member, sum *tally) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := m.current().Identity()
+	lostIdentity := m.currentAcceptor().Identity()
 	if !s.wipedAt.IsZero() && time.Since(s.wipedAt) < wipeInterval {
 		return
 	}
-	lost := func(identity uint64) bool { return identity == gone || s.wiped.has(identity) }
+	lost := func(identity uint64) bool { return identity == lostIdentity || s.wiped.has(identity) }
 	for _, other := range s.members {
-		for _, state := range []*tierpb.ControlState{other.current().AcceptedValue(), other.newestKnown()} {
+		for _, state := range []*tierpb.ControlState{other.currentAcceptor().AcceptedValue(), other.newestKnown()} {
 			if state != nil && !HasQuorum(state.Voters, func(identity uint64) bool { return !lost(identity) }) {
 				return
 			}
@@ -375,27 +376,27 @@
 	}
 	sum.Wipes++
 	s.wipedAt = time.Now()
-	s.wiped.add(gone)
+	s.wiped.add(lostIdentity)
 	m.machine.Wipe()
 }
 
-// rest ends all trouble; the register must then be readable and changeable everywhere.
-func (s *schedule) rest(sum *tally) {
+// recoverAll ends all faults; the register must then be readable and changeable everywhere.
+func (s *schedule) recoverAll(sum *tally) {
 	s.mu.Lock()
-	s.calm = true
+	s.recovering = true
 	s.mu.Unlock()
 	s.network.Heal()
 	s.network.SetConditions(calm)
 	for _, m := range s.members {
 		m.machine.Disk.SetFault(simulation.DiskFault{})
 		m.machine.Thaw()
-		for !m.machine.Running() || m.current() == nil {
+		for !m.machine.Running() || m.currentAcceptor() == nil {
 			m.start(false)
 		}
 	}
-	<-time.After(5 * time.Second) // what was under way comes to its end
+	<-time.After(5 * time.Second) // operations in flight complete
 	s.share()
-	s.lastPut(sum)
+	s.finalPut(sum)
 	first := s.members[0].mustRead()
 	for i, m := range s.members {
 		called := time.Now()
@@ -407,9 +408,9 @@
 	sum.Epochs += first.Epoch
 }
 
-// lastPut puts a generation on top of the current one. An earlier change with an unknown end may still come up before
-// it, and none after it.
-func (s *schedule) lastPut(sum *tally) {
+// finalPut puts a generation on top of the current one. An earlier change with an unknown outcome may still take effect
+// before it, and none after it.
+func (s *schedule) finalPut(sum *tally) {
 	m := s.members[len(s.members)-1]
 	for range 10 {
 		from := m.mustRead().Configuration.GetGeneration()
@@ -422,8 +423,8 @@
 		}
 		assert.ErrorIs(s.t, err, errConflict)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), restTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recoveryTime)
 	defer cancel()
-	_, err := LeaveJoint(ctx, m.changer())
+	_, err := LeaveJoint(ctx, m.currentProposer())
 	assert.NilError(s.t, err)
 }
--- /dev/null
+++ b/internal/tier/register/reconfigure_test.go
@@ -0,0 +1,141 @@
+package register
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/failpoint"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+func TestWipedVoterRejoinsUnderANewIdentity(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCalmCluster(t, 3, 3)
+		c.members[0].mustPut(0, 1)
+		old := c.members[2].currentAcceptor().Identity()
+		c.members[2].machine.Wipe()
+		assert.Assert(t, c.members[2].start(false))
+		acceptor := c.members[2].currentAcceptor()
+		assert.Assert(t, acceptor.Identity() != old && acceptor.Fresh() && acceptor.AcceptedValue() == nil)
+		number := &tierpb.ProposalNumber{Counter: 99, Proposer: 1}
+		assert.Assert(t, acceptor.Prepare(&tierpb.PrepareRequest{Identity: old, Proposal: number}).WrongIdentity)
+		assert.Assert(t, acceptor.Accept(&tierpb.AcceptRequest{Identity: old, Proposal: number, Value: InitialState(c.seeds)}).WrongIdentity)
+		_, err := c.members[2].read(time.Second)
+		assert.ErrorIs(t, err, ErrUnavailable, "it knows nothing yet")
+		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+		defer cancel()
+		state, err := ChangeVoters(ctx, c.members[0].currentProposer(), func(current *tierpb.ControlState) []*tierpb.Node {
+			return []*tierpb.Node{current.Voters[0].Nodes[0], current.Voters[0].Nodes[1], c.members[2].node()}
+		})
+		assert.NilError(t, err)
+		assert.Assert(t, IsVoter(state, acceptor.Identity()) && !IsVoter(state, old))
+		c.members[1].machine.PowerLoss()
+		assert.Equal(t, c.members[2].mustRead().Configuration.Generation, uint64(1))
+	})
+}
+
+// TestAllVotersReplacedOneByOne ends with voters none of which is a seed, and the old ones lost for good.
+func TestAllVotersReplacedOneByOne(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCalmCluster(t, 3, 6)
+		c.members[0].mustPut(0, 1)
+		for i := range 3 {
+			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+			_, err := ChangeVoters(ctx, c.members[5].currentProposer(), func(current *tierpb.ControlState) []*tierpb.Node {
+				nodes := current.Voters[0].Nodes
+				nodes[i] = c.members[3+i].node()
+				return nodes
+			})
+			cancel()
+			assert.NilError(t, err)
+			c.members[i].machine.Wipe()
+		}
+		c.members[4].mustPut(1, 2)
+		assert.Equal(t, c.members[3].mustRead().Epoch, uint64(7))
+	})
+}
+
+func TestUnsafeChangesOfVotersAreRejected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCalmCluster(t, 3, 6)
+		foreign := &tierpb.VoterSet{Nodes: []*tierpb.Node{c.members[3].node(), c.members[4].node(), c.members[0].node()}}
+		steps := map[string]func(*tierpb.ControlState){
+			"at once":        func(state *tierpb.ControlState) { state.Voters = []*tierpb.VoterSet{foreign} },
+			"without most":   func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign) },
+			"three sets":     func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign, foreign) },
+			"without voters": func(state *tierpb.ControlState) { state.Voters = nil },
+		}
+		for name, step := range steps {
+			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+			_, err := c.members[0].currentProposer().Change(ctx, func(state *tierpb.ControlState) (*tierpb.ControlState, error) {
+				step(state)
+				return state, nil
+			})
+			cancel()
+			assert.ErrorIs(t, err, ErrTransition, name)
+		}
+		assert.Equal(t, c.members[1].mustRead().Epoch, uint64(1))
+	})
+}
+
+// TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen sends a joint value to one acceptor only. If the old voters were
+// dropped because of it, two of the new ones and two of the old ones could each choose a change of their own.
+func TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCalmCluster(t, 3, 6)
+		first, second, third, joiner := c.members[0], c.members[1], c.members[2], c.members[3]
+		acceptsReachOnlyFirst := func(proposer *member) {
+			proposer.stopWhen(func(point failpoint.Point) bool {
+				for _, m := range []*member{second, joiner} {
+					c.network.Partition(proposer.machine.Address(), m.machine.Address(), point == failpoint.AcceptSending)
+				}
+				c.network.Partition(proposer.machine.Address(), third.machine.Address(), true)
+				return false
+			})
+		}
+		acceptsReachOnlyFirst(c.members[4])
+		assert.Assert(t, c.changeVoters(c.members[4]) != nil)
+		assert.Equal(t, len(first.currentAcceptor().AcceptedValue().Voters), 2)
+		c.members[4].machine.Kill()
+		acceptsReachOnlyFirst(c.members[5])
+		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+		defer cancel()
+		_, err := LeaveJoint(ctx, c.members[5].currentProposer())
+		assert.Assert(t, err != nil)
+		c.members[5].machine.Kill()
+		<-time.After(2 * time.Second)
+		partition(c, []*member{first, joiner}, []*member{second, third})
+		joiner.learn(first.currentAcceptor().AcceptedValue())
+		_, joinerErr := joiner.put(3*time.Second, 0, 1)
+		_, secondErr := second.put(3*time.Second, 0, 2)
+		assert.Assert(t, joinerErr != nil || secondErr != nil, "both sides chose a change")
+	})
+}
+
+func TestFewSeedsGrowInOneChange(t *testing.T) {
+	for seeds := 1; seeds <= 3; seeds++ {
+		synctest.Test(t, func(t *testing.T) {
+			c := newCalmCluster(t, seeds, 5)
+			c.members[4].mustPut(0, 1)
+			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+			defer cancel()
+			state, err := ChangeVoters(ctx, c.members[seeds-1].currentProposer(), func(current *tierpb.ControlState) []*tierpb.Node {
+				nodes := current.Voters[0].Nodes
+				for _, m := range c.members[seeds:] {
+					nodes = append(nodes, m.node())
+				}
+				return nodes
+			})
+			assert.NilError(t, err)
+			assert.Equal(t, len(VoterNodes(state)), 5)
+			<-time.After(2 * time.Second)
+			c.members[0].machine.Wipe()
+			c.members[1].machine.PowerLoss()
+			c.members[3].mustPut(1, 2)
+		})
+	}
+}
--- a/internal/tier/register/restart_test.go
+++ b/internal/tier/register/restart_test.go
@@ -12,10 +12,10 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// direct calls acceptors by address without a network.
-type direct map[string]*Acceptor
+// directCaller calls acceptors by address without a callers.
+type directCaller map[string]*Acceptor
 
-func (d direct) Call(_ context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
+func (d directCaller) Call(_ context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	acceptor := d[address]
 	if acceptor == nil {
 		return rpc.ErrUnreachable
@@ -37,8 +37,8 @@
 func TestChangeSurvivesRestart(t *testing.T) {
 	seeds := []string{"10.0.0.1:7380", "10.0.0.2:7380", "10.0.0.3:7380"}
 	folders := map[string]string{}
-	open := func(bootstrap bool) (direct, *Proposer) {
-		network := direct{}
+	open := func(bootstrap bool) *Proposer {
+		callers := directCaller{}
 		for _, seed := range seeds {
 			if folders[seed] == "" {
 				folders[seed] = t.TempDir()
@@ -47,20 +47,20 @@
 				Disk: storage.OS{}, Folder: folders[seed], Address: seed, Bootstrap: bootstrap, Seeds: seeds,
 			})
 			assert.NilError(t, err)
-			network[seed] = acceptor
+			callers[seed] = acceptor
 		}
-		return network, NewProposer(ProposerOptions{Caller: network, Local: network[seeds[0]]})
+		return NewProposer(ProposerOptions{Caller: callers, Local: callers[seeds[0]]})
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	_, proposer := open(true)
+	proposer := open(true)
 	chosen, err := proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		current.Configuration = &tierpb.Configuration{Generation: 7, Body: []byte("seven")}
 		return current, nil
 	})
 	assert.NilError(t, err)
 	assert.Equal(t, chosen.Version, uint64(1))
-	_, proposer = open(false)
+	proposer = open(false)
 	read, err := proposer.Read(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, read.Configuration.Generation, uint64(7))
