--- /dev/null
+++ b/internal/tier/lease/late_messages_test.go
@@ -0,0 +1,51 @@
+package lease
+
+import (
+	"math/rand/v2"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/simulation"
+)
+
+// TestDuplicateAndLateRequestsNeverLeadToTwoHolders: a third of the requests is duplicated, a third delayed by up to two TTLs
+// and so reordered, during restarts, freezes and releases.
+func TestDuplicateAndLateRequestsNeverLeadToTwoHolders(t *testing.T) {
+	for seed := range uint64(30) {
+		synctest.Test(t, func(t *testing.T) {
+			random := rand.New(rand.NewPCG(seed, 11))
+			e := newElection(t, seed, 3)
+			calm := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}
+			traits := calm
+			traits.DuplicateRate, traits.LateRate, traits.MaxLateDelay = 0.33, 0.33, 2*MaxTTL
+			e.network.SetConditions(traits)
+			for range 30 {
+				i := random.IntN(len(e.machines))
+				switch random.IntN(4) {
+				case 0: // its requests are still in flight when it starts again
+					e.stop(i)
+					e.start(i, MaxTTL)
+				case 1:
+					e.machines[i].Freeze()
+				case 2:
+					e.machines[i].Thaw()
+				case 3: // releases the lease
+					e.cancels[i]()
+					e.watch(t, 10*time.Millisecond)
+					e.machines[i].Thaw()
+					e.stop(i)
+					e.start(i, MaxTTL)
+				}
+				e.watch(t, time.Duration(random.IntN(1500))*time.Millisecond)
+			}
+			e.network.SetConditions(calm)
+			for _, machine := range e.machines {
+				machine.Thaw()
+			}
+			assert.Equal(t, len(e.watch(t, 5*MaxTTL)), 1)
+		})
+	}
+}
