--- a/internal/tier/watch/delta.go
+++ b/internal/tier/watch/delta.go
@@ -11,123 +11,125 @@
 
 // Sizes of deltas and of what they are made from.
 const (
-	deltaBlock      = 32      // bytes of the older body that are looked up at a time
-	deltaLeast      = 1 << 10 // bodies below this go out whole
-	bodiesKept      = 8       // older bodies that deltas are made from
-	bodiesBytesMost = 2 << 20 // of all of them
+	deltaBlockBytes  = 32      // of the older body, matched at a time
+	minDeltaBodySize = 1 << 10 // bytes; smaller bodies are sent in full
+	maxDeltaBases    = 8       // older bodies that deltas are made from
+	maxHistoryBytes  = 2 << 20 // of all bodies, unless the newest alone is larger
 )
 
-var errDelta = eris.New("the delta does not fit the body known")
+var errDeltaMismatch = eris.New("delta does not fit the known body")
 
-// bodies remembers the newest configurations' bodies by control version, and the deltas that lead to the newest one.
-type bodies struct {
-	known  []knownBody // oldest first; the last one is the newest
-	deltas map[uint64]*tierpb.BodyDelta
+// bodyHistory holds the newest configuration bodies by control version, and the deltas that lead to the newest one.
+type bodyHistory struct {
+	entries []versionedBody // oldest first
+	deltas  map[uint64]*tierpb.BodyDelta
 }
 
-type knownBody struct {
+type versionedBody struct {
 	version uint64
 	body    []byte
 }
 
-func (b *bodies) add(version uint64, body []byte) {
-	b.known = append(b.known, knownBody{version: version, body: body})
-	b.deltas = nil
+// add makes a body the newest one and drops the oldest ones beyond the bounds.
+func (h *bodyHistory) add(version uint64, body []byte) {
+	h.entries = append(h.entries, versionedBody{version: version, body: body})
+	h.deltas = nil
 	size := 0
-	for i := len(b.known) - 1; i >= 0; i-- {
-		size += len(b.known[i].body)
-		if len(b.known)-i > bodiesKept+1 || size > bodiesBytesMost && i < len(b.known)-1 {
-			b.known = append([]knownBody(nil), b.known[i+1:]...)
+	for i := len(h.entries) - 1; i >= 0; i-- {
+		size += len(h.entries[i].body)
+		if len(h.entries)-i > maxDeltaBases+1 || size > maxHistoryBytes && i < len(h.entries)-1 {
+			h.entries = append([]versionedBody(nil), h.entries[i+1:]...)
 			return
 		}
 	}
 }
 
-// delta leads from a version's body to the newest one; nil where that is not known or saves little.
-func (b *bodies) delta(version uint64) *tierpb.BodyDelta {
-	newest := b.known[len(b.known)-1]
-	if made, ok := b.deltas[version]; ok || len(newest.body) < deltaLeast {
-		return made
+// deltaFrom returns the delta from a version's body to the newest one, nil if that version is not known or the delta
+// saves little.
+func (h *bodyHistory) deltaFrom(version uint64) *tierpb.BodyDelta {
+	newest := h.entries[len(h.entries)-1]
+	if delta, made := h.deltas[version]; made || len(newest.body) < minDeltaBodySize {
+		return delta
 	}
-	var made *tierpb.BodyDelta
-	for _, older := range b.known[:len(b.known)-1] {
+	var delta *tierpb.BodyDelta
+	for _, older := range h.entries[:len(h.entries)-1] {
 		if older.version == version {
-			made = makeDelta(version, older.body, newest.body)
+			delta = makeDelta(version, older.body, newest.body)
 		}
 	}
-	if made != nil && made.SizeVT() > len(newest.body)/2 {
-		made = nil
+	if delta != nil && delta.SizeVT() > len(newest.body)/2 {
+		delta = nil
 	}
-	if b.deltas == nil {
-		b.deltas = make(map[uint64]*tierpb.BodyDelta)
+	if h.deltas == nil {
+		h.deltas = make(map[uint64]*tierpb.BodyDelta)
 	}
-	b.deltas[version] = made
-	return made
+	h.deltas[version] = delta
+	return delta
 }
 
 func makeDelta(version uint64, older, newer []byte) *tierpb.BodyDelta {
-	return &tierpb.BodyDelta{Base: version, Chunks: pieces(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
+	return &tierpb.BodyDelta{Base: version, Chunks: diff(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
 }
 
-// pieces describes the newer body by parts of the older one, found by a rolling hash over its blocks.
-func pieces(older, newer []byte) []*tierpb.BodyChunk {
-	blocks := blocksOf(older)
-	made := []*tierpb.BodyChunk{{}}
-	told, at := 0, 0 // newer[told:at] is in no piece yet
+// diff describes the newer body by chunks of the older one, each followed by added bytes. As in rsync (Tridgell, 1996),
+// chunks are found by a rolling hash over the blocks of the older body, and then extended in both directions.
+func diff(older, newer []byte) []*tierpb.BodyChunk {
+	blocks := indexBlocks(older)
+	chunks := []*tierpb.BodyChunk{{}}
+	emitted, position := 0, 0 // newer[emitted:position] is in no chunk yet
 	var rolling rollingHash
-	for at+deltaBlock <= len(newer) {
-		sum := rolling.at(newer, at)
+	for position+deltaBlockBytes <= len(newer) {
+		sum := rolling.sumAt(newer, position)
 		from, found := blocks[sum]
-		if !found || !bytes.Equal(older[from:from+deltaBlock], newer[at:at+deltaBlock]) {
-			at++
+		if !found || !bytes.Equal(older[from:from+deltaBlockBytes], newer[position:position+deltaBlockBytes]) {
+			position++
 			continue
 		}
-		back := commonSuffix(older[:from], newer[told:at])
-		length := deltaBlock + commonPrefix(older[from+deltaBlock:], newer[at+deltaBlock:])
-		last := made[len(made)-1]
-		last.Added = newer[told : at-back]
-		made = append(made, &tierpb.BodyChunk{From: uint32(from - back), Length: uint32(back + length)})
-		at += length
-		told = at
+		before := commonSuffix(older[:from], newer[emitted:position])
+		length := deltaBlockBytes + commonPrefix(older[from+deltaBlockBytes:], newer[position+deltaBlockBytes:])
+		chunks[len(chunks)-1].Added = newer[emitted : position-before]
+		chunks = append(chunks, &tierpb.BodyChunk{From: uint32(from - before), Length: uint32(before + length)})
+		position += length
+		emitted = position
 	}
-	made[len(made)-1].Added = newer[told:]
-	return made
+	chunks[len(chunks)-1].Added = newer[emitted:]
+	return chunks
 }
 
-// apply makes the newer body.
-func apply(delta *tierpb.BodyDelta, older []byte) ([]byte, error) {
+// applyDelta returns the newer body, or errDeltaMismatch if the delta was made from another older one.
+func applyDelta(delta *tierpb.BodyDelta, older []byte) ([]byte, error) {
 	size := 0
-	for _, piece := range delta.Chunks {
-		if uint64(piece.From)+uint64(piece.Length) > uint64(len(older)) {
-			return nil, errDelta
+	for _, chunk := range delta.Chunks {
+		if uint64(chunk.From)+uint64(chunk.Length) > uint64(len(older)) {
+			return nil, errDeltaMismatch
 		}
-		size += int(piece.Length) + len(piece.Added)
+		size += int(chunk.Length) + len(chunk.Added)
 	}
 	newer := make([]byte, 0, size)
-	for _, piece := range delta.Chunks {
-		newer = append(newer, older[piece.From:piece.From+piece.Length]...)
-		newer = append(newer, piece.Added...)
+	for _, chunk := range delta.Chunks {
+		newer = append(newer, older[chunk.From:chunk.From+chunk.Length]...)
+		newer = append(newer, chunk.Added...)
 	}
 	if crc32.ChecksumIEEE(newer) != delta.Checksum {
-		return nil, errDelta
+		return nil, errDeltaMismatch
 	}
 	return newer, nil
 }
 
-// blocksOf finds the blocks of a body by their hashes.
-func blocksOf(body []byte) map[uint64]int {
-	blocks := make(map[uint64]int, len(body)/deltaBlock)
+// indexBlocks returns the position of each block of a body by its hash, the first one where blocks are equal.
+func indexBlocks(body []byte) map[uint64]int {
+	blocks := make(map[uint64]int, len(body)/deltaBlockBytes)
 	var rolling rollingHash
-	for at := 0; at+deltaBlock <= len(body); at += deltaBlock {
-		sum := rolling.at(body, at)
-		if _, taken := blocks[sum]; !taken {
-			blocks[sum] = at
+	for position := 0; position+deltaBlockBytes <= len(body); position += deltaBlockBytes {
+		sum := rolling.sumAt(body, position)
+		if _, exists := blocks[sum]; !exists {
+			blocks[sum] = position
 		}
 	}
 	return blocks
 }
 
-// rollingHash is the Rabin-Karp hash of a window of deltaBlock bytes. It costs one step where the window moves by one.
+// rollingHash is the Rabin-Karp hash of a window of deltaBlockBytes. Moving the window by one byte costs one step.
 type rollingHash struct {
 	next int // position that follows the last one
 	sum  uint64
@@ -135,21 +137,22 @@
 
 const rollingBase = 1099511628211
 
-// leaving is rollingBase to the power of deltaBlock-1, the weight of the byte that leaves the window.
-var leaving = func() uint64 {
+// oldestByteFactor is rollingBase to the power of deltaBlockBytes-1: the factor of the byte that leaves the window.
+var oldestByteFactor = func() uint64 {
 	power := uint64(1)
-	for range deltaBlock - 1 {
+	for range deltaBlockBytes - 1 {
 		power *= rollingBase
 	}
 	return power
 }()
 
-func (r *rollingHash) at(body []byte, position int) uint64 {
+// sumAt returns the hash of the window that starts at a position.
+func (r *rollingHash) sumAt(body []byte, position int) uint64 {
 	if position != 0 && position == r.next {
-		r.sum = (r.sum-uint64(body[position-1])*leaving)*rollingBase + uint64(body[position+deltaBlock-1])
+		r.sum = (r.sum-uint64(body[position-1])*oldestByteFactor)*rollingBase + uint64(body[position+deltaBlockBytes-1])
 	} else {
 		r.sum = 0
-		for _, c := range body[position : position+deltaBlock] {
+		for _, c := range body[position : position+deltaBlockBytes] {
 			r.sum = r.sum*rollingBase + uint64(c)
 		}
 	}
--- a/internal/tier/watch/delta_test.go
+++ b/internal/tier/watch/delta_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// configurationBody looks like an operator's configuration with so many routes.
+// configurationBody returns a realistic configuration with a number of routes.
 func configurationBody(generation, routes int) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"generation":%d,"routes":[`, generation)
@@ -25,7 +25,7 @@
 	return body.Bytes()
 }
 
-func TestDeltaMakesTheBody(t *testing.T) {
+func TestDeltaReconstructsBody(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for round := range 300 {
 		older := configurationBody(round, random.IntN(60))
@@ -42,9 +42,9 @@
 		if round%10 == 1 {
 			older = nil
 		}
-		made, err := apply(makeDelta(1, older, newer), older)
+		rebuilt, err := applyDelta(makeDelta(1, older, newer), older)
 		assert.NilError(t, err)
-		assert.Assert(t, bytes.Equal(made, newer))
+		assert.Assert(t, bytes.Equal(rebuilt, newer))
 	}
 }
 
@@ -56,14 +56,14 @@
 	assert.Assert(t, delta.SizeVT() < 200, "%d of %d bytes", delta.SizeVT(), len(newer))
 }
 
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
+func TestMismatchedDeltaIsRejected(t *testing.T) {
 	older, newer := configurationBody(7, 50), configurationBody(8, 51)
 	delta := makeDelta(1, older, newer)
-	_, err := apply(delta, older[:100])
-	assert.ErrorIs(t, err, errDelta)
+	_, err := applyDelta(delta, older[:100])
+	assert.ErrorIs(t, err, errDeltaMismatch)
 	other := bytes.Replace(older, []byte("host3"), []byte("hostX"), 1)
-	_, err = apply(delta, other)
-	assert.ErrorIs(t, err, errDelta)
+	_, err = applyDelta(delta, other)
+	assert.ErrorIs(t, err, errDeltaMismatch)
 }
 
 func control(version uint64, body []byte) *tierpb.ControlState {
@@ -73,42 +73,42 @@
 	}
 }
 
-func TestFollowersOfAnyKnownVersionGetADelta(t *testing.T) {
+func TestWatchersOfKnownVersionsGetDelta(t *testing.T) {
 	s, clock := testState()
-	for version := range uint64(bodiesKept + 3) {
+	for version := range uint64(maxDeltaBases + 3) {
 		clock.advance(time.Second)
 		s.SetControl(control(version+1, configurationBody(int(version+1), 40)))
 	}
 	newest := s.Control()
 	for version := uint64(0); version < newest.Version; version++ {
-		follower, _ := testState()
+		watcher, _ := testState()
 		if version > 0 {
-			follower.SetControl(control(version, configurationBody(int(version), 40)))
+			watcher.SetControl(control(version, configurationBody(int(version), 40)))
 		}
 		reply := ask(t, s, &tierpb.WatchRequest{ControlVersion: version})
-		assert.Equal(t, reply.Body != nil, version >= newest.Version-bodiesKept)
-		follower.Merge(reply)
-		assert.Assert(t, follower.Control().EqualVT(newest), "from %d", version)
+		assert.Equal(t, reply.Body != nil, version >= newest.Version-maxDeltaBases)
+		watcher.Merge(reply)
+		assert.Assert(t, watcher.Control().EqualVT(newest), "from %d", version)
 	}
 	assert.Assert(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 5, FullBody: true}).Body == nil)
 }
 
-func TestDeltaForAnotherBaseIsNotTaken(t *testing.T) {
+func TestDeltaForAnotherBaseIsNotMerged(t *testing.T) {
 	s, clock := testState()
 	s.SetControl(control(1, configurationBody(1, 40)))
 	clock.advance(time.Second)
 	s.SetControl(control(2, configurationBody(2, 40)))
 	reply := ask(t, s, &tierpb.WatchRequest{ControlVersion: 1})
 	assert.Assert(t, reply.Body != nil)
-	follower, _ := testState()
-	assert.Assert(t, !follower.Merge(reply))
-	assert.Assert(t, follower.Control() == nil)
+	watcher, _ := testState()
+	assert.Assert(t, !watcher.Merge(reply))
+	assert.Assert(t, watcher.Control() == nil)
 }
 
-// TestSourcesWhoseBodiesDifferAreAskedForTheWhole has a follower with a body that no delta fits.
-func TestSourcesWhoseBodiesDifferAreAskedForTheWhole(t *testing.T) {
+// TestFullBodyIsRequestedAfterMismatch has a watcher with a body that no delta of the source fits.
+func TestFullBodyIsRequestedAfterMismatch(t *testing.T) {
 	n := newNetwork("a")
-	following(t, n, 1, fixed("a"), func(_ *Watcher, state *State) {
+	runWatcher(t, n, 1, fixedEndpoints("a"), func(_ *Watcher, state *State) {
 		state.SetControl(control(1, configurationBody(99, 41)))
 		n.sources["a"].SetControl(control(1, configurationBody(1, 40)))
 		time.Sleep(time.Second)
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestDeltaLeavesOutTheBodyAlone goes through all fields, so that one which is added later is not left out by mistake.
-func TestDeltaLeavesOutTheBodyAlone(t *testing.T) {
+// TestDeltaOmitsOnlyTheBody covers all fields, so that a field which is added later is not omitted by mistake.
+func TestDeltaOmitsOnlyTheBody(t *testing.T) {
 	control := &tierpb.ControlState{
 		Voters:           []*tierpb.VoterSet{{Nodes: []*tierpb.Node{{Identity: 1}}}},
 		Stores:           &tierpb.StoreMembership{Epoch: 4},
@@ -141,23 +141,24 @@
 		if field.Kind() == protoreflect.Uint64Kind && !field.IsList() {
 			control.ProtoReflect().Set(field, protoreflect.ValueOfUint64(uint64(100+i)))
 		}
-		assert.Assert(t, control.ProtoReflect().Has(field), "this test gives %s no value", field.Name())
+		assert.Assert(t, control.ProtoReflect().Has(field), "no test value for field %s", field.Name())
 	}
-	told := withoutBody(control)
-	assert.Assert(t, told.Configuration.Body == nil)
-	told.Configuration.Body = control.Configuration.Body
-	assert.Assert(t, told.EqualVT(control), "got %v, want %v", told, control)
+	stripped := withoutBody(control)
+	assert.Assert(t, stripped.Configuration.Body == nil)
+	stripped.Configuration.Body = control.Configuration.Body
+	assert.Assert(t, stripped.EqualVT(control), "got %v, want %v", stripped, control)
 }
 
-// TestBodiesKeptAreBounded: in number while they are small, in bytes while they are large, and the newest is always there.
-func TestBodiesKeptAreBounded(t *testing.T) {
+// TestBodyHistoryIsBounded checks the bound in number for small bodies, in bytes for large ones, and that the newest
+// body is always there.
+func TestBodyHistoryIsBounded(t *testing.T) {
 	for _, size := range []int{100, 100 << 10, 1 << 20, 5 << 20} {
-		kept := bodies{}
+		history := bodyHistory{}
 		for version := range uint64(500) {
-			kept.add(version, make([]byte, size))
+			history.add(version, make([]byte, size))
 		}
-		assert.Assert(t, len(kept.known) <= bodiesKept+1)
-		assert.Assert(t, len(kept.known) == 1 || len(kept.known)*size <= bodiesBytesMost)
-		assert.Equal(t, kept.known[len(kept.known)-1].version, uint64(499))
+		assert.Assert(t, len(history.entries) <= maxDeltaBases+1)
+		assert.Assert(t, len(history.entries) == 1 || len(history.entries)*size <= maxHistoryBytes)
+		assert.Equal(t, history.entries[len(history.entries)-1].version, uint64(499))
 	}
 }
--- /dev/null
+++ b/internal/tier/watch/merge.go
@@ -0,0 +1,190 @@
+package watch
+
+import (
+	"slices"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/invariant"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// Change is the effect of a merge on an instance.
+type Change uint8
+
+// The kinds of change.
+const (
+	Unchanged Change = iota
+	Heartbeat        // only the sequence or the rest of the slow start differs
+	Material         // the state or the description differs: watchers that send requests need to know
+)
+
+// IsTerminal reports whether a state is final: no later update leads out of it.
+func IsTerminal(state tierpb.InstanceState) bool {
+	return state >= tierpb.InstanceState_INSTANCE_DRAINING
+}
+
+// mergeFrom merges a reply of the source at an address and reports whether anything but heartbeats changed.
+func (s *State) mergeFrom(reply *tierpb.WatchReply, source string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	changed := s.mergeControl(s.reconstructControl(reply))
+	for _, instance := range reply.Instances {
+		if s.mergeInstance(instance, source) == Material {
+			changed = true
+		}
+	}
+	for _, status := range reply.Statuses {
+		if s.mergeStatus(status, source) == Material {
+			changed = true
+		}
+	}
+	if len(reply.Coordinators) > 0 {
+		s.learnedCoordinators = reply.Coordinators
+	}
+	if reply.Compared && s.suspectUnconfirmed(reply) {
+		changed = true
+	}
+	return changed
+}
+
+// mergeInstance merges one description and publishes what changed. The source is empty for a call of the store itself.
+func (s *State) mergeInstance(received *tierpb.Instance, source string) Change {
+	s.expireTombstones()
+	known := s.instances[received.Id]
+	merged, change := mergeInstances(known.instance, received)
+	if change == Unchanged {
+		return change
+	}
+	s.revision++
+	s.replace(known, entry{
+		instance: merged, updatedAt: s.now(), source: source, descriptionRevision: known.descriptionRevision,
+	})
+	if change == Material {
+		s.changes.append(s.revision, received.Id)
+		s.notify(&s.changeSignal)
+		return change
+	}
+	s.heartbeats.append(s.revision, received.Id)
+	if source == "" { // watchers get the other heartbeats from the source that this State got them from
+		s.notify(&s.heartbeatSignal)
+	}
+	return change
+}
+
+// replace stores an entry and updates the summary, the counts and the tombstones that follow from it.
+func (s *State) replace(known, next entry) {
+	if known.instance == nil || !sameDescription(known.instance, next.instance) {
+		next.descriptionRevision = s.revision
+	}
+	s.summary.remove(known.instance)
+	s.summary.add(next.instance)
+	if known.instance != nil {
+		s.countByState[known.instance.State]--
+	}
+	s.countByState[next.instance.State]++
+	if isDeregistered(next.instance) && !isDeregistered(known.instance) {
+		s.tombstones = append(s.tombstones, tombstone{id: next.instance.Id, createdAt: next.updatedAt})
+	}
+	s.instances[next.instance.Id] = next
+}
+
+// mergeStatus merges a status, which has no description. An unknown instance is ignored unless it is deregistered: that
+// becomes a tombstone.
+func (s *State) mergeStatus(status *tierpb.InstanceStatus, source string) Change {
+	known := s.instances[status.Id]
+	if known.instance == nil {
+		if status.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
+			return Unchanged
+		}
+		return s.mergeInstance(&tierpb.Instance{Id: status.Id, Sequence: status.Sequence, State: status.State}, source)
+	}
+	if status.Sequence <= known.instance.Sequence && status.State <= known.instance.State {
+		return Unchanged
+	}
+	updated := known.at(s.now()).CloneVT()
+	switch {
+	case status.Description == 0 || status.Description == descriptionDigest(updated):
+		updated.Sequence, updated.State = status.Sequence, status.State
+	case IsTerminal(status.State):
+		// The description is newer than the known one. The sequence stays, so that the description that belongs to it
+		// is merged when it comes.
+		updated.State = status.State
+	default:
+		return Unchanged
+	}
+	return s.mergeInstance(updated, source)
+}
+
+// isMissing reports whether a digests-only reply names anything that is not known here.
+func (s *State) isMissing(reply *tierpb.WatchReply) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if reply.ControlVersion > s.control.GetVersion() {
+		return true
+	}
+	for _, status := range reply.Statuses {
+		known := s.instances[status.Id].instance
+		if known == nil || status.Description != 0 && status.Description != descriptionDigest(known) {
+			return true
+		}
+	}
+	return false
+}
+
+// mergeInstances merges two descriptions of one instance. It is commutative, associative and idempotent, so that
+// descriptions may arrive in any order: the higher sequence wins, at the same sequence the higher state, and terminal
+// states are final.
+func mergeInstances(known, received *tierpb.Instance) (*tierpb.Instance, Change) {
+	if known == nil {
+		return received, Material
+	}
+	merged := known
+	if received.Sequence > known.Sequence || received.Sequence == known.Sequence && received.State > known.State {
+		merged = received
+	}
+	state := mergeStates(known.State, received.State, merged.State)
+	if merged.State != state {
+		merged = merged.CloneVT()
+		merged.State = state
+	}
+	invariant.Check(!IsTerminal(known.State) || merged.State >= known.State, invariant.TerminalStateFinal, merged.State, known.State)
+	return merged, classify(known, merged)
+}
+
+func mergeStates(known, received, newest tierpb.InstanceState) tierpb.InstanceState {
+	highest := max(known, received)
+	if IsTerminal(highest) {
+		return highest
+	}
+	return newest
+}
+
+func classify(known, merged *tierpb.Instance) Change {
+	switch {
+	case known == merged:
+		return Unchanged
+	case known.State != merged.State || !sameDescription(known, merged):
+		return Material
+	case known.Sequence == merged.Sequence && known.SlowStartRemainingMs == merged.SlowStartRemainingMs:
+		return Unchanged
+	}
+	return Heartbeat
+}
+
+// sameDescription reports whether two messages describe an instance alike, whatever its state.
+func sameDescription(a, b *tierpb.Instance) bool {
+	return a.Address == b.Address && a.Backend == b.Backend && a.Zone == b.Zone && a.Generation == b.Generation &&
+		a.Slots == b.Slots && slices.Equal(a.Models, b.Models)
+}
+
+// at returns the instance with the rest of its slow start as it stands at a time. The rest is relative to when the
+// message was received, as clocks of machines differ.
+func (e entry) at(now time.Time) *tierpb.Instance {
+	elapsed := now.Sub(e.updatedAt)
+	if e.instance.SlowStartRemainingMs == 0 || elapsed < time.Millisecond {
+		return e.instance
+	}
+	current := e.instance.CloneVT()
+	current.SlowStartRemainingMs -= uint32(min(elapsed.Milliseconds(), int64(e.instance.SlowStartRemainingMs)))
+	return current
+}
--- a/internal/tier/watch/cost_test.go
+++ b/internal/tier/watch/message_size_test.go
@@ -10,41 +10,33 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// described is an instance as stores describe themselves.
-func described(i int, sequence uint64, state tierpb.InstanceState) *tierpb.Instance {
-	return &tierpb.Instance{
-		Id: fmt.Sprintf("i-%010x", i), Backend: "backend-a", Address: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250),
-		Zone: "cheonan-yard", Generation: "v1", Slots: 32, State: state, Sequence: sequence, Models: []string{"m"},
-	}
-}
-
-func TestIdleRepliesAndMarksAreSmall(t *testing.T) {
+func TestIdleRepliesAndStatusesAreSmall(t *testing.T) {
 	s, clock := testState()
 	for i := range 3000 {
 		s.Upsert(described(i, 1, ready))
 	}
-	place := &tierpb.WatchRequest{}
+	position := &tierpb.WatchRequest{}
 	for more := true; more; {
-		reply := ask(t, s, place)
-		place.Incarnation, place.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
+		reply := ask(t, s, position)
+		position.Incarnation, position.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
 	}
-	assert.Assert(t, ask(t, s, place).SizeVT() <= 24)
+	assert.Assert(t, ask(t, s, position).SizeVT() <= 24)
 	clock.advance(time.Second)
 	s.Upsert(described(7, 2, draining))
-	assert.Assert(t, ask(t, s, place).SizeVT() <= 48)
+	assert.Assert(t, ask(t, s, position).SizeVT() <= 48)
 }
 
-func TestSecondSourceTellsTheListInBrief(t *testing.T) {
+func TestSecondSourceSendsDigestsOnly(t *testing.T) {
 	const instances = 2000
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, state *State) {
+	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(_ *Watcher, state *State) {
 		n.mu.Lock()
 		n.bytes = 0
 		n.mu.Unlock()
-		whole := 0
+		fullSize := 0
 		for i := range instances {
 			one := described(i, 1, ready)
-			whole += one.SizeVT()
+			fullSize += one.SizeVT()
 			for _, source := range n.sources {
 				source.Upsert(one)
 			}
@@ -56,13 +48,13 @@
 		assert.Equal(t, len(state.Instances()), instances)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Assert(t, n.bytes < whole*7/4, "%d bytes for a list of %d", n.bytes, whole)
+		assert.Assert(t, n.bytes < fullSize*7/4, "%d bytes for a list of %d", n.bytes, fullSize)
 	})
 }
 
-func TestLargeControlStateComesOnce(t *testing.T) {
+func TestLargeControlStateIsSentOnce(t *testing.T) {
 	n := newNetwork("a", "b", "c")
-	following(t, n, 2, fixed("a", "b", "c"), func(_ *Watcher, state *State) {
+	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(_ *Watcher, state *State) {
 		body := make([]byte, 100_000)
 		n.mu.Lock()
 		n.bytes = 0
@@ -80,27 +72,27 @@
 	})
 }
 
-// BenchmarkChange is what one change costs a source with so many followers, until the replies are encoded.
+// BenchmarkChange measures what one change costs a source with a number of watchers, up to the encoded replies.
 func BenchmarkChange(b *testing.B) {
-	for _, followers := range []int{100, 330} {
-		b.Run(fmt.Sprint(followers), func(b *testing.B) {
+	for _, watchers := range []int{100, 330} {
+		b.Run(fmt.Sprint(watchers), func(b *testing.B) {
 			s, clock := testState()
 			for i := range 3000 {
 				s.Upsert(described(i, 1, ready))
 			}
-			place := s.Revision()
+			revision := s.Revision()
 			sequence, sent := uint64(1), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				sequence++
 				clock.advance(time.Second)
 				s.Upsert(described(7, sequence, tierpb.InstanceState(sequence%2)))
-				for range followers {
-					reply, _, _ := s.poll(&tierpb.WatchRequest{Incarnation: s.feed, Cursor: place})
+				for range watchers {
+					reply, _, _ := s.tryReply(&tierpb.WatchRequest{Incarnation: s.incarnation, Cursor: revision})
 					encoded, _ := reply.MarshalVT()
 					sent += len(encoded)
 				}
-				place = s.Revision()
+				revision = s.Revision()
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "bytes/op")
 		})
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -8,147 +8,145 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// place is how far a source's feed has been taken in.
-type place struct {
-	feed     uint64
-	cursor   uint64
-	begins   bool   // not all that the source knows has been told yet
-	whole    bool   // the last reply could not be taken in: it is to come whole
-	middle   uint64 // cursor at middleAt
-	older    uint64 // cursor at least rewindTime before middleAt
-	middleAt time.Time
-	rewound  uint64 // cursor before it was rewound, until the source has answered; 0 where it was not
-
-	compareAt time.Time // when the lists are to be compared next
-}
-
-// advance notes a reply that was taken in.
-func (p *place) advance(reply *tierpb.WatchReply, now time.Time) {
-	if p.feed != reply.Incarnation {
-		*p = place{feed: reply.Incarnation, compareAt: now.Add(jittered(compareUnanswered))}
-	}
-	p.cursor, p.begins, p.whole, p.rewound = reply.Cursor, reply.More, false, 0
-	if now.Sub(p.middleAt) >= rewindTime {
-		p.older, p.middle, p.middleAt = p.middle, p.cursor, now
-	}
-}
+// Times of a poll.
+const (
+	// DefaultPollWait is how long a source may hold a poll. It bounds how late a watcher notices that a source is dead.
+	DefaultPollWait = 700 * time.Millisecond
+	// pollGrace is the time for a held poll to be answered after its wait is over.
+	pollGrace = 400 * time.Millisecond
+	// MaxPollDuration is the longest that a poll held for DefaultPollWait may take; after it the poll has failed.
+	MaxPollDuration = DefaultPollWait + pollGrace
+
+	catchUpTimeout = 100 * time.Millisecond // for which the primary may lag behind another source
+	// acceptNotReadyAfter is how long a watcher that knows nothing waits for a source that is ready, before it accepts
+	// a state that may be old.
+	acceptNotReadyAfter = 1500 * time.Millisecond
+)
 
-// poll asks a source once. The first poll of a source is not to be held, so that one which cannot answer is known soon.
-func (f *Watcher) poll(ctx context.Context, address string, first bool) error {
-	wait := f.options.PollWait
+// poll asks a source once and merges the reply. The first poll of a source is not held, so that a source that cannot
+// answer is noticed soon.
+func (w *Watcher) poll(ctx context.Context, address string, first bool) error {
+	wait := w.options.PollWait
 	if first {
 		wait = 0
 	}
-	request := f.request(address, wait, first)
-	request.AcceptNotReady = f.mayBeStale()
+	request := w.newRequest(address, wait, first)
+	request.AcceptNotReady = w.acceptsNotReady()
 	if request.Compare {
 		request.WaitMs = 0
 	}
 	reply := &tierpb.WatchReply{}
-	asked := f.options.Now()
-	if err := f.call(ctx, address, wait+replySlack, request, reply); err != nil {
+	sentAt := w.options.Now()
+	if err := w.call(ctx, address, wait+pollGrace, request, reply); err != nil {
 		return err
 	}
-	f.options.State.mergeFrom(reply, address)
-	if f.options.OnReply != nil {
-		f.options.OnReply(address, reply, asked)
+	w.options.State.mergeFrom(reply, address)
+	if w.options.OnReply != nil {
+		w.options.OnReply(address, reply, sentAt)
 	}
 	if reply.GetResponder().GetNotReady() {
 		return ErrNotReady
 	}
-	f.heardReady()
-	taken := f.options.State.Control().GetVersion() >= reply.Control.GetVersion()
+	w.noteReadySource()
+	merged := w.options.State.Control().GetVersion() >= reply.Control.GetVersion()
 	if request.DigestsOnly {
-		taken = f.catchUp(ctx, reply)
+		merged = w.awaitPrimary(ctx, reply)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s := f.sources[address]
+	w.movePosition(address, request, reply, merged)
+	return nil
+}
+
+// movePosition advances the position in a source past a merged reply. One that could not be merged is asked for again,
+// with the full body.
+func (w *Watcher) movePosition(address string, request *tierpb.WatchRequest, reply *tierpb.WatchReply, merged bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := w.sources[address]
 	switch {
 	case s == nil:
-	case taken:
-		s.place.advance(reply, time.Now())
+	case merged:
+		s.position.advance(reply, time.Now())
 		if request.Compare {
-			s.place.compared(reply, time.Now())
+			s.position.scheduleReconcile(reply, time.Now())
 		}
 	default:
-		s.place.whole = true
+		s.position.needsFullBody = true
 	}
-	return nil
 }
 
-func (f *Watcher) call(ctx context.Context, address string, within time.Duration, request, reply rpc.Message) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (w *Watcher) call(ctx context.Context, address string, timeout time.Duration, request, reply rpc.Message) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return f.options.Caller.Call(ctx, address, rpc.MethodWatch, request, reply)
+	return w.options.Caller.Call(ctx, address, rpc.MethodWatch, request, reply)
 }
 
-// request asks for what is new since the place in the source's feed. The first one of a source also sums up what is known, as
-// others have told of most of what happened since it was last asked.
-func (f *Watcher) request(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
+// newRequest asks for what is newer than the position in a source. The first request to a source also carries a
+// summary, as other sources have sent most of what happened since it was last asked.
+func (w *Watcher) newRequest(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
 	request := &tierpb.WatchRequest{
-		ControlVersion: f.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
-		Follower: f.options.Self, Heartbeats: f.options.Heartbeats,
+		ControlVersion: w.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
+		Follower: w.options.Self, Heartbeats: w.options.Heartbeats,
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at := place{}
-	if s := f.sources[address]; s != nil {
-		at = s.place
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	from := position{}
+	if s := w.sources[address]; s != nil {
+		from = s.position
 	}
-	request.Incarnation, request.Cursor = at.feed, at.cursor
-	if first || at.cursor == 0 || at.begins {
-		request.Summary = f.options.State.digests()
+	request.Incarnation, request.Cursor = from.incarnation, from.cursor
+	if first || from.cursor == 0 || from.incomplete {
+		request.Summary = w.options.State.digests()
 	}
-	if f.options.Heartbeats {
-		request.OtherSources = f.answering()
+	if w.options.Heartbeats {
+		request.OtherSources = w.respondingSources()
 	}
-	request.DigestsOnly = !f.isPrimary(address) && !at.whole
-	if f.options.Reconcile && !request.DigestsOnly && at.compares(time.Now()) {
-		request.Compare, request.Summary = true, f.options.State.digests()
+	request.DigestsOnly = !w.isPrimary(address) && !from.needsFullBody
+	if w.options.Reconcile && !request.DigestsOnly && from.reconcileDue(time.Now()) {
+		request.Compare, request.Summary = true, w.options.State.digests()
 	}
-	request.FullBody = at.whole
+	request.FullBody = from.needsFullBody
 	return request
 }
 
-// isPrimary says whether a source is to tell all. The first one asked is, until it fails; a Watcher of all sources has
-// no other.
-func (f *Watcher) isPrimary(address string) bool {
-	if f.options.MaxSources == 0 {
+// isPrimary reports whether a source is to send everything. The first source that is asked is the primary until it
+// fails; for a Watcher of all sources each is.
+func (w *Watcher) isPrimary(address string) bool {
+	if w.options.MaxSources == 0 {
 		return true
 	}
-	if f.primary == "" {
-		f.primary = address
+	if w.primary == "" {
+		w.primary = address
 	}
-	return f.primary == address
+	return w.primary == address
 }
 
-// dismiss lets another source become the primary.
-func (f *Watcher) dismiss(address string) {
-	if f.primary == address {
-		f.primary = ""
+// resignPrimary lets another source become the primary.
+func (w *Watcher) resignPrimary(address string) {
+	if w.primary == address {
+		w.primary = ""
 	}
 }
 
-func (f *Watcher) hasPrimary() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.primary != ""
+func (w *Watcher) hasPrimary() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.primary != ""
 }
 
-// catchUp says whether all that a brief reply tells of is known; where it is not, the primary is given a moment.
-func (f *Watcher) catchUp(ctx context.Context, reply *tierpb.WatchReply) bool {
+// awaitPrimary reports whether everything that a digests-only reply names is known. The primary is given a moment to
+// send what is not.
+func (w *Watcher) awaitPrimary(ctx context.Context, reply *tierpb.WatchReply) bool {
 	var timeout <-chan time.Time
 	for {
-		changed := f.options.State.Changed()
-		if !f.options.State.lacks(reply) {
+		changed := w.options.State.Changed()
+		if !w.options.State.isMissing(reply) {
 			return true
 		}
-		if !f.hasPrimary() {
+		if !w.hasPrimary() {
 			return false
 		}
 		if timeout == nil {
-			timer := time.NewTimer(catchUpWait)
+			timer := time.NewTimer(catchUpTimeout)
 			defer timer.Stop()
 			timeout = timer.C
 		}
@@ -162,34 +160,31 @@
 	}
 }
 
-// heardReady notes that a source which is ready has answered.
-func (f *Watcher) heardReady() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.readyAt = time.Now()
+// noteReadySource notes that a source that is ready has answered.
+func (w *Watcher) noteReadySource() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.readyReplyAt = time.Now()
 }
 
-// mayBeStale says that nothing is known and no source that is ready has answered for long: what others have is better
-// than nothing.
-func (f *Watcher) mayBeStale() bool {
-	if f.options.State.Control() != nil {
+// acceptsNotReady reports whether nothing is known and no source that is ready has answered for long: then a state that
+// may be old is better than none.
+func (w *Watcher) acceptsNotReady() bool {
+	if w.options.State.Control() != nil {
 		return false
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return time.Since(f.readyAt) > staleAfter
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return time.Since(w.readyReplyAt) > acceptNotReadyAfter
 }
 
-// rewind has the sources that answer tell again what came lately: they left out what the source that failed seemed to
-// tell. That one goes on where it was: after a long cut, what it told before may have been forgotten by all others.
-func (f *Watcher) rewind() {
-	for _, s := range f.sources {
-		if s.answers && s.place.older < s.place.cursor {
-			s.place.rewound = max(s.place.rewound, s.place.cursor)
-			s.place.cursor = s.place.older
+// rewindOthers has the responding sources send the latest heartbeats again: they left out those that the failed source
+// seemed to send. The position in the failed source stays: after a long partition, what it sent before may have been
+// forgotten by all others.
+func (w *Watcher) rewindOthers() {
+	for _, s := range w.sources {
+		if s.responding {
+			s.position.rewind()
 		}
 	}
 }
-
-// unwind takes a rewind back that the source has not answered.
-func (p *place) unwind() { p.cursor, p.rewound = max(p.cursor, p.rewound), 0 }
--- a/internal/tier/watch/readiness.go
+++ b/internal/tier/watch/readiness.go
@@ -10,48 +10,49 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ErrNotReady is the answer of a source that has nothing to tell which its follower may act on: others have newer
-// state.
+// ErrNotReady is the error of a ReadinessGate that has nothing for the watcher to act on: other sources have newer
+// state. Over rpc the watcher sees rpc.ErrRejected.
 var ErrNotReady = eris.New("no contact with a majority of the voters")
 
-// ReadinessOptions of a ReadinessGate.
+// ReadinessOptions configures a ReadinessGate.
 type ReadinessOptions struct {
+	// State is what the gate serves. Required.
 	State *State
-	// Ready says whether the process has contact with a majority of the voters.
+	// Ready reports whether the process has contact with a majority of the voters. Required.
 	Ready func() bool
-	// Starting says that the process has just started, so that followers may wait for it to be ready.
+	// Starting reports whether the process has just started, so that watchers may wait for it to be ready. Required.
 	Starting func() bool
-	// OnChange is called when the process comes to be ready, or stops to be, with how long the time before lasted. It
-	// is not to call the gate, and may be nil.
+	// OnChange is called when the process becomes ready or stops being ready, with how long the time before lasted. It
+	// must not call the gate. Nil means no call.
 	OnChange func(ready bool, lasted time.Duration)
-	// Now is the clock; time.Now where it is nil.
+	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
 }
 
-// ReadinessGate is a Source of a State that is kept by agreement. While its process is not ready, it tells followers
-// what is newer than what they know and sends them on to other sources. Those that know nothing yet are told nothing,
-// as they would act on state that may be old. It is safe for concurrent use.
+// ReadinessGate is a Source of a State that is kept by consensus. While its process is not ready, it sends watchers
+// what is newer than what they know and refers them to other sources. Those that know nothing yet get nothing, as they
+// would act on state that may be old. It is safe for concurrent use.
 type ReadinessGate struct {
 	options ReadinessOptions
 
-	mu     sync.Mutex
-	ready  bool
-	since  time.Time
-	period context.Context // ends when ready changes
-	end    context.CancelFunc
+	mu        sync.Mutex
+	ready     bool
+	changedAt time.Time
+	period    context.Context // ends when ready changes
+	endPeriod context.CancelFunc
 }
 
-// NewReadinessGate makes a gate that is not ready yet.
+// NewReadinessGate returns a gate that is not ready yet.
 func NewReadinessGate(options ReadinessOptions) *ReadinessGate {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	gate := &ReadinessGate{options: options, since: options.Now()}
-	gate.period, gate.end = context.WithCancel(context.Background())
+	gate := &ReadinessGate{options: options, changedAt: options.Now()}
+	gate.period, gate.endPeriod = context.WithCancel(context.Background())
 	return gate
 }
 
-// Check notes whether the process is ready now, and says so. Polls that are held meanwhile end with a change.
+// Check asks whether the process is ready now and reports it. If that has changed, held polls end.
 func (g *ReadinessGate) Check() bool {
 	ready, _ := g.check()
 	return ready
@@ -64,22 +65,22 @@
 		return ready, g.period
 	}
 	now := g.options.Now()
-	lasted := now.Sub(g.since)
-	g.ready, g.since = ready, now
-	g.end()
-	g.period, g.end = context.WithCancel(context.Background())
+	lasted := now.Sub(g.changedAt)
+	g.ready, g.changedAt = ready, now
+	g.endPeriod()
+	g.period, g.endPeriod = context.WithCancel(context.Background())
 	if g.options.OnChange != nil {
 		g.options.OnChange(ready, lasted)
 	}
 	return ready, g.period
 }
 
-// Watch implements Source.
+// Watch implements Source. It returns ErrNotReady, or the error of ctx.
 func (g *ReadinessGate) Watch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	ready, period := g.check()
 	if !ready && g.options.Starting() {
-		if ready = g.await(ctx, period, request); !ready && g.options.Starting() {
-			return &tierpb.WatchReply{Incarnation: request.Incarnation, Cursor: request.Cursor}, ctx.Err() // no news
+		if ready = g.awaitReady(ctx, period, request); !ready && g.options.Starting() {
+			return &tierpb.WatchReply{Incarnation: request.Incarnation, Cursor: request.Cursor}, ctx.Err() // no updates
 		}
 		request.WaitMs = 0
 	}
@@ -96,9 +97,9 @@
 	return g.watchNotReady(ctx, request)
 }
 
-// await waits for the process to be ready, no longer than the poll may be held.
-func (g *ReadinessGate) await(ctx, period context.Context, request *tierpb.WatchRequest) bool {
-	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, maxWait))
+// awaitReady waits for the process to become ready, no longer than the poll may be held.
+func (g *ReadinessGate) awaitReady(ctx, period context.Context, request *tierpb.WatchRequest) bool {
+	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, maxPollWait))
 	defer timer.Stop()
 	select {
 	case <-period.Done():
@@ -108,8 +109,8 @@
 	return g.Check()
 }
 
-// watchNotReady tells a follower what is newer than what it knows, and that others may have newer state still. The
-// coordinators that this process hears are left out: they are not those that there are.
+// watchNotReady sends a watcher what is newer than what it knows, marked as possibly old. The coordinators that this
+// process has contact with are left out: they are not all that there are.
 func (g *ReadinessGate) watchNotReady(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	if request.ControlVersion == 0 && !request.AcceptNotReady {
 		return nil, ErrNotReady
--- a/internal/tier/watch/readiness_test.go
+++ b/internal/tier/watch/readiness_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// gated is a State behind a gate, with what decides on it.
+// gated is a State behind a ReadinessGate, with the inputs of the gate.
 type gated struct {
 	*ReadinessGate
 	state           *State
@@ -37,36 +37,36 @@
 
 var anAgent = &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}
 
-func TestHeldPollEndsWhenTheSourceIsReadyNoMore(t *testing.T) {
+func TestHeldPollEndsWhenSourceBecomesNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGated()
 		g.state.SetControl(&tierpb.ControlState{Version: 1})
 		g.setReady(true)
-		ended := make(chan error, 1)
+		result := make(chan error, 1)
 		go func() {
 			_, err := g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent, ControlVersion: 1, WaitMs: 5000})
-			ended <- err
+			result <- err
 		}()
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		g.setReady(false)
-		assert.ErrorIs(t, <-ended, ErrNotReady)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.ErrorIs(t, <-result, ErrNotReady)
+		assert.Equal(t, time.Since(start), time.Duration(0))
 		assert.Equal(t, g.changes, 2)
 		g.Check()
-		assert.Equal(t, g.changes, 2, "told again without a change")
+		assert.Equal(t, g.changes, 2, "OnChange called without a change")
 	})
 }
 
-func TestSourceThatIsNotReadyTellsNewsOnlyToThoseThatKnowSomething(t *testing.T) {
+func TestNotReadySourceSendsUpdatesOnlyToWatchersWithState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGated()
 		g.state.SetControl(&tierpb.ControlState{Version: 4})
 		g.state.AdvertiseCoordinators([]*tierpb.Node{{Address: "10.0.0.1:1"}})
 		_, err := g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent})
-		assert.ErrorIs(t, err, ErrNotReady, "knows nothing")
+		assert.ErrorIs(t, err, ErrNotReady, "watcher without state")
 		_, err = g.Watch(t.Context(), &tierpb.WatchRequest{Follower: anAgent, ControlVersion: 4})
-		assert.ErrorIs(t, err, ErrNotReady, "lacks nothing")
+		assert.ErrorIs(t, err, ErrNotReady, "watcher that is up to date")
 		for _, request := range []*tierpb.WatchRequest{{ControlVersion: 3, DigestsOnly: true}, {AcceptNotReady: true}} {
 			request.Follower = anAgent
 			reply, err := g.Watch(t.Context(), request)
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestSourceThatStartsIsWaitedFor(t *testing.T) {
+func TestStartingSourceHoldsPollUntilReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGated()
 		g.starting.Store(true)
@@ -86,13 +86,13 @@
 		request := &tierpb.WatchRequest{Follower: anAgent, WaitMs: 700}
 		reply, err := g.Watch(t.Context(), request.CloneVT())
 		assert.NilError(t, err)
-		assert.Assert(t, reply.Control == nil, "told before it is ready")
+		assert.Assert(t, reply.Control == nil, "state sent before the source is ready")
 		time.AfterFunc(300*time.Millisecond, func() { g.setReady(true) })
-		began := time.Now()
+		start := time.Now()
 		reply, err = g.Watch(t.Context(), request.CloneVT())
 		assert.NilError(t, err)
 		assert.Equal(t, reply.Control.Version, uint64(4))
-		assert.Equal(t, time.Since(began), 300*time.Millisecond)
+		assert.Equal(t, time.Since(start), 300*time.Millisecond)
 	})
 }
 
@@ -109,8 +109,9 @@
 	return reply.(*tierpb.WatchReply).UnmarshalVT(encoded)
 }
 
-// A follower that knows nothing waits a while for a source that is ready before it takes what there is.
-func TestFirstStateMayBeOldOnlyAfterAWhile(t *testing.T) {
+// TestFirstStateFromNotReadySourceIsDelayed: a watcher without state waits for a source that is ready before it accepts
+// any other.
+func TestFirstStateFromNotReadySourceIsDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := gatedNetwork{"a": newGated(), "b": newGated()}
 		for _, source := range n {
@@ -120,18 +121,18 @@
 		defer synctest.Wait()
 		defer cancel()
 		state := NewState()
-		began := time.Now()
-		go Run(ctx, Options{Caller: n, State: state, Endpoints: fixed("a", "b"), MaxSources: 2, Self: anAgent})
+		start := time.Now()
+		go Run(ctx, Options{Caller: n, State: state, Endpoints: fixedEndpoints("a", "b"), MaxSources: 2, Self: anAgent})
 		changed := state.Changed()
 		<-changed
-		assert.Assert(t, time.Since(began) > staleAfter)
-		assert.Assert(t, time.Since(began) < staleAfter+2*retryMost)
+		assert.Assert(t, time.Since(start) > acceptNotReadyAfter)
+		assert.Assert(t, time.Since(start) < acceptNotReadyAfter+2*maxRetryBackoff)
 		assert.Equal(t, state.Control().Version, uint64(4))
 	})
 }
 
-// A source that is not ready is left, also one that has news with each poll.
-func TestBusySourceThatIsNotReadyIsLeft(t *testing.T) {
+// TestNotReadySourceIsLeftDespiteUpdates: a source that is not ready is left, even if each poll returns updates.
+func TestNotReadySourceIsLeftDespiteUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := gatedNetwork{"a": newGated(), "b": newGated()}
 		for _, source := range n {
@@ -142,15 +143,15 @@
 		defer synctest.Wait()
 		defer cancel()
 		state := NewState()
-		follower := NewWatcher(Options{Caller: n, State: state, Endpoints: fixed("a", "b"), MaxSources: 1, Self: anAgent})
-		go follower.Run(ctx)
+		watcher := NewWatcher(Options{Caller: n, State: state, Endpoints: fixedEndpoints("a", "b"), MaxSources: 1, Self: anAgent})
+		go watcher.Run(ctx)
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, follower.RespondingSources(), []string{"a"})
+		assert.DeepEqual(t, watcher.RespondingSources(), []string{"a"})
 		n["a"].setReady(false)
 		for version := uint64(5); version < 105; version++ {
 			n["a"].state.SetControl(&tierpb.ControlState{Version: version})
 			time.Sleep(oneWay)
 		}
-		assert.DeepEqual(t, follower.RespondingSources(), []string{"b"})
+		assert.DeepEqual(t, watcher.RespondingSources(), []string{"b"})
 	})
 }
--- a/internal/tier/watch/summary.go
+++ b/internal/tier/watch/summary.go
@@ -2,63 +2,74 @@
 
 import "pulleygw.example/pulleygw/internal/tier/tierpb"
 
-// summaryBuckets is into how many digests a summary divides the instances.
+// summaryBuckets is the number of digests in a summary: 256 bytes a request, and of 3,000 instances a changed one
+// costs a snapshot of 47.
 const summaryBuckets = 64
 
-// summary is a digest of all instances that are not gone, by buckets of their ids. Each is the sum of its instances'
-// digests, so it follows from the instances alone, in whatever order they came, and each change costs two additions.
+// summary is a digest of all registered instances for each bucket of their ids. A bucket is the sum of the digests of
+// its instances, so it does not depend on the order of changes, and each change costs two additions.
 type summary [summaryBuckets]uint32
 
 func (s *summary) add(instance *tierpb.Instance) {
-	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
+	if instance != nil && !isDeregistered(instance) {
 		s[bucketOf(instance.Id)] += digest(instance)
 	}
 }
 
 func (s *summary) remove(instance *tierpb.Instance) {
-	if instance != nil && instance.State != tierpb.InstanceState_INSTANCE_DEREGISTERED {
+	if instance != nil && !isDeregistered(instance) {
 		s[bucketOf(instance.Id)] -= digest(instance)
 	}
 }
 
-// agrees says that a follower's summary shows the same instances in the bucket of an id. One of another size agrees
-// with nothing.
-func (s *summary) agrees(with []uint32, id string) bool {
+// matches reports whether a watcher's summary has the same instances in the bucket of an id. A summary of another size
+// matches nowhere.
+func (s *summary) matches(other []uint32, id string) bool {
 	bucket := bucketOf(id)
-	return len(with) == summaryBuckets && with[bucket] == s[bucket]
+	return len(other) == summaryBuckets && other[bucket] == s[bucket]
 }
 
-func bucketOf(id string) int { return int(hashOf(fnvBasis, id) % summaryBuckets) }
+// digests returns the summary for a request, nil if there are no instances.
+func (s *State) digests() []uint32 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.instances) == 0 {
+		return nil
+	}
+	return append([]uint32(nil), s.summary[:]...)
+}
+
+func bucketOf(id string) int { return int(addToHash(fnvBasis, id) % summaryBuckets) }
 
-// digest covers what compare takes for material.
+// digest covers everything that classify treats as material.
 func digest(instance *tierpb.Instance) uint32 {
 	sum := (uint64(descriptionDigest(instance)) ^ uint64(instance.State)<<32) * fnvPrime
 	return uint32(sum ^ sum>>32)
 }
 
-// descriptionDigest covers an instance but for its state, its sequence and what passes with time.
+// descriptionDigest covers an instance without its state, its sequence and the rest of its slow start.
 func descriptionDigest(instance *tierpb.Instance) uint32 {
-	sum := hashOf(fnvBasis, instance.Id)
+	sum := addToHash(fnvBasis, instance.Id)
 	for _, text := range [...]string{instance.Address, instance.Backend, instance.Zone, instance.Generation} {
-		sum = hashOf(sum, text)
+		sum = addToHash(sum, text)
 	}
 	for _, model := range instance.Models {
-		sum = hashOf(sum, model)
+		sum = addToHash(sum, model)
 	}
 	sum = (sum ^ uint64(instance.Slots)) * fnvPrime
 	return uint32(sum ^ sum>>32)
 }
 
-// FNV-1a, which all processes compute alike.
+// Parameters of FNV-1a (Fowler, Noll, Vo), which has no seed: all processes get the same digests.
 const (
 	fnvBasis = 14695981039346656037
 	fnvPrime = 1099511628211
 )
 
-func hashOf(sum uint64, text string) uint64 {
+func addToHash(sum uint64, text string) uint64 {
 	for i := range len(text) {
 		sum = (sum ^ uint64(text[i])) * fnvPrime
 	}
-	sum = (sum ^ 0xff) * fnvPrime // ends the text
+	sum = (sum ^ 0xff) * fnvPrime // separates the texts
 	return sum ^ sum>>29
 }
--- /dev/null
+++ b/internal/tier/watch/tombstones.go
@@ -0,0 +1,33 @@
+package watch
+
+import (
+	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// tombstoneTTL is how long a deregistered instance is kept, so that an older update that arrives late does not bring
+// it back.
+const tombstoneTTL = time.Minute
+
+// tombstone refers to a deregistered instance.
+type tombstone struct {
+	id        string
+	createdAt time.Time
+}
+
+// expireTombstones forgets the deregistered instances whose time is over.
+func (s *State) expireTombstones() {
+	for len(s.tombstones) > 0 && s.now().Sub(s.tombstones[0].createdAt) >= tombstoneTTL {
+		id := s.tombstones[0].id
+		s.tombstones = s.tombstones[1:]
+		delete(s.instances, id)
+		s.countByState[tierpb.InstanceState_INSTANCE_DEREGISTERED]--
+		s.changes.forget(id)
+		s.heartbeats.forget(id)
+	}
+}
+
+func isDeregistered(instance *tierpb.Instance) bool {
+	return instance.GetState() == tierpb.InstanceState_INSTANCE_DEREGISTERED
+}
