--- a/internal/tier/registry/heartbeat.go
+++ b/internal/tier/registry/heartbeat.go
@@ -1,9 +1,8 @@
-// Package registry reads what stores tell of themselves and notices stores that say nothing any more. The list itself
-// is a watch.State, which merges and serves it.
 package registry
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -11,75 +10,83 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of a heartbeat.
+// Bounds of a heartbeat. They keep a faulty store from filling the memory of all processes that hold the list.
 const (
-	MaxBodyBytes        = 64 << 10
-	MaxIDBytes          = 1 << 10
-	maximumNameBytes    = 1 << 10
-	maximumQuotedBytes  = 64 // of a wrong value, in the answer
-	maximumModels       = 1 << 10
-	maximumWholeNumber  = 1 << 53 // largest that JSON carries without loss
-	stateDraining       = "draining"
-	stateReady          = "ready"
-	maximumMilliseconds = math.MaxUint32
+	MaxBodyBytes = 64 << 10 // of the request body
+	MaxIDBytes   = 1 << 10  // of the instance id
+
+	maxNameBytes    = 1 << 10
+	maxQuotedBytes  = 64 // of a wrong value in an error
+	maxModels       = 1 << 10
+	maxSequence     = 1 << 53 // largest integer that JSON numbers carry without loss
+	maxMilliseconds = math.MaxUint32
+)
+
+// Values of the key "state".
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
 )
 
-// FieldError says which field of a heartbeat is wrong.
+// FieldError is the error of a heartbeat that cannot be parsed or has a value out of bounds.
 type FieldError struct {
-	Field   string
+	Field   string // JSON key; empty if the body as a whole is wrong
 	Problem string
 }
 
-// Error names the field and the problem.
-func (f *FieldError) Error() string {
-	if f.Field == "" {
-		return f.Problem
+// Error implements error.
+func (e *FieldError) Error() string {
+	if e.Field == "" {
+		return e.Problem
 	}
-	return f.Field + ": " + f.Problem
+	return e.Field + ": " + e.Problem
 }
 
-// heartbeat is the body of a registration. Keys that are not known are read over.
+// heartbeat is the JSON body of a registration. Unknown keys are ignored. Numbers are parsed as float64, so that
+// fractions are accepted (and truncated) and a value out of range gets an error that names its bounds.
 type heartbeat struct {
-	Backend         string   `json:"backend"`
-	Address         string   `json:"address"`
-	Zone            string   `json:"zone"`
-	Generation      string   `json:"generation"`
-	Slots           float64  `json:"slots"`
-	State           string   `json:"state"`
-	ColdRemainingMs float64  `json:"coldRemainingMs"`
-	Sequence        *float64 `json:"sequence"`
-	Models          []model  `json:"models"`
+	Backend              string   `json:"backend"`
+	Address              string   `json:"address"`
+	Zone                 string   `json:"zone"`
+	Generation           string   `json:"generation"`
+	Slots                float64  `json:"slots"`
+	State                string   `json:"state"`
+	SlowStartRemainingMs float64  `json:"coldRemainingMs"`
+	Sequence             *float64 `json:"sequence"`
+	Models               []model  `json:"models"`
 }
 
 type model struct {
 	Name string `json:"name"`
 }
 
-// ParseHeartbeat reads and checks the body of a store's registration; the id is the one in the path.
+// ParseHeartbeat parses and validates the body of a store's registration; the id is the one in the request path. Every
+// error is a *FieldError.
 func ParseHeartbeat(id string, body []byte) (*tierpb.Instance, error) {
-	read := heartbeat{}
-	if err := json.Unmarshal(body, &read); err != nil {
-		return nil, unreadable(err)
+	parsed := heartbeat{}
+	if err := json.Unmarshal(body, &parsed); err != nil {
+		return nil, syntaxError(err)
 	}
-	if err := read.check(id); err != nil {
+	if err := parsed.check(id); err != nil {
 		return nil, err
 	}
 	instance := &tierpb.Instance{
-		Id: id, Backend: read.Backend, Address: read.Address, Zone: read.Zone, Generation: read.Generation,
-		Slots: uint32(read.Slots), SlowStartRemainingMs: uint32(read.ColdRemainingMs), Sequence: uint64(*read.Sequence),
+		Id: id, Backend: parsed.Backend, Address: parsed.Address, Zone: parsed.Zone, Generation: parsed.Generation,
+		Slots: uint32(parsed.Slots), SlowStartRemainingMs: uint32(parsed.SlowStartRemainingMs), Sequence: uint64(*parsed.Sequence),
 	}
-	if read.State == stateDraining {
+	if parsed.State == stateDraining {
 		instance.State = tierpb.InstanceState_INSTANCE_DRAINING
 	}
-	for _, m := range read.Models {
+	for _, m := range parsed.Models {
 		instance.Models = append(instance.Models, m.Name)
 	}
 	return instance, nil
 }
 
-func unreadable(err error) error {
-	if wrong, ok := err.(*json.UnmarshalTypeError); ok {
-		return &FieldError{Field: wrong.Field, Problem: "is a " + wrong.Value}
+func syntaxError(err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if errors.As(err, &mismatch) {
+		return &FieldError{Field: mismatch.Field, Problem: "is a " + mismatch.Value}
 	}
 	return &FieldError{Problem: err.Error()}
 }
@@ -88,32 +95,32 @@
 	if id == "" || len(id) > MaxIDBytes {
 		return &FieldError{Field: "instanceId", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(id), MaxIDBytes)}
 	}
-	if h.Backend == "" || len(h.Backend) > maximumNameBytes {
-		return &FieldError{Field: "backend", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(h.Backend), maximumNameBytes)}
+	if h.Backend == "" || len(h.Backend) > maxNameBytes {
+		return &FieldError{Field: "backend", Problem: fmt.Sprintf("has %d bytes, want 1 to %d", len(h.Backend), maxNameBytes)}
 	}
 	if _, err := netip.ParseAddrPort(h.Address); err != nil {
-		return &FieldError{Field: "address", Problem: fmt.Sprintf("%.*q is not ip:port", maximumQuotedBytes, h.Address)}
+		return &FieldError{Field: "address", Problem: fmt.Sprintf("%.*q is not ip:port", maxQuotedBytes, h.Address)}
 	}
 	if h.State != stateReady && h.State != stateDraining {
-		return &FieldError{Field: "state", Problem: fmt.Sprintf("%.*q is neither %s nor %s", maximumQuotedBytes, h.State, stateReady, stateDraining)}
+		return &FieldError{Field: "state", Problem: fmt.Sprintf("%.*q is neither %s nor %s", maxQuotedBytes, h.State, stateReady, stateDraining)}
 	}
 	if h.Sequence == nil {
 		return &FieldError{Field: "sequence", Problem: "is missing"}
 	}
-	if len(h.Models) > maximumModels {
-		return &FieldError{Field: "models", Problem: fmt.Sprintf("has %d entries, want %d at most", len(h.Models), maximumModels)}
+	if len(h.Models) > maxModels {
+		return &FieldError{Field: "models", Problem: fmt.Sprintf("has %d entries, want %d at most", len(h.Models), maxModels)}
 	}
 	for _, number := range []struct {
 		field string
 		value float64
-		most  float64
+		max   float64
 	}{
 		{"slots", h.Slots, math.MaxInt32},
-		{"coldRemainingMs", h.ColdRemainingMs, maximumMilliseconds},
-		{"sequence", *h.Sequence, maximumWholeNumber},
+		{"coldRemainingMs", h.SlowStartRemainingMs, maxMilliseconds},
+		{"sequence", *h.Sequence, maxSequence},
 	} {
-		if !(number.value >= 0 && number.value <= number.most) {
-			return &FieldError{Field: number.field, Problem: fmt.Sprintf("%v is not within 0 to %.0f", number.value, number.most)}
+		if !(number.value >= 0 && number.value <= number.max) {
+			return &FieldError{Field: number.field, Problem: fmt.Sprintf("%v is not within 0 to %.0f", number.value, number.max)}
 		}
 	}
 	return nil
--- a/internal/tier/registry/heartbeat_test.go
+++ b/internal/tier/registry/heartbeat_test.go
@@ -14,35 +14,35 @@
 	`"state":"ready","coldRemainingMs":0,"stage":"both","models":[{"name":"m","generation":1,"adapters":[]}],"sequence":4}`
 
 func TestParseHeartbeat(t *testing.T) {
-	read, err := ParseHeartbeat("i-7f3a91c2", []byte(example))
+	parsed, err := ParseHeartbeat("i-7f3a91c2", []byte(example))
 	assert.NilError(t, err)
-	assert.Assert(t, read.EqualVT(&tierpb.Instance{
+	assert.Assert(t, parsed.EqualVT(&tierpb.Instance{
 		Id: "i-7f3a91c2", Backend: "huvo11a", Address: "10.128.0.9:8080", Zone: "kochi-hall", Generation: "v1",
 		Slots: 32, Sequence: 4, Models: []string{"m"},
-	}), "%v", read)
+	}), "%v", parsed)
 	draining, err := ParseHeartbeat("i", []byte(strings.Replace(example, "ready", "draining", 1)))
 	assert.NilError(t, err)
 	assert.Equal(t, draining.State, tierpb.InstanceState_INSTANCE_DRAINING)
 }
 
-func TestParseHeartbeatNamesTheFault(t *testing.T) {
+func TestParseHeartbeatReportsTheField(t *testing.T) {
 	cases := map[string]struct{ from, to, field string }{
-		"no backend":        {`"huvo11a"`, `""`, "backend"},
-		"address of a name": {`10.128.0.9:8080`, `store.example:80`, "address"},
-		"unknown state":     {`ready`, `asleep`, "state"},
-		"no sequence":       {`"sequence":4`, `"a":4`, "sequence"},
-		"sequence of text":  {`"sequence":4`, `"sequence":"4"`, "sequence"},
-		"negative sequence": {`"sequence":4`, `"sequence":-4`, "sequence"},
-		"negative slots":    {`"slots":32`, `"slots":-1`, "slots"},
-		"cut short":         {`"sequence":4}`, ``, ""},
+		"no backend":           {`"huvo11a"`, `""`, "backend"},
+		"host name as address": {`10.128.0.9:8080`, `store.example:80`, "address"},
+		"unknown state":        {`ready`, `asleep`, "state"},
+		"no sequence":          {`"sequence":4`, `"a":4`, "sequence"},
+		"sequence as string":   {`"sequence":4`, `"sequence":"4"`, "sequence"},
+		"negative sequence":    {`"sequence":4`, `"sequence":-4`, "sequence"},
+		"negative slots":       {`"slots":32`, `"slots":-1`, "slots"},
+		"truncated":            {`"sequence":4}`, ``, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			assert.Assert(t, strings.Contains(example, test.from))
 			_, err := ParseHeartbeat("i", []byte(strings.Replace(example, test.from, test.to, 1)))
-			var fault *FieldError
-			assert.Assert(t, errors.As(err, &fault), "%v", err)
-			assert.Equal(t, fault.Field, test.field)
+			var fieldError *FieldError
+			assert.Assert(t, errors.As(err, &fieldError), "%v", err)
+			assert.Equal(t, fieldError.Field, test.field)
 		})
 	}
 }
