--- a/internal/tier/peers/sampler.go
+++ b/internal/tier/peers/sampler.go
@@ -10,14 +10,14 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times of a Sampler.
+// Times of a Sampler. The intervals are jittered, so that processes do not shuffle in step.
 const (
-	roundTime  = 2 * time.Second // mean time between two exchanges that a process begins
-	replyWait  = 500 * time.Millisecond
-	firstRound = 200 * time.Millisecond
+	meanShuffleInterval = 2 * time.Second
+	maxInitialDelay     = 200 * time.Millisecond // before the first shuffle
+	shuffleTimeout      = 500 * time.Millisecond // without a reply, after which the peer counts as dead
 )
 
-// Sampler keeps a View by exchanges with peers. It is safe for concurrent use.
+// Sampler keeps a View up to date by shuffles with peers. It is safe for concurrent use.
 type Sampler struct {
 	caller rpc.Caller
 	seeds  func() []string
@@ -26,18 +26,19 @@
 	view *View
 }
 
-// NewSampler makes a Sampler. The seeds are inner addresses of coordinators and asked for again in each round.
+// NewSampler returns a Sampler; Run starts its shuffles. Seeds returns the inner addresses (ip:port) of coordinators; it
+// is called again in each round.
 func NewSampler(self *tierpb.Node, caller rpc.Caller, seeds func() []string) *Sampler {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Sampler{caller: caller, seeds: seeds, view: NewView(self, random)}
 }
 
-// Serve lets a server answer the exchanges of others.
-func (s *Sampler) Serve(server *rpc.Server) { rpc.Handle(server, rpc.MethodShuffle, s.answer) }
+// Serve registers the Sampler as the server's handler of shuffles.
+func (s *Sampler) Serve(server *rpc.Server) { rpc.Handle(server, rpc.MethodShuffle, s.handle) }
 
-// Run begins exchanges until the context ends.
+// Run starts shuffles until ctx ends.
 func (s *Sampler) Run(ctx context.Context) {
-	timer := time.NewTimer(rand.N(firstRound))
+	timer := time.NewTimer(rand.N(maxInitialDelay))
 	defer timer.Stop()
 	for {
 		select {
@@ -45,40 +46,40 @@
 			return
 		case <-timer.C:
 		}
-		s.exchange(ctx)
-		timer.Reset(roundTime/2 + rand.N(roundTime))
+		s.shuffle(ctx)
+		timer.Reset(meanShuffleInterval/2 + rand.N(meanShuffleInterval))
 	}
 }
 
-// Nodes returns the processes of a role that are known, the most recently heard of first.
+// Nodes returns the known processes of a role, the one with the youngest entry first.
 func (s *Sampler) Nodes(role tierpb.Role) []*tierpb.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.Nodes(role)
 }
 
-func (s *Sampler) exchange(ctx context.Context) {
+func (s *Sampler) shuffle(ctx context.Context) {
 	s.mu.Lock()
-	exchange := s.view.Begin(s.seeds())
+	shuffle := s.view.StartShuffle(s.seeds())
 	s.mu.Unlock()
-	if exchange == nil {
+	if shuffle == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, replyWait)
+	ctx, cancel := context.WithTimeout(ctx, shuffleTimeout)
 	defer cancel()
 	reply := &tierpb.ShuffleReply{}
-	err := s.caller.Call(ctx, exchange.Address, rpc.MethodShuffle, exchange.Request, reply)
+	err := s.caller.Call(ctx, shuffle.Address, rpc.MethodShuffle, shuffle.Request, reply)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.view.Fail(exchange)
+		s.view.AbortShuffle(shuffle)
 		return
 	}
-	s.view.Finish(exchange, reply)
+	s.view.CompleteShuffle(shuffle, reply)
 }
 
-func (s *Sampler) answer(_ context.Context, request *tierpb.ShuffleRequest) (*tierpb.ShuffleReply, error) {
+func (s *Sampler) handle(_ context.Context, request *tierpb.ShuffleRequest) (*tierpb.ShuffleReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.view.Answer(request), nil
+	return s.view.HandleShuffle(request), nil
 }
--- a/internal/tier/peers/view.go
+++ b/internal/tier/peers/view.go
@@ -1,6 +1,3 @@
-// Package peers is the tier's peer sampling: each process keeps a small view of the others and exchanges parts of it
-// with the oldest peer in it, after Cyclon (Voulgaris, Gavidia, van Steen: CYCLON, 2005). It decides nothing about
-// membership; it finds processes, above all coordinators, when the seeds are gone.
 package peers
 
 import (
@@ -10,39 +7,42 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Sizes of a view.
+// Parameters of the algorithm. Ages are in rounds of the process that holds the entry.
 const (
-	viewSize         = 12 // peers of any role
-	shuffleSize      = 5  // entries of an exchange, the sender's own included
-	coordinatorsKept = 8  // coordinators remembered besides
-	coordinatorsTold = 2  // freshest coordinators that every exchange carries
-	seedEvery        = 8  // one exchange in so many goes to a seed, so that parts that lost each other meet again
-	oldestTold       = 30 // rounds after which a description is neither passed on nor taken in
+	viewSize               = 12 // peers of any role
+	shuffleSize            = 5  // entries that a shuffle sends, the sender's own included
+	maxCoordinators        = 8  // coordinators remembered outside the view
+	coordinatorsPerShuffle = 2  // freshest coordinators that a shuffle carries besides its entries
+	seedInterval           = 8  // rounds, of which one goes to a seed
+	maxAge                 = 30 // above which an entry is neither sent nor merged
 )
 
-// View is a partial view of the tier's processes. It does no I/O; its random numbers are passed in, and its rounds are
-// its clock. It is not safe for concurrent use.
+// View is a process's partial view of the tier. It does no I/O, its randomness is passed in, and its rounds are its
+// clock. It is not safe for concurrent use.
+//
+// Each StartShuffle is to be followed by CompleteShuffle or AbortShuffle. HandleShuffle may be called at any time, also
+// in between. Shuffles that are repeated, late or lost do no harm.
 type View struct {
 	self         *tierpb.Node
 	random       *rand.Rand
 	entries      []*tierpb.PeerEntry
-	coordinators []*tierpb.PeerEntry
+	coordinators []*tierpb.PeerEntry // youngest first
 	round        int
 }
 
-// Exchange is a shuffle that was begun: the request to send and where to.
-type Exchange struct {
-	Address string
+// Shuffle is an exchange of entries that this process has started.
+type Shuffle struct {
+	Address string // ip:port of the peer to send the request to
 	Request *tierpb.ShuffleRequest
 	sent    []*tierpb.PeerEntry
 }
 
-// NewView makes a view that knows nobody.
+// NewView returns an empty view. Self is what others learn of this process.
 func NewView(self *tierpb.Node, random *rand.Rand) *View { return &View{self: self, random: random} }
 
-// Begin starts a round: everyone becomes a round older, and the oldest peer, or now and then a seed, is to be asked.
-// It returns nil when nobody is known.
-func (v *View) Begin(seeds []string) *Exchange {
+// StartShuffle starts a round: it ages all entries and removes the peer that is to be asked, the oldest one or now and
+// then a seed. It returns nil if no peer is known.
+func (v *View) StartShuffle(seeds []string) *Shuffle {
 	v.round++
 	for _, entry := range v.entries {
 		entry.Age++
@@ -50,18 +50,18 @@
 	for _, entry := range v.coordinators {
 		entry.Age++
 	}
-	address := v.choose(seeds)
+	address := v.selectPeer(seeds)
 	if address == "" {
 		return nil
 	}
-	v.drop(address)
+	v.remove(address)
 	sent := v.sample(shuffleSize - 1)
 	request := &tierpb.ShuffleRequest{From: &tierpb.PeerEntry{Node: v.self}, Entries: v.outgoing(sent)}
-	return &Exchange{Address: address, Request: request, sent: sent}
+	return &Shuffle{Address: address, Request: request, sent: sent}
 }
 
-// Answer takes in what a peer sent and returns what it is to get.
-func (v *View) Answer(request *tierpb.ShuffleRequest) *tierpb.ShuffleReply {
+// HandleShuffle merges the entries of another process's shuffle and returns the reply.
+func (v *View) HandleShuffle(request *tierpb.ShuffleRequest) *tierpb.ShuffleReply {
 	sent := v.sample(shuffleSize)
 	reply := &tierpb.ShuffleReply{Entries: v.outgoing(sent)}
 	reply.Entries = append(reply.Entries, &tierpb.PeerEntry{Node: v.self})
@@ -69,19 +69,19 @@
 	if request.From.GetNode() != nil {
 		received = append([]*tierpb.PeerEntry{request.From}, received...)
 	}
-	v.take(received, sent)
+	v.merge(received, sent)
 	return reply
 }
 
-// Finish takes in a peer's answer to an exchange.
-func (v *View) Finish(exchange *Exchange, reply *tierpb.ShuffleReply) {
-	v.take(reply.Entries, exchange.sent)
+// CompleteShuffle merges the peer's reply.
+func (v *View) CompleteShuffle(shuffle *Shuffle, reply *tierpb.ShuffleReply) {
+	v.merge(reply.Entries, shuffle.sent)
 }
 
-// Fail ends an exchange that was not answered; the peer stays out of the view, but a coordinator is remembered.
-func (v *View) Fail(exchange *Exchange) { v.drop(exchange.Address) }
+// AbortShuffle ends a shuffle without a reply. The peer stays out of the view; a coordinator is still remembered.
+func (v *View) AbortShuffle(shuffle *Shuffle) { v.remove(shuffle.Address) }
 
-// Nodes returns the processes of a role that are known, the most recently heard of first.
+// Nodes returns the known processes of a role, the one with the youngest entry first.
 func (v *View) Nodes(role tierpb.Role) []*tierpb.Node {
 	var found []*tierpb.PeerEntry
 	for _, entry := range append(slices.Clone(v.coordinators), v.entries...) {
@@ -98,14 +98,14 @@
 	return nodes
 }
 
-// Len is the number of peers in the view.
+// Len returns the number of peers in the view, without the coordinators remembered outside it.
 func (v *View) Len() int { return len(v.entries) }
 
 func byAge(a, b *tierpb.PeerEntry) int { return int(a.Age) - int(b.Age) }
 
-// choose picks the peer of a round.
-func (v *View) choose(seeds []string) string {
-	if len(seeds) > 0 && (len(v.entries) == 0 || v.round%seedEvery == 0) {
+// selectPeer returns the address of the peer to shuffle with, empty if none is known.
+func (v *View) selectPeer(seeds []string) string {
+	if len(seeds) > 0 && (len(v.entries) == 0 || v.round%seedInterval == 0) {
 		if seed := seeds[v.random.IntN(len(seeds))]; seed != v.self.Address {
 			return seed
 		}
@@ -119,86 +119,88 @@
 	return ""
 }
 
-func (v *View) drop(address string) {
+func (v *View) remove(address string) {
 	v.entries = slices.DeleteFunc(v.entries, func(entry *tierpb.PeerEntry) bool { return entry.Node.Address == address })
 }
 
-// sample picks some entries at random.
+// sample returns up to count random entries.
 func (v *View) sample(count int) []*tierpb.PeerEntry {
-	picked := slices.Clone(v.entries)
-	v.random.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
-	return picked[:min(count, len(picked))]
-}
-
-// outgoing copies entries for a message and adds the freshest coordinators.
-func (v *View) outgoing(picked []*tierpb.PeerEntry) []*tierpb.PeerEntry {
-	told := make([]*tierpb.PeerEntry, 0, len(picked)+coordinatorsTold+1)
-	for _, entry := range append(slices.Clone(picked), v.coordinators[:min(coordinatorsTold, len(v.coordinators))]...) {
-		if entry.Age <= oldestTold {
-			told = append(told, &tierpb.PeerEntry{Node: entry.Node, Age: entry.Age})
+	sampled := slices.Clone(v.entries)
+	v.random.Shuffle(len(sampled), func(i, j int) { sampled[i], sampled[j] = sampled[j], sampled[i] })
+	return sampled[:min(count, len(sampled))]
+}
+
+// outgoing copies entries for a message, with the freshest coordinators and without entries above maxAge.
+func (v *View) outgoing(sampled []*tierpb.PeerEntry) []*tierpb.PeerEntry {
+	outgoing := make([]*tierpb.PeerEntry, 0, len(sampled)+coordinatorsPerShuffle+1)
+	freshest := v.coordinators[:min(coordinatorsPerShuffle, len(v.coordinators))]
+	for _, entry := range append(slices.Clone(sampled), freshest...) {
+		if entry.Age <= maxAge {
+			outgoing = append(outgoing, clone(entry))
 		}
 	}
-	return told
+	return outgoing
 }
 
-// take merges received entries: into free places first, then in place of those that were sent in exchange.
-func (v *View) take(received, sent []*tierpb.PeerEntry) {
+// merge adds received entries: to free slots of the view first, then in place of the entries that were sent.
+func (v *View) merge(received, sent []*tierpb.PeerEntry) {
 	for _, entry := range received {
-		if !v.usable(entry) {
+		if !v.isUsable(entry) {
 			continue
 		}
 		if entry.Node.Role == tierpb.Role_ROLE_COORDINATOR {
-			v.remember(entry)
+			v.rememberCoordinator(entry)
 		}
-		if v.refresh(v.entries, entry) {
+		if refresh(v.entries, entry) {
 			continue
 		}
 		if len(v.entries) < viewSize {
-			v.entries = append(v.entries, copied(entry))
+			v.entries = append(v.entries, clone(entry))
 			continue
 		}
 		sent = v.replace(sent, entry)
 	}
 }
 
-func (v *View) usable(entry *tierpb.PeerEntry) bool {
-	return entry.GetNode().GetAddress() != "" && entry.Node.Address != v.self.Address && entry.Age <= oldestTold
+func (v *View) isUsable(entry *tierpb.PeerEntry) bool {
+	return entry.GetNode().GetAddress() != "" && entry.Node.Address != v.self.Address && entry.Age <= maxAge
 }
 
-// refresh takes the younger of two descriptions of one peer and says whether the peer was known.
-func (v *View) refresh(entries []*tierpb.PeerEntry, entry *tierpb.PeerEntry) bool {
+// refresh keeps the younger of two entries of one peer and reports whether the peer was among the entries.
+func refresh(entries []*tierpb.PeerEntry, received *tierpb.PeerEntry) bool {
 	for i, known := range entries {
-		if known.Node.Address != entry.Node.Address {
+		if known.Node.Address != received.Node.Address {
 			continue
 		}
-		if entry.Age < known.Age {
-			entries[i] = copied(entry)
+		if received.Age < known.Age {
+			entries[i] = clone(received)
 		}
 		return true
 	}
 	return false
 }
 
-// replace puts an entry in the place of one that was sent and returns the rest of those.
+// replace puts an entry in the place of the first sent one that is still in the view, and returns the sent ones after
+// it.
 func (v *View) replace(sent []*tierpb.PeerEntry, entry *tierpb.PeerEntry) []*tierpb.PeerEntry {
 	for i, old := range sent {
-		if place := slices.Index(v.entries, old); place >= 0 {
-			v.entries[place] = copied(entry)
+		if index := slices.Index(v.entries, old); index >= 0 {
+			v.entries[index] = clone(entry)
 			return sent[i+1:]
 		}
 	}
 	return nil
 }
 
-// remember keeps the freshest coordinators.
-func (v *View) remember(entry *tierpb.PeerEntry) {
-	if !v.refresh(v.coordinators, entry) {
-		v.coordinators = append(v.coordinators, copied(entry))
+// rememberCoordinator keeps the freshest coordinators, outside the view.
+func (v *View) rememberCoordinator(entry *tierpb.PeerEntry) {
+	if !refresh(v.coordinators, entry) {
+		v.coordinators = append(v.coordinators, clone(entry))
 	}
 	slices.SortStableFunc(v.coordinators, byAge)
-	v.coordinators = v.coordinators[:min(len(v.coordinators), coordinatorsKept)]
+	v.coordinators = v.coordinators[:min(len(v.coordinators), maxCoordinators)]
 }
 
-func copied(entry *tierpb.PeerEntry) *tierpb.PeerEntry {
+func clone(entry *tierpb.PeerEntry) *tierpb.PeerEntry {
 	return &tierpb.PeerEntry{Node: entry.Node, Age: entry.Age}
 }
