--- a/internal/tier/rpc/client_test.go
+++ b/internal/tier/rpc/client_test.go
@@ -2,17 +2,56 @@
 
 import (
 	"context"
+	"errors"
 	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// TestCallersWaitNoLongerThanTheirOwnContext has two callers of a peer whose dial does not end: the second one is not
-// held up behind the first one's dial.
-func TestCallersWaitNoLongerThanTheirOwnContext(t *testing.T) {
+func TestCallsOfAllSizes(t *testing.T) {
+	server, address := startServer(t, setEcho)
+	client := startClient(t)
+	for _, size := range []int{0, 1, 5000, pooledBytes, 3 * preallocatedBytes} {
+		reply := &tierpb.Node{}
+		name := strings.Repeat("x", size)
+		assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{Name: name}, reply))
+		assert.Assert(t, reply.Name == name)
+	}
+	assert.Equal(t, client.Counters().Dials, uint64(1))
+	assert.Equal(t, server.Counters().Calls, uint64(5))
+	assert.Assert(t, client.Counters().BytesReceived > 3*preallocatedBytes)
+}
+
+func TestRepliesComeInAnyOrder(t *testing.T) {
+	first := make(chan struct{})
+	_, address := startServer(t, func(server *Server) {
+		Handle(server, MethodPing, func(_ context.Context, request *tierpb.Node) (*tierpb.Node, error) {
+			if request.Name == "first" {
+				<-first
+			}
+			return request, nil
+		})
+	})
+	client := startClient(t)
+	result := make(chan error)
+	go func() {
+		result <- client.Call(testContext(t), address, MethodPing, &tierpb.Node{Name: "first"}, &tierpb.Node{})
+	}()
+	assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{Name: "second"}, &tierpb.Node{}))
+	close(first)
+	assert.NilError(t, <-result)
+}
+
+// TestSecondCallerOfADialEndsWithItsContext has two callers of a peer whose dial does not end: the second one does not
+// wait longer than its context for the first one's dial.
+func TestSecondCallerOfADialEndsWithItsContext(t *testing.T) {
 	dialed := make(chan struct{}, 2)
 	release := make(chan struct{})
 	client := newClient(func(context.Context, string) (net.Conn, error) {
@@ -25,23 +64,43 @@
 		first <- client.Call(context.Background(), "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
 	}()
 	<-dialed
-	ended, cancel := context.WithCancel(context.Background())
+	result, cancel := context.WithCancel(context.Background())
 	cancel()
-	err := client.Call(ended, "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
+	err := client.Call(result, "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
 	assert.ErrorIs(t, err, ErrTimeout)
 	close(release)
 	assert.ErrorIs(t, <-first, ErrUnreachable)
 	assert.Equal(t, len(dialed), 0)
 }
 
-// TestDialServesAllThatWait has one dial answer two callers.
-func TestDialServesAllThatWait(t *testing.T) {
+func TestCallerIsNotBlockedByDialOfAnother(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	server, other := net.Pipe()
+	client := newClient(func(context.Context, string) (net.Conn, error) {
+		close(started)
+		<-release
+		return other, nil
+	})
+	defer client.Close()
+	result := make(chan error)
+	go func() { result <- client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}) }()
+	<-started
+	assert.ErrorIs(t, client.Call(expiredContext(), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrTimeout)
+	close(release)
+	serving := NewServer()
+	setEcho(serving)
+	serving.startConnection(server)
+	assert.NilError(t, <-result)
+}
+
+// TestDialServesAllWaitingCallers has two callers wait for the same dial.
+func TestDialServesAllWaitingCallers(t *testing.T) {
 	here, there := net.Pipe()
 	server := NewServer()
 	Handle(server, MethodPing, func(context.Context, *tierpb.PingRequest) (*tierpb.PingReply, error) {
 		return &tierpb.PingReply{Node: &tierpb.Node{Name: "peer"}}, nil
 	})
-	go server.serve(there)
+	go server.serveConnection(there)
 	dials := make(chan struct{}, 2)
 	client := newClient(func(context.Context, string) (net.Conn, error) {
 		dials <- struct{}{}
@@ -61,8 +120,8 @@
 	assert.Equal(t, len(dials), 1)
 }
 
-// TestDialThatEndsAfterCloseIsDropped has the dial succeed when the client is closed already.
-func TestDialThatEndsAfterCloseIsDropped(t *testing.T) {
+// TestDialThatEndsAfterCloseIsClosed has a dial succeed after the client was closed.
+func TestDialThatEndsAfterCloseIsClosed(t *testing.T) {
 	here, there := net.Pipe()
 	dialed := make(chan struct{})
 	release := make(chan struct{})
@@ -82,3 +141,112 @@
 	_, err := there.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 }
+
+func TestFailedDialBacksOff(t *testing.T) {
+	var dials atomic.Int32
+	client := newClient(func(context.Context, string) (net.Conn, error) {
+		dials.Add(1)
+		return nil, errors.New("refused")
+	})
+	clock := time.Unix(1000, 0)
+	client.now = func() time.Time { return clock }
+	for range 3 {
+		assert.ErrorIs(t, client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrUnreachable)
+	}
+	assert.Equal(t, dials.Load(), int32(1))
+	clock = clock.Add(dialBackoff)
+	assert.ErrorIs(t, client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrUnreachable)
+	assert.Equal(t, dials.Load(), int32(2))
+}
+
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	client, remotes := pipeClient(t)
+	clock := time.Unix(1000, 0)
+	client.now = func() time.Time { return clock }
+	serving := NewServer()
+	setEcho(serving)
+	defer serving.Close()
+	call := func(address string) {
+		assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}))
+	}
+	var served sync.WaitGroup
+	served.Go(func() {
+		for range 3 {
+			serving.startConnection(<-remotes)
+		}
+	})
+	call("a")
+	call("b")
+	clock = clock.Add(idleTimeout + time.Second)
+	call("b")
+	served.Wait()
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	// The call above marked b as used only after the sweep, so both were unused; b was dialed again.
+	assert.Assert(t, client.peers[peerKey{address: "a"}] == nil)
+}
+
+func TestBulkTransfersUseSeparateConnection(t *testing.T) {
+	_, address := startServer(t, func(server *Server) {
+		setEcho(server)
+		Handle(server, MethodMoveRecords, echo)
+	})
+	client := startClient(t)
+	assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}))
+	assert.NilError(t, client.Call(testContext(t), address, MethodMoveRecords, &tierpb.Node{}, &tierpb.Node{}))
+	assert.Equal(t, client.Counters().Dials, uint64(2))
+}
+
+// TestReplyOfAnotherMethodBreaksConnection: such a reply shows that the call ids of the peer do not match.
+func TestReplyOfAnotherMethodBreaksConnection(t *testing.T) {
+	client, remotes := pipeClient(t)
+	result := make(chan error)
+	go func() { result <- client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}) }()
+	peer := <-remotes
+	var header [headerBytes]byte
+	request, err := readFrame(peer, &header)
+	assert.NilError(t, err)
+	reply, err := encode(byte(MethodLease)|replyFlag, request.callID, &tierpb.Node{Name: "of another call"})
+	assert.NilError(t, err)
+	_, err = peer.Write(reply)
+	assert.NilError(t, err)
+	assert.ErrorIs(t, <-result, ErrUnreachable)
+	_, err = peer.Read(make([]byte, 1))
+	assert.Assert(t, err != nil)
+}
+
+func TestUnresponsiveConnectionIsClosedAfterShortCalls(t *testing.T) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	clock := time.Unix(1000, 0)
+	client := newClient(nil)
+	client.now = func() time.Time { return clock }
+	connection := newClientConnection(local, client)
+	connection.lastReplyAt = clock
+	for range 3 {
+		clock = clock.Add(150 * time.Millisecond)
+		start := clock.Add(-100 * time.Millisecond)
+		connection.noteTimeout(start)
+		assert.Assert(t, !connection.isBroken())
+	}
+	clock = clock.Add(150 * time.Millisecond)
+	connection.noteTimeout(clock.Add(-100 * time.Millisecond))
+	assert.Assert(t, connection.isBroken())
+}
+
+func TestResponsiveConnectionStaysOpen(t *testing.T) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	clock := time.Unix(1000, 0)
+	client := newClient(nil)
+	client.now = func() time.Time { return clock }
+	connection := newClientConnection(local, client)
+	for range 20 {
+		start := clock
+		clock = clock.Add(300 * time.Millisecond)
+		connection.noteTimeout(start)
+		clock = clock.Add(time.Millisecond)
+		connection.takePending(99)
+	}
+	assert.Assert(t, !connection.isBroken())
+}
--- a/internal/tier/rpc/counters.go
+++ b/internal/tier/rpc/counters.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Counters tell what a Client or Server has carried since it was made.
+// Counters are the totals of a Client or Server since it was made.
 type Counters struct {
-	Calls         uint64 // begun or taken in
-	Failures      uint64 // without a reply, or with one that says so
-	Dials         uint64 // connections tried; connections accepted for a Server
-	BytesSent     uint64
-	BytesReceived uint64
+	Calls         uint64 // started by a Client, received by a Server
+	Failures      uint64 // without a reply, or with a failure
+	Dials         uint64 // attempts of a Client, connections accepted by a Server
+	BytesSent     uint64 // frame headers included
+	BytesReceived uint64 // likewise
 }
 
 type counters struct {
@@ -17,7 +17,10 @@
 
 func (c *counters) read() Counters {
 	return Counters{
-		Calls: c.calls.Load(), Failures: c.failures.Load(), Dials: c.dials.Load(),
-		BytesSent: c.sent.Load(), BytesReceived: c.received.Load(),
+		Calls:         c.calls.Load(),
+		Failures:      c.failures.Load(),
+		Dials:         c.dials.Load(),
+		BytesSent:     c.sent.Load(),
+		BytesReceived: c.received.Load(),
 	}
 }
--- a/internal/tier/rpc/dial_test.go
+++ b/internal/tier/rpc/dial_test.go
@@ -12,62 +12,62 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDialBegunInTheDarkIsBegunAgain: a machine without power loses opening packets, and answers once it is back.
-func TestDialBegunInTheDarkIsBegunAgain(t *testing.T) {
+// TestDialIsHedgedWhilePeerIsUnreachable: a machine without power answers no SYN, and accepts once it is back.
+func TestDialIsHedgedWhilePeerIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const dark = 400 * time.Millisecond
-		began := time.Now()
-		near, far := net.Pipe()
-		defer func() { _, _ = near.Close(), far.Close() }()
+		const outage = 400 * time.Millisecond
+		start := time.Now()
+		local, remote := net.Pipe()
+		defer func() { _, _ = local.Close(), remote.Close() }()
 		dial := func(ctx context.Context, _ string) (net.Conn, error) {
-			if time.Since(began) < dark {
+			if time.Since(start) < outage {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			return near, nil
+			return local, nil
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), dialTimeout)
 		defer cancel()
-		connection, err := dialRepeatedly(ctx, "a", dial)
+		connection, err := dialHedged(ctx, "a", dial)
 		assert.NilError(t, err)
-		assert.Assert(t, connection == near)
-		assert.Assert(t, time.Since(began) <= dark+redialAfter, "after %s", time.Since(began))
+		assert.Assert(t, connection == local)
+		assert.Assert(t, time.Since(start) <= outage+dialHedgeDelay, "after %s", time.Since(start))
 	})
 }
 
-// TestDialsThatAreNotNeededAreGivenUp: of two that connect in the end, the later one is closed.
-func TestDialsThatAreNotNeededAreGivenUp(t *testing.T) {
+// TestSurplusDialsAreClosed: of two that succeed, the later one is closed.
+func TestSurplusDialsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var closed atomic.Int32
-		var begun atomic.Int32
+		var started atomic.Int32
 		dial := func(context.Context, string) (net.Conn, error) {
-			begun.Add(1)
-			time.Sleep(redialAfter + 10*time.Millisecond)
+			started.Add(1)
+			time.Sleep(dialHedgeDelay + 10*time.Millisecond)
 			return &countedConnection{closed: &closed}, nil
 		}
-		_, err := dialRepeatedly(t.Context(), "a", dial)
+		_, err := dialHedged(t.Context(), "a", dial)
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, begun.Load(), int32(2))
+		assert.Equal(t, started.Load(), int32(2))
 		assert.Equal(t, closed.Load(), int32(1))
 	})
 }
 
-func TestDialThatIsRefusedEndsAtOnce(t *testing.T) {
+func TestRefusedDialFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := errors.New("refused")
-		began := time.Now()
-		_, err := dialRepeatedly(t.Context(), "a", func(context.Context, string) (net.Conn, error) { return nil, refused })
+		start := time.Now()
+		_, err := dialHedged(t.Context(), "a", func(context.Context, string) (net.Conn, error) { return nil, refused })
 		assert.ErrorIs(t, err, refused)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Equal(t, time.Since(start), time.Duration(0))
 	})
 }
 
-func TestDialsEndWithTheirContext(t *testing.T) {
+func TestDialsEndWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), dialTimeout)
 		defer cancel()
-		_, err := dialRepeatedly(ctx, "a", func(ctx context.Context, _ string) (net.Conn, error) {
+		_, err := dialHedged(ctx, "a", func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
--- /dev/null
+++ b/internal/tier/rpc/faulty_peer_test.go
@@ -0,0 +1,143 @@
+package rpc
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// faultyPeer is an echo server that replies in another order, twice, not at all or with unknown call ids, and that closes
+// connections within a frame, all by a seed. It counts how often it received each request.
+type faultyPeer struct {
+	mu       sync.Mutex
+	random   *rand.Rand
+	received map[string]int
+}
+
+func (p *faultyPeer) draw(below int) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.random.IntN(below)
+}
+
+// serve reads requests and replies to them in groups, until it closes the connection.
+func (p *faultyPeer) serve(connection net.Conn) {
+	defer connection.Close()
+	var queued []frame
+	var header [headerBytes]byte
+	for {
+		request, err := readFrame(connection, &header)
+		if err != nil {
+			return
+		}
+		p.count(request)
+		queued = append(queued, request)
+		if len(queued) < 1+p.draw(4) {
+			continue
+		}
+		p.mu.Lock()
+		p.random.Shuffle(len(queued), func(i, j int) { queued[i], queued[j] = queued[j], queued[i] })
+		p.mu.Unlock()
+		for _, request := range queued {
+			if !p.reply(connection, request) {
+				return
+			}
+		}
+		queued = queued[:0]
+	}
+}
+
+// count counts a request by the name it carries.
+func (p *faultyPeer) count(request frame) {
+	node := &tierpb.Node{}
+	if node.UnmarshalVT(request.payload) == nil {
+		p.mu.Lock()
+		p.received[node.Name]++
+		p.mu.Unlock()
+	}
+}
+
+// reply handles one request in one of the ways and reports whether the connection stays open.
+func (p *faultyPeer) reply(connection net.Conn, request frame) bool {
+	reply := rawFrame(request.kind|replyFlag, request.callID, request.payload)
+	switch p.draw(12) {
+	case 0: // not at all
+		return true
+	case 1: // twice
+		_, err := connection.Write(append(reply, reply...))
+		return err == nil
+	case 2: // with another reply ahead of it that no call waits for
+		_, _ = connection.Write(rawFrame(request.kind|replyFlag, 1<<31, []byte{0x0a, 1, 'x'}))
+		_, err := connection.Write(reply)
+		return err == nil
+	case 3: // truncated
+		_, _ = connection.Write(reply[:p.draw(len(reply))])
+		return false
+	case 4: // a length out of bounds
+		_, _ = connection.Write([][]byte{[]byte("\xff\xff\xff\xff garbage"), []byte("HTTP/1.1 400 Bad Request\r\n\r\n")}[p.draw(2)])
+		return false
+	case 5: // failure
+		_, err := connection.Write(rawFrame(kindFailure, request.callID, nil))
+		return err == nil
+	}
+	_, err := connection.Write(reply)
+	return err == nil
+}
+
+// TestCallsGetTheirOwnRepliesAndAreSentOnce: whatever the peer does, a call returns its own reply or an error, and no request
+// is sent more than once. Call ids begin anew with each connection, and many calls time out before their replies come.
+func TestCallsGetTheirOwnRepliesAndAreSentOnce(t *testing.T) {
+	const seeds = 30
+	completed := 0
+	for seed := range uint64(seeds) {
+		synctest.Test(t, func(t *testing.T) { completed += callFaultyPeer(t, seed) })
+	}
+	t.Logf("%d calls completed", completed)
+	assert.Assert(t, completed > 0)
+}
+
+// callFaultyPeer makes concurrent calls to a faulty peer and returns how many got their replies.
+func callFaultyPeer(t *testing.T, seed uint64) int {
+	t.Helper()
+	const callers, callsEach = 6, 25
+	peer := &faultyPeer{random: rand.New(rand.NewPCG(seed, 5)), received: map[string]int{}}
+	client := newClient(func(context.Context, string) (net.Conn, error) {
+		local, remote := net.Pipe()
+		go peer.serve(remote)
+		return local, nil
+	})
+	var calls sync.WaitGroup
+	var completed atomic.Int32
+	for caller := range callers {
+		calls.Go(func() {
+			for i := range callsEach {
+				name := fmt.Sprintf("%d/%d", caller, i)
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+i%5)*unresponsiveTimeout/4)
+				reply := &tierpb.Node{}
+				err := client.Call(ctx, "a", MethodPing, &tierpb.Node{Name: name}, reply)
+				cancel()
+				if err == nil {
+					assert.Check(t, reply.Name == name, "seed %d: %q got %q", seed, name, reply.Name)
+					completed.Add(1)
+				}
+			}
+		})
+	}
+	calls.Wait()
+	client.Close()
+	synctest.Wait()
+	for name, times := range peer.received {
+		assert.Check(t, times == 1, "seed %d: %q was received %d times", seed, name, times)
+	}
+	return int(completed.Load())
+}
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -1,43 +1,45 @@
-// Package rpc carries protobuf messages between the tier's processes: frames over TCP, many calls at once on
-// one connection. A frame is its length (4 bytes, big endian, the rest counted), a kind (1 byte), a call number
-// (4 bytes) and the message.
 package rpc
 
 import "github.com/rotisserie/eris"
 
-// Method numbers the calls; both ends know them.
+// Method identifies a call's handler. The numbers are part of the protocol: they must not change, and those of methods
+// that have gone must not be used again.
 type Method uint8
 
-// The methods, by the part that serves them.
+// The methods. The comment names the package that serves each.
 const (
-	MethodPrepare Method = iota + 1
-	MethodAccept
-	MethodLease
-	MethodWatch
-	MethodAnnounce
-	MethodJoin
-	MethodPing
-	MethodShuffle
-	MethodPutTurns
-	MethodGetChain
-	MethodReserveBudget
-	MethodReadBudget
-	MethodMoveRecords
-	MethodOfferRecords
-	MethodChangeSegments
+	MethodPrepare        Method = iota + 1 // register
+	MethodAccept                           // register
+	MethodLease                            // lease
+	MethodWatch                            // watch
+	MethodAnnounce                         // coordinator
+	MethodJoin                             // coordinator
+	MethodPing                             // every role but the proxy
+	MethodShuffle                          // peers
+	MethodPutTurns                         // turnstore
+	MethodGetChain                         // turnstore
+	MethodReserveBudget                    // turnstore
+	MethodReadBudget                       // turnstore
+	MethodMoveRecords                      // turnstore
+	MethodOfferRecords                     // turnstore
+	MethodChangeSegments                   // coordinator
 )
 
-// Message is a generated protobuf message with the fast encoding.
+// Message is a protobuf message generated with vtprotobuf.
 type Message interface {
 	SizeVT() int
 	MarshalToSizedBufferVT([]byte) (int, error)
 	UnmarshalVT([]byte) error
 }
 
-// Errors of calls.
+// Errors of calls, to be compared with errors.Is. A call may also fail with the error of decoding its reply.
 var (
-	ErrUnreachable = eris.New("peer cannot be reached")
-	ErrTimeout     = eris.New("no answer in time")
-	ErrRejected    = eris.New("peer refused the call")
-	ErrTooLarge    = eris.New("frame is too large")
+	// ErrUnreachable: no connection, or it broke before the reply came. The peer may have executed the request.
+	ErrUnreachable = eris.New("peer unreachable")
+	// ErrTimeout: the context ended before the reply came. The peer may have executed the request.
+	ErrTimeout = eris.New("no reply before the deadline")
+	// ErrRejected: the peer has no handler for the method, or the handler returned an error.
+	ErrRejected = eris.New("call rejected by the peer")
+	// ErrTooLarge: the request or a received frame is larger than the protocol allows.
+	ErrTooLarge = eris.New("frame too large")
 )
