--- a/internal/tier/coordinator/api.go
+++ b/internal/tier/coordinator/api.go
@@ -90,7 +90,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.patienceFor(len(body)))
 	defer cancel()
-	if _, err := c.register.ChangeUnless(ctx, sent.isSettled, sent.change); err != nil {
+	if _, err := c.register.ChangeUnlessDecided(ctx, sent.isSettled, sent.change); err != nil {
 		c.log.Info("configuration not taken", "generation", sent.Generation, "if-match", sent.IfMatch, "reason", err)
 		result.Write(w, resultOf(err))
 		return
@@ -136,7 +136,7 @@
 }
 
 func (c *coordinator) putInstance(w http.ResponseWriter, r *http.Request) {
-	body, refused := readBody(w, r, registry.MaximumBodyBytes)
+	body, refused := readBody(w, r, registry.MaxBodyBytes)
 	if refused != nil {
 		result.Write(w, refused)
 		return
@@ -151,7 +151,7 @@
 
 func (c *coordinator) deleteInstance(w http.ResponseWriter, r *http.Request) {
 	gone := &tierpb.Instance{Id: chi.URLParam(r, "id")}
-	if len(gone.Id) > registry.MaximumIDBytes {
+	if len(gone.Id) > registry.MaxIDBytes {
 		result.Write(w, result.InField(result.InvalidInstance, "instanceId", "is too long"))
 		return
 	}
@@ -217,9 +217,9 @@
 // invalid tells which field of a body is at fault.
 func invalid(code result.Code, err error) *result.Error {
 	switch fault := err.(type) {
-	case *configuration.Fault:
-		return result.InField(code, fault.Field, fault.Problem)
-	case *registry.Fault:
+	case *configuration.FieldError:
+		return result.InField(code, fault.Field, fault.Reason)
+	case *registry.FieldError:
 		return result.InField(code, fault.Field, fault.Problem)
 	}
 	return result.New(code, err.Error())
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -138,11 +138,11 @@
 	coordinator := newCoordinator(settings.Fixed(own), c.log(m.name), self, &caller{from: m})
 	coordinator.now, coordinator.directory.now = m.now, m.now
 	coordinator.directory.started = m.now()
-	coordinator.history, err = changelog.OpenHistory(disk, ordersFolder)
+	coordinator.history, err = changelog.OpenSegmentStore(disk, ordersFolder)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
 	points := &stops{}
-	coordinator.faults = &failpoint.Points{Stop: points.pass}
+	coordinator.faults = &failpoint.Points{ShouldStop: points.pass}
 	coordinator.useRegister(acceptor)
 	p := &process{coordinator: coordinator, points: points, handler: coordinator.routes(), acceptor: acceptor, done: &sync.WaitGroup{}}
 	p.grantor = coordinator.newGrantor(acceptor)
--- a/internal/tier/coordinator/contact.go
+++ b/internal/tier/coordinator/contact.go
@@ -14,7 +14,7 @@
 	// that answered did so later than that, no more time has passed since the last moment at which a quorum was
 	// reached both ways. It is the time of two polls of which each is answered just in time, so contact does not
 	// lapse between two answers; it lapses where this process did not run.
-	contactMost = 2 * watch.LongestPoll
+	contactMost = 2 * watch.MaxPollDuration
 
 	startPatience = 2 * time.Second // that a coordinator which has started may take to find the others
 )
@@ -24,7 +24,7 @@
 // this one. What it rests on is at most contactMost old. An answer of one that knows of later voters than this process
 // does not count: without a vote of a majority of the voters before them, no later voters can have been chosen by then.
 func (c *coordinator) inTouch() bool {
-	return register.Quorum(c.voters(), c.hasContact)
+	return register.HasQuorum(c.voters(), c.hasContact)
 }
 
 // hasContact says whether a node is this process or answers it.
@@ -54,7 +54,7 @@
 // newReadiness serves the state to agents and turn stores while contact lasts, and logs when it is lost and found.
 func (c *coordinator) newReadiness() *watch.ReadinessGate {
 	return watch.NewReadinessGate(watch.ReadinessOptions{
-		State: c.state, Ready: c.inTouch, Starting: c.starting, Changed: c.logContact,
+		State: c.state, Ready: c.inTouch, Starting: c.starting, OnChange: c.logContact,
 		Now: func() time.Time { return c.now() },
 	})
 }
@@ -71,7 +71,7 @@
 // missingVoters are the voters that do not answer this process.
 func (c *coordinator) missingVoters() []*tierpb.Node {
 	var missing []*tierpb.Node
-	for _, voter := range register.Voters(&tierpb.ControlState{Voters: c.voters()}) {
+	for _, voter := range register.VoterNodes(&tierpb.ControlState{Voters: c.voters()}) {
 		if !c.hasContact(voter.GetIdentity()) {
 			missing = append(missing, voter)
 		}
--- a/internal/tier/coordinator/contact_test.go
+++ b/internal/tier/coordinator/contact_test.go
@@ -144,7 +144,7 @@
 func TestContactLastsWithPollsThatAreAnsweredJustInTime(t *testing.T) {
 	inCluster(t, 3, 1, func(c *cluster) {
 		c.delay.Store(int64(390 * time.Millisecond))
-		c.pass(2 * watch.LongestPoll)
+		c.pass(2 * watch.MaxPollDuration)
 		for range 400 {
 			assert.Equal(t, c.at("core-1").readiness(), http.StatusOK)
 			c.pass(50 * time.Millisecond)
@@ -165,7 +165,7 @@
 			}
 		}
 		two := c.at("core-2")
-		changed := two.acceptor.Value().CloneVT()
+		changed := two.acceptor.AcceptedValue().CloneVT()
 		changed.Version, changed.Epoch = changed.Version+2, changed.Epoch+2
 		changed.Voters = []*tierpb.VoterSet{{Nodes: []*tierpb.Node{two.self, c.at("core-3").self, c.at("core-4").self}}}
 		accepted := two.acceptor.Accept(&tierpb.AcceptRequest{
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -33,7 +33,7 @@
 // controlRegister is what the coordinator needs of the register.
 type controlRegister interface {
 	Change(context.Context, register.ChangeFunc) (*tierpb.ControlState, error)
-	ChangeUnless(context.Context, func(*tierpb.ControlState) bool, register.ChangeFunc) (*tierpb.ControlState, error)
+	ChangeUnlessDecided(context.Context, func(*tierpb.ControlState) bool, register.ChangeFunc) (*tierpb.ControlState, error)
 	Read(context.Context) (*tierpb.ControlState, error)
 }
 
@@ -47,7 +47,7 @@
 	readiness *watch.ReadinessGate
 	directory *directory
 	register  controlRegister
-	history   *changelog.History
+	history   *changelog.SegmentStore
 
 	departures *departures
 	progress   progress
@@ -81,10 +81,10 @@
 		return err
 	}
 	disk := storage.Local()
-	if err := disk.MakeFolder(current.DataDir); err != nil {
+	if err := disk.MkdirAll(current.DataDir); err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
-	address := current.InnerAddress(current.IP, settings.CoordinatorPort)
+	address := current.InternalAddress(current.IP, settings.CoordinatorPortOffset)
 	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{
 		Disk: disk, Folder: filepath.Join(current.DataDir, registerFolder), Address: address,
 		Bootstrap: current.Bootstrap, Seeds: current.SeedCoordinators(),
@@ -92,7 +92,7 @@
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
-	history, err := changelog.OpenHistory(disk, filepath.Join(current.DataDir, ordersFolder))
+	history, err := changelog.OpenSegmentStore(disk, filepath.Join(current.DataDir, ordersFolder))
 	if err != nil {
 		return eris.Wrap(err, "coordinator")
 	}
@@ -151,21 +151,21 @@
 
 // useRegister makes the proposer that changes the register; whatever it finds to be chosen is brought out.
 func (c *coordinator) useRegister(acceptor *register.Acceptor) {
-	c.accepted = acceptor.Value
-	c.progress.fallBehind(c.now(), acceptor.Value().GetVersion(), 0)
-	proposer := register.NewProposer(register.Options{
-		Caller: c.caller, Local: acceptor, Known: c.state.Control, Faults: c.faults,
-		Chosen: func(chosen *tierpb.ControlState) {
+	c.accepted = acceptor.AcceptedValue
+	c.progress.fallBehind(c.now(), acceptor.AcceptedValue().GetVersion(), 0)
+	proposer := register.NewProposer(register.ProposerOptions{
+		Caller: c.caller, Local: acceptor, KnownState: c.state.Control, Failpoints: c.faults,
+		OnChosen: func(chosen *tierpb.ControlState) {
 			c.state.SetControl(chosen)
-			c.history.Note(chosen)
+			c.history.Observe(chosen)
 		},
 	})
 	c.register = proposer
 	c.replaceVoters = func(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
-		return register.ReplaceVoters(ctx, proposer, change)
+		return register.Reconfigure(ctx, proposer, change)
 	}
 	c.finishVoters = func(ctx context.Context) (*tierpb.ControlState, error) {
-		return register.FinishVoters(ctx, proposer)
+		return register.LeaveJoint(ctx, proposer)
 	}
 }
 
@@ -192,10 +192,10 @@
 
 // targets are the other coordinators. Before anything is known to be chosen, the voters of the own acceptor's value are
 // among them: the seeds may be gone for good.
-func (c *coordinator) targets() []watch.Target {
+func (c *coordinator) targets() []watch.Endpoint {
 	known := append(c.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), c.directory.coordinators()...)
 	if c.state.Control() == nil {
-		known = append(known, register.Voters(c.accepted())...)
+		known = append(known, register.VoterNodes(c.accepted())...)
 	}
-	return watch.CoordinatorTargets(c.self, c.state, known, c.live.Current().SeedCoordinators())
+	return watch.CoordinatorEndpoints(c.self, c.state, known, c.live.Current().SeedCoordinators())
 }
--- a/internal/tier/modelcheck/caller.go
+++ b/internal/tier/modelcheck/caller.go
@@ -71,7 +71,7 @@
 	}
 	number := target.beginRequest(e.observation)
 	go func() {
-		message, err := target.incarnation.Server.Answer(context.Background(), method, slices.Clone(payload))
+		message, err := target.incarnation.Server.Dispatch(context.Background(), method, slices.Clone(payload))
 		target.endRequest(number)
 		if target.hasEnded() {
 			return
@@ -83,7 +83,7 @@
 // replyTo returns the event in which the reply to a request arrives.
 func (r *run) replyTo(from *process, e *event, message rpc.Message, err error) *event {
 	arrival := &event{kind: replyEvent, from: e.to, to: e.from, call: e.call, label: "rejection"}
-	got := callResult{err: rpc.ErrRefused}
+	got := callResult{err: rpc.ErrRejected}
 	if err == nil {
 		got.payload, got.err = encode(message)
 		arrival.label, arrival.observation = r.describe(message), r.observationOf(message)
--- a/internal/tier/modelcheck/fingerprint.go
+++ b/internal/tier/modelcheck/fingerprint.go
@@ -67,7 +67,7 @@
 
 func (p *process) durableObservation() observation {
 	reply := p.durable()
-	return observation{proposals: []*tierpb.ProposalNumber{p.acceptor.Promised(), reply.Accepted}, state: reply.Value}
+	return observation{proposals: []*tierpb.ProposalNumber{p.acceptor.HighestPrepared(), reply.Accepted}, state: reply.Value}
 }
 
 // rank numbers the proposals of the state by their order.
--- a/internal/tier/modelcheck/lease_change.go
+++ b/internal/tier/modelcheck/lease_change.go
@@ -42,10 +42,10 @@
 	return p.proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		began := time.Now()
 		p.awaitDecision()
-		claim := placement.Claim{
+		credentials := placement.Credentials{
 			Term: p.acquisition.term, LeaseOwned: p.ownsLease(current, p.acquisition.number), ViewAge: time.Since(began),
 		}
-		if err := placement.Admit(placement.TermOf(current), claim); err != nil {
+		if err := placement.CheckFence(placement.TermOf(current), credentials); err != nil {
 			return nil, err
 		}
 		current.Retirements = append(current.Retirements, &tierpb.Retirement{
@@ -99,7 +99,7 @@
 }
 
 func isFenced(err error) bool {
-	return errors.Is(err, placement.ErrFenced) || errors.Is(err, placement.ErrLeaseLost) || errors.Is(err, placement.ErrOldView)
+	return errors.Is(err, placement.ErrFenced) || errors.Is(err, placement.ErrLeaseLost) || errors.Is(err, placement.ErrStaleView)
 }
 
 // checkTerms checks that each change under the lease was made under the newest term; mu is held.
--- a/internal/tier/modelcheck/model.go
+++ b/internal/tier/modelcheck/model.go
@@ -156,7 +156,7 @@
 	for _, one := range r.nodes {
 		for _, other := range r.nodes {
 			if one.process != nil && other.process != nil && one.process.newestKnown() == nil {
-				one.process.assume(other.process.acceptor.Value())
+				one.process.assume(other.process.acceptor.AcceptedValue())
 			}
 		}
 	}
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -69,8 +69,8 @@
 	}
 	r.name(p.acceptor.Identity(), n)
 	p.acceptor.Serve(incarnation.Server)
-	p.proposer = register.NewProposer(register.Options{
-		Caller: &caller{process: p}, Local: p.acceptor, Known: p.newestKnown, Chosen: p.learn, Random: half,
+	p.proposer = register.NewProposer(register.ProposerOptions{
+		Caller: &caller{process: p}, Local: p.acceptor, KnownState: p.newestKnown, OnChosen: p.learn, Jitter: half,
 	})
 	if r.scenario.Lease {
 		p.startLease(bootstrap)
@@ -92,7 +92,7 @@
 		return
 	}
 	p.candidate = lease.NewCandidate(lease.CandidateOptions{
-		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: lessor, Random: half,
+		Role: leaseRole, Self: uint64(p.node.number + 1), Caller: &caller{process: p}, Local: lessor, Jitter: half,
 		Voters: p.voters,
 	})
 	candidate := p.candidate
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -15,7 +15,7 @@
 	},
 	{
 		name: "version counts as durable without a sync of its folder", file: "storage/versions.go",
-		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncFolder(s.folder); err != nil {",
+		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.folder); err != nil {",
 		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
@@ -30,7 +30,7 @@
 	},
 	{
 		name: "acceptor keeps its identity after the loss of its disk", file: "register/acceptor.go",
-		old:     "a.identity = DrawIdentity(options.Address)",
+		old:     "a.identity = NewIdentity(options.Address)",
 		changed: "a.identity = InitialIdentity(options.Address)",
 	},
 	{
@@ -100,8 +100,8 @@
 	},
 	{
 		name: "holder counts grants of removed voters", file: "lease/holder.go",
-		old:     "return now.Before(h.until) && register.Quorum(voters,",
-		changed: "return now.Before(h.until) && register.Quorum(h.options.Voters(),",
+		old:     "return now.Before(h.until) && register.HasQuorum(voters,",
+		changed: "return now.Before(h.until) && register.HasQuorum(h.options.Voters(),",
 	},
 	{
 		name: "late release revokes a later grant", file: "lease/grantor.go",
--- a/internal/tier/modelcheck/store_action.go
+++ b/internal/tier/modelcheck/store_action.go
@@ -196,7 +196,7 @@
 		add(uint64(count))
 	}
 	for _, join := range r.leaseHolder.joins {
-		add(join.Request.Node.Identity, join.Request.CopiedEpoch, uint64(join.First.UnixNano()), uint64(join.Heard.UnixNano()))
+		add(join.Request.Node.Identity, join.Request.CopiedEpoch, uint64(join.FirstSeen.UnixNano()), uint64(join.LastSeen.UnixNano()))
 	}
 	for _, e := range r.queue {
 		add(uint64(e.kind), uint64(r.column(e).number), uint64(e.due), uint64(e.diskNumber), e.call.GetCopiedEpoch())
--- a/internal/tier/modelcheck/store_event.go
+++ b/internal/tier/modelcheck/store_event.go
@@ -101,11 +101,11 @@
 	}
 	for i := range r.leaseHolder.joins {
 		if join := &r.leaseHolder.joins[i]; join.Request.Node.Identity == call.Node.Identity {
-			join.Request, join.Heard = call, r.now()
+			join.Request, join.LastSeen = call, r.now()
 			return
 		}
 	}
-	r.leaseHolder.joins = append(r.leaseHolder.joins, placement.Join{Request: call, First: r.now(), Heard: r.now()})
+	r.leaseHolder.joins = append(r.leaseHolder.joins, placement.Join{Request: call, FirstSeen: r.now(), LastSeen: r.now()})
 }
 
 func (r *storeRun) callOf(m *storeMachine) *tierpb.JoinRequest {
@@ -159,10 +159,10 @@
 		r.leaseHolder.epoch, r.leaseHolder.moveSeen = epoch, r.now()
 	}
 	view := &placement.View{
-		Now: r.now(), Since: r.leaseHolder.since, Tolerance: r.scenario.Tolerance, Joins: slices.Clone(r.leaseHolder.joins),
-		MoveSeen: r.leaseHolder.moveSeen, VoterSilence: func(string) time.Duration { return 0 },
+		Now: r.now(), ListeningSince: r.leaseHolder.since, Tolerance: r.scenario.Tolerance, Joins: slices.Clone(r.leaseHolder.joins),
+		MembershipSeen: r.leaseHolder.moveSeen, VoterUnreachableFor: func(string) time.Duration { return 0 },
 	}
-	next, reason := placement.Stores(r.control.CloneVT(), view)
+	next, reason := placement.NextStores(r.control.CloneVT(), view)
 	if reason == "" {
 		return
 	}
--- a/internal/tier/proxy/listing.go
+++ b/internal/tier/proxy/listing.go
@@ -19,7 +19,7 @@
 
 // take brings the listing up to date and returns the services whose stores changed.
 func (l *listing) take(state *watch.State) map[string]struct{} {
-	changed, version := state.Since(l.version)
+	changed, version := state.ChangedSince(l.version)
 	l.version = version
 	touched := make(map[string]struct{})
 	for _, instance := range changed {
@@ -69,7 +69,7 @@
 			Slots: int(instance.Slots), State: admission.State(instance.State),
 		}
 		if instance.SlowStartRemainingMs > 0 {
-			store.ColdUntil = now.Add(time.Duration(instance.SlowStartRemainingMs) * time.Millisecond)
+			store.SlowStartUntil = now.Add(time.Duration(instance.SlowStartRemainingMs) * time.Millisecond)
 		}
 		listed = append(listed, store)
 	}
--- a/internal/tier/register/size_test.go
+++ b/internal/tier/register/size_test.go
@@ -42,7 +42,7 @@
 		m := c.members[0]
 		value := &tierpb.ControlState{Voters: InitialState(c.seeds).Voters, Configuration: &tierpb.Configuration{}}
 		for change := uint64(1); change <= 5000; change++ {
-			changelog.Add(value, changelog.New(change-1, change, []byte{byte(change)}))
+			changelog.Append(value, changelog.NewChange(change-1, change, []byte{byte(change)}))
 			value.Version, value.Configuration = change, largeConfiguration(change)
 			ballot := &tierpb.ProposalNumber{Counter: change, Proposer: 1}
 			identity := m.current().Identity()
@@ -65,7 +65,7 @@
 	assert.NilError(t, err)
 	t.Logf("%d changes, value of %d bytes: %d files, %d bytes; start: %d lists, %d reads of %d bytes, %d files written",
 		changes, size, len(names), m.machine.Disk.Bytes(), opened.lists, opened.reads, opened.bytes, opened.written)
-	assert.Equal(t, acceptor.Value().Version, changes)
+	assert.Equal(t, acceptor.AcceptedValue().Version, changes)
 	assert.Equal(t, len(names), 4, "%v", names) // identity, promise, accepted value, and that these are there
 	assert.Assert(t, m.machine.Disk.Bytes() < size+1000)
 	assert.Equal(t, opened.reads, 4)
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -181,7 +181,7 @@
 	if !callee.awaitRunning() {
 		return
 	}
-	response, err := callee.Server.Answer(context.Background(), method, slices.Clone(payload))
+	response, err := callee.Server.Dispatch(context.Background(), method, slices.Clone(payload))
 	if !callee.awaitRunning() {
 		return
 	}
@@ -190,7 +190,7 @@
 	if replyDelivery.lost || c.network.isPartitioned(address, from) || !c.incarnation.awaitRunning() {
 		return
 	}
-	got := result{err: rpc.ErrRefused}
+	got := result{err: rpc.ErrRejected}
 	if err == nil {
 		got.payload, got.err = encode(response)
 	}
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -54,7 +54,7 @@
 func (m *machine) goOn() { m.left.Store(-1) }
 
 func (m *machine) points() *failpoint.Points {
-	return &failpoint.Points{Stop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
+	return &failpoint.Points{ShouldStop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
 }
 
 // testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
@@ -86,6 +86,7 @@
 }
 
 func newCluster(t *testing.T, seed uint64, zones ...string) *cluster {
+	t.Helper()
 	c := &cluster{
 		t:         t,
 		random:    rand.New(rand.NewPCG(seed, 1)),
@@ -123,8 +124,8 @@
 
 func (c *cluster) start(m *machine) {
 	store, err := Open(Options{
-		Disk: m.disk.use(), Folder: "data", Now: c.clock.time, After: c.after, Identity: c.identity,
-		Log: hclog.NewNullLogger(), Faults: m.points(),
+		Disk: m.disk.use(), Folder: "data", Now: c.clock.time, After: c.after, NewIdentity: c.identity,
+		Log: hclog.NewNullLogger(), Failpoints: m.points(),
 	})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
@@ -245,7 +246,7 @@
 	c.mu.Lock()
 	control := &tierpb.ControlState{Version: c.membership.GetEpoch(), Stores: c.membership}
 	c.mu.Unlock()
-	store.Learn(control)
+	store.UpdateControl(control)
 }
 
 func (c *cluster) known() *tierpb.StoreMembership {
@@ -257,8 +258,8 @@
 // pass makes a store hand on what it holds.
 func (c *cluster) pass(m *machine) error {
 	c.teachAll() // a pass goes on until the others know of the change too
-	work := &pass{
-		store: m.store, caller: c, tolerance: c.tolerance, membership: c.known(), faults: m.points(), after: atOnce,
+	work := &rebalance{
+		store: m.store, caller: c, tolerance: c.tolerance, membership: c.known(), failpoints: m.points(), after: atOnce,
 	}
 	return work.run(context.Background())
 }
@@ -298,7 +299,7 @@
 	}
 	answer, err := dispatch(ctx, store, method, data)
 	if err != nil {
-		return rpc.ErrRefused
+		return rpc.ErrRejected
 	}
 	data = encode(answer)
 	if err := c.travel(ctx); err != nil {
@@ -354,7 +355,7 @@
 	case rpc.MethodOfferRecords:
 		return store.OfferRecords(ctx, decode[tierpb.OfferRecordsRequest](data))
 	}
-	return nil, rpc.ErrRefused
+	return nil, rpc.ErrRejected
 }
 
 func (c *cluster) record(id, previous string) *tierpb.TurnRecord {
--- a/internal/tier/turnstore/copies_test.go
+++ b/internal/tier/turnstore/copies_test.go
@@ -51,7 +51,7 @@
 
 // copying is a store's running Mover.
 type copying struct {
-	mover  *Mover
+	mover  *Rebalancer
 	cancel context.CancelFunc
 	told   uint64
 	heard  time.Time
@@ -71,6 +71,7 @@
 )
 
 func newWorld(t *testing.T, seed uint64, of size) *world {
+	t.Helper()
 	w := &world{
 		cluster: newCluster(t, seed),
 		control: &tierpb.ControlState{Stores: &tierpb.StoreMembership{Epoch: 1}},
@@ -101,7 +102,7 @@
 	w.note("%s runs as %d", m.address, m.store.Identity())
 	w.oracle.disks[m.store.Identity()] = m.disk
 	ctx, cancel := context.WithCancel(context.Background())
-	running := &copying{mover: NewMover(m.store, w.cluster, w.tolerance), cancel: cancel}
+	running := &copying{mover: NewRebalancer(m.store, w.cluster, w.tolerance), cancel: cancel}
 	w.movers[m] = running
 	w.copiers.Go(func() { running.mover.Run(ctx) })
 }
@@ -199,8 +200,8 @@
 // tell has a store call the coordinators, which may miss it.
 func (w *world) tell(m *machine) {
 	running := w.movers[m]
-	copied := running.mover.Copied()
-	if time.Since(running.heard) < joinEvery && copied == running.told {
+	copied := running.mover.CompletedEpoch()
+	if time.Since(running.heard) < joinInterval && copied == running.told {
 		return
 	}
 	running.heard, running.told = time.Now(), copied
@@ -211,9 +212,9 @@
 		node := w.node(m)
 		join, known := joins[node.Identity]
 		if !known {
-			join.First = time.Now()
+			join.FirstSeen = time.Now()
 		}
-		join.Heard = time.Now()
+		join.LastSeen = time.Now()
 		join.Request = &tierpb.JoinRequest{Node: node, CopiedEpoch: copied}
 		joins[node.Identity] = join
 	}
@@ -222,17 +223,17 @@
 // place takes the next step by what one coordinator has heard.
 func (w *world) place(joins map[uint64]placement.Join) {
 	view := &placement.View{
-		Now: time.Now(), Since: w.began, Tolerance: w.tolerance, CatchUp: catchUp, MoveSeen: w.moveSeen,
+		Now: time.Now(), ListeningSince: w.began, Tolerance: w.tolerance, CatchUpTimeout: catchUp, MembershipSeen: w.moveSeen,
 	}
 	for _, join := range joins {
-		if time.Since(join.Heard) < time.Minute {
+		if time.Since(join.LastSeen) < time.Minute {
 			view.Joins = append(view.Joins, join)
 		}
 	}
 	slices.SortFunc(view.Joins, func(a, b placement.Join) int {
 		return int(a.Request.Node.Identity) - int(b.Request.Node.Identity)
 	})
-	next, reason := placement.Stores(w.control.CloneVT(), view)
+	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason != "" {
 		assert.Assert(w.t, w.beyond || reason != "records moved, but more disks were lost than are tolerated")
 		w.note("%s", reason)
