--- a/internal/tier/modelcheck/lease_change.go
+++ b/internal/tier/modelcheck/lease_change.go
@@ -42,10 +42,10 @@
 	return p.proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		began := time.Now()
 		p.awaitDecision()
-		claim := placement.Credentials{
+		credentials := placement.Credentials{
 			Term: p.acquisition.term, LeaseOwned: p.ownsLease(current, p.acquisition.number), ViewAge: time.Since(began),
 		}
-		if err := placement.CheckFence(placement.TermOf(current), claim); err != nil {
+		if err := placement.CheckFence(placement.TermOf(current), credentials); err != nil {
 			return nil, err
 		}
 		current.Retirements = append(current.Retirements, &tierpb.Retirement{
