--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -28,80 +28,14 @@
 	tolerance int
 	after     func(time.Duration) <-chan time.Time // of the stores
 
-	mu         sync.Mutex
-	machines   map[string]*machine // by address
-	membership *tierpb.StoreMembership
-	older      []*tierpb.StoreMembership // those before it
-	lagging    bool                      // stores learn of a change by chance or when they make a pass
-	nextID     uint64
-	cut        map[string]bool      // addresses that nobody reaches; calls fail
-	latency    func() time.Duration // of one way; nil for none. Only under synctest, where it takes no real time
-}
-
-// machine is one store's place.
-type machine struct {
-	address string
-	zone    string
-	disk    *memoryDisk
-	store   *Store
-	slow    atomic.Bool
-	left    atomic.Int64 // fault points to pass before the process stops; none when negative
-}
-
-// stopAfter makes the process stop at a later fault point.
-func (m *machine) stopAfter(points int) { m.left.Store(int64(points)) }
-
-func (m *machine) goOn() { m.left.Store(-1) }
-
-func (m *machine) points() *failpoint.Points {
-	return &failpoint.Points{Stop: func(failpoint.Point) bool { return m.left.Load() >= 0 && m.left.Add(-1) < 0 }}
-}
-
-// testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
-type testClock struct {
-	mu  sync.Mutex
-	now time.Time
-}
-
-func (c *testClock) time() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.now
-}
-
-func (c *testClock) advance(by time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.now = c.now.Add(by)
-}
-
-// never is a timer that does not fire.
-func never(time.Duration) <-chan time.Time { return nil }
-
-// at once is a timer that fires immediately.
-func atOnce(time.Duration) <-chan time.Time {
-	fired := make(chan time.Time, 1)
-	fired <- time.Time{}
-	return fired
-}
-
-func newCluster(t *testing.T, seed uint64, zones ...string) *cluster {
-	t.Helper()
-	c := &cluster{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		clock:     &testClock{now: time.Unix(1_700_000_000, 0)},
-		tolerance: 1,
-		after:     never,
-		machines:  make(map[string]*machine),
-		cut:       make(map[string]bool),
-	}
-	for i, zone := range zones {
-		c.add(fmt.Sprintf("10.0.0.%d:1", i+1), zone)
-	}
-	c.setMembers(nil)
-	t.Cleanup(c.close)
-	return c
+	mu               sync.Mutex
+	machines         map[string]*machine // by address
+	membership       *tierpb.StoreMembership
+	olderMemberships []*tierpb.StoreMembership // those before it
+	delayedUpdates   bool                      // stores learn of a change by chance or when they make a pass
+	nextID           uint64
+	partitioned      map[string]bool      // addresses that nobody reaches; calls fail
+	latency          func() time.Duration // of one way; nil for none. Only under synctest, where it takes no real time
 }
 
 func (c *cluster) close() {
@@ -114,7 +48,7 @@
 func (c *cluster) add(address, zone string) *machine {
 	m := &machine{address: address, zone: zone, disk: newMemoryDisk()}
 	m.disk.setSyncTime(c.latency)
-	m.goOn()
+	m.disarmCrash()
 	c.mu.Lock()
 	c.machines[address] = m
 	c.mu.Unlock()
@@ -124,15 +58,15 @@
 
 func (c *cluster) start(m *machine) {
 	store, err := Open(Options{
-		Disk: m.disk.use(), Folder: "data", Now: c.clock.time, After: c.after, NewIdentity: c.identity,
-		Log: hclog.NewNullLogger(), Failpoints: m.points(),
+		Disk: m.disk.openIncarnation(), Folder: "data", Now: c.clock.time, After: c.after, NewIdentity: c.identity,
+		Log: hclog.NewNullLogger(), Failpoints: m.failpoints(),
 	})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
 	m.store = store
 	c.mu.Unlock()
-	if !c.lagging || c.random.IntN(2) == 0 {
-		c.teach(store)
+	if !c.delayedUpdates || c.random.IntN(2) == 0 {
+		c.sendControl(store)
 	}
 }
 
@@ -149,17 +83,17 @@
 	store := m.store
 	m.store = nil
 	c.mu.Unlock()
-	m.disk.end()
+	m.disk.endIncarnation()
 	if store != nil {
 		store.Close()
 	}
 }
 
-// setCut makes a machine one that nobody reaches, or ends that.
-func (c *cluster) setCut(m *machine, cut bool) {
+// setPartitioned makes a machine one that nobody reaches, or ends that.
+func (c *cluster) setPartitioned(m *machine, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[m.address] = cut
+	c.partitioned[m.address] = cut
 }
 
 func (c *cluster) wipe(m *machine) {
@@ -193,80 +127,80 @@
 
 // setMembers makes all running stores the members; the members before become the previous ones.
 func (c *cluster) setMembers(previous []*tierpb.Node) {
-	c.change(c.nodes(), previous)
+	c.changeMembership(c.nodes(), previous)
 }
 
-// finishMove drops the previous members under the same epoch, as the holder of the lease does.
-func (c *cluster) finishMove() {
+// endRebalance drops the previous members under the same epoch, as the holder of the lease does.
+func (c *cluster) endRebalance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.older = append(c.older, c.membership)
+	c.olderMemberships = append(c.olderMemberships, c.membership)
 	c.membership = &tierpb.StoreMembership{Epoch: c.membership.Epoch, Current: c.membership.Current}
 }
 
-// freshAddress is one at which no member of newCluster is.
-func (c *cluster) freshAddress(number int) string { return fmt.Sprintf("10.0.1.%d:1", number) }
+// newAddress is one at which no member of newCluster is.
+func (c *cluster) newAddress(number int) string { return fmt.Sprintf("10.0.1.%d:1", number) }
 
-func (c *cluster) dropPrevious() { c.change(c.known().Current, nil) }
+func (c *cluster) dropPrevious() { c.changeMembership(c.currentMembership().Current, nil) }
 
-// change begins the next epoch.
-func (c *cluster) change(current, previous []*tierpb.Node) {
+// changeMembership begins the next epoch.
+func (c *cluster) changeMembership(current, previous []*tierpb.Node) {
 	c.mu.Lock()
-	c.older = append(c.older, c.membership)
+	c.olderMemberships = append(c.olderMemberships, c.membership)
 	c.membership = &tierpb.StoreMembership{
 		Epoch: c.membership.GetEpoch() + 1, Current: current, Previous: previous,
 	}
 	c.mu.Unlock()
 	for _, m := range c.machines {
-		if m.store != nil && (!c.lagging || c.random.IntN(2) == 0) {
-			c.teach(m.store)
+		if m.store != nil && (!c.delayedUpdates || c.random.IntN(2) == 0) {
+			c.sendControl(m.store)
 		}
 	}
 }
 
-func (c *cluster) teachAll() {
+func (c *cluster) sendControlToAll() {
 	for _, m := range c.machines {
 		if m.store != nil {
-			c.teach(m.store)
+			c.sendControl(m.store)
 		}
 	}
 }
 
-// outdated is a membership that a client may still know: one of the last few.
-func (c *cluster) outdated(by int) *tierpb.StoreMembership {
+// olderMembership is a membership that a client may still know: one of the last few.
+func (c *cluster) olderMembership(by int) *tierpb.StoreMembership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if by == 0 || by >= len(c.older) { // the first is none
+	if by == 0 || by >= len(c.olderMemberships) { // the first is none
 		return c.membership
 	}
-	return c.older[len(c.older)-by]
+	return c.olderMemberships[len(c.olderMemberships)-by]
 }
 
-func (c *cluster) teach(store *Store) {
+func (c *cluster) sendControl(store *Store) {
 	c.mu.Lock()
 	control := &tierpb.ControlState{Version: c.membership.GetEpoch(), Stores: c.membership}
 	c.mu.Unlock()
 	store.UpdateControl(control)
 }
 
-func (c *cluster) known() *tierpb.StoreMembership {
+func (c *cluster) currentMembership() *tierpb.StoreMembership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.membership
 }
 
-// pass makes a store hand on what it holds.
-func (c *cluster) pass(m *machine) error {
-	c.teachAll() // a pass goes on until the others know of the change too
+// rebalanceOn makes a store hand on what it holds.
+func (c *cluster) rebalanceOn(m *machine) error {
+	c.sendControlToAll() // a pass goes on until the others know of the change too
 	work := &rebalance{
-		store: m.store, caller: c, tolerance: c.tolerance, membership: c.known(), failpoints: m.points(), after: atOnce,
+		store: m.store, caller: c, tolerance: c.tolerance, membership: c.currentMembership(), failpoints: m.failpoints(), after: firesAtOnce,
 	}
 	return work.run(context.Background())
 }
 
 func (c *cluster) options() replica.Options {
 	return replica.Options{
-		Caller: c, Membership: c.known, Tolerance: c.tolerance, Zone: "a", Now: c.clock.time, After: atOnce,
+		Caller: c, Membership: c.currentMembership, Tolerance: c.tolerance, Zone: "a", Now: c.clock.time, After: firesAtOnce,
 	}
 }
 
@@ -284,7 +218,7 @@
 	if m != nil {
 		store = m.store
 	}
-	isCut := c.cut[address]
+	isCut := c.partitioned[address]
 	c.mu.Unlock()
 	switch {
 	case isCut && c.latency != nil:
@@ -294,7 +228,7 @@
 		return rpc.ErrUnreachable
 	}
 	data := encode(request)
-	if err := c.travel(ctx); err != nil {
+	if err := c.delay(ctx); err != nil {
 		return err
 	}
 	answer, err := dispatch(ctx, store, method, data)
@@ -302,14 +236,14 @@
 		return rpc.ErrRefused
 	}
 	data = encode(answer)
-	if err := c.travel(ctx); err != nil {
+	if err := c.delay(ctx); err != nil {
 		return err
 	}
 	return reply.UnmarshalVT(data)
 }
 
-// travel takes a message's time.
-func (c *cluster) travel(ctx context.Context) error {
+// delay takes a message's time.
+func (c *cluster) delay(ctx context.Context) error {
 	if c.latency == nil {
 		return nil
 	}
@@ -321,6 +255,79 @@
 	}
 }
 
+func (c *cluster) record(id, previous string) *tierpb.TurnRecord {
+	return &tierpb.TurnRecord{
+		Id: id, Previous: previous, Input: []byte("in of " + id), Output: []byte("{\"out\":\"" + id + "\"}\n"),
+		EndedUnixMs: c.clock.time().UnixMilli(), RetentionMs: 60_000,
+	}
+}
+
+// machine is one store's place.
+type machine struct {
+	address        string
+	zone           string
+	disk           *memoryDisk
+	store          *Store
+	slow           atomic.Bool
+	crashCountdown atomic.Int64 // fault points to pass before the process stops; none when negative
+}
+
+// crashAfter makes the process stop at a later fault point.
+func (m *machine) crashAfter(points int) { m.crashCountdown.Store(int64(points)) }
+
+func (m *machine) disarmCrash() { m.crashCountdown.Store(-1) }
+
+func (m *machine) failpoints() *failpoint.Points {
+	return &failpoint.Points{Stop: func(failpoint.Point) bool { return m.crashCountdown.Load() >= 0 && m.crashCountdown.Add(-1) < 0 }}
+}
+
+// testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
+type testClock struct {
+	mu  sync.Mutex
+	now time.Time
+}
+
+func (c *testClock) time() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
+}
+
+func (c *testClock) advance(by time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.now = c.now.Add(by)
+}
+
+// neverFires is a timer that does not fire.
+func neverFires(time.Duration) <-chan time.Time { return nil }
+
+// at once is a timer that fires immediately.
+func firesAtOnce(time.Duration) <-chan time.Time {
+	fired := make(chan time.Time, 1)
+	fired <- time.Time{}
+	return fired
+}
+
+func newCluster(t *testing.T, seed uint64, zones ...string) *cluster {
+	t.Helper()
+	c := &cluster{
+		t:           t,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		clock:       &testClock{now: time.Unix(1_700_000_000, 0)},
+		tolerance:   1,
+		after:       neverFires,
+		machines:    make(map[string]*machine),
+		partitioned: make(map[string]bool),
+	}
+	for i, zone := range zones {
+		c.add(fmt.Sprintf("10.0.0.%d:1", i+1), zone)
+	}
+	c.setMembers(nil)
+	t.Cleanup(c.close)
+	return c
+}
+
 func encode(message rpc.Message) []byte {
 	data := make([]byte, message.SizeVT())
 	if _, err := message.MarshalToSizedBufferVT(data); err != nil {
@@ -358,9 +365,52 @@
 	return nil, rpc.ErrRefused
 }
 
-func (c *cluster) record(id, previous string) *tierpb.TurnRecord {
-	return &tierpb.TurnRecord{
-		Id: id, Previous: previous, Input: []byte("in of " + id), Output: []byte("{\"out\":\"" + id + "\"}\n"),
-		EndedUnixMs: c.clock.time().UnixMilli(), RetentionMs: 60_000,
+func put(c *cluster, m *machine, record *tierpb.TurnRecord) tierpb.StoreStatus {
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
+	request := &tierpb.PutTurnsRequest{Header: header, Records: []*tierpb.TurnRecord{record}}
+	reply, err := m.store.PutTurns(context.Background(), request)
+	assert.NilError(c.t, err)
+	return reply.Header.Status
+}
+
+// randomLatency is safe for concurrent use.
+func randomLatency(seed uint64, most time.Duration) func() time.Duration {
+	var mu sync.Mutex
+	random := rand.New(rand.NewPCG(seed, 7))
+	return func() time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		return time.Duration(random.Int64N(int64(most)))
+	}
+}
+
+// partialNetwork is a network from which one store cannot be reached.
+type partialNetwork struct {
+	*cluster
+	unreachable string
+}
+
+func (p *partialNetwork) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
+	if address == p.unreachable {
+		return rpc.ErrUnreachable
+	}
+	return p.cluster.Call(ctx, address, method, request, reply)
+}
+
+// slowNetwork is a network of one client: some calls take long, one store is not reached.
+type slowNetwork struct {
+	*cluster
+	unreachable string
+	slow        string
+	delay       time.Duration // to the slow one
+}
+
+func (p *slowNetwork) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
+	switch address {
+	case p.unreachable:
+		return rpc.ErrUnreachable
+	case p.slow:
+		time.Sleep(p.delay)
 	}
+	return p.cluster.Call(ctx, address, method, request, reply)
 }
--- /dev/null
+++ b/internal/tier/turnstore/compaction_test.go
@@ -0,0 +1,75 @@
+package turnstore
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+func TestFailedDiskRejectsWritesUntilCompaction(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	assert.Equal(t, put(c, m, c.record("before", "")), tierpb.StoreStatus_STORE_OK)
+	m.disk.fail(true)
+	lost := c.record("during", "")
+	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
+	m.disk.fail(false)
+	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
+	assert.NilError(t, m.store.Compact(context.Background()))
+	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_OK)
+	assert.Equal(t, put(c, m, c.record("after", "")), tierpb.StoreStatus_STORE_OK)
+	c.losePower(m)
+	c.start(m)
+	assert.Equal(t, m.store.Records(), 3)
+}
+
+func TestCompactionStartedBeforeAWriteFailureDoesNotClearIt(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	failures := m.store.capture().failures
+	m.disk.fail(true)
+	assert.Equal(t, put(c, m, c.record("during", "")), tierpb.StoreStatus_STORE_FULL)
+	m.store.wal.compacted(0, failures)
+	assert.ErrorIs(t, m.store.wal.checkWritable(), errNotWritable)
+}
+
+func TestCrashDuringCompactionLosesNothing(t *testing.T) {
+	for stop := range 4 {
+		for seed := range uint64(10) {
+			c := newCluster(t, seed, "a", "b", "c")
+			m := c.machines["10.0.0.1:1"]
+			for i := range 30 {
+				assert.Equal(t, put(c, m, c.record(fmt.Sprintf("turn%d", i), "")), tierpb.StoreStatus_STORE_OK)
+			}
+			m.crashAfter(stop)
+			_ = m.store.Compact(context.Background())
+			m.disarmCrash()
+			c.losePower(m)
+			c.start(m)
+			assert.Equal(t, m.store.Records(), 30)
+		}
+	}
+}
+
+// Marks go with the segments that a merged file replaces.
+func TestCompactionRemovesOffsetsFiles(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	before := m.store.Identity()
+	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
+	c.kill(m)
+	c.start(m)
+	assert.NilError(t, m.store.Compact(context.Background()))
+	c.kill(m)
+	for path := range m.disk.files {
+		assert.Assert(t, !strings.HasPrefix(path, "data/"+offsetsPrefix) && !strings.HasPrefix(path, "data/"+segmentPrefix), path)
+	}
+	c.start(m)
+	assert.Equal(t, m.store.Identity(), before)
+	assert.Equal(t, m.store.Records(), 1)
+}
--- a/internal/tier/turnstore/repeated_test.go
+++ b/internal/tier/turnstore/idempotence_test.go
@@ -15,19 +15,19 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// delivery is a call as it comes to a store.
-type delivery struct {
+// incomingCall is a call as it comes to a store.
+type incomingCall struct {
 	method  rpc.Method
 	request rpc.Message
 	ordered bool // an extension is dropped where its record has not come
 }
 
-// deliveries are calls of every kind that a store may get twice: from a proxy that tries again after a time-out, from
+// incomingCalls are calls of every kind that a store may get twice: from a proxy that tries again after a time-out, from
 // two stores that hand on the same record, or from a network that held a call up.
-func deliveries(c *cluster, header *tierpb.StoreRequestHeader) []delivery {
-	var all []delivery
+func incomingCalls(c *cluster, header *tierpb.StoreRequestHeader) []incomingCall {
+	var all []incomingCall
 	add := func(method rpc.Method, request rpc.Message) {
-		all = append(all, delivery{method: method, request: request})
+		all = append(all, incomingCall{method: method, request: request})
 	}
 	claim := func(program, request string, stage uint32, tokens uint64, marked bool) *tierpb.ProgramBudget {
 		entry := &tierpb.BudgetEntry{Request: request, Stage: stage, Tokens: tokens, Confirmed: marked}
@@ -63,66 +63,52 @@
 		add(rpc.MethodGetChain, &tierpb.GetChainRequest{Header: header, Id: id})
 		until := c.clock.time().Add(time.Duration(i+1) * time.Hour).UnixMilli()
 		extensions := []*tierpb.RetentionExtension{{Id: id, UntilUnixMs: until}}
-		all = append(all, delivery{rpc.MethodPutTurns, &tierpb.PutTurnsRequest{Header: header, Extensions: extensions}, true})
+		all = append(all, incomingCall{rpc.MethodPutTurns, &tierpb.PutTurnsRequest{Header: header, Extensions: extensions}, true})
 	}
 	return all
 }
 
-// deliver has calls come to a new store and returns what is on its disk afterwards.
-func deliver(t *testing.T, seed uint64, arrange func(*rand.Rand, []delivery) []delivery) string {
+// deliverAll has calls come to a new store and returns what is on its disk afterwards.
+func deliverAll(t *testing.T, seed uint64, arrange func(*rand.Rand, []incomingCall) []incomingCall) string {
 	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
 	defer c.close()
 	m := c.machines["10.0.0.1:1"]
-	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
 	random := rand.New(rand.NewPCG(seed, 5))
-	for _, call := range arrange(random, deliveries(c, header)) {
+	for _, call := range arrange(random, incomingCalls(c, header)) {
 		_, err := dispatch(context.Background(), m.store, call.method, encode(call.request))
 		assert.NilError(t, err)
 	}
-	before := contentsOf(m)
+	before := diskContents(m)
 	c.setMembers(nil) // another epoch: what comes now comes too late
-	c.teach(m.store)
-	for _, call := range deliveries(c, header) {
+	c.sendControl(m.store)
+	for _, call := range incomingCalls(c, header) {
 		_, err := dispatch(context.Background(), m.store, call.method, encode(call.request))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, contentsOf(m), before, "calls of an older epoch")
+	assert.Equal(t, diskContents(m), before, "calls of an older epoch")
 	return before
 }
 
-// contentsOf lists what a store has on its disk.
-func contentsOf(m *machine) string {
-	var lines []string
-	found := held(m.disk)
-	for id, record := range found.records {
-		lines = append(lines, fmt.Sprintf("%s until %d %s", id, record.expiresUnixMs, record.turn))
-	}
-	for name, program := range found.programs {
-		lines = append(lines, fmt.Sprintf("%s %s", name, program.budget))
-	}
-	slices.Sort(lines)
-	return fmt.Sprint(lines)
-}
-
-func once(_ *rand.Rand, calls []delivery) []delivery { return calls }
+func inOrder(_ *rand.Rand, calls []incomingCall) []incomingCall { return calls }
 
-// twice has each call come once more, at any time after it came first.
-func twice(random *rand.Rand, calls []delivery) []delivery {
+// duplicated has each call come once more, at any time after it came first.
+func duplicated(random *rand.Rand, calls []incomingCall) []incomingCall {
 	all := slices.Clone(calls)
 	for _, call := range calls {
-		first := slices.IndexFunc(all, func(other delivery) bool { return other.request == call.request })
+		first := slices.IndexFunc(all, func(other incomingCall) bool { return other.request == call.request })
 		at := first + 1 + random.IntN(len(all)-first)
 		all = slices.Insert(all, at, call)
 	}
 	return all
 }
 
-// shuffled has calls come twice each and in any order, but extensions behind what they extend.
-func shuffled(random *rand.Rand, calls []delivery) []delivery {
+// reordered has calls come twice each and in any order, but extensions behind what they extend.
+func reordered(random *rand.Rand, calls []incomingCall) []incomingCall {
 	all := append(slices.Clone(calls), calls...)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	slices.SortStableFunc(all, func(a, b delivery) int {
+	slices.SortStableFunc(all, func(a, b incomingCall) int {
 		switch {
 		case a.ordered == b.ordered:
 			return 0
@@ -134,10 +120,10 @@
 	return all
 }
 
-func TestCallsTwiceLateAndInAnotherOrderChangeNothing(t *testing.T) {
-	expected := deliver(t, 0, once)
+func TestDuplicateLateAndReorderedCallsChangeNothing(t *testing.T) {
+	expected := deliverAll(t, 0, inOrder)
 	for seed := range uint64(30) {
-		assert.Equal(t, deliver(t, seed, twice), expected, "seed %d", seed)
-		assert.Equal(t, deliver(t, seed, shuffled), expected, "seed %d", seed)
+		assert.Equal(t, deliverAll(t, seed, duplicated), expected, "seed %d", seed)
+		assert.Equal(t, deliverAll(t, seed, reordered), expected, "seed %d", seed)
 	}
 }
--- /dev/null
+++ b/internal/tier/turnstore/membership_test.go
@@ -0,0 +1,163 @@
+package turnstore
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/budget"
+	"pulleygw.example/pulleygw/internal/tier/replica"
+	"pulleygw.example/pulleygw/internal/tier/rpc"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+	"pulleygw.example/pulleygw/internal/tier/turns"
+)
+
+// The end of a move keeps the epoch. Callers with an older membership are not sent to members that may be gone.
+func TestStoreAppliesTheEndOfARebalance(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	c.setMembers(c.currentMembership().Current)
+	c.endRebalance()
+	c.sendControl(m.store)
+	header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch - 1}
+	reply, err := m.store.GetChain(context.Background(), &tierpb.GetChainRequest{Header: header, Id: "turn"})
+	assert.NilError(t, err)
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
+	assert.Equal(t, len(reply.Header.Membership.Previous), 0)
+	control := &tierpb.ControlState{Stores: c.olderMemberships[len(c.olderMemberships)-1]}
+	m.store.UpdateControl(control)
+	known, _ := m.store.Membership()
+	assert.Equal(t, len(known.Previous), 0, "it does not go back")
+}
+
+// What was asked for under a membership is not acknowledged under an older one, wherever that came from.
+func TestWriteIsNotAcknowledgedUnderAnOlderMembership(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, 1, "a", "b", "c")
+		defer c.close()
+		previous := c.currentMembership().Current
+		m := c.add(c.newAddress(1), "a")
+		current := []*tierpb.Node{{Address: m.address, Zone: "a", Identity: m.store.Identity()}}
+		c.changeMembership(current, previous)
+		c.setPartitioned(m, true)
+		options := c.options()
+		options.Now, options.After = time.Now, time.After
+		var asked atomic.Int64
+		options.Membership = func() *tierpb.StoreMembership {
+			if asked.Add(1) == 1 {
+				return c.currentMembership()
+			}
+			return c.olderMembership(1)
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
+		defer cancel()
+		err := turns.NewClient(options).Save(ctx, c.record("turn", ""))
+		assert.ErrorIs(t, err, replica.ErrUncertain)
+	})
+}
+
+// endingRebalance is a network over which the previous members fail a caller once enough of the current ones have answered.
+// When all of them have failed, they hand on what they hold, and the move ends under the same epoch.
+type endingRebalance struct {
+	*cluster
+	mu            sync.Mutex
+	quorumReplied chan struct{} // closed when enough current members have answered
+	replies       int
+	failed        []string
+	ended         bool
+}
+
+func (m *endingRebalance) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
+	isPrevious := slices.ContainsFunc(m.currentMembership().Previous, func(node *tierpb.Node) bool { return node.Address == address })
+	if !isPrevious {
+		err := m.cluster.Call(ctx, address, method, request, reply)
+		m.countReply()
+		return err
+	}
+	select {
+	case <-m.quorumReplied:
+	case <-ctx.Done():
+		return rpc.ErrTimeout
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.failPrevious(address)
+	return rpc.ErrUnreachable
+}
+
+func (m *endingRebalance) countReply() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.replies++
+	if m.replies == replica.ReadQuorum(1, replica.Size(1)) {
+		close(m.quorumReplied)
+	}
+}
+
+func (m *endingRebalance) failPrevious(address string) {
+	if m.ended {
+		return
+	}
+	if !slices.Contains(m.failed, address) {
+		m.failed = append(m.failed, address)
+	}
+	if len(m.failed) < len(m.currentMembership().Previous) {
+		return
+	}
+	for _, failed := range m.failed {
+		assert.NilError(m.t, m.rebalanceOn(m.machines[failed]))
+	}
+	m.ended = true
+	m.endRebalance()
+}
+
+func (m *endingRebalance) clientOptions() replica.Options {
+	options := m.options()
+	options.Caller = m
+	options.CacheBytes = 1
+	return options
+}
+
+// newEndingRebalance is a cluster whose three members are being replaced by three others.
+func newEndingRebalance(t *testing.T, before func(*cluster)) *endingRebalance {
+	t.Helper()
+	c := newCluster(t, 1, "a", "b", "c")
+	before(c)
+	previous := c.currentMembership().Current
+	var current []*tierpb.Node
+	for i, zone := range []string{"a", "b", "c"} {
+		m := c.add(c.newAddress(i), zone)
+		current = append(current, &tierpb.Node{Address: m.address, Zone: zone, Identity: m.store.Identity()})
+	}
+	c.changeMembership(current, previous)
+	return &endingRebalance{cluster: c, quorumReplied: make(chan struct{})}
+}
+
+func TestReadDiscardsRepliesFromBeforeTheEndOfARebalance(t *testing.T) {
+	m := newEndingRebalance(t, func(c *cluster) {
+		assert.NilError(t, c.turns().Save(context.Background(), c.record("turn", "")))
+	})
+	chain, err := turns.NewClient(m.clientOptions()).Chain(context.Background(), "turn")
+	assert.NilError(t, err)
+	assert.Equal(t, len(chain), 1)
+	assert.Assert(t, m.ended)
+}
+
+func TestClaimDiscardsRepliesFromBeforeTheEndOfARebalance(t *testing.T) {
+	const program = "program"
+	m := newEndingRebalance(t, func(c *cluster) {
+		client := budget.NewClient(c.options())
+		assert.NilError(t, client.Reserve(context.Background(), program, maxTokensPerTurn, "first", maxTokensPerTurn))
+	})
+	client := budget.NewClient(m.clientOptions())
+	err := client.Reserve(context.Background(), program, maxTokensPerTurn, "second", maxTokensPerTurn)
+	client.Wait()
+	assert.ErrorIs(t, err, budget.ErrExhausted)
+	assert.Assert(t, m.ended)
+}
--- a/internal/tier/turnstore/cost_test.go
+++ b/internal/tier/turnstore/memory_benchmark_test.go
@@ -25,8 +25,8 @@
 	return read.HeapAlloc
 }
 
-// BenchmarkHeapOfATurn reports what a record costs in memory besides its input and output, and what is reckoned for it.
-func BenchmarkHeapOfATurn(b *testing.B) {
+// BenchmarkHeapPerTurn reports what a record costs in memory besides its input and output, and what is reckoned for it.
+func BenchmarkHeapPerTurn(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
 		held := newState()
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkHeapOfAProgram reports the same for a program with a few claims on its budget.
-func BenchmarkHeapOfAProgram(b *testing.B) {
+// BenchmarkHeapPerProgram reports the same for a program with a few claims on its budget.
+func BenchmarkHeapPerProgram(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
 		held := newState()
--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/memory_disk_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
-var errDiskTrouble = eris.New("simulated trouble of the disk")
+var errDiskFault = eris.New("simulated trouble of the disk")
 
 // memoryFile is a file of a simulated disk: what was synced lasts, what was written behind may.
 type memoryFile struct {
@@ -24,28 +24,19 @@
 // memoryDisk is a simulated disk. Power loss keeps synced bytes and drops or tears the rest; of names it keeps for sure
 // only those that a sync of their folder has covered.
 type memoryDisk struct {
-	mu      sync.Mutex
-	files   map[string]*memoryFile
-	made    map[string]bool   // names of new files, while the folder is not synced
-	renamed map[string]string // new name to old, likewise
-	removed map[string]*memoryFile
-	failing bool
-	syncing func() time.Duration // time of a sync; nil for none. Only under synctest
-	life    int                  // handles of an earlier life do nothing
+	mu              sync.Mutex
+	files           map[string]*memoryFile
+	unsyncedCreates map[string]bool   // names of new files, while the folder is not synced
+	unsyncedRenames map[string]string // new name to old, likewise
+	unsyncedRemoves map[string]*memoryFile
+	failing         bool
+	syncDelay       func() time.Duration // time of a sync; nil for none. Only under synctest
+	incarnation     int                  // handles of an earlier life do nothing
 }
 
-func newMemoryDisk() *memoryDisk {
-	return &memoryDisk{
-		files:   make(map[string]*memoryFile),
-		made:    make(map[string]bool),
-		renamed: make(map[string]string),
-		removed: make(map[string]*memoryFile),
-	}
-}
-
-func (d *memoryDisk) trouble() error {
+func (d *memoryDisk) fault() error {
 	if d.failing {
-		return errDiskTrouble
+		return errDiskFault
 	}
 	return nil
 }
@@ -59,13 +50,13 @@
 func (d *memoryDisk) setSyncTime(syncing func() time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.syncing = syncing
+	d.syncDelay = syncing
 }
 
 func (d *memoryDisk) syncTime() func() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.syncing
+	return d.syncDelay
 }
 
 func (d *memoryDisk) MakeFolder(string) error { return nil }
@@ -95,25 +86,25 @@
 func (d *memoryDisk) Create(path string) (storage.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.trouble(); err != nil {
+	if err := d.fault(); err != nil {
 		return nil, err
 	}
-	d.files[path], d.made[path] = &memoryFile{}, true
-	return &handle{disk: d, file: d.files[path], life: d.life}, nil
+	d.files[path], d.unsyncedCreates[path] = &memoryFile{}, true
+	return &handle{disk: d, file: d.files[path], incarnation: d.incarnation}, nil
 }
 
 func (d *memoryDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.trouble(); err != nil {
+	if err := d.fault(); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
 	delete(d.files, from)
-	d.renamed[to] = from
-	if d.made[from] { // neither name lasts
-		delete(d.made, from)
-		d.made[to] = true
+	d.unsyncedRenames[to] = from
+	if d.unsyncedCreates[from] { // neither name lasts
+		delete(d.unsyncedCreates, from)
+		d.unsyncedCreates[to] = true
 	}
 	return nil
 }
@@ -122,9 +113,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if file := d.files[path]; file != nil {
-		d.removed[path] = file
+		d.unsyncedRemoves[path] = file
 		delete(d.files, path)
-		delete(d.made, path)
+		delete(d.unsyncedCreates, path)
 	}
 	return nil
 }
@@ -132,7 +123,7 @@
 func (d *memoryDisk) SyncFile(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.trouble(); err != nil {
+	if err := d.fault(); err != nil {
 		return err
 	}
 	file := d.files[path]
@@ -146,53 +137,53 @@
 func (d *memoryDisk) SyncFolder(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.trouble(); err != nil {
+	if err := d.fault(); err != nil {
 		return err
 	}
-	clear(d.made)
-	clear(d.renamed)
-	clear(d.removed)
+	clear(d.unsyncedCreates)
+	clear(d.unsyncedRenames)
+	clear(d.unsyncedRemoves)
 	return nil
 }
 
-// end makes handles of the life before do nothing; files stay.
-func (d *memoryDisk) end() {
+// endIncarnation makes handles of the life before do nothing; files stay.
+func (d *memoryDisk) endIncarnation() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
+	d.incarnation++
 }
 
 // losePower ends the life and keeps of what was not synced what chance leaves.
 func (d *memoryDisk) losePower(random *rand.Rand) {
-	d.end()
+	d.endIncarnation()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for path, file := range d.removed {
+	for path, file := range d.unsyncedRemoves {
 		if random.IntN(2) == 0 && d.files[path] == nil {
 			d.files[path] = file
 		}
 	}
-	for to, from := range d.renamed {
+	for to, from := range d.unsyncedRenames {
 		if random.IntN(2) == 0 && d.files[to] != nil {
 			d.files[from] = d.files[to]
 			delete(d.files, to)
 		}
 	}
-	for path := range d.made {
+	for path := range d.unsyncedCreates {
 		if random.IntN(2) == 0 {
 			delete(d.files, path)
 		}
 	}
-	clear(d.made)
-	clear(d.removed)
-	clear(d.renamed)
+	clear(d.unsyncedCreates)
+	clear(d.unsyncedRemoves)
+	clear(d.unsyncedRenames)
 	for path, file := range d.files {
-		d.tear(path, file, random)
+		d.tearUnsynced(path, file, random)
 	}
 }
 
-// tear drops, cuts or spoils what was not synced.
-func (d *memoryDisk) tear(path string, file *memoryFile, random *rand.Rand) {
+// tearUnsynced drops, cuts or spoils what was not synced.
+func (d *memoryDisk) tearUnsynced(path string, file *memoryFile, random *rand.Rand) {
 	loose := len(file.data) - file.synced
 	switch random.IntN(3) {
 	case 0:
@@ -210,17 +201,33 @@
 	}
 }
 
+// openIncarnation returns the disk for a process that starts.
+func (d *memoryDisk) openIncarnation() *diskIncarnation {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return &diskIncarnation{memoryDisk: d, number: d.incarnation}
+}
+
+func newMemoryDisk() *memoryDisk {
+	return &memoryDisk{
+		files:           make(map[string]*memoryFile),
+		unsyncedCreates: make(map[string]bool),
+		unsyncedRenames: make(map[string]string),
+		unsyncedRemoves: make(map[string]*memoryFile),
+	}
+}
+
 type handle struct {
-	disk *memoryDisk
-	file *memoryFile
-	life int
+	disk        *memoryDisk
+	file        *memoryFile
+	incarnation int
 }
 
 func (h *handle) ready() error {
-	if h.life != h.disk.life {
-		return errDiskTrouble
+	if h.incarnation != h.disk.incarnation {
+		return errDiskFault
 	}
-	return h.disk.trouble()
+	return h.disk.fault()
 }
 
 func (h *handle) Write(data []byte) (int, error) {
@@ -247,3 +254,53 @@
 }
 
 func (h *handle) Close() error { return nil }
+
+// diskIncarnation is a simulated disk as one process has it: once that process has ended, none of its calls does anything.
+type diskIncarnation struct {
+	*memoryDisk
+	number int
+}
+
+func (l *diskIncarnation) checkEnded() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.number != l.incarnation {
+		return errDiskFault
+	}
+	return nil
+}
+
+func (l *diskIncarnation) Create(path string) (storage.File, error) {
+	if err := l.checkEnded(); err != nil {
+		return nil, err
+	}
+	return l.memoryDisk.Create(path)
+}
+
+func (l *diskIncarnation) Rename(from, to string) error {
+	if err := l.checkEnded(); err != nil {
+		return err
+	}
+	return l.memoryDisk.Rename(from, to)
+}
+
+func (l *diskIncarnation) Remove(path string) error {
+	if err := l.checkEnded(); err != nil {
+		return err
+	}
+	return l.memoryDisk.Remove(path)
+}
+
+func (l *diskIncarnation) SyncFile(path string) error {
+	if err := l.checkEnded(); err != nil {
+		return err
+	}
+	return l.memoryDisk.SyncFile(path)
+}
+
+func (l *diskIncarnation) SyncFolder(folder string) error {
+	if err := l.checkEnded(); err != nil {
+		return err
+	}
+	return l.memoryDisk.SyncFolder(folder)
+}
--- a/internal/tier/turnstore/schedule_test.go
+++ b/internal/tier/turnstore/random_schedule_test.go
@@ -24,74 +24,23 @@
 // cut off or has lost its disk since the last change of members was over; all may lose power at once.
 type schedule struct {
 	*cluster
-	lost     *machine          // the one that is lost now
-	copied   map[uint64]uint64 // by identity: epoch of the last pass
-	saving   sync.WaitGroup
-	saved    savedTurns
-	programs map[string]*spending
-	next     int
+	failed          *machine          // the one that is lost now
+	completedEpochs map[uint64]uint64 // by identity: epoch of the last pass
+	saving          sync.WaitGroup
+	saved           savedTurns
+	programs        map[string]*spending
+	next            int
 }
 
-// savedTurns lists the turns whose saving was acknowledged.
-type savedTurns struct {
-	mu  sync.Mutex
-	ids []string
-}
-
-func (s *savedTurns) add(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ids = append(s.ids, id)
-}
-
-func (s *savedTurns) list() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.ids)
-}
-
-// spending is what a test knows of a program.
-type spending struct {
-	mu     sync.Mutex
-	budget uint64
-	passed uint64 // claims that passed, settled ones at what they used
-	turns  int
-}
-
-const (
-	mostOfTurn       = 10
-	schedules        = 20
-	eventsInSchedule = 150
-)
-
-func newSchedule(t *testing.T, seed uint64) *schedule {
-	t.Helper()
-	s := &schedule{
-		cluster:  newCluster(t, seed, "a", "b", "c", "a"),
-		copied:   make(map[uint64]uint64),
-		programs: make(map[string]*spending),
-	}
-	s.lagging = true
-	s.clock.now = time.Now()
-	s.latency = randomLatency(seed, 6*time.Millisecond)
-	for _, m := range s.machines {
-		m.disk.setSyncTime(s.latency)
-	}
-	return s
-}
-
-// patient is how long a client tries, in the simulated time of a synctest bubble.
-const patient = 2 * time.Second
-
 // client makes the options of a client in some zone, which may know an older membership.
 func (s *schedule) client(seed uint64) (context.Context, context.CancelFunc, replica.Options) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	options := s.options()
 	options.CacheBytes = 1
 	options.Zone = string(rune('a' + random.IntN(3)))
 	options.Now, options.After = time.Now, time.After
-	outdated := s.outdated(random.IntN(3))
+	outdated := s.olderMembership(random.IntN(3))
 	options.Membership = func() *tierpb.StoreMembership { return outdated }
 	return ctx, cancel, options
 }
@@ -103,21 +52,21 @@
 	case event < 60:
 		s.spend()
 	case event < 66:
-		s.lose()
+		s.failMachine()
 	case event < 74:
 		s.restore()
 	case event < 78:
 		s.replace()
 	case event < 80:
-		s.grow()
+		s.addMachine()
 	case event < 82:
-		s.shrink()
+		s.removeMachine()
 	case event < 95:
-		s.passSomewhere()
+		s.rebalanceSomewhere()
 	case event < 97:
-		s.allLosePower()
+		s.losePowerEverywhere()
 	default:
-		s.merge()
+		s.compactSomewhere()
 	}
 }
 
@@ -168,27 +117,27 @@
 	ctx, cancel, options := s.client(seed)
 	defer cancel()
 	client := budget.NewClient(options)
-	if client.Reserve(ctx, name, known.budget, request, mostOfTurn) != nil {
+	if client.Reserve(ctx, name, known.budget, request, maxTokensPerTurn) != nil {
 		client.Wait()
 		return
 	}
-	used := uint64(mostOfTurn)
+	used := uint64(maxTokensPerTurn)
 	if seed%3 == 0 {
-		used = seed % mostOfTurn
+		used = seed % maxTokensPerTurn
 		client.Settle(name, request, used)
 		client.Wait()
 	}
 	known.mu.Lock()
 	defer known.mu.Unlock()
-	known.passed += used
-	assert.Check(s.t, known.passed <= known.budget, "%s: %d of %d", name, known.passed, known.budget)
+	known.reserved += used
+	assert.Check(s.t, known.reserved <= known.budget, "%s: %d of %d", name, known.reserved, known.budget)
 }
 
-// some picks a running machine.
-func (s *schedule) some() *machine {
+// randomMachine picks a running machine.
+func (s *schedule) randomMachine() *machine {
 	var addresses []string
 	for address, m := range s.machines {
-		if m.store != nil && m != s.lost {
+		if m.store != nil && m != s.failed {
 			addresses = append(addresses, address)
 		}
 	}
@@ -196,96 +145,96 @@
 	return s.machines[addresses[s.random.IntN(len(addresses))]]
 }
 
-// lose takes one machine away in one of the ways there are.
-func (s *schedule) lose() {
-	if s.lost != nil || len(s.known().Previous) > 0 {
+// failMachine takes one machine away in one of the ways there are.
+func (s *schedule) failMachine() {
+	if s.failed != nil || len(s.currentMembership().Previous) > 0 {
 		return
 	}
-	s.lost = s.some()
+	s.failed = s.randomMachine()
 	switch s.random.IntN(4) {
 	case 0:
-		s.kill(s.lost)
+		s.kill(s.failed)
 	case 1:
-		s.losePower(s.lost)
+		s.losePower(s.failed)
 	case 2:
-		s.wipe(s.lost)
+		s.wipe(s.failed)
 	case 3:
-		s.setCut(s.lost, true)
+		s.setPartitioned(s.failed, true)
 	}
 }
 
 // restore brings the lost machine back. One with another identity is taken in by a change of members.
 func (s *schedule) restore() {
-	if s.lost == nil {
+	if s.failed == nil {
 		return
 	}
-	m := s.lost
-	s.setCut(m, false)
+	m := s.failed
+	s.setPartitioned(m, false)
 	if m.store == nil {
 		s.start(m)
 	}
-	s.teach(m.store)
-	if replica.Contains(s.known().Current, m.store.Identity()) {
-		s.lost = nil
+	s.sendControl(m.store)
+	if replica.Contains(s.currentMembership().Current, m.store.Identity()) {
+		s.failed = nil
 		return
 	}
-	if len(s.known().Previous) == 0 {
-		s.setMembers(s.known().Current)
+	if len(s.currentMembership().Previous) == 0 {
+		s.setMembers(s.currentMembership().Current)
 	}
 }
 
 // replace puts an empty machine at another address in the place of the lost one, for good.
 func (s *schedule) replace() {
-	if s.lost == nil || len(s.known().Previous) > 0 {
+	if s.failed == nil || len(s.currentMembership().Previous) > 0 {
 		return
 	}
-	s.remove(s.lost)
-	s.lost = s.add(s.nextAddress(), s.lost.zone)
-	s.setMembers(s.known().Current)
+	s.remove(s.failed)
+	s.failed = s.add(s.nextAddress(), s.failed.zone)
+	s.setMembers(s.currentMembership().Current)
 }
 
 func (s *schedule) nextAddress() string {
 	s.next++
-	return s.freshAddress(s.next)
+	return s.newAddress(s.next)
 }
 
-// grow adds a machine, also while members change: what was current is then replaced, what was previous stays.
-func (s *schedule) grow() {
-	if len(s.machines) >= 6 || s.lost != nil {
+// addMachine adds a machine, also while members change: what was current is then replaced, what was previous stays.
+func (s *schedule) addMachine() {
+	if len(s.machines) >= 6 || s.failed != nil {
 		return
 	}
 	s.add(s.nextAddress(), "d")
-	previous := s.known().Previous
+	previous := s.currentMembership().Previous
 	if len(previous) == 0 {
-		previous = s.known().Current
+		previous = s.currentMembership().Current
 	}
 	s.setMembers(previous)
 }
 
-// shrink empties a machine and takes it away when its records have moved.
-func (s *schedule) shrink() {
-	if len(s.machines) <= 3 || s.lost != nil || len(s.known().Previous) > 0 {
+// removeMachine empties a machine and takes it away when its records have moved.
+func (s *schedule) removeMachine() {
+	if len(s.machines) <= 3 || s.failed != nil || len(s.currentMembership().Previous) > 0 {
 		return
 	}
-	victim := s.some()
-	before := s.known().Current
+	victim := s.randomMachine()
+	before := s.currentMembership().Current
 	isVictim := func(node *tierpb.Node) bool { return node.Address == victim.address }
-	s.change(slices.DeleteFunc(slices.Clone(before), isVictim), before)
+	s.changeMembership(slices.DeleteFunc(slices.Clone(before), isVictim), before)
 }
 
-// passSomewhere has a store of the previous members make its pass, and ends the change when enough have.
-func (s *schedule) passSomewhere() {
-	members := s.known()
+// rebalanceSomewhere has a store of the previous members make its pass, and ends the change when enough have.
+func (s *schedule) rebalanceSomewhere() {
+	members := s.currentMembership()
 	if len(members.Previous) == 0 {
 		return
 	}
-	m := s.some()
-	if replica.Contains(members.Previous, m.store.Identity()) && s.interrupted(m) == nil {
-		s.copied[m.store.Identity()] = members.Epoch
+	m := s.randomMachine()
+	if replica.Contains(members.Previous, m.store.Identity()) && s.rebalanceWithCrash(m) == nil {
+		s.completedEpochs[m.store.Identity()] = members.Epoch
 	}
 	reported := 0
 	for _, node := range members.Previous {
-		if s.copied[node.Identity] >= members.Epoch {
+		if s.completedEpochs[node.Identity] >= members.Epoch {
 			reported++
 		}
 	}
@@ -294,23 +243,23 @@
 	}
 	s.dropPrevious()
 	for _, m := range s.machines {
-		if m.store != nil && !replica.Contains(members.Current, m.store.Identity()) && m != s.lost {
+		if m.store != nil && !replica.Contains(members.Current, m.store.Identity()) && m != s.failed {
 			s.remove(m)
 		}
 	}
-	if s.lost != nil && s.lost.store != nil && replica.Contains(members.Current, s.lost.store.Identity()) {
-		s.lost = nil
+	if s.failed != nil && s.failed.store != nil && replica.Contains(members.Current, s.failed.store.Identity()) {
+		s.failed = nil
 	}
 }
 
-// interrupted makes a pass that may be stopped at a numbered point; the store then starts again.
-func (s *schedule) interrupted(m *machine) error {
+// rebalanceWithCrash makes a pass that may be stopped at a numbered point; the store then starts again.
+func (s *schedule) rebalanceWithCrash(m *machine) error {
 	if s.random.IntN(3) > 0 {
-		return s.pass(m)
+		return s.rebalanceOn(m)
 	}
-	m.stopAfter(s.random.IntN(4))
-	err := s.pass(m)
-	m.goOn()
+	m.crashAfter(s.random.IntN(4))
+	err := s.rebalanceOn(m)
+	m.disarmCrash()
 	if err != nil || m.store.wal.hasFailed() {
 		s.kill(m)
 		s.start(m)
@@ -318,24 +267,24 @@
 	return err
 }
 
-func (s *schedule) allLosePower() {
+func (s *schedule) losePowerEverywhere() {
 	for _, m := range s.machines {
 		if m.store != nil {
 			s.losePower(m)
 		}
 	}
 	for _, m := range s.machines {
-		if m != s.lost || s.random.IntN(2) == 0 {
+		if m != s.failed || s.random.IntN(2) == 0 {
 			s.start(m)
 		}
 	}
 }
 
-func (s *schedule) merge() {
-	m := s.some()
-	m.stopAfter(s.random.IntN(4))
+func (s *schedule) compactSomewhere() {
+	m := s.randomMachine()
+	m.crashAfter(s.random.IntN(4))
 	err := m.store.Compact(context.Background())
-	m.goOn()
+	m.disarmCrash()
 	if errors.Is(err, failpoint.ErrStopped) || m.store.wal.hasFailed() {
 		s.losePower(m)
 		s.start(m)
@@ -345,7 +294,7 @@
 // check reads everything that was acknowledged.
 func (s *schedule) check() {
 	s.saving.Wait()
-	s.teachAll()
+	s.sendControlToAll()
 	for _, id := range s.saved.list() {
 		ctx, cancel, options := s.client(s.random.Uint64())
 		chain, err := turns.NewClient(options).Chain(ctx, id)
@@ -360,13 +309,80 @@
 	}
 }
 
+// describe lists the machines and which of them hold a turn.
+func (s *schedule) describe(id string) string {
+	text := fmt.Sprintf("epoch %d, previous %d", s.currentMembership().Epoch, len(s.currentMembership().Previous))
+	for address, m := range s.machines {
+		if m.store == nil {
+			text += fmt.Sprintf("\n%s is down", address)
+			continue
+		}
+		m.store.mu.Lock()
+		text += fmt.Sprintf("\n%s identity %d epoch %d cut %v lost %v holds %v disk %v", address, m.store.identity,
+			m.store.membership.GetEpoch(), s.partitioned[address], m == s.failed, m.store.state.records[id] != nil, m.store.wal.checkWritable())
+		m.store.mu.Unlock()
+	}
+	return text
+}
+
+// savedTurns lists the turns whose saving was acknowledged.
+type savedTurns struct {
+	mu  sync.Mutex
+	ids []string
+}
+
+func (s *savedTurns) add(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ids = append(s.ids, id)
+}
+
+func (s *savedTurns) list() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.ids)
+}
+
+// spending is what a test knows of a program.
+type spending struct {
+	mu       sync.Mutex
+	budget   uint64
+	reserved uint64 // claims that passed, settled ones at what they used
+	turns    int
+}
+
+const (
+	maxTokensPerTurn = 10
+	schedules        = 20
+	scheduleEvents   = 150
+)
+
+func newSchedule(t *testing.T, seed uint64) *schedule {
+	t.Helper()
+	s := &schedule{
+		cluster:         newCluster(t, seed, "a", "b", "c", "a"),
+		completedEpochs: make(map[uint64]uint64),
+		programs:        make(map[string]*spending),
+	}
+	s.delayedUpdates = true
+	s.clock.now = time.Now()
+	s.latency = randomLatency(seed, 6*time.Millisecond)
+	for _, m := range s.machines {
+		m.disk.setSyncTime(s.latency)
+	}
+	return s
+}
+
+// clientTimeout is how long a client tries, in the simulated time of a synctest bubble.
+const clientTimeout = 2 * time.Second
+
 func TestRandomSchedulesLoseNoTurnAndOverspendNoBudget(t *testing.T) {
 	for seed := range uint64(schedules) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSchedule(t, seed)
 			defer s.close()
 			defer s.saving.Wait()
-			for range eventsInSchedule {
+			for range scheduleEvents {
 				s.step(s.random.IntN(100))
 			}
 			s.check()
@@ -376,19 +392,3 @@
 		}
 	}
 }
-
-// describe lists the machines and which of them hold a turn.
-func (s *schedule) describe(id string) string {
-	text := fmt.Sprintf("epoch %d, previous %d", s.known().Epoch, len(s.known().Previous))
-	for address, m := range s.machines {
-		if m.store == nil {
-			text += fmt.Sprintf("\n%s is down", address)
-			continue
-		}
-		m.store.mu.Lock()
-		text += fmt.Sprintf("\n%s identity %d epoch %d cut %v lost %v holds %v disk %v", address, m.store.identity,
-			m.store.membership.GetEpoch(), s.cut[address], m == s.lost, m.store.state.records[id] != nil, m.store.wal.checkWritable())
-		m.store.mu.Unlock()
-	}
-	return text
-}
--- /dev/null
+++ b/internal/tier/turnstore/rebalance_test.go
@@ -0,0 +1,77 @@
+package turnstore
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// A member that has a record already may lack the time until which it is to be kept.
+func TestRebalanceTransfersExtendedRetention(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	extension := &tierpb.RetentionExtension{Id: "turn", UntilUnixMs: c.clock.time().Add(time.Hour).UnixMilli()}
+	previous := c.currentMembership().Current
+	current := []*tierpb.Node{}
+	for _, m := range c.machines {
+		assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
+		if m.zone == "c" {
+			current = append(current, &tierpb.Node{Address: m.address, Zone: m.zone, Identity: m.store.Identity()})
+			continue
+		}
+		header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
+		_, err := m.store.PutTurns(context.Background(),
+			&tierpb.PutTurnsRequest{Header: header, Extensions: []*tierpb.RetentionExtension{extension}})
+		assert.NilError(t, err)
+	}
+	for i, zone := range []string{"a", "b"} {
+		m := c.add(c.newAddress(i), zone)
+		current = append(current, &tierpb.Node{Address: m.address, Zone: zone, Identity: m.store.Identity()})
+	}
+	c.changeMembership(current, previous)
+	for _, node := range previous {
+		assert.NilError(t, c.rebalanceOn(c.machines[node.Address]))
+	}
+	c.clock.advance(30 * time.Minute)
+	copies := 0
+	for _, node := range current {
+		store := c.machines[node.Address].store
+		store.state.removeExpired(c.clock.time())
+		copies += store.Records()
+	}
+	assert.Assert(t, copies >= 2, "%d copies", copies)
+}
+
+// A copy that is held and not synced yet is no copy, neither to the store itself nor to another that offers it.
+func TestReplicaCountsOnlyWhenItIsSynced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, 1, "a", "b", "c")
+		defer c.close()
+		m := c.machines["10.0.0.1:1"]
+		previous := c.currentMembership().Current
+		c.add(c.newAddress(1), "d")
+		c.setMembers(previous)
+		m.disk.setSyncTime(func() time.Duration { return 200 * time.Millisecond })
+		go put(c, m, c.record("turn", ""))
+		copies := func() (own int, lacking int) {
+			work := &rebalance{store: m.store, caller: c, tolerance: 3, membership: c.currentMembership(), after: firesAtOnce}
+			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
+			request := &tierpb.OfferRecordsRequest{Header: header, Ids: []string{"turn"}}
+			reply, err := m.store.OfferRecords(context.Background(), request)
+			assert.NilError(t, err)
+			return len(work.newProgress(transferKey{name: "turn"}).durableOn), len(reply.Missing)
+		}
+		time.Sleep(100 * time.Millisecond)
+		own, lacking := copies()
+		assert.Equal(t, own, 0)
+		assert.Equal(t, lacking, 1)
+		time.Sleep(200 * time.Millisecond)
+		own, lacking = copies()
+		assert.Equal(t, own, 1)
+		assert.Equal(t, lacking, 0)
+	})
+}
--- a/internal/tier/turnstore/rot_test.go
+++ b/internal/tier/turnstore/recovery_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"maps"
-	"slices"
 	"strings"
 	"testing"
 
@@ -13,23 +12,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// fileOf returns the first file whose name has a prefix.
-func fileOf(t *testing.T, m *machine, prefix string) *memoryFile {
-	t.Helper()
-	for _, path := range slices.Sorted(maps.Keys(m.disk.files)) {
-		if strings.HasPrefix(path, "data/"+prefix) {
-			return m.disk.files[path]
-		}
-	}
-	t.Fatalf("no file is named %s", prefix)
-	return nil
-}
-
-// spoil flips a bit of a file's first frame.
-func spoil(file *memoryFile) { file.data[len(fileMagic)+frameHeaderBytes+1] ^= 1 }
-
-// wantAnotherOnce starts a machine and wants it to be another node than before, and the same one at each further start.
-func (c *cluster) wantAnotherOnce(m *machine, before uint64) {
+// startAndExpectNewIdentityOnce starts a machine and wants it to be another node than before, and the same one at each further start.
+func (c *cluster) startAndExpectNewIdentityOnce(m *machine, before uint64) {
 	c.t.Helper()
 	c.start(m)
 	after := m.store.Identity()
@@ -43,19 +27,32 @@
 
 // A disk that has lost what it had made durable is one loss, however often the process starts again: at each further
 // identity as many machines fewer may be lost.
-func TestDamagedMergedFileMakesAnotherNodeOnce(t *testing.T) {
+func TestDamagedCompactedFileGivesANewIdentityOnce(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
 	assert.NilError(t, m.store.Compact(context.Background()))
 	before := m.store.Identity()
 	c.kill(m)
-	spoil(fileOf(t, m, compactedPrefix))
-	c.wantAnotherOnce(m, before)
+	corruptFirstFrame(firstFile(t, m, compactedPrefix))
+	c.startAndExpectNewIdentityOnce(m, before)
+}
+
+func TestCorruptCompactedFileGivesANewIdentity(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	put(c, m, c.record("turn", ""))
+	assert.NilError(t, m.store.Compact(context.Background()))
+	before := m.store.Identity()
+	c.kill(m)
+	file := firstFile(t, m, compactedPrefix)
+	file.data[len(file.data)-3] ^= 1
+	c.start(m)
+	assert.Assert(t, m.store.Identity() != before)
 }
 
 // A merged file that is gone whole is a loss as one that is damaged: it held all that was acknowledged before it.
-func TestMissingMergedFileMakesAnotherNodeOnce(t *testing.T) {
+func TestMissingCompactedFileGivesANewIdentityOnce(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
@@ -64,11 +61,11 @@
 	before := m.store.Identity()
 	c.kill(m)
 	maps.DeleteFunc(m.disk.files, func(path string, _ *memoryFile) bool { return strings.HasPrefix(path, "data/"+compactedPrefix) })
-	c.wantAnotherOnce(m, before)
+	c.startAndExpectNewIdentityOnce(m, before)
 }
 
 // Builds before save no number of their merged files, and merge on beside an older number: neither is a loss.
-func TestMergedFilesOfABuildBeforeAreNoLoss(t *testing.T) {
+func TestCompactedFilesOfOlderVersionsAreNotDamage(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	before := m.store.Identity()
@@ -92,20 +89,20 @@
 
 // What is not whole in the middle of a segment was synced: a store that has lost it is another node, never the same one
 // that says "no such turn" of what it has acknowledged.
-func TestRottenSegmentMakesAnotherNode(t *testing.T) {
+func TestCorruptSegmentGivesANewIdentity(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
 	assert.Equal(t, put(c, m, c.record("second", "")), tierpb.StoreStatus_STORE_OK)
 	before := m.store.Identity()
 	c.kill(m)
-	spoil(fileOf(t, m, segmentPrefix))
+	corruptFirstFrame(firstFile(t, m, segmentPrefix))
 	c.start(m)
 	assert.Assert(t, m.store.Identity() != before, "%d records are left", m.store.Records())
 }
 
 // The same for a segment that has lost its end, or all of it.
-func TestShortenedSegmentMakesAnotherNode(t *testing.T) {
+func TestTruncatedSegmentGivesANewIdentity(t *testing.T) {
 	for _, length := range []int{0, len(fileMagic) - 1, len(fileMagic), 40} {
 		c := newCluster(t, 1, "a", "b", "c")
 		m := c.machines["10.0.0.1:1"]
@@ -113,15 +110,34 @@
 		assert.Equal(t, put(c, m, c.record("second", "")), tierpb.StoreStatus_STORE_OK)
 		before := m.store.Identity()
 		c.kill(m)
-		file := fileOf(t, m, segmentPrefix)
+		file := firstFile(t, m, segmentPrefix)
 		file.data = file.data[:length]
 		c.start(m)
 		assert.Assert(t, m.store.Identity() != before, "cut to %d bytes: %d records are left", length, m.store.Records())
 	}
 }
 
+// A store that starts with an older membership than it has reported would take writes that nobody hands on.
+func TestDamagedMembershipGivesANewIdentity(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	assert.NilError(t, m.store.saveMembership(c.currentMembership()))
+	before := m.store.Identity()
+	c.kill(m)
+	damaged := 0
+	for path, file := range m.disk.files {
+		if strings.HasPrefix(path, "data/"+membershipSeries) {
+			file.data[len(file.data)-1] ^= 1
+			damaged++
+		}
+	}
+	assert.Equal(t, damaged, 1)
+	c.start(m)
+	assert.Assert(t, m.store.Identity() != before)
+}
+
 // An end that was torn as it was written was never acknowledged: the store is the same as before, with what it had.
-func TestTornEndIsNoDamage(t *testing.T) {
+func TestTornWriteIsNotDamage(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newCluster(t, seed, "a", "b", "c")
 		m := c.machines["10.0.0.1:1"]
@@ -129,9 +145,9 @@
 		for number := range 1 + seed%3 {
 			assert.Equal(t, put(c, m, c.record(fmt.Sprint("turn ", number), "")), tierpb.StoreStatus_STORE_OK)
 		}
-		m.stopAfter(int(seed % 2)) // behind the write, or behind its sync
+		m.crashAfter(int(seed % 2)) // behind the write, or behind its sync
 		put(c, m, c.record("torn", ""))
-		m.goOn()
+		m.disarmCrash()
 		c.losePower(m)
 		c.start(m)
 		assert.Equal(t, m.store.Identity(), before, "seed %d", seed)
@@ -140,13 +156,13 @@
 }
 
 // Marks that cannot be written, or that a loss of power takes, cost nothing that is held.
-func TestMarksThatAreLostChangeNothing(t *testing.T) {
+func TestLostOffsetsChangeNothing(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	before := m.store.Identity()
 	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
 	c.kill(m)
-	file := fileOf(t, m, offsetsPrefix)
+	file := firstFile(t, m, offsetsPrefix)
 	file.data = append(file.data, "not a mark, nor the whole of one"...)
 	c.start(m)
 	assert.Equal(t, m.store.Identity(), before)
@@ -162,20 +178,22 @@
 	assert.Equal(t, m.store.Records(), 2)
 }
 
-// Marks go with the segments that a merged file replaces.
-func TestMergedFileReplacesMarks(t *testing.T) {
-	c := newCluster(t, 1, "a", "b", "c")
-	m := c.machines["10.0.0.1:1"]
-	before := m.store.Identity()
-	assert.Equal(t, put(c, m, c.record("first", "")), tierpb.StoreStatus_STORE_OK)
-	c.kill(m)
-	c.start(m)
-	assert.NilError(t, m.store.Compact(context.Background()))
-	c.kill(m)
-	for path := range m.disk.files {
-		assert.Assert(t, !strings.HasPrefix(path, "data/"+offsetsPrefix) && !strings.HasPrefix(path, "data/"+segmentPrefix), path)
+// A process that is killed between writing and syncing leaves what the next one reads, counts as a copy and
+// acknowledges: by then it has to be synced.
+func TestRecoveredDataSurvivesAPowerLoss(t *testing.T) {
+	for seed := range uint64(20) {
+		c := newCluster(t, seed, "a", "b", "c")
+		m := c.machines["10.0.0.1:1"]
+		assert.Equal(t, put(c, m, c.record("before", "")), tierpb.StoreStatus_STORE_OK)
+		m.crashAfter(0)
+		record := c.record("turn", "")
+		assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_FULL)
+		m.disarmCrash()
+		c.kill(m)
+		c.start(m)
+		assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_OK)
+		c.losePower(m)
+		c.start(m)
+		assert.Equal(t, m.store.Records(), 2, "seed %d", seed)
 	}
-	c.start(m)
-	assert.Equal(t, m.store.Identity(), before)
-	assert.Equal(t, m.store.Records(), 1)
 }
--- a/internal/tier/turnstore/extend_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -13,7 +13,23 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-func TestLongChainIsKeptAsLongAsItsLastTurn(t *testing.T) {
+func TestChainIsRetainedAsLongAsItsLastTurn(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	put(c, m, c.record("first", ""))
+	c.clock.advance(2 * time.Minute)
+	put(c, m, c.record("second", "first"))
+	put(c, m, c.record("other", ""))
+	c.clock.advance(2*time.Minute + time.Second)
+	m.store.state.removeExpired(c.clock.time())
+	assert.Equal(t, m.store.Records(), 3)
+	c.clock.advance(time.Minute)
+	m.store.state.removeExpired(c.clock.time())
+	assert.Equal(t, m.store.Records(), 0)
+	assert.Equal(t, m.store.state.bytes, 0)
+}
+
+func TestLongChainIsRetainedAsLongAsItsLastTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c", "d", "a", "b")
 		defer c.close()
@@ -42,41 +58,6 @@
 	})
 }
 
-// A member that has a record already may lack the time until which it is to be kept.
-func TestMoveHandsOnHowLongARecordIsKept(t *testing.T) {
-	c := newCluster(t, 1, "a", "b", "c")
-	extension := &tierpb.RetentionExtension{Id: "turn", UntilUnixMs: c.clock.time().Add(time.Hour).UnixMilli()}
-	previous := c.known().Current
-	current := []*tierpb.Node{}
-	for _, m := range c.machines {
-		assert.Equal(t, put(c, m, c.record("turn", "")), tierpb.StoreStatus_STORE_OK)
-		if m.zone == "c" {
-			current = append(current, &tierpb.Node{Address: m.address, Zone: m.zone, Identity: m.store.Identity()})
-			continue
-		}
-		header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
-		_, err := m.store.PutTurns(context.Background(),
-			&tierpb.PutTurnsRequest{Header: header, Extensions: []*tierpb.RetentionExtension{extension}})
-		assert.NilError(t, err)
-	}
-	for i, zone := range []string{"a", "b"} {
-		m := c.add(c.freshAddress(i), zone)
-		current = append(current, &tierpb.Node{Address: m.address, Zone: zone, Identity: m.store.Identity()})
-	}
-	c.change(current, previous)
-	for _, node := range previous {
-		assert.NilError(t, c.pass(c.machines[node.Address]))
-	}
-	c.clock.advance(30 * time.Minute)
-	copies := 0
-	for _, node := range current {
-		store := c.machines[node.Address].store
-		store.state.removeExpired(c.clock.time())
-		copies += store.Records()
-	}
-	assert.Assert(t, copies >= 2, "%d copies", copies)
-}
-
 // An extension that comes again is acknowledged when the first is synced, not before.
 func TestRepeatedExtensionWaitsForTheSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +68,7 @@
 		m.disk.setSyncTime(func() time.Duration { return 100 * time.Millisecond })
 		until := c.clock.time().Add(time.Hour).UnixMilli()
 		extend := func() {
-			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.known().Epoch}
+			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
 			extensions := []*tierpb.RetentionExtension{{Id: "turn", UntilUnixMs: until}}
 			_, err := m.store.PutTurns(context.Background(), &tierpb.PutTurnsRequest{Header: header, Extensions: extensions})
 			assert.NilError(t, err)
@@ -95,12 +76,12 @@
 		go extend()
 		time.Sleep(50 * time.Millisecond)
 		extend()
-		assert.Equal(t, held(m.disk).records["turn"].expiresUnixMs, until)
+		assert.Equal(t, durableState(m.disk).records["turn"].expiresUnixMs, until)
 	})
 }
 
 // The clock of a store may be ahead by the slack: a record is still kept for all of its retention.
-func TestClockThatIsAheadByTheSlackKeepsRecords(t *testing.T) {
+func TestClockAheadByTheGracePeriodKeepsRecords(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
 	record := c.record("turn", "")
--- a/internal/tier/turnstore/traffic_test.go
+++ b/internal/tier/turnstore/simulation_clients_test.go
@@ -15,27 +15,27 @@
 )
 
 // clientOptions is a client's that hears of changes later than the stores.
-func (w *world) clientOptions(seed uint64) (context.Context, context.CancelFunc, replica.Options) {
+func (w *simulation) clientOptions(seed uint64) (context.Context, context.CancelFunc, replica.Options) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	options := w.options()
 	options.CacheBytes = 1
 	options.Zone = string(rune('a' + random.IntN(5)))
 	options.Now, options.After = time.Now, time.After
-	lag := time.Duration(random.Int64N(int64(mostLag)))
+	lag := time.Duration(random.Int64N(int64(maxUpdateLag)))
 	if random.IntN(4) == 0 {
-		lag = time.Duration(random.Int64N(int64(cutOffLag)))
+		lag = time.Duration(random.Int64N(int64(partitionedUpdateLag)))
 	}
-	options.Membership = func() *tierpb.StoreMembership { return w.heardOf(lag) }
-	if known := w.heardOf(0); random.IntN(3) == 0 && len(known.GetCurrent()) > 0 {
+	options.Membership = func() *tierpb.StoreMembership { return w.membershipBefore(lag) }
+	if known := w.membershipBefore(0); random.IntN(3) == 0 && len(known.GetCurrent()) > 0 {
 		members := append(slices.Clone(known.Current), known.Previous...)
-		options.Caller = &partial{cluster: w.cluster, cut: members[random.IntN(len(members))].Address}
+		options.Caller = &partialNetwork{cluster: w.cluster, unreachable: members[random.IntN(len(members))].Address}
 	}
 	return ctx, cancel, options
 }
 
-// heardOf is the membership that was the newest some time ago.
-func (w *world) heardOf(lag time.Duration) *tierpb.StoreMembership {
+// membershipBefore is the membership that was the newest some time ago.
+func (w *simulation) membershipBefore(lag time.Duration) *tierpb.StoreMembership {
 	w.cluster.mu.Lock()
 	defer w.cluster.mu.Unlock()
 	for i := len(w.history) - 1; i >= 0; i-- {
@@ -46,18 +46,18 @@
 	return nil
 }
 
-// blame notes what a client found that must not be.
-func (w *world) blame(format string, values ...any) {
+// reportViolation notes what a client found that must not be.
+func (w *simulation) reportViolation(format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrong += fmt.Sprintf(format, values...)
+	w.violations += fmt.Sprintf(format, values...)
 }
 
-func (w *world) save() {
-	w.names++
-	id := fmt.Sprintf("turn-%d", w.names)
+func (w *simulation) save() {
+	w.nextName++
+	id := fmt.Sprintf("turn-%d", w.nextName)
 	record, seed := w.record(id, ""), w.random.Uint64()
-	record.RetentionMs = uint32(worldKept.Milliseconds())
+	record.RetentionMs = uint32(simulationRetention.Milliseconds())
 	w.clients.Go(func() {
 		ctx, cancel, options := w.clientOptions(seed)
 		defer cancel()
@@ -69,7 +69,7 @@
 	})
 }
 
-func (w *world) read() {
+func (w *simulation) read() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.oracle.turns) == 0 {
@@ -80,46 +80,46 @@
 		ctx, cancel, options := w.clientOptions(seed)
 		defer cancel()
 		if _, err := turns.NewClient(options).Chain(ctx, id); errors.Is(err, turns.ErrNotFound) {
-			w.blame("%s is not found", id)
+			w.reportViolation("%s is not found", id)
 		}
 	})
 }
 
 // spend has some turns of a program claim at the same time: of a new program, or of one that has claimed before.
-func (w *world) spend() {
+func (w *simulation) spend() {
 	at := w.random.IntN(1 + 2*len(w.programs))
 	if at >= len(w.programs) {
 		at = len(w.programs)
-		w.programs = append(w.programs, &spending{budget: uint64(mostOfTurn * (1 + w.random.IntN(3)))})
+		w.programs = append(w.programs, &spending{budget: uint64(maxTokensPerTurn * (1 + w.random.IntN(3)))})
 	}
 	for range 1 + w.random.IntN(4) {
 		w.claim(fmt.Sprintf("program-%d", at), w.programs[at])
 	}
 }
 
-func (w *world) claim(program string, spent *spending) {
-	w.names++
-	request, seed := fmt.Sprintf("claim-%d", w.names), w.random.Uint64()
+func (w *simulation) claim(program string, spent *spending) {
+	w.nextName++
+	request, seed := fmt.Sprintf("claim-%d", w.nextName), w.random.Uint64()
 	w.clients.Go(func() {
 		ctx, cancel, options := w.clientOptions(seed)
 		defer cancel()
 		client := budget.NewClient(options)
-		if client.Reserve(ctx, program, spent.budget, request, mostOfTurn) != nil {
+		if client.Reserve(ctx, program, spent.budget, request, maxTokensPerTurn) != nil {
 			client.Wait()
 			return
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.oracle.passed = append(w.oracle.passed, claimed{program: program, request: request})
-		spent.passed += mostOfTurn
-		if spent.passed > spent.budget {
-			w.wrong += fmt.Sprintf("%s: %d of %d", program, spent.passed, spent.budget)
+		w.oracle.newClaims = append(w.oracle.newClaims, acknowledgedClaim{program: program, request: request})
+		spent.reserved += maxTokensPerTurn
+		if spent.reserved > spent.budget {
+			w.violations += fmt.Sprintf("%s: %d of %d", program, spent.reserved, spent.budget)
 		}
 	})
 }
 
-// nowOptions is a client's that knows the newest membership.
-func (w *world) nowOptions() replica.Options {
+// currentOptions is a client's that knows the newest membership.
+func (w *simulation) currentOptions() replica.Options {
 	options := w.options()
 	options.CacheBytes = 1
 	options.Now, options.After = time.Now, time.After
--- /dev/null
+++ b/internal/tier/turnstore/simulation_placement_test.go
@@ -0,0 +1,130 @@
+package turnstore
+
+import (
+	"slices"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/placement"
+	"pulleygw.example/pulleygw/internal/tier/replica"
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// sendJoin has a store call the coordinators, which may miss it.
+func (w *simulation) sendJoin(m *machine) {
+	running := w.rebalancers[m]
+	copied := running.rebalancer.CompletedEpoch()
+	if time.Since(running.lastJoin) < joinInterval && copied == running.reportedEpoch {
+		return
+	}
+	running.lastJoin, running.reportedEpoch = time.Now(), copied
+	for _, joins := range w.receivedJoins {
+		if w.random.IntN(8) == 0 {
+			continue
+		}
+		node := w.node(m)
+		join, known := joins[node.Identity]
+		if !known {
+			join.First = time.Now()
+		}
+		join.Heard = time.Now()
+		join.Request = &tierpb.JoinRequest{Node: node, CopiedEpoch: copied}
+		joins[node.Identity] = join
+	}
+}
+
+// runPlacement takes the next step by what one coordinator has heard.
+func (w *simulation) runPlacement(joins map[uint64]placement.Join) {
+	view := &placement.View{
+		Now: time.Now(), Since: w.began, Tolerance: w.tolerance, CatchUp: catchUp, MoveSeen: w.moveSeen,
+	}
+	for _, join := range joins {
+		if time.Since(join.Heard) < time.Minute {
+			view.Joins = append(view.Joins, join)
+		}
+	}
+	slices.SortFunc(view.Joins, func(a, b placement.Join) int {
+		return int(a.Request.Node.Identity) - int(b.Request.Node.Identity)
+	})
+	next, reason := placement.Stores(w.control.CloneVT(), view)
+	if reason != "" {
+		assert.Assert(w.t, w.toleranceExceeded || reason != "records moved, but more disks were lost than are tolerated")
+		w.logEvent("%s", reason)
+		w.publish(next)
+	}
+}
+
+func (w *simulation) publish(next *tierpb.ControlState) {
+	if next.Stores.Epoch != w.control.Stores.Epoch {
+		w.moveSeen = time.Now()
+	}
+	w.control = next
+	w.logEvent("epoch %d: %v, previous %v", next.Stores.Epoch, identitiesOf(next.Stores.Current), identitiesOf(next.Stores.Previous))
+	w.cluster.mu.Lock()
+	w.membership = next.Stores
+	w.history = append(w.history, published{time.Now(), next.Stores})
+	w.cluster.mu.Unlock()
+}
+
+// endRecoveredFailures takes away machines that were emptied, and ends losses that are over.
+func (w *simulation) endRecoveredFailures() {
+	for _, retirement := range w.control.Retirements {
+		if m := w.machines[retirement.Node]; m != nil && retirement.Completed {
+			w.logEvent("emptied %s", m.address)
+			w.decommission(m)
+		}
+	}
+	stores := w.control.Stores
+	if len(stores.Previous) > 0 || !w.allDisksPresent(stores.Current) {
+		return
+	}
+	for _, m := range w.sortedMachines() {
+		if _, isLost := w.failed[m]; isLost && m.store != nil && !w.partitioned[m.address] &&
+			replica.Contains(stores.Current, m.store.Identity()) {
+			w.logEvent("over: %s", m.address)
+			delete(w.failed, m)
+		}
+	}
+	for m := range w.failed {
+		if w.machines[m.address] != m { // it was taken away, and so has been what it stood in for
+			delete(w.failed, m)
+		}
+	}
+}
+
+// allDisksPresent says whether the disks of all members are there.
+func (w *simulation) allDisksPresent(members []*tierpb.Node) bool {
+	for _, member := range members {
+		m := w.machines[member.Address]
+		if m == nil || w.oracle.disks[member.Identity] != m.disk {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *simulation) decommission(m *machine) {
+	w.halt(m)
+	w.remove(m)
+}
+
+// retire gives the order to empty a machine, where enough stay.
+func (w *simulation) retire() {
+	next := w.control.CloneVT()
+	stores := next.Stores
+	if len(stores.Current) <= 2*w.tolerance+1 {
+		return
+	}
+	at := w.random.IntN(len(stores.Current))
+	leaver := stores.Current[at]
+	if len(stores.Previous) == 0 {
+		stores.Previous = stores.Current
+	}
+	current := make([]*tierpb.Node, 0, len(stores.Current))
+	stores.Current = append(append(current, stores.Current[:at]...), stores.Current[at+1:]...)
+	stores.Epoch++
+	w.logEvent("retire %s", leaver.Name)
+	next.Retirements = append(next.Retirements, &tierpb.Retirement{Node: leaver.Name, Identity: leaver.Identity})
+	w.publish(next)
+}
--- a/internal/tier/turnstore/store_test.go
+++ b/internal/tier/turnstore/store_test.go
@@ -4,13 +4,15 @@
 	"context"
 	"fmt"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-func TestChainComesBackByteForByte(t *testing.T) {
+func TestChainIsReturnedByteForByte(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c", "d")
 	client := c.turns()
 	ctx := context.Background()
@@ -32,19 +34,19 @@
 	assert.DeepEqual(t, got, want)
 }
 
-func TestNoSuchTurnNeedsAQuorum(t *testing.T) {
+func TestNotFoundRequiresAQuorum(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	ctx, cancel := context.WithCancel(context.Background())
 	_, err := c.turns().Chain(ctx, "nobody")
 	assert.ErrorIs(t, err, turns.ErrNotFound)
-	c.setCut(c.machines["10.0.0.1:1"], true)
-	c.setCut(c.machines["10.0.0.2:1"], true)
+	c.setPartitioned(c.machines["10.0.0.1:1"], true)
+	c.setPartitioned(c.machines["10.0.0.2:1"], true)
 	cancel()
 	_, err = c.turns().Chain(ctx, "nobody")
 	assert.ErrorIs(t, err, turns.ErrUncertain)
 }
 
-func TestAcknowledgedTurnsSurviveAllLosingPowerAndOneItsDisk(t *testing.T) {
+func TestAcknowledgedTurnsSurvivePowerLossOfAllAndDiskLossOfOne(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, "a", "b", "c", "d")
 		client := c.turns()
@@ -53,7 +55,7 @@
 			assert.NilError(t, client.Save(ctx, c.record(fmt.Sprintf("turn%d", i), "")))
 		}
 		victim := fmt.Sprintf("10.0.0.%d:1", 1+c.random.IntN(4))
-		before := c.known().Current
+		before := c.currentMembership().Current
 		for address, m := range c.machines {
 			if address == victim {
 				c.wipe(m)
@@ -71,7 +73,7 @@
 		c.setMembers(before)
 		for address, m := range c.machines {
 			if address != victim {
-				assert.NilError(t, c.pass(m))
+				assert.NilError(t, c.rebalanceOn(m))
 			}
 		}
 		c.dropPrevious()
@@ -81,3 +83,37 @@
 		}
 	}
 }
+
+func TestCallsForAnotherIdentityOrEpochAreRejected(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	store := c.machines["10.0.0.1:1"].store
+	ask := func(identity, epoch uint64) (*tierpb.GetChainReply, error) {
+		header := &tierpb.StoreRequestHeader{Identity: identity, Epoch: epoch}
+		return store.GetChain(context.Background(), &tierpb.GetChainRequest{Header: header, Id: "turn"})
+	}
+	_, err := ask(store.Identity()+1, 1)
+	assert.ErrorIs(t, err, errWrongIdentity)
+	reply, err := ask(store.Identity(), 0)
+	assert.NilError(t, err)
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_STALE_EPOCH)
+	assert.Equal(t, reply.Header.Membership.Epoch, uint64(1))
+	reply, err = ask(store.Identity(), 2)
+	assert.NilError(t, err)
+	assert.Equal(t, reply.Header.Status, tierpb.StoreStatus_STORE_BEHIND)
+}
+
+func TestFullStoreRejectsWrites(t *testing.T) {
+	c := newCluster(t, 1, "a", "b", "c")
+	m := c.machines["10.0.0.1:1"]
+	m.store.options.MemoryMb = 1
+	status, count := tierpb.StoreStatus_STORE_OK, 0
+	for ; status == tierpb.StoreStatus_STORE_OK; count++ {
+		record := c.record(fmt.Sprintf("turn%d", count), "")
+		record.Input = make([]byte, 10_000)
+		status = put(c, m, record)
+	}
+	assert.Equal(t, status, tierpb.StoreStatus_STORE_FULL)
+	assert.Assert(t, count > 20 && count < 100, "%d", count)
+	c.clock.advance(time.Hour)
+	assert.Equal(t, put(c, m, c.record("later", "")), tierpb.StoreStatus_STORE_OK)
+}
