--- a/internal/tier/coordinator/catch_up_test.go
+++ b/internal/tier/coordinator/catch_up_test.go
@@ -178,7 +178,7 @@
 		time.Since(began).Seconds(), float64(c.counted(name).received-before)/1e6)
 }
 
-// votesCurrent says that a machine is a voter, that its acceptor has a generation on disk and its state knows it.
+// votesCurrent reports that a machine is a voter, that its acceptor has a generation on disk and its state knows it.
 func (c *cluster) votesCurrent(name string, generation uint64) bool {
 	p := c.at(name)
 	known, accepted := p.state.Control(), p.acceptor.AcceptedValue()
--- a/internal/tier/coordinator/catchup/catchup.go
+++ b/internal/tier/coordinator/catchup/catchup.go
@@ -35,9 +35,9 @@
 
 // Membership is what a Tracker needs to know of the other coordinators.
 type Membership interface {
-	// InContact says whether a quorum of the voters answers this process.
+	// InContact reports whether a quorum of the voters answers this process.
 	InContact() bool
-	// Starting says that this process may not have had the time to find the others yet.
+	// Starting reports that this process may not have had the time to find the others yet.
 	Starting() bool
 	// CheckReadiness serves followers as soon as there is contact.
 	CheckReadiness()
@@ -93,7 +93,7 @@
 }
 
 // RunAtStart finds out at the start which value is chosen, as soon as a majority answers, and returns. Where all
-// coordinators were killed at once, those that answer cannot tell either, and agents wait.
+// coordinators were killed at once, those that answer do not know either, and agents wait.
 func (t *Tracker) RunAtStart(ctx context.Context) {
 	for t.options.Membership.Starting() && clock.Sleep(ctx, startupCheckInterval/2+rand.N(startupCheckInterval)) {
 		if !t.options.Membership.InContact() {
@@ -134,13 +134,13 @@
 	}
 }
 
-// acceptorAhead says that the own acceptor has a value that may have been chosen without this process knowing it.
+// acceptorAhead reports that the own acceptor has a value that may have been chosen without this process knowing it.
 func (t *Tracker) acceptorAhead() bool {
 	accepted, known := t.options.Accepted(), t.options.Control()
 	return accepted.GetVersion() > known.GetVersion()
 }
 
-// acceptorBehind says that this process votes and that its acceptor holds an older value than the chosen one.
+// acceptorBehind reports that this process votes and that its acceptor holds an older value than the chosen one.
 func (t *Tracker) acceptorBehind() bool {
 	known := t.options.Control()
 	return register.IsVoter(known, t.options.Identity) && t.options.Accepted().GetVersion() < known.GetVersion()
--- a/internal/tier/coordinator/changefetch/fetcher.go
+++ b/internal/tier/coordinator/changefetch/fetcher.go
@@ -2,7 +2,7 @@
 //
 // The control state holds the newest changes itself and names older ones by the digests of their segments. Each coordinator
 // keeps those segments on its own disk (changelog.SegmentStore). One that was down or lost its disk lacks some; a Fetcher asks the
-// other coordinators for them, and answers those that ask. Until it has a segment, a coordinator can't tell whether a change
+// other coordinators for them, and answers those that ask. Until it has a segment, a coordinator cannot know whether a change
 // in it was committed, and answers such a request without a verdict.
 package changefetch
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// completeHistory fetches the segments that a control state names for as long as some are found, and says whether all are
+// completeHistory fetches the segments that a control state names for as long as some are found, and reports whether all are
 // on disk here.
 func (f *Fetcher) completeHistory(ctx context.Context, known *tierpb.ControlState) bool {
 	fetched := 0
--- a/internal/tier/coordinator/controlapi/api.go
+++ b/internal/tier/coordinator/controlapi/api.go
@@ -18,7 +18,7 @@
 //
 // # State
 //
-// The API keeps one number, the newest generation that it has acknowledged or told, as a check that what it reads from the
+// The API keeps one number, the newest generation that it has acknowledged or returned, as a check that what it reads from the
 // register is never older. All else belongs to what it calls: the register, the membership and the announcer.
 package controlapi
 
@@ -64,11 +64,11 @@
 
 // Membership is what the API needs to know of the other nodes.
 type Membership interface {
-	// InContact says whether a quorum of the voters answers this process.
+	// InContact reports whether a quorum of the voters answers this process.
 	InContact() bool
-	// Isolated says that no quorum answers, though there was time to find one.
+	// Isolated reports that no quorum answers, though there was time to find one.
 	Isolated() bool
-	// Starting says that this process may not have had the time to find the others yet.
+	// Starting reports that this process may not have had the time to find the others yet.
 	Starting() bool
 	// PendingStore returns the turn store of a name that asks to join, nil where none does.
 	PendingStore(name string) *tierpb.Node
@@ -76,7 +76,7 @@
 
 // Announcer replicates final states of instances.
 type Announcer interface {
-	// Announce says whether a quorum of the voters has the state on disk before ctx ends.
+	// Announce reports whether a quorum of the voters has the state on disk before ctx ends.
 	Announce(ctx context.Context, instance *tierpb.Instance) bool
 }
 
--- a/internal/tier/coordinator/controlapi/change.go
+++ b/internal/tier/coordinator/controlapi/change.go
@@ -43,7 +43,7 @@
 	return current, nil
 }
 
-// isDecided says that a chosen control state and all later ones give the change one and the same outcome: it was committed,
+// isDecided reports that a chosen control state and all later ones give the change one and the same outcome: it was committed,
 // or it builds on a generation that is no longer current.
 func (c *configurationChange) isDecided(chosen *tierpb.ControlState) bool {
 	if c.IfMatch >= chosen.GetConfiguration().GetGeneration() {
--- a/internal/tier/coordinator/controlapi/generation.go
+++ b/internal/tier/coordinator/controlapi/generation.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// generationWatermark is the newest generation that this process has acknowledged or told. It is safe for concurrent use.
+// generationWatermark is the newest generation that this process has acknowledged or returned. It is safe for concurrent use.
 type generationWatermark struct{ newest atomic.Uint64 }
 
 func (w *generationWatermark) load() uint64 { return w.newest.Load() }
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -14,7 +14,7 @@
 //	draining                       final states of instances; draining.Table below dataDir/departures
 //	placementcontrol               term and redundancy, while this process holds the placement lease; in memory
 //	controlapi                     the HTTP interface; the newest acknowledged generation, in memory
-//	instanceMonitor                when each instance was last heard of; in memory
+//	instanceMonitor                when each instance last sent a heartbeat; in memory
 //
 // # Goroutines
 //
@@ -177,7 +177,7 @@
 		Self: o.self, Caller: o.caller, State: c.state, Accepted: o.acceptor.AcceptedValue, Log: o.log, Now: o.now,
 		Seeds: func() []string { return o.live.Current().SeedCoordinators() },
 	})
-	for _, instance := range o.drains.Instances() { // so that all who ask hear of them from the start
+	for _, instance := range o.drains.Instances() { // so that followers get them from the start
 		c.state.Upsert(instance)
 	}
 	c.register = newControlRegister(o, c.state)
--- a/internal/tier/coordinator/draining/announcer.go
+++ b/internal/tier/coordinator/draining/announcer.go
@@ -32,7 +32,7 @@
 	NewestVoters() *tierpb.ControlState
 	// Targets returns the other coordinators.
 	Targets() []watch.Endpoint
-	// InContact says whether a quorum of the voters answers this process.
+	// InContact reports whether a quorum of the voters answers this process.
 	InContact() bool
 	// RecordContact records that a coordinator has called.
 	RecordContact(node *tierpb.Node)
@@ -64,7 +64,7 @@
 	rpc.Handle(server, rpc.MethodAnnounce, a.HandleAnnounce)
 }
 
-// Announce sends the final state of an instance to all coordinators and says whether a majority of each voter set has it on
+// Announce sends the final state of an instance to all coordinators and reports whether a majority of each voter set has it on
 // disk before ctx ends. Those that do not answer are called again for AnnounceTimeout, whatever the result.
 func (a *Announcer) Announce(ctx context.Context, instance *tierpb.Instance) bool {
 	// Without contact, those that had it may have started anew.
@@ -98,7 +98,7 @@
 	return votes
 }
 
-// awaitQuorum collects votes until they are a quorum of the newest voters, and says whether that was before ctx ended.
+// awaitQuorum collects votes until they are a quorum of the newest voters, and reports whether that was before ctx ended.
 func (a *Announcer) awaitQuorum(ctx context.Context, votes <-chan *tierpb.AnnounceReply) bool {
 	var received []*tierpb.AnnounceReply
 	for {
@@ -116,7 +116,7 @@
 	}
 }
 
-// isQuorum says whether those that voted are a quorum of the newest voters. As with contact, one that knows of later
+// isQuorum reports whether those that voted are a quorum of the newest voters. As with contact, one that knows of later
 // voters does not count.
 func (a *Announcer) isQuorum(votes []*tierpb.AnnounceReply) bool {
 	newest := a.options.Membership.NewestVoters()
--- a/internal/tier/coordinator/draining/table.go
+++ b/internal/tier/coordinator/draining/table.go
@@ -30,8 +30,8 @@
 
 // Table keeps on disk which instances are draining or deregistered. It is safe for concurrent use.
 //
-// Writers queue for one token. Each writes a snapshot of the whole table, so that those behind it often find their
-// own change on disk already.
+// Writers queue for one token. Each writes a snapshot of the whole table, so that those behind it often find
+// their own change on disk already.
 type Table struct {
 	writer chan struct{}   // holds one token; its owner may write the disk
 	files  *storage.Series // nil before a folder is opened
--- a/internal/tier/coordinator/fencing_test.go
+++ b/internal/tier/coordinator/fencing_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// isFrozen says whether the point has been reached.
+// isFrozen reports whether the point has been reached.
 func (s *frozenMachine) isFrozen() bool {
 	select {
 	case <-s.frozen:
--- a/internal/tier/coordinator/joint_voters_test.go
+++ b/internal/tier/coordinator/joint_voters_test.go
@@ -15,7 +15,7 @@
 )
 
 // atJoint lets something happen once a machine's proposer comes to the point between the two steps of a change of
-// voters: the joint ones are chosen, the final ones are not proposed. The function says whether that has been.
+// voters: the joint ones are chosen, the final ones are not proposed. The function reports whether that has been.
 func (c *cluster) atJoint(name string, fault func() (dies bool)) (struck func() bool) {
 	once, mu, done := &sync.Once{}, &sync.Mutex{}, false
 	c.at(name).points.set(func(passed failpoint.Point) (dies bool) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// votersRun says whether the voters are one set, each named with the identity that runs at its address.
+// votersRun reports whether the voters are one set, each named with the identity that runs at its address.
 func (c *cluster) votersRun(name string) bool {
 	sets := c.at(name).state.Control().GetVoters()
 	if len(sets) != 1 {
--- a/internal/tier/coordinator/membership/contact.go
+++ b/internal/tier/coordinator/membership/contact.go
@@ -19,22 +19,22 @@
 	StartupGrace = 2 * time.Second
 )
 
-// InContact says whether this process and the coordinators that answer its polls are a quorum of the register. Votes are
+// InContact reports whether this process and the coordinators that answer its polls are a quorum of the register. Votes are
 // counted by identity, as the register does: a process at a voter's address that is not that voter has no vote, be it
 // this one. What it rests on is at most ContactTimeout old. A reply of one that knows of later voters than this process
 // does not count: without a vote of a majority of the voters before them, no later voters can have been chosen by then.
 func (m *Membership) InContact() bool { return register.HasQuorum(m.Voters(), m.hasContact) }
 
-// hasContact says whether a node is this process or answers it.
+// hasContact reports whether a node is this process or answers it.
 func (m *Membership) hasContact(identity uint64) bool {
 	return identity == m.options.Self.Identity || m.directory.hasRecentReply(identity)
 }
 
-// Isolated says that this process has been unable to find a majority of the voters; what it is told does not reach the
-// others, nor what they are told this process.
+// Isolated reports that this process has been unable to find a majority of the voters; what it receives does not reach the
+// others, nor what they receive this process.
 func (m *Membership) Isolated() bool { return !m.InContact() && !m.Starting() }
 
-// Starting says that this process may not have had the time to find the others yet.
+// Starting reports that this process may not have had the time to find the others yet.
 func (m *Membership) Starting() bool {
 	return m.options.Now().Sub(m.directory.started) <= StartupGrace
 }
--- a/internal/tier/coordinator/membership/directory.go
+++ b/internal/tier/coordinator/membership/directory.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// hasRecentReply says whether the last poll of some address was answered under an identity, and sent no longer than
+// hasRecentReply reports whether the last poll of some address was answered under an identity, and sent no longer than
 // ContactTimeout ago.
 func (d *directory) hasRecentReply(identity uint64) bool {
 	d.mu.Lock()
@@ -119,7 +119,7 @@
 	return false
 }
 
-// isReachable says whether the last poll of a coordinator was answered.
+// isReachable reports whether the last poll of a coordinator was answered.
 func (d *directory) isReachable(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/tier/coordinator/membership/join.go
+++ b/internal/tier/coordinator/membership/join.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// isInitialVoter says that nothing is known yet but the first voters, of which this process is one.
+// isInitialVoter reports that nothing is known yet but the first voters, of which this process is one.
 func (m *Membership) isInitialVoter() bool {
 	return m.options.State.Control() == nil && register.IsVoter(m.options.Accepted(), m.options.Self.Identity)
 }
--- a/internal/tier/coordinator/membership/membership.go
+++ b/internal/tier/coordinator/membership/membership.go
@@ -97,7 +97,7 @@
 // BeginShutdown has this process ask for no vote any more, and count as no standby.
 func (m *Membership) BeginShutdown() { m.stopping.Store(true) }
 
-// Stopping says whether the shutdown has begun.
+// Stopping reports whether the shutdown has begun.
 func (m *Membership) Stopping() bool { return m.stopping.Load() }
 
 // NewestVoters returns the value with the newest voters known, chosen or not; nil for a coordinator that has just
@@ -133,7 +133,7 @@
 	return zones
 }
 
-// PublishCoordinators tells followers which coordinators this one reaches, where that has changed. One goroutine calls it.
+// PublishCoordinators announces to followers which coordinators this one reaches, where that has changed. One goroutine calls it.
 func (m *Membership) PublishCoordinators() {
 	reachable := []*tierpb.Node{m.options.Self}
 	for _, node := range m.directory.coordinators() {
@@ -150,7 +150,7 @@
 // RecordContact records that a coordinator has called; calls of other roles are ignored.
 func (m *Membership) RecordContact(node *tierpb.Node) { m.directory.recordContact(node) }
 
-// IsReachable says whether the last poll of the coordinator at an inner address was answered.
+// IsReachable reports whether the last poll of the coordinator at an inner address was answered.
 func (m *Membership) IsReachable(address string) bool { return m.directory.isReachable(address) }
 
 // UnreachableFor is how long a coordinator has not answered polls, 0 for one that does.
--- a/internal/tier/coordinator/membership/watch.go
+++ b/internal/tier/coordinator/membership/watch.go
@@ -23,7 +23,7 @@
 	m.readiness.Check()
 }
 
-// recordReply records the reply to a poll, and when that was sent. One that tells of later voters renews no contact until
+// recordReply records the reply to a poll, and when that was sent. One that names later voters renews no contact until
 // this process knows them too.
 func (m *Membership) recordReply(address string, reply *tierpb.WatchReply, sent time.Time) {
 	if identity := reply.GetResponder().GetIdentity(); identity != 0 {
--- a/internal/tier/coordinator/partition_workload_test.go
+++ b/internal/tier/coordinator/partition_workload_test.go
@@ -46,7 +46,7 @@
 	return read.Generation, true
 }
 
-// wait lets a moment pass and says whether the run goes on.
+// wait lets a moment pass and reports whether the run goes on.
 func (r *partitionRun) wait() bool {
 	select {
 	case <-time.After(time.Duration(20+r.draw(150)) * time.Millisecond):
--- a/internal/tier/coordinator/placementcontrol/controller.go
+++ b/internal/tier/coordinator/placementcontrol/controller.go
@@ -5,14 +5,14 @@
 //
 // All coordinators run a Controller, and only the holder of the placement lease acts. The lease keeps two from working
 // against each other; what makes their changes safe is the fencing token of the role, the term (fencing.go): each acquisition
-// of the lease raises it by a change of the register before anything else is changed, and every later change is refused if
+// of the lease raises it by a change of the register before anything else is changed, and every later change is rejected if
 // the newest value has another term, if the lease is lost, or if the view that it was decided on is too old.
 //
 // # How a change is made
 //
 // Package placement decides, as a pure function of the control state and a placement.View. The Controller first decides on
 // what it knows, which costs no call; where that asks for a change, it decides again inside a change of the register, on the
-// newest value and a view of that moment. A change that fails or is refused is tried again after retryInterval.
+// newest value and a view of that moment. A change that fails or is rejected is tried again after retryInterval.
 //
 // # State and goroutines
 //
@@ -47,9 +47,9 @@
 
 // Lease is what the Controller needs of its candidacy for the placement lease.
 type Lease interface {
-	// OwnsLease says whether the newest voters known grant the lease to this process.
+	// OwnsLease reports whether the newest voters known grant the lease to this process.
 	OwnsLease() bool
-	// OwnsLeaseOf says whether these voters do.
+	// OwnsLeaseOf reports whether these voters do.
 	OwnsLeaseOf(voters []*tierpb.VoterSet) bool
 	// Acquisition is the number of the newest acquisition of the lease; it rises with each.
 	Acquisition() uint64
@@ -123,7 +123,7 @@
 	return c.reconcileStores(ctx, c.options.Control())
 }
 
-// reconcileVoters replaces voters. What is known only tells whether to try: the choice is made on the newest value.
+// reconcileVoters replaces voters. What is known only decides whether to try: the choice is made on the newest value.
 func (c *Controller) reconcileVoters(ctx context.Context, known *tierpb.ControlState) error {
 	if placement.NextVoters(known, c.options.Views.View(known)) == nil {
 		return nil
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// observeRedundancy logs the moment at which every record is on as many turn stores as are promised again.
+// observeRedundancy logs the moment at which every record is on as many turn stores as are guaranteed again.
 func (c *Controller) observeRedundancy(stores *tierpb.StoreMembership) {
 	if took, restored := c.redundancy.observe(stores, c.options.Now()); restored {
 		c.options.Log.Info("redundancy restored", "epoch", stores.GetEpoch(), "seconds", took.Seconds(),
--- a/internal/tier/coordinator/placementcontrol/fencing.go
+++ b/internal/tier/coordinator/placementcontrol/fencing.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// ownsLeaseSince says whether the voters of a value grant the lease to this process, as they did since an acquisition.
+// ownsLeaseSince reports whether the voters of a value grant the lease to this process, as they did since an acquisition.
 func (c *Controller) ownsLeaseSince(acquisition uint64, current *tierpb.ControlState) bool {
 	owned := c.options.Lease.OwnsLeaseOf(current.GetVoters())
 	return owned && c.options.Lease.Acquisition() == acquisition // in this order: it may be lost and acquired in between
@@ -52,7 +52,7 @@
 type decideFunc func(current *tierpb.ControlState, view *placement.View) *tierpb.ControlState
 
 // fenced returns the change of a lease holder: it is computed on the newest value from a view of that moment, and
-// refused where the lease, the view or the term does not hold any more.
+// rejected where the lease, the view or the term does not hold any more.
 func (c *Controller) fenced(decide decideFunc) register.ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		view := c.options.Views.View(current)
@@ -90,10 +90,10 @@
 	}
 }
 
-// isFenced says whether placement.CheckFence refused a change.
+// isFenced reports whether placement.CheckFence rejected a change.
 func isFenced(reason error) bool {
-	for _, refusal := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrStaleView} {
-		if errors.Is(reason, refusal) {
+	for _, rejection := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrStaleView} {
+		if errors.Is(reason, rejection) {
 			return true
 		}
 	}
--- a/internal/tier/coordinator/placementcontrol/transfer.go
+++ b/internal/tier/coordinator/placementcontrol/transfer.go
@@ -42,7 +42,7 @@
 	t.Log.Info("vote transferred", "to", membership.NodeNames(next), "error", err)
 }
 
-// isJoint says whether a change of voters is between its two steps.
+// isJoint reports whether a change of voters is between its two steps.
 func (t *VoteTransfer) isJoint() bool { return len(t.Membership.Voters()) > 1 }
 
 // replacement returns the voters without this process, nil where it does not vote or nobody can take its place.
--- a/internal/tier/coordinator/placementcontrol/view.go
+++ b/internal/tier/coordinator/placementcontrol/view.go
@@ -19,7 +19,7 @@
 	Zones() map[string]string
 	// UnreachableFor is how long the coordinator at an inner address has not answered, 0 for one that does.
 	UnreachableFor(address string) time.Duration
-	// Stopping says whether this process shuts down.
+	// Stopping reports whether this process shuts down.
 	Stopping() bool
 }
 
--- a/internal/tier/coordinator/random_changes_test.go
+++ b/internal/tier/coordinator/random_changes_test.go
@@ -193,7 +193,7 @@
 	d.tally[kind]++
 }
 
-// fullyReplicated says that every voter runs and has the newest value on its disk, so that one disk may be lost.
+// fullyReplicated reports that every voter runs and has the newest value on its disk, so that one disk may be lost.
 func (d *changeSchedule) fullyReplicated() bool {
 	var newest *tierpb.ControlState
 	accepted := map[uint64]uint64{}
--- a/internal/tier/coordinator/random_placement_faults_test.go
+++ b/internal/tier/coordinator/random_placement_faults_test.go
@@ -162,7 +162,7 @@
 	return other
 }
 
-// fullyReplicated says that all voters of the newest value run and have it.
+// fullyReplicated reports that all voters of the newest value run and have it.
 func (s *placementSchedule) fullyReplicated() bool {
 	var versions []uint64
 	for _, name := range s.runningMachines() {
