--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -14,9 +14,9 @@
 		changed: "go func() { _ = a.saveAccepted(request.Proposal, request.Value) }()\n\tif err := error(nil); err != nil {",
 	},
 	{
-		name: "version counts as durable without a sync of its folder", file: "storage/versions.go",
-		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.folder); err != nil {",
-		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
+		name: "version counts as durable without a sync of its directory", file: "storage/series.go",
+		old:     "if err := s.failpoints.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.directory); err != nil {",
+		changed: "if err := s.failpoints.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
 		name: "restart forgets that an accept implies a prepare", file: "register/acceptor_storage.go",
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -1,5 +1,3 @@
-// Package storage keeps small pieces of state on disk, one file for each version: written aside, synced, renamed,
-// the folder synced, and the version before removed afterwards.
 package storage
 
 import (
@@ -8,31 +6,32 @@
 	"path/filepath"
 )
 
-// Disk is what the package needs of a file system. Tests put a simulated one in its place.
+// Disk is what the tier needs of a file system. Tests use a simulated one. Errors are those of the file system.
 type Disk interface {
-	// MkdirAll makes a folder with its parents; one that exists is no error.
+	// MkdirAll makes a directory with its parents, durably. One that exists is no error.
 	MkdirAll(path string) error
-	// List returns the names in a folder.
-	List(folder string) ([]string, error)
-	// Read returns a whole file.
+	// List returns the names in a directory.
+	List(directory string) ([]string, error)
+	// Read returns the content of a file.
 	Read(path string) ([]byte, error)
-	// Create makes a file, or empties the one of that name.
+	// Create creates a file, or truncates the existing one.
 	Create(path string) (File, error)
-	// Rename gives a file another name in the same folder.
+	// Rename renames a file within its directory, atomically.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncFile makes what a file holds durable, also what another process has written.
+	// SyncFile makes the content of a file durable, whichever process has written it.
 	SyncFile(path string) error
-	// SyncDir makes the names in a folder durable.
-	SyncDir(folder string) error
+	// SyncDir makes the names in a directory durable.
+	SyncDir(directory string) error
 }
 
 // File is a file open for writing.
 type File interface {
 	io.Writer
-	// Sync makes what was written durable.
+	// Sync makes the content durable.
 	Sync() error
+	// Close closes the file without syncing it.
 	Close() error
 }
 
@@ -42,44 +41,44 @@
 // Local returns the Disk of the machine that this process runs on.
 func Local() Disk { return local }
 
-// SetLocal has roles keep their state on another Disk. Tests of whole processes lose by it what was not synced, and bring
-// trouble to disks; it is called before any role runs.
+// SetLocal makes roles keep their state on another Disk. Tests of whole processes use it to lose what was not synced and
+// to inject disk faults. It must be called before any role runs.
 func SetLocal(disk Disk) { local = disk }
 
-// OS is the Disk of the machine.
+// OS is the file system of the machine.
 type OS struct{}
 
-// MkdirAll implements Disk. All folders that have got a new entry are synced, so that the folder itself lasts.
+// MkdirAll implements Disk. It syncs every directory that gets a new entry, so that the new directory itself is durable.
 func (OS) MkdirAll(path string) error {
-	changed := parentsOfMissing(path)
+	parents := parentsOfMissing(path)
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return err
 	}
-	for _, folder := range changed {
-		if err := (OS{}).SyncDir(folder); err != nil {
+	for _, directory := range parents {
+		if err := (OS{}).SyncDir(directory); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// parentsOfMissing lists the parent of a folder, and those of all folders above it that do not exist. The parent is always
-// among them: an earlier process may have made the folder and ended before it synced that.
+// parentsOfMissing returns the parent of a directory, and those of all directories above it that do not exist. The parent
+// is always among them: an earlier process may have made the directory and ended before it synced the parent.
 func parentsOfMissing(path string) []string {
 	parents := []string{filepath.Dir(path)}
 	for {
 		missing := parents[len(parents)-1]
-		above := filepath.Dir(missing)
-		if _, err := os.Stat(missing); err == nil || above == missing {
+		grandparent := filepath.Dir(missing)
+		if _, err := os.Stat(missing); err == nil || grandparent == missing {
 			return parents
 		}
-		parents = append(parents, above)
+		parents = append(parents, grandparent)
 	}
 }
 
 // List implements Disk.
-func (OS) List(folder string) ([]string, error) {
-	entries, err := os.ReadDir(folder)
+func (OS) List(directory string) ([]string, error) {
+	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, err
 	}
@@ -110,16 +109,16 @@
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
+	defer func() { _ = opened.Close() }() // an error of the data is that of Sync
 	return opened.Sync()
 }
 
 // SyncDir implements Disk.
-func (OS) SyncDir(folder string) error {
-	opened, err := os.Open(folder)
+func (OS) SyncDir(directory string) error {
+	opened, err := os.Open(directory)
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
+	defer func() { _ = opened.Close() }() // an error of the data is that of Sync
 	return opened.Sync()
 }
--- a/internal/tier/storage/disk_test.go
+++ b/internal/tier/storage/disk_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEachNewFolderIsSynced has every folder synced that gets a new entry when folders are made one within another: with a
-// name of which that is left out, a loss of power takes all that was saved below.
-func TestEachNewFolderIsSynced(t *testing.T) {
+// TestMkdirAllSyncsParentsOfNewDirectories: with nested directories, each parent that gets a new entry is synced. If one
+// were omitted, a loss of power would take all that was saved below it.
+func TestMkdirAllSyncsParentsOfNewDirectories(t *testing.T) {
 	root := t.TempDir()
 	data := filepath.Join(root, "data")
 	deepest := filepath.Join(data, "register")
--- a/internal/tier/storage/versions_test.go
+++ b/internal/tier/storage/series_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	folder = "data"
-	name   = "state"
+	directory = "data"
+	name      = "state"
 )
 
 func machine(seed uint64) *simulation.Machine {
@@ -27,15 +27,15 @@
 
 func open(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
 	t.Helper()
-	assert.NilError(t, disk.MkdirAll(folder))
-	series, err := storage.Open(disk, folder, name, points)
+	assert.NilError(t, disk.MkdirAll(directory))
+	series, err := storage.Open(disk, directory, name, points)
 	assert.NilError(t, err)
 	return series
 }
 
-// TestSaveIsAllOrNothingAtEveryPoint loses power at each point of a save, many times each: what was saved before is
-// there, or what was being saved, and nothing else.
-func TestSaveIsAllOrNothingAtEveryPoint(t *testing.T) {
+// TestSaveIsAtomicAtEveryFailpoint loses power at each failpoint of a save, with many seeds: the version before is there
+// or the new one, and nothing else.
+func TestSaveIsAtomicAtEveryFailpoint(t *testing.T) {
 	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
 			m := machine(seed)
@@ -56,20 +56,20 @@
 			assert.NilError(t, reopened.Save([]byte("four")))
 			payload, _ = open(t, disk, nil).Newest()
 			assert.Equal(t, string(payload), "four")
-			names, err := disk.List(folder)
+			names, err := disk.List(directory)
 			assert.NilError(t, err)
 			assert.Equal(t, len(names), 1, "%v", names)
 		}
 	}
 }
 
-func TestSaveAfterFailureIsTheNewest(t *testing.T) {
-	troubles := []simulation.DiskFault{{Full: true}, {SyncFails: true}}
-	for _, trouble := range troubles {
+func TestSaveSucceedsAfterDiskFault(t *testing.T) {
+	faults := []simulation.DiskFault{{Full: true}, {SyncFails: true}}
+	for _, fault := range faults {
 		m := machine(1)
 		series := open(t, m.Start().Mount(), nil)
 		assert.NilError(t, series.Save([]byte("one")))
-		m.Disk.SetFault(trouble)
+		m.Disk.SetFault(fault)
 		for range 5 {
 			assert.Assert(t, series.Save([]byte("lost")) != nil)
 		}
@@ -79,24 +79,24 @@
 		disk := m.Start().Mount()
 		payload, _ := open(t, disk, nil).Newest()
 		assert.Equal(t, string(payload), "two")
-		names, err := disk.List(folder)
+		names, err := disk.List(directory)
 		assert.NilError(t, err)
 		assert.Equal(t, len(names), 1, "%v", names)
 	}
 }
 
-func TestFullDiskKeepsNoPartOfAFile(t *testing.T) {
+func TestFullDiskLeavesNoTemporaryFile(t *testing.T) {
 	m := machine(1)
 	disk := m.Start().Mount()
 	series := open(t, disk, nil)
 	m.Disk.SetFault(simulation.DiskFault{Full: true})
 	assert.ErrorIs(t, series.Save([]byte("one")), simulation.ErrFull)
-	names, err := disk.List(folder)
+	names, err := disk.List(directory)
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 0)
 }
 
-func TestDamagedVersionIsNoticed(t *testing.T) {
+func TestCorruptedVersionIsReported(t *testing.T) {
 	m := machine(1)
 	disk := m.Start().Mount()
 	assert.NilError(t, open(t, disk, nil).Save([]byte("one")))
@@ -111,22 +111,22 @@
 	assert.Equal(t, string(payload), "two")
 }
 
-func TestSeriesOfOneFolderAreApart(t *testing.T) {
+func TestSeriesInOneDirectoryAreIndependent(t *testing.T) {
 	disk := machine(1).Start().Mount()
 	for i := range 3 {
-		series, err := storage.Open(disk, folder, fmt.Sprintf("series%d", i), nil)
+		series, err := storage.Open(disk, directory, fmt.Sprintf("series%d", i), nil)
 		assert.NilError(t, err)
 		assert.NilError(t, series.Save([]byte{byte(i)}))
 	}
 	for i := range 3 {
-		series, err := storage.Open(disk, folder, fmt.Sprintf("series%d", i), nil)
+		series, err := storage.Open(disk, directory, fmt.Sprintf("series%d", i), nil)
 		assert.NilError(t, err)
 		payload, _ := series.Newest()
 		assert.DeepEqual(t, payload, []byte{byte(i)})
 	}
 }
 
-func TestDiskOfTheMachine(t *testing.T) {
+func TestSeriesOnLocalDisk(t *testing.T) {
 	parent := filepath.Join(t.TempDir(), "a", "b")
 	disk := storage.OS{}
 	assert.NilError(t, disk.MkdirAll(parent))
@@ -135,10 +135,10 @@
 	for i := range 3 {
 		assert.NilError(t, series.Save([]byte(fmt.Sprint(i))))
 	}
-	left := filepath.Join(parent, name+"-0000000000000009.part")
-	assert.NilError(t, os.WriteFile(left, []byte("half"), 0o600))
-	other := filepath.Join(parent, "somebody-elses")
-	assert.NilError(t, os.WriteFile(other, nil, 0o600))
+	unfinished := filepath.Join(parent, name+"-0000000000000009.part")
+	assert.NilError(t, os.WriteFile(unfinished, []byte("half"), 0o600))
+	unrelated := filepath.Join(parent, "another-file")
+	assert.NilError(t, os.WriteFile(unrelated, nil, 0o600))
 	series, err = storage.Open(disk, parent, name, nil)
 	assert.NilError(t, err)
 	payload, found := series.Newest()
@@ -147,12 +147,12 @@
 	names, err := disk.List(parent)
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 2)
-	assert.Assert(t, strings.HasPrefix(names[1], name) && names[0] == "somebody-elses")
+	assert.Assert(t, strings.HasPrefix(names[1], name) && names[0] == "another-file")
 }
 
-// TestVersionReadAfterAKillOutlastsPowerLoss kills the process at each point of a save; what the next process reads
-// it may act on, so it has to be there also after a loss of power.
-func TestVersionReadAfterAKillOutlastsPowerLoss(t *testing.T) {
+// TestVersionReadAfterKillSurvivesPowerLoss kills the process at each failpoint of a save. The next process may act on what
+// it reads, so that must survive a loss of power.
+func TestVersionReadAfterKillSurvivesPowerLoss(t *testing.T) {
 	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
 			m := machine(seed)
@@ -165,9 +165,9 @@
 			read, found := open(t, m.Start().Mount(), nil).Newest()
 			assert.Assert(t, found)
 			m.PowerLoss()
-			kept, found := open(t, m.Start().Mount(), nil).Newest()
+			durable, found := open(t, m.Start().Mount(), nil).Newest()
 			assert.Assert(t, found, "point %d", point)
-			assert.Equal(t, string(kept), string(read), "point %d", point)
+			assert.Equal(t, string(durable), string(read), "point %d", point)
 		}
 	}
 }
