--- a/internal/tier/clock/sleep.go
+++ b/internal/tier/clock/sleep.go
@@ -1,4 +1,4 @@
-// Package clock waits in a way that a context ends.
+// Package clock has waits that end with a context.
 package clock
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Sleep waits, and says whether the time passed before ctx ended.
+// Sleep waits for a duration or until ctx ends, and reports whether the duration has passed. Unlike time.Sleep it does not
+// hold up a shutdown.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/tier/runtimelimits/limits_test.go
+++ b/internal/tier/runtimelimits/limits_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-func TestFitSetsTheMemoryLimitOfTheSettings(t *testing.T) {
+func TestApplySetsTheMemoryLimit(t *testing.T) {
 	limitBefore, percentBefore := debug.SetMemoryLimit(-1), debug.SetGCPercent(100)
 	t.Cleanup(func() {
 		debug.SetMemoryLimit(limitBefore)
