--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -110,16 +110,16 @@
 	},
 	{
 		name: "fencing token not checked", file: "placement/fence.go",
-		old:     "case current != claim.Term:",
-		changed: "case true:\n\t\treturn nil\n\tcase current != claim.Term:",
+		old:     "case current != credentials.Term:",
+		changed: "case true:\n\t\treturn nil\n\tcase current != credentials.Term:",
 	},
 	{
-		name: "previous turn stores removed after the first migration report", file: "placement/moves.go",
-		old:     "return p.members-p.reported <= max(p.allowed, p.gone)",
+		name: "previous turn stores removed after the first migration report", file: "placement/migration.go",
+		old:     "return p.previous-p.reported <= max(p.tolerated, p.diskLost)",
 		changed: "return true",
 	},
 	{
-		name: "migration report of an earlier epoch counts", file: "placement/moves.go",
+		name: "migration report of an earlier epoch counts", file: "placement/migration.go",
 		old:     "join.Request.CopiedEpoch >= stores.Epoch",
 		changed: "join.Request.CopiedEpoch > 0",
 	},
--- a/internal/tier/placement/fence.go
+++ b/internal/tier/placement/fence.go
@@ -8,31 +8,33 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// MaxViewAge is the greatest age of a view on which a change may rest when it is sent.
+// MaxViewAge is the maximum age of a view on which a change may be based when it is sent.
 const MaxViewAge = time.Second
 
-// Refusals of a change by placement.
+// Reasons for which a change by placement is rejected.
 var (
-	// ErrLeaseLost: the lease under which the change was computed is not held any more, or not by the voters in force.
-	ErrLeaseLost = eris.New("placement: the lease is lost")
-	// ErrStaleView: the change was computed from a view that is too old by now.
-	ErrStaleView = eris.New("placement: the view is too old")
-	// ErrFenced: the term is not the newest, for the lease was acquired by another, or anew, since it was raised.
-	ErrFenced = eris.New("placement: the term is not the newest")
+	// ErrLeaseLost: the lease under which the change was computed is no longer held, or not by the voters in force.
+	ErrLeaseLost = eris.New("placement: lease lost")
+	// ErrStaleView: the view from which the change was computed is older than MaxViewAge.
+	ErrStaleView = eris.New("placement: stale view")
+	// ErrFenced: the term is not the newest, because the lease has been acquired since by another process, or again by this
+	// one.
+	ErrFenced = eris.New("placement: fenced by a newer term")
 )
 
-// Term is the fencing token of placement: each holding of the lease raises it once, before it makes any change.
+// Term is the fencing token of placement. The holder raises it once after each acquisition of the lease, before any other
+// change.
 type Term struct {
 	Number uint64
 	Holder uint64 // identity
 }
 
-// TermOf returns the newest term that a state has seen.
+// TermOf returns the newest term in a state.
 func TermOf(state *tierpb.ControlState) Term {
 	return Term{Number: state.GetPlacementTerm(), Holder: state.GetPlacementHolder()}
 }
 
-// Next is the term that a holder raises this one to.
+// Next returns the term to which a holder raises this one.
 func (t Term) Next(holder uint64) Term { return Term{Number: t.Number + 1, Holder: holder} }
 
 // Stamp writes the term into a state.
@@ -40,21 +42,26 @@
 	state.PlacementTerm, state.PlacementHolder = t.Number, t.Holder
 }
 
-// Credentials is what a holder brings forward for a change.
+// Credentials are what a lease holder presents for a change.
 type Credentials struct {
-	Term       Term          // raised by the holder when it acquired the lease
-	LeaseOwned bool          // the lease is held since then, by a majority of the voters of the value to be changed
-	ViewAge    time.Duration // of the view from which the change was computed
+	// Term was raised by the holder after it had acquired the lease.
+	Term Term
+	// LeaseOwned is true if the lease was held without interruption since then, by a majority of the voters of the value to
+	// be changed.
+	LeaseOwned bool
+	// ViewAge is the age of the view from which the change was computed.
+	ViewAge time.Duration
 }
 
-// CheckFence is the fence: it decides whether a change by placement may follow a value with this term. Nil admits it.
-func CheckFence(current Term, claim Credentials) error {
+// CheckFence decides whether a change by placement may follow a value with this term. It returns nil, ErrFenced,
+// ErrLeaseLost or ErrStaleView.
+func CheckFence(current Term, credentials Credentials) error {
 	switch {
-	case current != claim.Term:
+	case current != credentials.Term:
 		return ErrFenced
-	case !claim.LeaseOwned:
+	case !credentials.LeaseOwned:
 		return ErrLeaseLost
-	case claim.ViewAge > MaxViewAge:
+	case credentials.ViewAge > MaxViewAge:
 		return ErrStaleView
 	}
 	return nil
--- a/internal/tier/placement/fence_test.go
+++ b/internal/tier/placement/fence_test.go
@@ -8,31 +8,31 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func TestFenceAdmitsOnlyTheNewestTerm(t *testing.T) {
+func TestFenceAcceptsOnlyTheNewestTerm(t *testing.T) {
 	term := Term{Number: 3, Holder: 7}
-	claim := Credentials{Term: term, LeaseOwned: true}
-	for current, refusal := range map[Term]error{
+	credentials := Credentials{Term: term, LeaseOwned: true}
+	for current, expected := range map[Term]error{
 		term:                   nil,
 		{Number: 4, Holder: 8}: ErrFenced,
-		{Number: 4, Holder: 7}: ErrFenced, // a later holding by the same process
+		{Number: 4, Holder: 7}: ErrFenced, // acquired again by the same process
 		{Number: 3, Holder: 8}: ErrFenced,
 		{Number: 2, Holder: 7}: ErrFenced,
 		{}:                     ErrFenced,
 	} {
-		assert.Equal(t, CheckFence(current, claim), refusal, "%v", current)
+		assert.Equal(t, CheckFence(current, credentials), expected, "%v", current)
 	}
-	claim.ViewAge = MaxViewAge
-	assert.NilError(t, CheckFence(term, claim))
-	claim.ViewAge++
-	assert.Equal(t, CheckFence(term, claim), ErrStaleView)
+	credentials.ViewAge = MaxViewAge
+	assert.NilError(t, CheckFence(term, credentials))
+	credentials.ViewAge++
+	assert.Equal(t, CheckFence(term, credentials), ErrStaleView)
 	assert.Equal(t, CheckFence(term, Credentials{Term: term}), ErrLeaseLost)
 }
 
-func TestTermIsRaisedAndMarked(t *testing.T) {
+func TestTermIsRaisedAndStamped(t *testing.T) {
 	state := &tierpb.ControlState{}
 	assert.Equal(t, TermOf(state), Term{})
 	assert.Equal(t, TermOf(nil), Term{})
 	TermOf(state).Next(8).Stamp(state)
 	assert.Equal(t, TermOf(state), Term{Number: 1, Holder: 8})
-	assert.Equal(t, TermOf(state).Next(8), Term{Number: 2, Holder: 8}, "another holding by the same process")
+	assert.Equal(t, TermOf(state).Next(8), Term{Number: 2, Holder: 8}, "acquired again by the same process")
 }
--- a/internal/tier/placement/voters_test.go
+++ b/internal/tier/placement/voters_test.go
@@ -9,120 +9,100 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func coordinator(number int) *tierpb.Node {
-	node := store(number)
-	node.Role = tierpb.Role_ROLE_COORDINATOR
-	return node
-}
-
-// votersScene has voters 1 to count, and standbys that call.
-func votersScene(count, tolerance int, standbys ...int) (*tierpb.ControlState, *View, map[string]time.Duration) {
-	s := newScene()
-	s.view.Tolerance = tolerance
-	silence := make(map[string]time.Duration)
-	s.view.VoterUnreachableFor = func(address string) time.Duration { return silence[address] }
-	set := &tierpb.VoterSet{}
-	for number := 1; number <= count; number++ {
-		set.Nodes = append(set.Nodes, coordinator(number))
-	}
-	for _, number := range standbys {
-		s.callAs(coordinator(number), 0)
-	}
-	return &tierpb.ControlState{Voters: []*tierpb.VoterSet{set}}, s.view, silence
-}
-
-func TestStandbysWaitWhileAllVotersAnswer(t *testing.T) {
-	state, view, _ := votersScene(3, 1, 4, 5)
+func TestStandbysWaitWhileAllVotersReply(t *testing.T) {
+	state, view, _ := newVotersScenario(3, 1, 4, 5)
 	assert.Assert(t, NextVoters(state, view) == nil)
 }
 
-func TestVotersGrowToWhatTheToleranceNeeds(t *testing.T) {
-	state, view, _ := votersScene(3, 2, 4, 5, 6)
+func TestVotersGrowToTheToleranceRequired(t *testing.T) {
+	state, view, _ := newVotersScenario(3, 2, 4, 5, 6)
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 3, 4, 5})
 }
 
-func TestStandbyTakesTheLongestSilentOnesPlace(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4)
-	silence["10.0.0.1"], silence["10.0.0.3"] = 2*time.Second, 5*time.Second
+func TestStandbyReplacesTheLongestUnreachableVoter(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4)
+	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.3"] = 2*time.Second, 5*time.Second
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 4})
-	silence["10.0.0.1"], silence["10.0.0.3"] = 0, time.Second
-	assert.Assert(t, NextVoters(state, view) == nil, "silent for a moment only")
+	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.3"] = 0, time.Second
+	assert.Assert(t, NextVoters(state, view) == nil, "unreachable for a moment only")
 }
 
-func TestStandbyThatFellSilentIsNoReplacement(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4)
-	silence["10.0.0.1"] = 5 * time.Second
+func TestStandbyWithExpiredJoinIsNoReplacement(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4)
+	unreachableFor["10.0.0.1"] = 5 * time.Second
 	view.Now = view.Now.Add(2 * time.Second)
 	assert.Assert(t, NextVoters(state, view) == nil)
 }
 
-func TestStandbyThatDoesNotAnswerIsNoReplacement(t *testing.T) {
-	state, view, silence := votersScene(3, 2, 4)
-	silence["10.0.0.1"], silence["10.0.0.4"] = 5*time.Second, time.Millisecond
-	assert.Assert(t, NextVoters(state, view) == nil, "its calls arrive, those to it do not")
+func TestStandbyThatDoesNotReplyIsNoReplacement(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 2, 4)
+	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.4"] = 5*time.Second, time.Millisecond
+	assert.Assert(t, NextVoters(state, view) == nil, "its join requests arrive, requests to it do not")
 }
 
-func TestWipedVoterTakesItsOwnPlace(t *testing.T) {
-	state, view, _ := votersScene(3, 1)
+func TestWipedVoterReplacesItself(t *testing.T) {
+	state, view, _ := newVotersScenario(3, 1)
 	wiped := coordinator(2)
 	wiped.Identity, wiped.Name = 20, "" // the first voters are known by address only
 	view.Joins = append(view.Joins, Join{Request: &tierpb.JoinRequest{Node: wiped}, FirstSeen: start, LastSeen: start})
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 20, 3})
 }
 
-func TestHalfDoneChangeIsFinishedFirst(t *testing.T) {
-	state, view, _ := votersScene(3, 1, 4)
+func TestIncompleteChangeOfVotersIsCompletedFirst(t *testing.T) {
+	state, view, _ := newVotersScenario(3, 1, 4)
 	joint := &tierpb.VoterSet{Nodes: []*tierpb.Node{coordinator(1), coordinator(2), coordinator(5)}}
 	state.Voters = append(state.Voters, joint)
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 5})
 }
 
-func TestVotersStayAnOddNumber(t *testing.T) {
-	state, view, _ := votersScene(3, 2, 4)
-	assert.Assert(t, NextVoters(state, view) == nil, "four bear no more losses than three")
-	state, view, _ = votersScene(1, 1, 2, 3)
+func TestNumberOfVotersStaysOdd(t *testing.T) {
+	state, view, _ := newVotersScenario(3, 2, 4)
+	assert.Assert(t, NextVoters(state, view) == nil, "four tolerate no more losses than three")
+	state, view, _ = newVotersScenario(1, 1, 2, 3)
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 3})
 }
 
-func TestMostVotersStayInOneChange(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4, 5)
-	silence["10.0.0.1"], silence["10.0.0.3"] = 5*time.Second, 5*time.Second
+func TestMajorityOfVotersStaysInOneChange(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4, 5)
+	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.3"] = 5*time.Second, 5*time.Second
 	assert.Equal(t, len(NextVoters(state, view)), 3)
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{4, 2, 3})
-	state, view, silence = votersScene(5, 2, 6, 7, 8)
+	state, view, unreachableFor = newVotersScenario(5, 2, 6, 7, 8)
 	for _, address := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-		silence[address] = 5 * time.Second
+		unreachableFor[address] = 5 * time.Second
 	}
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{6, 7, 3, 4, 5})
 }
 
-func TestVotersAreSpreadOverWhatMayBeLostAsAWhole(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4, 5)
+func TestVotersAreSpreadOverFailureDomains(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4, 5)
 	domains := map[uint64]string{1: "a", 2: "a", 3: "b", 4: "a", 5: "c"}
-	assert.Assert(t, NextVoters(state, view) == nil, "only machines are lost at once")
+	assert.Assert(t, NextVoters(state, view) == nil, "without failure domains")
 	view.FailureDomain = func(node *tierpb.Node) string { return domains[node.Identity] }
 	next := NextVoters(state, view)
 	assert.DeepEqual(t, identities(next), []uint64{5, 2, 3})
 	state.Voters[0].Nodes = next
 	assert.Assert(t, NextVoters(state, view) == nil)
-	silence["10.0.0.3"] = 5 * time.Second
+	unreachableFor["10.0.0.3"] = 5 * time.Second
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{5, 2, 4})
 }
 
-// A wiped voter is lost for certain, a silent one may come back: the one place that may change is the wiped one's.
-func TestWipedVoterIsReplacedBeforeASilentOne(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4)
+// TestWipedVoterIsReplacedBeforeAnUnreachableOne: a wiped voter is lost for certain, an unreachable one may come back. Only one
+// may be replaced.
+func TestWipedVoterIsReplacedBeforeAnUnreachableOne(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4)
 	wiped := coordinator(3)
 	wiped.Identity = 30
 	view.Joins = append(view.Joins, Join{Request: &tierpb.JoinRequest{Node: wiped}, FirstSeen: start, LastSeen: start})
-	silence["10.0.0.1"] = 5 * time.Second
+	unreachableFor["10.0.0.1"] = 5 * time.Second
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 30})
 }
 
-// A disk is wiped twice in a moment: the identity in between called lately and runs no more.
-func TestVoterWipedTwiceIsReplacedByTheLastOne(t *testing.T) {
+// TestVoterWipedTwiceIsReplacedByItsLastIdentity: a disk is wiped twice within JoinTTL, so that the join of the identity in
+// between has not expired.
+func TestVoterWipedTwiceIsReplacedByItsLastIdentity(t *testing.T) {
 	for _, order := range [][]uint64{{20, 21}, {21, 20}} {
-		state, view, _ := votersScene(3, 1)
+		state, view, _ := newVotersScenario(3, 1)
 		for _, identity := range order {
 			wiped := coordinator(2)
 			wiped.Identity = identity
@@ -132,30 +112,31 @@
 		next := NextVoters(state, view)
 		assert.DeepEqual(t, identities(next), []uint64{1, 21, 3})
 		state.Voters[0].Nodes = next
-		assert.Assert(t, NextVoters(state, view) == nil, "the one in between is not taken back")
+		assert.Assert(t, NextVoters(state, view) == nil, "the identity in between does not come back")
 	}
 }
 
-// A planned replacement of the same name comes up while the old machine runs: they do not take turns as voters.
-func TestReplacementOfTheSameNameWaitsForTheOldOneToStop(t *testing.T) {
-	state, view, silence := votersScene(3, 1, 4)
+// TestReplacementOfTheSameNameWaitsUntilTheOldOneStops: a planned replacement of the same name starts while the old machine
+// runs. They must not replace each other in turn.
+func TestReplacementOfTheSameNameWaitsUntilTheOldOneStops(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(3, 1, 4)
 	for _, join := range view.Joins {
 		join.Request.Node.Name = coordinator(2).Name
 	}
 	assert.Assert(t, NextVoters(state, view) == nil, "both run")
 	assert.DeepEqual(t, identities(ReplaceDrainingVoter(state, view, 2)), []uint64{1, 4, 3})
-	silence["10.0.0.2"] = time.Millisecond
+	unreachableFor["10.0.0.2"] = time.Millisecond
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 4, 3})
 }
 
-func TestHandOverGivesAwayOneVoteOnly(t *testing.T) {
-	state, view, silence := votersScene(5, 2, 6, 7)
-	silence["10.0.0.1"] = 5 * time.Second
+func TestDrainingVoterTransfersOneVoteOnly(t *testing.T) {
+	state, view, unreachableFor := newVotersScenario(5, 2, 6, 7)
+	unreachableFor["10.0.0.1"] = 5 * time.Second
 	assert.DeepEqual(t, identities(ReplaceDrainingVoter(state, view, 3)), []uint64{1, 2, 6, 4, 5})
 	assert.Assert(t, ReplaceDrainingVoter(state, view, 6) == nil, "no voter")
-	state, view, _ = votersScene(3, 1)
-	assert.Assert(t, ReplaceDrainingVoter(state, view, 3) == nil, "nobody stands by")
-	state, view, _ = votersScene(3, 1, 4)
+	state, view, _ = newVotersScenario(3, 1)
+	assert.Assert(t, ReplaceDrainingVoter(state, view, 3) == nil, "no standby")
+	state, view, _ = newVotersScenario(3, 1, 4)
 	state.Voters = append(state.Voters, state.Voters[0])
-	assert.Assert(t, ReplaceDrainingVoter(state, view, 3) == nil, "a change under way is finished first")
+	assert.Assert(t, ReplaceDrainingVoter(state, view, 3) == nil, "an incomplete change is completed first")
 }
--- a/internal/tier/turnstore/copies_test.go
+++ b/internal/tier/turnstore/copies_test.go
@@ -235,7 +235,7 @@
 	})
 	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason != "" {
-		assert.Assert(w.t, w.beyond || reason != "records moved, but more disks were lost than are tolerated")
+		assert.Assert(w.t, w.beyond || reason != placement.ReasonDisksLost)
 		w.note("%s", reason)
 		w.publish(next)
 	}
