--- a/internal/tier/turnstore/simulation_placement_test.go
+++ b/internal/tier/turnstore/simulation_placement_test.go
@@ -49,7 +49,7 @@
 	})
 	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason != "" {
-		assert.Assert(w.t, w.toleranceExceeded || reason != "records moved, but more disks were lost than are tolerated")
+		assert.Assert(w.t, w.toleranceExceeded || reason != placement.ReasonDisksLost)
 		w.logEvent("%s", reason)
 		w.publish(next)
 	}
