--- a/internal/tier/budget/merge_test.go
+++ b/internal/tier/budget/claims_test.go
@@ -23,7 +23,7 @@
 	return entries
 }
 
-func TestMergeIsFreeOfOrderAndRepetition(t *testing.T) {
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
 		entries := randomEntries(random)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestSettledClaimCountsWhatItUsed(t *testing.T) {
+func TestSettledClaimCountsUsedTokens(t *testing.T) {
 	known := &tierpb.ProgramBudget{Program: "p"}
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: 100}, {Request: "b", Tokens: 30}})
 	assert.Equal(t, Total(known), uint64(130))
@@ -53,13 +53,13 @@
 	assert.Equal(t, Total(known), uint64(37))
 }
 
-func TestSumDoesNotWrapRound(t *testing.T) {
+func TestTotalSaturates(t *testing.T) {
 	known := &tierpb.ProgramBudget{Program: "p"}
 	Merge(known, []*tierpb.BudgetEntry{{Request: "a", Tokens: ^uint64(0)}, {Request: "b", Tokens: 30}})
 	assert.Equal(t, Total(known), ^uint64(0))
 }
 
-func TestPriorityGoesByRequest(t *testing.T) {
+func TestPriorityIsByRequestOrder(t *testing.T) {
 	known := &tierpb.ProgramBudget{Program: "p"}
 	first, second := &tierpb.BudgetEntry{Request: "a", Tokens: 10}, &tierpb.BudgetEntry{Request: "b", Tokens: 10}
 	Merge(known, []*tierpb.BudgetEntry{first, second})
--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -124,12 +124,12 @@
 		changed: "join.Request.CopiedEpoch > 0",
 	},
 	{
-		name: "only the new replica set counts during a migration", file: "replica/collect.go",
+		name: "only the new replica set counts during a migration", file: "replica/placement.go",
 		old:     "if len(membership.Previous) > 0 {",
 		changed: "if false {",
 	},
 	{
-		name: "write quorum of one less", file: "replica/set.go",
+		name: "write quorum of one less", file: "replica/quorum.go",
 		old:     "return min(tolerance+1, size)",
 		changed: "return min(tolerance, size)",
 	},
--- /dev/null
+++ b/internal/tier/replica/call_quorum.go
@@ -0,0 +1,280 @@
+package replica
+
+import (
+	"context"
+	"time"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// Times and bounds of a quorum operation.
+const (
+	hedgeDelay     = 40 * time.Millisecond  // after this without a quorum, the remaining members are called too
+	retryBackoff   = 60 * time.Millisecond  // before members that failed are called again
+	callTimeout    = 700 * time.Millisecond // of one call to one member
+	responseBuffer = 16                     // responses that calls can deliver without waiting
+)
+
+// Reply is the reply of a turn store.
+type Reply interface {
+	GetHeader() *tierpb.StoreReplyHeader
+}
+
+// Operation is a call to members of a key's replica sets, of which a quorum must answer.
+type Operation[R Reply] struct {
+	Key    string
+	Quorum Quorum
+	// Call calls one member. The request must carry the header.
+	Call func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (R, error)
+	// OnReply is called with each reply that counts, from a single goroutine; returning true ends the operation
+	// successfully before the quorum is complete. May be nil.
+	OnReply func(R) bool
+	// Ranked prefers members by their rank for the key, which is the same for all callers, instead of by latency.
+	Ranked bool
+	// SingleMembership discards the replies received under an older membership: a read quorum is valid only within one
+	// membership, whereas a write that a member has synced stays there.
+	SingleMembership bool
+}
+
+// Outcome tells which quorum an operation has reached.
+type Outcome struct {
+	// TopRanked is true if the key had a single replica set throughout and its members of the highest rank are in the
+	// quorum. All callers that get true have the same quorum.
+	TopRanked bool
+}
+
+// CallQuorum runs an operation until a quorum of the replica set has answered; of both replica sets while the membership
+// changes. It returns ErrUncertain if ctx ends before.
+func CallQuorum[R Reply](ctx context.Context, client *Client, operation Operation[R]) (Outcome, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	call := &quorumCall[R]{
+		client:    client,
+		operation: operation,
+		tracker:   quorumTracker{tolerance: client.options.Tolerance, quorum: operation.Quorum},
+		responses: make(chan response[R], responseBuffer),
+		acked:     make(identities),
+	}
+	err := call.run(ctx)
+	return Outcome{TopRanked: err == nil && call.changes == 0 && call.tracker.isTopRanked(call.acked)}, err
+}
+
+// response is the outcome of a call to one member.
+type response[R Reply] struct {
+	member  *tierpb.Node
+	changes int // the quorumCall's when the member was called
+	reply   R
+	err     error
+	latency time.Duration
+}
+
+// quorumCall is one run of an operation. A single goroutine uses it; calls report through responses.
+type quorumCall[R Reply] struct {
+	client     *Client
+	operation  Operation[R]
+	membership *tierpb.StoreMembership
+	changes    int // of the membership since the start
+	tracker    quorumTracker
+	candidates []*tierpb.Node // all members of the replica sets, preferred ones first
+	responses  chan response[R]
+	acked      identities
+	called     identities // in this attempt
+	inFlight   int        // calls without a response, those of earlier attempts included
+}
+
+// run makes attempts until one succeeds or ctx ends.
+func (q *quorumCall[R]) run(ctx context.Context) error {
+	for {
+		q.refreshMembership()
+		if q.tracker.complete(q.acked) {
+			return nil
+		}
+		done, err := q.attempt(ctx)
+		if done || err != nil {
+			return err
+		}
+		if err := q.backOff(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// refreshMembership switches to the newest membership and begins a new attempt. It never goes back to an older one.
+func (q *quorumCall[R]) refreshMembership() {
+	newest := q.client.Membership()
+	if newest.GetEpoch() < q.membership.GetEpoch() {
+		newest = q.membership
+	}
+	if q.membership != nil && haveDifferentSets(newest, q.membership) {
+		q.changes++
+		if q.operation.SingleMembership {
+			clear(q.acked)
+		}
+	}
+	q.membership = newest
+	q.tracker.sets = Sets(newest, q.operation.Key, q.client.options.Tolerance)
+	q.candidates = q.client.byPreference(union(q.tracker.sets), q.operation.Ranked)
+	q.called = make(identities, len(q.candidates))
+}
+
+// haveDifferentSets returns whether replica sets may differ between two memberships. Dropping the previous members at the
+// end of a rebalance keeps the epoch: current members that answered before it may have lacked records of the previous ones.
+func haveDifferentSets(a, b *tierpb.StoreMembership) bool {
+	return a.GetEpoch() != b.GetEpoch() || len(a.GetPrevious()) != len(b.GetPrevious())
+}
+
+// union returns the members of all sets, each once.
+func union(sets [][]*tierpb.Node) []*tierpb.Node {
+	var members []*tierpb.Node
+	for _, set := range sets {
+		for _, member := range set {
+			if !Contains(members, member.Identity) {
+				members = append(members, member)
+			}
+		}
+	}
+	return members
+}
+
+// attempt calls members under one membership. It returns true when the operation has succeeded, and false when a store
+// knows a newer membership or when all members have been called without success.
+func (q *quorumCall[R]) attempt(ctx context.Context) (bool, error) {
+	// Members that have acknowledged or are expected to, because they were called and have not failed.
+	expected := make(identities, len(q.candidates))
+	for identity := range q.acked {
+		expected[identity] = true
+	}
+	q.callPreferred(ctx, expected)
+	hedge := q.client.options.After(hedgeDelay)
+	for q.inFlight > 0 {
+		select {
+		case got := <-q.responses:
+			q.inFlight--
+			switch q.handle(got) {
+			case resultSucceeded:
+				return true, nil
+			case resultStaleMembership:
+				return false, nil
+			case resultFailed:
+				delete(expected, got.member.Identity)
+				q.callPreferred(ctx, expected)
+			case resultAcked, resultDiscarded:
+			}
+		case <-hedge:
+			q.client.recordSlow(q.called, q.acked)
+			q.callRemaining(ctx)
+		case <-ctx.Done():
+			return false, ErrUncertain
+		}
+	}
+	return false, nil
+}
+
+// callPreferred calls the fewest candidates that would complete the quorums if all expected members acknowledge.
+func (q *quorumCall[R]) callPreferred(ctx context.Context, expected identities) {
+	for _, member := range q.candidates {
+		if q.tracker.allHaveQuorum(expected) {
+			return
+		}
+		if expected[member.Identity] || q.called[member.Identity] || !q.tracker.isUseful(member, expected) {
+			continue
+		}
+		expected[member.Identity] = true
+		q.start(ctx, member)
+	}
+}
+
+// callRemaining calls the candidates that have not been called and could still contribute to a quorum.
+func (q *quorumCall[R]) callRemaining(ctx context.Context) {
+	for _, member := range q.candidates {
+		if !q.called[member.Identity] && !q.acked[member.Identity] && q.tracker.isUseful(member, q.acked) {
+			q.start(ctx, member)
+		}
+	}
+}
+
+// start calls a member in a goroutine of its own.
+func (q *quorumCall[R]) start(ctx context.Context, member *tierpb.Node) {
+	q.called[member.Identity] = true
+	q.inFlight++
+	header := &tierpb.StoreRequestHeader{Identity: member.Identity, Epoch: q.membership.GetEpoch()}
+	changes := q.changes
+	go func() {
+		callContext, cancel := context.WithTimeout(ctx, callTimeout)
+		defer cancel()
+		started := q.client.options.Now()
+		reply, err := q.operation.Call(callContext, member.Address, header)
+		latency := q.client.options.Now().Sub(started)
+		select {
+		case q.responses <- response[R]{member: member, changes: changes, reply: reply, err: err, latency: latency}:
+		case <-ctx.Done():
+		}
+	}()
+}
+
+// result is what a response means for the operation.
+type result int
+
+const (
+	resultAcked           result = iota // counts towards the quorum, which is not complete
+	resultSucceeded                     // the operation has succeeded
+	resultFailed                        // does not count; another member may be called
+	resultStaleMembership               // a store knows a newer membership
+	resultDiscarded                     // of an older membership
+)
+
+func (q *quorumCall[R]) handle(got response[R]) result {
+	if got.changes != q.changes && q.operation.SingleMembership {
+		return resultDiscarded
+	}
+	if failure := q.checkResponse(got); failure != resultAcked {
+		return failure
+	}
+	if q.operation.OnReply != nil && q.operation.OnReply(got.reply) {
+		return resultSucceeded
+	}
+	q.acked[got.member.Identity] = true
+	if q.tracker.complete(q.acked) {
+		return resultSucceeded
+	}
+	return resultAcked
+}
+
+// checkResponse returns resultAcked if a response counts towards the quorum, otherwise resultFailed or
+// resultStaleMembership. It updates what the client knows of the member and of the membership.
+func (q *quorumCall[R]) checkResponse(got response[R]) result {
+	if got.err != nil {
+		q.client.recordFailure(got.member.Identity)
+		return resultFailed
+	}
+	header := got.reply.GetHeader()
+	switch header.GetStatus() {
+	case tierpb.StoreStatus_STORE_OK:
+		q.client.recordSuccess(got.member.Identity, got.latency)
+		return resultAcked
+	case tierpb.StoreStatus_STORE_STALE_EPOCH:
+		q.client.learn(header.GetMembership())
+		if header.GetMembership().GetEpoch() > q.membership.GetEpoch() {
+			return resultStaleMembership
+		}
+		return resultFailed
+	case tierpb.StoreStatus_STORE_BEHIND: // it learns the membership shortly, so this is no fault of the member
+		return resultFailed
+	}
+	q.client.recordFailure(got.member.Identity)
+	return resultFailed
+}
+
+// backOff waits before the next attempt, unless a newer membership is known already.
+func (q *quorumCall[R]) backOff(ctx context.Context) error {
+	newest := q.client.Membership()
+	if newest.GetEpoch() >= q.membership.GetEpoch() && haveDifferentSets(newest, q.membership) {
+		return nil
+	}
+	select {
+	case <-q.client.options.After(retryBackoff):
+		return nil
+	case <-ctx.Done():
+		return ErrUncertain
+	}
+}
--- /dev/null
+++ b/internal/tier/replica/placement.go
@@ -0,0 +1,117 @@
+package replica
+
+import (
+	"cmp"
+	"slices"
+
+	"pulleygw.example/pulleygw/internal/tier/tierpb"
+)
+
+// Constants of the hash functions: FNV-1a and the finalizer of SplitMix64. They are part of the protocol between all
+// processes and must not change.
+const (
+	fnvOffset   = 14695981039346656037
+	fnvPrime    = 1099511628211
+	splitMixOne = 0xbf58476d1ce4e5b9
+	splitMixTwo = 0x94d049bb133111eb
+)
+
+// Hash returns the hash of a key that its placement is computed from. It is the same in all processes.
+func Hash(key string) uint64 {
+	hash := uint64(fnvOffset)
+	for i := 0; i < len(key); i++ {
+		hash = (hash ^ uint64(key[i])) * fnvPrime
+	}
+	return hash
+}
+
+// Score returns the rank of a member for a key: the members with the highest scores form the replica set.
+func Score(keyHash, identity uint64) uint64 {
+	mixed := keyHash ^ (identity * fnvPrime)
+	mixed = (mixed ^ mixed>>30) * splitMixOne
+	mixed = (mixed ^ mixed>>27) * splitMixTwo
+	return mixed ^ mixed>>31
+}
+
+// Sets returns the replica sets of a key: that of the current members and, while the membership changes, that of the
+// previous members. It returns nil if no members are known.
+func Sets(membership *tierpb.StoreMembership, key string, tolerance int) [][]*tierpb.Node {
+	if len(membership.GetCurrent()) == 0 {
+		return nil
+	}
+	sets := [][]*tierpb.Node{Set(membership.Current, key, Size(tolerance))}
+	if len(membership.Previous) > 0 {
+		sets = append(sets, Set(membership.Previous, key, Size(tolerance)))
+	}
+	return sets
+}
+
+// Set returns the replica set of a key among some members, by rendezvous hashing; the member of the highest rank is
+// first. No failure domain (a zone, or a region where whole regions may be lost) has a second member in the set while
+// another has none. The result depends only on the members, not on their order.
+func Set(members []*tierpb.Node, key string, size int) []*tierpb.Node {
+	ranked := rank(members, Hash(key))
+	if len(ranked) <= size {
+		return ranked
+	}
+	return spreadOverDomains(ranked, size)
+}
+
+// rank returns the members by descending score.
+func rank(members []*tierpb.Node, keyHash uint64) []*tierpb.Node {
+	ranked := slices.Clone(members)
+	slices.SortFunc(ranked, func(a, b *tierpb.Node) int {
+		return cmp.Compare(Score(keyHash, b.Identity), Score(keyHash, a.Identity))
+	})
+	return ranked
+}
+
+// spreadOverDomains chooses members in the order of their rank, in rounds in which each failure domain contributes at
+// most one.
+func spreadOverDomains(ranked []*tierpb.Node, size int) []*tierpb.Node {
+	chosen := make([]*tierpb.Node, 0, size)
+	isChosen := make([]bool, len(ranked))
+	for len(chosen) < size {
+		roundStart := len(chosen)
+		for i, member := range ranked {
+			if len(chosen) == size {
+				break
+			}
+			if !isChosen[i] && !hasDomain(chosen[roundStart:], domainOf(member)) {
+				isChosen[i] = true
+				chosen = append(chosen, member)
+			}
+		}
+	}
+	return chosen
+}
+
+// domainOf returns the failure domain of a member: what may be lost as a whole.
+func domainOf(member *tierpb.Node) string {
+	if member.Domain != "" {
+		return member.Domain
+	}
+	return member.Zone
+}
+
+func hasDomain(nodes []*tierpb.Node, domain string) bool {
+	return slices.ContainsFunc(nodes, func(node *tierpb.Node) bool { return domainOf(node) == domain })
+}
+
+// Contains returns whether a set has the member with this identity.
+func Contains(set []*tierpb.Node, identity uint64) bool {
+	return slices.ContainsFunc(set, func(node *tierpb.Node) bool { return node.Identity == identity })
+}
+
+// SameMembers returns whether two replica sets have the same members, in whatever order.
+func SameMembers(a, b []*tierpb.Node) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for _, node := range a {
+		if !Contains(b, node.Identity) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/tier/replica/set_test.go
+++ b/internal/tier/replica/placement_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestSetTakesSecondMembersOfZonesWhereThereAreFewZones(t *testing.T) {
+func TestSetHasSecondMembersInZonesIfZonesAreFew(t *testing.T) {
 	nodes := members(9, 2)
 	for i := range 200 {
 		set := Set(nodes, fmt.Sprintf("key%d", i), 5)
@@ -43,7 +43,23 @@
 	}
 }
 
-func TestSetIsTheSameInWhateverOrderMembersAreNamed(t *testing.T) {
+func TestSetSpreadsOverFailureDomains(t *testing.T) {
+	var nodes []*tierpb.Node
+	for i := range 9 {
+		nodes = append(nodes, &tierpb.Node{
+			Identity: uint64(1000 + i*77), Zone: fmt.Sprintf("zone%d", i), Domain: fmt.Sprintf("region%d", i%3),
+		})
+	}
+	for key := range 200 {
+		regions := map[string]bool{}
+		for _, node := range Set(nodes, fmt.Sprint(key), 3) {
+			regions[node.Domain] = true
+		}
+		assert.Equal(t, len(regions), 3)
+	}
+}
+
+func TestSetIsIndependentOfTheOrderOfMembers(t *testing.T) {
 	nodes := members(7, 3)
 	shuffled := members(7, 3)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -51,18 +67,18 @@
 		random.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
 		key := fmt.Sprintf("key%d", i)
 		one, other := Set(nodes, key, 3), Set(shuffled, key, 3)
-		for place := range one {
-			assert.Equal(t, one[place].Identity, other[place].Identity)
+		for position := range one {
+			assert.Equal(t, one[position].Identity, other[position].Identity)
 		}
 	}
 }
 
-func TestSetOfFewMembersIsAll(t *testing.T) {
+func TestSetOfFewMembersHasAllOfThem(t *testing.T) {
 	assert.Equal(t, len(Set(members(2, 1), "key", 3)), 2)
 	assert.Equal(t, len(Set(nil, "key", 3)), 0)
 }
 
-func TestKeysSpreadOverMembers(t *testing.T) {
+func TestKeysSpreadEvenlyOverMembers(t *testing.T) {
 	nodes := members(6, 3)
 	count := map[uint64]int{}
 	for i := range 6000 {
@@ -71,33 +87,6 @@
 		}
 	}
 	for identity, keys := range count {
-		assert.Assert(t, keys > 2500 && keys < 3500, "%d has %d of 18000 places", identity, keys)
-	}
-}
-
-func TestQuorumsMeet(t *testing.T) {
-	for tolerance := range 4 {
-		for size := 1; size <= Size(tolerance); size++ {
-			write, read := WriteQuorum(tolerance, size), ReadQuorum(tolerance, size)
-			assert.Assert(t, write+read > size && write <= size && read <= size)
-		}
-		assert.Equal(t, WriteQuorum(tolerance, Size(tolerance)), tolerance+1)
-		assert.Equal(t, ReadQuorum(tolerance, Size(tolerance)), tolerance+1)
-	}
-}
-
-func TestSetSpreadsOverRegionsWhereTheseMayBeLost(t *testing.T) {
-	var nodes []*tierpb.Node
-	for i := range 9 {
-		nodes = append(nodes, &tierpb.Node{
-			Identity: uint64(1000 + i*77), Zone: fmt.Sprintf("zone%d", i), Domain: fmt.Sprintf("region%d", i%3),
-		})
-	}
-	for key := range 200 {
-		regions := map[string]bool{}
-		for _, node := range Set(nodes, fmt.Sprint(key), 3) {
-			regions[node.Domain] = true
-		}
-		assert.Equal(t, len(regions), 3)
+		assert.Assert(t, keys > 2500 && keys < 3500, "%d has %d of 18000 replicas", identity, keys)
 	}
 }
--- a/internal/tier/turns/cache.go
+++ b/internal/tier/turns/cache.go
@@ -7,54 +7,55 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// recordOverhead is about what a cached record costs besides its bytes.
+// recordOverhead is the approximate memory use of a cached record besides its contents, in bytes.
 const recordOverhead = 256
 
-// cache remembers the records used last, within a bound of bytes.
+// cache is an LRU cache of turn records, bounded by their approximate size. Records never change, so entries are never
+// stale. It is safe for concurrent use.
 type cache struct {
-	mu      sync.Mutex
-	most    int
-	bytes   int
-	entries map[string]*list.Element
-	recent  *list.List // of *tierpb.TurnRecord, used last first
+	mu       sync.Mutex
+	maxBytes int
+	bytes    int
+	entries  map[string]*list.Element
+	recent   *list.List // of *tierpb.TurnRecord, most recently used first
 }
 
-func newCache(most int) *cache {
-	return &cache{most: most, entries: make(map[string]*list.Element), recent: list.New()}
+func newCache(maxBytes int) *cache {
+	return &cache{maxBytes: maxBytes, entries: make(map[string]*list.Element), recent: list.New()}
 }
 
 func (c *cache) put(record *tierpb.TurnRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.entries[record.Id]; known != nil {
-		c.recent.MoveToFront(known)
+	if existing := c.entries[record.Id]; existing != nil {
+		c.recent.MoveToFront(existing)
 		return
 	}
 	c.entries[record.Id] = c.recent.PushFront(record)
-	c.bytes += cost(record)
-	for c.bytes > c.most && c.recent.Len() > 0 {
+	c.bytes += recordBytes(record)
+	for c.bytes > c.maxBytes && c.recent.Len() > 0 {
 		c.remove(c.recent.Back())
 	}
 }
 
-// get returns a record, nil if it is not remembered.
+// get returns a record, nil if it is not cached.
 func (c *cache) get(id string) *tierpb.TurnRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.entries[id]
-	if known == nil {
+	existing := c.entries[id]
+	if existing == nil {
 		return nil
 	}
-	c.recent.MoveToFront(known)
-	return known.Value.(*tierpb.TurnRecord)
+	c.recent.MoveToFront(existing)
+	return existing.Value.(*tierpb.TurnRecord)
 }
 
 func (c *cache) remove(element *list.Element) {
 	record := c.recent.Remove(element).(*tierpb.TurnRecord)
 	delete(c.entries, record.Id)
-	c.bytes -= cost(record)
+	c.bytes -= recordBytes(record)
 }
 
-func cost(record *tierpb.TurnRecord) int {
+func recordBytes(record *tierpb.TurnRecord) int {
 	return recordOverhead + len(record.Id) + len(record.Previous) + len(record.Input) + len(record.Output)
 }
--- a/internal/tier/turns/client.go
+++ b/internal/tier/turns/client.go
@@ -1,4 +1,8 @@
-// Package turns keeps and finds the records of turns on the turn stores, for the proxy.
+// Package turns saves and reads the records of conversation turns on the turn stores, for the proxy.
+//
+// A record is written once, to a write quorum of its replica set, and never changes. Each record names the turn that it
+// continues, so a conversation is read by following a chain of records from its last turn. Records that were saved or read
+// lately are cached.
 package turns
 
 import (
@@ -16,14 +20,14 @@
 // Errors of the client.
 var (
 	ErrNotFound  = eris.New("no such turn")
-	ErrUncertain = replica.ErrUncertain // too few stores answered: nothing is known
+	ErrUncertain = replica.ErrUncertain // no quorum answered in time; a record that was to be saved may be stored
 )
 
 // Bounds of the client.
 const (
 	defaultTimeout    = 2 * time.Second // of a call whose context has no deadline
 	defaultCacheBytes = 8 << 20
-	longestChain      = 10_000
+	maxChainLength    = 10_000
 )
 
 // Options of a Client.
@@ -31,30 +35,30 @@
 
 // Client saves and reads turn records. It is safe for concurrent use.
 type Client struct {
-	replicas  *replica.Client
-	cache     *cache
-	extending chan struct{} // one for each extension under way
+	replicas       *replica.Client
+	cache          *cache
+	extensionSlots chan struct{} // holds one value for each extension call in progress
 }
 
-// NewClient makes a client.
+// NewClient returns a client. If Options.CacheBytes is not positive, the cache is bounded by defaultCacheBytes.
 func NewClient(options Options) *Client {
 	if options.CacheBytes <= 0 {
 		options.CacheBytes = defaultCacheBytes
 	}
-	replicas := replica.NewClient(options)
 	return &Client{
-		replicas:  replicas,
-		cache:     newCache(options.CacheBytes),
-		extending: make(chan struct{}, mostExtensions),
+		replicas:       replica.NewClient(options),
+		cache:          newCache(options.CacheBytes),
+		extensionSlots: make(chan struct{}, maxConcurrentExtensions),
 	}
 }
 
-// Ready says whether any turn store is known: before that nothing can be saved.
+// Ready returns whether any turn store is known. Before that nothing can be saved.
 func (c *Client) Ready() bool { return len(c.replicas.Membership().GetCurrent()) > 0 }
 
-// Save returns nil when the record is synced on enough stores that no loss within tolerance loses it.
+// Save stores a record. When it returns nil, the record is synced on a write quorum, so that the loss of as many machines
+// as are tolerated does not lose it. It returns ErrUncertain otherwise.
 func (c *Client) Save(ctx context.Context, record *tierpb.TurnRecord) error {
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := replica.WithDefaultTimeout(ctx, defaultTimeout)
 	defer cancel()
 	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.PutTurnsReply]{
 		Key:    record.Id,
@@ -73,16 +77,16 @@
 	return nil
 }
 
-// Chain returns the turn and all before it, oldest first. ErrNotFound says that there is no such turn;
-// ErrUncertain that this can't be told, or that a part of the chain can't be had now.
+// Chain returns a turn and all turns that it continues, oldest first. It returns ErrNotFound if there is no such turn, and
+// ErrUncertain if no quorum answered or a part of the chain cannot be read now.
 func (c *Client) Chain(ctx context.Context, id string) ([]*tierpb.TurnRecord, error) {
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := replica.WithDefaultTimeout(ctx, defaultTimeout)
 	defer cancel()
 	var chain []*tierpb.TurnRecord
-	for next := id; next != "" && len(chain) < longestChain; {
-		if known := c.cache.get(next); known != nil {
-			chain = append(chain, known)
-			next = known.Previous
+	for next := id; next != "" && len(chain) < maxChainLength; {
+		if cached := c.cache.get(next); cached != nil {
+			chain = append(chain, cached)
+			next = cached.Previous
 			continue
 		}
 		found, err := c.read(ctx, next)
@@ -101,7 +105,8 @@
 	return chain, nil
 }
 
-// read asks for a turn and those before it that one store has, newest first; none when a quorum lacks it.
+// read reads a turn and the turns before it that the same store has, newest first. It returns none if a read quorum does
+// not have the turn.
 func (c *Client) read(ctx context.Context, id string) ([]*tierpb.TurnRecord, error) {
 	var found []*tierpb.TurnRecord
 	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.GetChainReply]{
@@ -114,7 +119,7 @@
 			return reply, c.replicas.Caller().Call(ctx, address, rpc.MethodGetChain, request, reply)
 		},
 		OnReply: func(reply *tierpb.GetChainReply) bool {
-			found = linked(reply.Records, id)
+			found = linkedPrefix(reply.Records, id)
 			return len(found) > 0
 		},
 	})
@@ -124,8 +129,8 @@
 	return found, err
 }
 
-// linked returns the records as far as each is the one before the last.
-func linked(records []*tierpb.TurnRecord, id string) []*tierpb.TurnRecord {
+// linkedPrefix returns the records from the one with the given id on, as far as each continues the next.
+func linkedPrefix(records []*tierpb.TurnRecord, id string) []*tierpb.TurnRecord {
 	for i, record := range records {
 		if record.Id != id {
 			return records[:i]
@@ -137,10 +142,3 @@
 	}
 	return records
 }
-
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	if _, has := ctx.Deadline(); has {
-		return context.WithCancel(ctx)
-	}
-	return context.WithTimeout(ctx, defaultTimeout)
-}
--- a/internal/tier/turnstore/budget_claims_test.go
+++ b/internal/tier/turnstore/budget_claims_test.go
@@ -14,8 +14,8 @@
 	"pulleygw.example/pulleygw/internal/tier/replica"
 )
 
-// reserveConcurrently has several turns of a program claim at nearly the same time through clients in different zones, and
-// returns what those that passed claimed together.
+// reserveConcurrently makes several claims of a program at nearly the same time through clients in different zones, and
+// returns the tokens of those that were granted.
 func reserveConcurrently(c *cluster, program string, turns int, allowance uint64) uint64 {
 	var mu sync.Mutex
 	var passed uint64
@@ -59,7 +59,7 @@
 	t.Logf("%d of %d passed", sum, 300*2*maxTokensPerTurn)
 }
 
-// A claim that was withdrawn counts nothing any more, so the same one may not be made again.
+// A withdrawn claim counts nothing any more, so the same request must not be granted again.
 func TestWithdrawnClaimIsNotGrantedAgain(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	client := budget.NewClient(c.options())
@@ -77,8 +77,8 @@
 	assert.ErrorIs(t, reserve("second"), budget.ErrUncertain)
 }
 
-// Three claims of which each finds one of the others: one that goes to the first members and is slow to reach one of
-// them, and two that miss one of these each and go past them. Together they are over the budget.
+// Three claims of which each sees one of the others: one is written to the top-ranked members and reaches one of them
+// late, and two cannot reach one of these each and are confirmed. Together they exceed the budget.
 func TestCycleOfConfirmedAndUnconfirmedClaimsStaysWithinTheBudget(t *testing.T) {
 	const program = "program"
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -19,8 +19,8 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// cluster is a set of turn stores on simulated disks with a simulated network. Time stands still unless a test moves
-// it, and timers fire when nothing else can happen any more: tests call tick.
+// cluster is a set of turn stores on simulated disks with a simulated network. Its clock stands still unless a test
+// advances it.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -31,10 +31,10 @@
 	mu               sync.Mutex
 	machines         map[string]*machine // by address
 	membership       *tierpb.StoreMembership
-	olderMemberships []*tierpb.StoreMembership // those before it
-	delayedUpdates   bool                      // stores learn of a change by chance or when they make a pass
+	olderMemberships []*tierpb.StoreMembership // earlier ones, oldest first
+	delayedUpdates   bool                      // stores learn of a change at random or when they rebalance
 	nextID           uint64
-	partitioned      map[string]bool      // addresses that nobody reaches; calls fail
+	partitioned      map[string]bool      // addresses that cannot be reached: calls fail
 	latency          func() time.Duration // of one way; nil for none. Only under synctest, where it takes no real time
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// add puts an empty machine at an address and starts its store.
+// add adds a machine with an empty disk and starts its store.
 func (c *cluster) add(address, zone string) *machine {
 	m := &machine{address: address, zone: zone, disk: newMemoryDisk()}
 	m.disk.setSyncTime(c.latency)
@@ -77,7 +77,7 @@
 	return c.nextID
 }
 
-// kill ends a store's process; its disk stays.
+// kill ends a store's process; the contents of its disk remain.
 func (c *cluster) kill(m *machine) {
 	c.mu.Lock()
 	store := m.store
@@ -89,7 +89,7 @@
 	}
 }
 
-// setPartitioned makes a machine one that nobody reaches, or ends that.
+// setPartitioned isolates a machine from the network, or ends that.
 func (c *cluster) setPartitioned(m *machine, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +107,7 @@
 	m.disk.losePower(c.random)
 }
 
-// remove takes a machine away for good.
+// remove removes a machine permanently.
 func (c *cluster) remove(m *machine) {
 	c.kill(m)
 	c.mu.Lock()
@@ -125,12 +125,12 @@
 	return nodes
 }
 
-// setMembers makes all running stores the members; the members before become the previous ones.
+// setMembers makes all running stores the current members.
 func (c *cluster) setMembers(previous []*tierpb.Node) {
 	c.changeMembership(c.nodes(), previous)
 }
 
-// endRebalance drops the previous members under the same epoch, as the holder of the lease does.
+// endRebalance drops the previous members in the same epoch, as the placement role does.
 func (c *cluster) endRebalance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,12 +138,12 @@
 	c.membership = &tierpb.StoreMembership{Epoch: c.membership.Epoch, Current: c.membership.Current}
 }
 
-// newAddress is one at which no member of newCluster is.
+// newAddress returns an address that newCluster does not use.
 func (c *cluster) newAddress(number int) string { return fmt.Sprintf("10.0.1.%d:1", number) }
 
 func (c *cluster) dropPrevious() { c.changeMembership(c.currentMembership().Current, nil) }
 
-// changeMembership begins the next epoch.
+// changeMembership starts the next epoch.
 func (c *cluster) changeMembership(current, previous []*tierpb.Node) {
 	c.mu.Lock()
 	c.olderMemberships = append(c.olderMemberships, c.membership)
@@ -166,11 +166,11 @@
 	}
 }
 
-// olderMembership is a membership that a client may still know: one of the last few.
+// olderMembership returns the membership some changes ago, which a client may still know.
 func (c *cluster) olderMembership(by int) *tierpb.StoreMembership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if by == 0 || by >= len(c.olderMemberships) { // the first is none
+	if by == 0 || by >= len(c.olderMemberships) { // the first one is nil
 		return c.membership
 	}
 	return c.olderMemberships[len(c.olderMemberships)-by]
@@ -189,9 +189,9 @@
 	return c.membership
 }
 
-// rebalanceOn makes a store hand on what it holds.
+// rebalanceOn runs the rebalance of a store to its end.
 func (c *cluster) rebalanceOn(m *machine) error {
-	c.sendControlToAll() // a pass goes on until the others know of the change too
+	c.sendControlToAll() // a rebalance retries until the others know the membership
 	work := &rebalance{
 		store: m.store, caller: c, tolerance: c.tolerance, membership: c.currentMembership(), failpoints: m.failpoints(), after: firesAtOnce,
 	}
@@ -210,7 +210,7 @@
 	return turns.NewClient(options)
 }
 
-// Call carries a message to a store, as bytes.
+// Call implements rpc.Caller: it encodes a request, delivers it to a store and decodes the reply.
 func (c *cluster) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	c.mu.Lock()
 	m := c.machines[address]
@@ -242,7 +242,7 @@
 	return reply.UnmarshalVT(data)
 }
 
-// delay takes a message's time.
+// delay waits for the one-way latency of a message.
 func (c *cluster) delay(ctx context.Context) error {
 	if c.latency == nil {
 		return nil
@@ -262,17 +262,17 @@
 	}
 }
 
-// machine is one store's place.
+// machine is a host with a disk, on which a store may run.
 type machine struct {
 	address        string
 	zone           string
 	disk           *memoryDisk
 	store          *Store
 	slow           atomic.Bool
-	crashCountdown atomic.Int64 // fault points to pass before the process stops; none when negative
+	crashCountdown atomic.Int64 // failpoints to pass before the process stops; negative: never stops
 }
 
-// crashAfter makes the process stop at a later fault point.
+// crashAfter makes the process stop after it has passed some more failpoints.
 func (m *machine) crashAfter(points int) { m.crashCountdown.Store(int64(points)) }
 
 func (m *machine) disarmCrash() { m.crashCountdown.Store(-1) }
@@ -281,7 +281,7 @@
 	return &failpoint.Points{ShouldStop: func(failpoint.Point) bool { return m.crashCountdown.Load() >= 0 && m.crashCountdown.Add(-1) < 0 }}
 }
 
-// testClock has timers that fire at once where they are short pauses, and never where they are hedges or time-outs.
+// testClock is a clock that a test advances.
 type testClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -299,10 +299,10 @@
 	c.now = c.now.Add(by)
 }
 
-// neverFires is a timer that does not fire.
+// neverFires is a timer that does not fire, for time-outs and hedges.
 func neverFires(time.Duration) <-chan time.Time { return nil }
 
-// at once is a timer that fires immediately.
+// firesAtOnce is a timer that fires immediately, for backoffs.
 func firesAtOnce(time.Duration) <-chan time.Time {
 	fired := make(chan time.Time, 1)
 	fired <- time.Time{}
@@ -373,7 +373,7 @@
 	return reply.Header.Status
 }
 
-// randomLatency is safe for concurrent use.
+// randomLatency returns random durations below a maximum. It is safe for concurrent use.
 func randomLatency(seed uint64, most time.Duration) func() time.Duration {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 7))
@@ -384,7 +384,7 @@
 	}
 }
 
-// partialNetwork is a network from which one store cannot be reached.
+// partialNetwork is the network of a client that cannot reach one store.
 type partialNetwork struct {
 	*cluster
 	unreachable string
@@ -397,12 +397,12 @@
 	return p.cluster.Call(ctx, address, method, request, reply)
 }
 
-// slowNetwork is a network of one client: some calls take long, one store is not reached.
+// slowNetwork is the network of a client that cannot reach one store and whose calls to another one are delayed.
 type slowNetwork struct {
 	*cluster
 	unreachable string
 	slow        string
-	delay       time.Duration // to the slow one
+	delay       time.Duration // of calls to the slow store
 }
 
 func (p *slowNetwork) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
--- a/internal/tier/turnstore/compaction_test.go
+++ b/internal/tier/turnstore/compaction_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Marks go with the segments that a merged file replaces.
+// A compaction removes the offsets files of the segments that it replaces.
 func TestCompactionRemovesOffsetsFiles(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
--- a/internal/tier/turnstore/disk_contents_test.go
+++ b/internal/tier/turnstore/disk_contents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// durableState reads what a disk would give back if its power were lost now and nothing that was not synced stayed.
+// durableState reads what a disk would contain after a power failure that loses everything that is not synced.
 func durableState(disk *memoryDisk) *state {
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -41,7 +41,7 @@
 // corruptFirstFrame flips a bit of a file's first frame.
 func corruptFirstFrame(file *memoryFile) { file.data[len(fileMagic)+frameHeaderBytes+1] ^= 1 }
 
-// diskContents lists what a store has on its disk.
+// diskContents describes what is durable on the disk of a store.
 func diskContents(m *machine) string {
 	var lines []string
 	found := durableState(m.disk)
--- a/internal/tier/turnstore/idempotence_test.go
+++ b/internal/tier/turnstore/idempotence_test.go
@@ -15,15 +15,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// incomingCall is a call as it comes to a store.
+// incomingCall is a call as a store receives it.
 type incomingCall struct {
 	method  rpc.Method
 	request rpc.Message
-	ordered bool // an extension is dropped where its record has not come
+	ordered bool // must come after its record, because a store ignores extensions of unknown records
 }
 
-// incomingCalls are calls of every kind that a store may get twice: from a proxy that tries again after a time-out, from
-// two stores that hand on the same record, or from a network that held a call up.
+// incomingCalls returns calls of every kind that a store may receive twice: from a proxy that retries after a time-out,
+// from two stores that transfer the same record, or from a network that delayed a call.
 func incomingCalls(c *cluster, header *tierpb.StoreRequestHeader) []incomingCall {
 	var all []incomingCall
 	add := func(method rpc.Method, request rpc.Message) {
@@ -47,7 +47,7 @@
 			add(rpc.MethodReserveBudget, &tierpb.ReserveBudgetRequest{Header: header, Budget: claim(program, id, stage, tokens, marked)})
 		}
 		reserve(budget.StageReserved, 10, false)
-		reserve(budget.StageReserved, 10, true) // the second round
+		reserve(budget.StageReserved, 10, true) // the confirming write
 		add(rpc.MethodPutTurns, &tierpb.PutTurnsRequest{Header: header, Records: []*tierpb.TurnRecord{record}})
 		add(rpc.MethodReadBudget, &tierpb.ReadBudgetRequest{Header: header, Program: program})
 		if i%2 == 0 {
@@ -68,7 +68,7 @@
 	return all
 }
 
-// deliverAll has calls come to a new store and returns what is on its disk afterwards.
+// deliverAll delivers calls to a new store and returns what is on its disk afterwards.
 func deliverAll(t *testing.T, seed uint64, arrange func(*rand.Rand, []incomingCall) []incomingCall) string {
 	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
@@ -81,7 +81,7 @@
 		assert.NilError(t, err)
 	}
 	before := diskContents(m)
-	c.setMembers(nil) // another epoch: what comes now comes too late
+	c.setMembers(nil) // the next epoch: calls of the old one are late now
 	c.sendControl(m.store)
 	for _, call := range incomingCalls(c, header) {
 		_, err := dispatch(context.Background(), m.store, call.method, encode(call.request))
@@ -93,7 +93,7 @@
 
 func inOrder(_ *rand.Rand, calls []incomingCall) []incomingCall { return calls }
 
-// duplicated has each call come once more, at any time after it came first.
+// duplicated repeats each call once, at a random position after the first.
 func duplicated(random *rand.Rand, calls []incomingCall) []incomingCall {
 	all := slices.Clone(calls)
 	for _, call := range calls {
@@ -104,7 +104,7 @@
 	return all
 }
 
-// reordered has calls come twice each and in any order, but extensions behind what they extend.
+// reordered repeats each call once and shuffles all, except that extensions come after their records.
 func reordered(random *rand.Rand, calls []incomingCall) []incomingCall {
 	all := append(slices.Clone(calls), calls...)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/internal/tier/turnstore/membership_test.go
+++ b/internal/tier/turnstore/membership_test.go
@@ -18,7 +18,8 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// The end of a move keeps the epoch. Callers with an older membership are not sent to members that may be gone.
+// The end of a rebalance keeps the epoch. Callers with an older membership must not be directed to members that may have
+// been shut down.
 func TestStoreAppliesTheEndOfARebalance(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -33,10 +34,10 @@
 	control := &tierpb.ControlState{Stores: c.olderMemberships[len(c.olderMemberships)-1]}
 	m.store.UpdateControl(control)
 	known, _ := m.store.Membership()
-	assert.Equal(t, len(known.Previous), 0, "it does not go back")
+	assert.Equal(t, len(known.Previous), 0, "membership went back to an older one")
 }
 
-// What was asked for under a membership is not acknowledged under an older one, wherever that came from.
+// An operation that started under a membership must not be acknowledged under an older one, wherever that comes from.
 func TestWriteIsNotAcknowledgedUnderAnOlderMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c")
@@ -62,12 +63,12 @@
 	})
 }
 
-// endingRebalance is a network over which the previous members fail a caller once enough of the current ones have answered.
-// When all of them have failed, they hand on what they hold, and the move ends under the same epoch.
+// endingRebalance is a network in which calls to previous members fail once a quorum of the current ones has replied. When
+// calls to all of them have failed, they complete their rebalance, and it ends in the same epoch.
 type endingRebalance struct {
 	*cluster
 	mu            sync.Mutex
-	quorumReplied chan struct{} // closed when enough current members have answered
+	quorumReplied chan struct{} // closed when a read quorum of current members has replied
 	replies       int
 	failed        []string
 	ended         bool
@@ -124,7 +125,7 @@
 	return options
 }
 
-// newEndingRebalance is a cluster whose three members are being replaced by three others.
+// newEndingRebalance returns a cluster whose three members are being replaced by three others.
 func newEndingRebalance(t *testing.T, before func(*cluster)) *endingRebalance {
 	t.Helper()
 	c := newCluster(t, 1, "a", "b", "c")
--- a/internal/tier/turnstore/memory_benchmark_test.go
+++ b/internal/tier/turnstore/memory_benchmark_test.go
@@ -17,7 +17,7 @@
 	requestIDBytes = 16
 )
 
-// heapInUse is what is reachable, after a collection.
+// heapInUse returns the bytes of reachable objects, after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var read runtime.MemStats
@@ -25,7 +25,7 @@
 	return read.HeapAlloc
 }
 
-// BenchmarkHeapPerTurn reports what a record costs in memory besides its input and output, and what is reckoned for it.
+// BenchmarkHeapPerTurn reports the memory use of a record besides its input and output, and what the store accounts for it.
 func BenchmarkHeapPerTurn(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
--- a/internal/tier/turnstore/memory_disk_test.go
+++ b/internal/tier/turnstore/memory_disk_test.go
@@ -13,25 +13,25 @@
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
-var errDiskFault = eris.New("simulated trouble of the disk")
+var errDiskFault = eris.New("simulated disk fault")
 
-// memoryFile is a file of a simulated disk: what was synced lasts, what was written behind may.
+// memoryFile is a file of a simulated disk. Bytes beyond the synced ones may survive a power failure.
 type memoryFile struct {
 	data   []byte
 	synced int
 }
 
-// memoryDisk is a simulated disk. Power loss keeps synced bytes and drops or tears the rest; of names it keeps for sure
-// only those that a sync of their folder has covered.
+// memoryDisk is a simulated disk. A power failure keeps synced bytes and drops, truncates or corrupts the rest; folder
+// entries are certain to survive it only after a sync of their folder.
 type memoryDisk struct {
 	mu              sync.Mutex
 	files           map[string]*memoryFile
-	unsyncedCreates map[string]bool   // names of new files, while the folder is not synced
-	unsyncedRenames map[string]string // new name to old, likewise
+	unsyncedCreates map[string]bool   // new files whose folder entry is not synced
+	unsyncedRenames map[string]string // new name to old name, likewise
 	unsyncedRemoves map[string]*memoryFile
 	failing         bool
-	syncDelay       func() time.Duration // time of a sync; nil for none. Only under synctest
-	incarnation     int                  // handles of an earlier life do nothing
+	syncDelay       func() time.Duration // duration of a sync; nil: none. Only under synctest
+	incarnation     int                  // of the process; handles of an earlier one fail
 }
 
 func (d *memoryDisk) fault() error {
@@ -102,7 +102,7 @@
 	d.files[to] = d.files[from]
 	delete(d.files, from)
 	d.unsyncedRenames[to] = from
-	if d.unsyncedCreates[from] { // neither name lasts
+	if d.unsyncedCreates[from] { // neither entry is certain to survive
 		delete(d.unsyncedCreates, from)
 		d.unsyncedCreates[to] = true
 	}
@@ -146,14 +146,14 @@
 	return nil
 }
 
-// endIncarnation makes handles of the life before do nothing; files stay.
+// endIncarnation invalidates the handles of the current process; files remain.
 func (d *memoryDisk) endIncarnation() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.incarnation++
 }
 
-// losePower ends the life and keeps of what was not synced what chance leaves.
+// losePower ends the incarnation and keeps a random part of what was not synced.
 func (d *memoryDisk) losePower(random *rand.Rand) {
 	d.endIncarnation()
 	d.mu.Lock()
@@ -182,7 +182,7 @@
 	}
 }
 
-// tearUnsynced drops, cuts or spoils what was not synced.
+// tearUnsynced drops, truncates or corrupts the bytes of a file that were not synced.
 func (d *memoryDisk) tearUnsynced(path string, file *memoryFile, random *rand.Rand) {
 	loose := len(file.data) - file.synced
 	switch random.IntN(3) {
@@ -255,7 +255,7 @@
 
 func (h *handle) Close() error { return nil }
 
-// diskIncarnation is a simulated disk as one process has it: once that process has ended, none of its calls does anything.
+// diskIncarnation is a simulated disk as seen by one process: once that process has ended, its calls fail.
 type diskIncarnation struct {
 	*memoryDisk
 	number int
--- a/internal/tier/turnstore/oracle_test.go
+++ b/internal/tier/turnstore/oracle_test.go
@@ -8,10 +8,10 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// acknowledgedClaim is a claim that passed.
+// acknowledgedClaim is a claim whose reservation has succeeded.
 type acknowledgedClaim struct {
 	program, request string
-	confirmed        bool // it was written past the program's first members
+	confirmed        bool // it was written a second time, as confirmed
 }
 
 func (c acknowledgedClaim) isIn(v *state) bool {
@@ -23,15 +23,15 @@
 	return at >= 0 && (!c.confirmed || program.budget.Entries[at].Confirmed)
 }
 
-// oracle counts the synced copies of what was acknowledged, on the disks themselves.
+// oracle checks on the disks themselves that everything acknowledged has enough synced replicas.
 type oracle struct {
 	disks     map[uint64]*memoryDisk // by the identity on it
 	turns     []string
 	claims    []acknowledgedClaim
-	newClaims []acknowledgedClaim // since the last look
+	newClaims []acknowledgedClaim // since the last check
 }
 
-// durableStates returns what stands on the disks that are not lost, by identity.
+// durableStates returns what is durable on the disks that still exist, by identity.
 func (o *oracle) durableStates(machines map[string]*machine) map[uint64]*state {
 	views := make(map[uint64]*state)
 	for identity, disk := range o.disks {
@@ -44,9 +44,9 @@
 	return views
 }
 
-// findUnderReplicated names something acknowledged that has too few synced copies in its replica set; empty where nothing has.
-// The set is that of the previous members while records move, which are whole until the move ends. Each lost disk of
-// the set may have taken one copy with it.
+// findUnderReplicated describes a key that was acknowledged and has too few synced replicas; it returns an empty string if
+// there is none. During a rebalance the replica set of the previous members counts, which is complete until the rebalance
+// ends. Each disk of the set that was lost may have had a replica.
 func (o *oracle) findUnderReplicated(membership *tierpb.StoreMembership, tolerance int, machines map[string]*machine) string {
 	base := membership.GetPrevious()
 	if len(base) == 0 {
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// addNewClaims notes of the claims that passed whether they are marked.
+// addNewClaims adds the claims that were reserved since the last check, and whether they are confirmed.
 func (o *oracle) addNewClaims(machines map[string]*machine) {
 	for _, claim := range o.newClaims {
 		claim.confirmed = o.isConfirmed(claim, machines)
@@ -91,7 +91,7 @@
 	o.newClaims = nil
 }
 
-// isConfirmed says whether any disk has a claim with its mark.
+// isConfirmed returns whether any disk has a claim as confirmed.
 func (o *oracle) isConfirmed(claim acknowledgedClaim, machines map[string]*machine) bool {
 	claim.confirmed = true
 	for _, found := range o.durableStates(machines) {
--- a/internal/tier/turnstore/random_schedule_test.go
+++ b/internal/tier/turnstore/random_schedule_test.go
@@ -20,19 +20,19 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// schedule plays random events on a cluster that bears the loss of one machine: at any time at most one is down,
-// cut off or has lost its disk since the last change of members was over; all may lose power at once.
+// schedule plays random events on a cluster that tolerates the loss of one machine: at any time at most one is down, is
+// partitioned or has lost its disk since the last rebalance; all may lose power at once.
 type schedule struct {
 	*cluster
-	failed          *machine          // the one that is lost now
-	completedEpochs map[uint64]uint64 // by identity: epoch of the last pass
+	failed          *machine          // nil if all are up
+	completedEpochs map[uint64]uint64 // by identity: epoch of the last complete rebalance
 	saving          sync.WaitGroup
 	saved           savedTurns
 	programs        map[string]*spending
 	next            int
 }
 
-// client makes the options of a client in some zone, which may know an older membership.
+// client returns the options of a client in a random zone, which may know an older membership.
 func (s *schedule) client(seed uint64) (context.Context, context.CancelFunc, replica.Options) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
@@ -70,7 +70,7 @@
 	}
 }
 
-// save begins to save some turns; other events come meanwhile.
+// save starts to save some turns; other events happen in the meantime.
 func (s *schedule) save() {
 	for range 1 + s.random.IntN(3) {
 		id := fmt.Sprintf("turn-%d", s.next)
@@ -91,7 +91,7 @@
 	time.Sleep(s.latency())
 }
 
-// spend has some turns of one program claim at the same time, and settles some of those that passed.
+// spend makes concurrent claims on the budget of one program and settles some of those that are granted.
 func (s *schedule) spend() {
 	name := fmt.Sprintf("program-%d", s.random.IntN(4))
 	known := s.programs[name]
@@ -133,7 +133,7 @@
 	assert.Check(s.t, known.reserved <= known.budget, "%s: %d of %d", name, known.reserved, known.budget)
 }
 
-// randomMachine picks a running machine.
+// randomMachine returns a machine that is up.
 func (s *schedule) randomMachine() *machine {
 	var addresses []string
 	for address, m := range s.machines {
@@ -145,7 +145,7 @@
 	return s.machines[addresses[s.random.IntN(len(addresses))]]
 }
 
-// failMachine takes one machine away in one of the ways there are.
+// failMachine fails one machine in a random way.
 func (s *schedule) failMachine() {
 	if s.failed != nil || len(s.currentMembership().Previous) > 0 {
 		return
@@ -163,7 +163,7 @@
 	}
 }
 
-// restore brings the lost machine back. One with another identity is taken in by a change of members.
+// restore restarts the failed machine. If it has a new identity, the membership changes.
 func (s *schedule) restore() {
 	if s.failed == nil {
 		return
@@ -183,7 +183,7 @@
 	}
 }
 
-// replace puts an empty machine at another address in the place of the lost one, for good.
+// replace replaces the failed machine permanently by an empty one at another address.
 func (s *schedule) replace() {
 	if s.failed == nil || len(s.currentMembership().Previous) > 0 {
 		return
@@ -198,7 +198,7 @@
 	return s.newAddress(s.next)
 }
 
-// addMachine adds a machine, also while members change: what was current is then replaced, what was previous stays.
+// addMachine adds a machine, also during a rebalance: the current members are then replaced, the previous ones remain.
 func (s *schedule) addMachine() {
 	if len(s.machines) >= 6 || s.failed != nil {
 		return
@@ -211,7 +211,7 @@
 	s.setMembers(previous)
 }
 
-// removeMachine empties a machine and takes it away when its records have moved.
+// removeMachine removes a machine from the membership; it is shut down when its records were transferred.
 func (s *schedule) removeMachine() {
 	if len(s.machines) <= 3 || s.failed != nil || len(s.currentMembership().Previous) > 0 {
 		return
@@ -222,7 +222,7 @@
 	s.changeMembership(slices.DeleteFunc(slices.Clone(before), isVictim), before)
 }
 
-// rebalanceSomewhere has a store of the previous members make its pass, and ends the change when enough have.
+// rebalanceSomewhere runs the rebalance of one previous member, and drops the previous members when enough are complete.
 func (s *schedule) rebalanceSomewhere() {
 	members := s.currentMembership()
 	if len(members.Previous) == 0 {
@@ -252,7 +252,7 @@
 	}
 }
 
-// rebalanceWithCrash makes a pass that may be stopped at a numbered point; the store then starts again.
+// rebalanceWithCrash runs a rebalance that may crash at a failpoint; the store is then restarted.
 func (s *schedule) rebalanceWithCrash(m *machine) error {
 	if s.random.IntN(3) > 0 {
 		return s.rebalanceOn(m)
@@ -309,7 +309,7 @@
 	}
 }
 
-// describe lists the machines and which of them hold a turn.
+// describe lists the machines and which of them have a turn.
 func (s *schedule) describe(id string) string {
 	text := fmt.Sprintf("epoch %d, previous %d", s.currentMembership().Epoch, len(s.currentMembership().Previous))
 	for address, m := range s.machines {
@@ -325,7 +325,7 @@
 	return text
 }
 
-// savedTurns lists the turns whose saving was acknowledged.
+// savedTurns lists the turns that were acknowledged.
 type savedTurns struct {
 	mu  sync.Mutex
 	ids []string
@@ -343,11 +343,11 @@
 	return slices.Clone(s.ids)
 }
 
-// spending is what a test knows of a program.
+// spending is what a test knows of a program's budget.
 type spending struct {
 	mu       sync.Mutex
 	budget   uint64
-	reserved uint64 // claims that passed, settled ones at what they used
+	reserved uint64 // tokens of granted claims; of settled ones what they used
 	turns    int
 }
 
@@ -373,7 +373,7 @@
 	return s
 }
 
-// clientTimeout is how long a client tries, in the simulated time of a synctest bubble.
+// clientTimeout bounds an operation of a client, in the simulated time of a synctest bubble.
 const clientTimeout = 2 * time.Second
 
 func TestRandomSchedulesLoseNoTurnAndOverspendNoBudget(t *testing.T) {
--- a/internal/tier/turnstore/rebalance_test.go
+++ b/internal/tier/turnstore/rebalance_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// A member that has a record already may lack the time until which it is to be kept.
+// A member that has a record already may have missed an extension of its retention.
 func TestRebalanceTransfersExtendedRetention(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	extension := &tierpb.RetentionExtension{Id: "turn", UntilUnixMs: c.clock.time().Add(time.Hour).UnixMilli()}
@@ -46,7 +46,7 @@
 	assert.Assert(t, copies >= 2, "%d copies", copies)
 }
 
-// A copy that is held and not synced yet is no copy, neither to the store itself nor to another that offers it.
+// A record in memory that is not synced yet counts as a replica neither for the store itself nor for one that offers it.
 func TestReplicaCountsOnlyWhenItIsSynced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c")
--- a/internal/tier/turnstore/recovery_test.go
+++ b/internal/tier/turnstore/recovery_test.go
@@ -12,7 +12,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// startAndExpectNewIdentityOnce starts a machine and wants it to be another node than before, and the same one at each further start.
+// startAndExpectNewIdentityOnce starts a machine and expects a new identity, and the same one at each further start.
 func (c *cluster) startAndExpectNewIdentityOnce(m *machine, before uint64) {
 	c.t.Helper()
 	c.start(m)
@@ -25,8 +25,8 @@
 	}
 }
 
-// A disk that has lost what it had made durable is one loss, however often the process starts again: at each further
-// identity as many machines fewer may be lost.
+// A disk that has lost synced data is a single failure, however often the process restarts: each further identity would
+// use up more of the fault tolerance.
 func TestDamagedCompactedFileGivesANewIdentityOnce(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -51,7 +51,7 @@
 	assert.Assert(t, m.store.Identity() != before)
 }
 
-// A merged file that is gone whole is a loss as one that is damaged: it held all that was acknowledged before it.
+// A compacted file that is missing is damage like one that is corrupt: it contained everything acknowledged before it.
 func TestMissingCompactedFileGivesANewIdentityOnce(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -64,7 +64,8 @@
 	c.startAndExpectNewIdentityOnce(m, before)
 }
 
-// Builds before save no number of their merged files, and merge on beside an older number: neither is a loss.
+// Older versions do not save the number of the newest compacted file, and compact further beside an older number: neither
+// is damage.
 func TestCompactedFilesOfOlderVersionsAreNotDamage(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -87,8 +88,8 @@
 	}
 }
 
-// What is not whole in the middle of a segment was synced: a store that has lost it is another node, never the same one
-// that says "no such turn" of what it has acknowledged.
+// A corrupt frame in the middle of a segment was synced: a store that has lost it takes a new identity, rather than
+// answering "no such turn" for what it has acknowledged.
 func TestCorruptSegmentGivesANewIdentity(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -117,7 +118,7 @@
 	}
 }
 
-// A store that starts with an older membership than it has reported would take writes that nobody hands on.
+// A store that restarts with an older membership than it has reported would accept writes that nobody transfers.
 func TestDamagedMembershipGivesANewIdentity(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -136,7 +137,7 @@
 	assert.Assert(t, m.store.Identity() != before)
 }
 
-// An end that was torn as it was written was never acknowledged: the store is the same as before, with what it had.
+// A frame that was torn while it was written was never acknowledged: the store keeps its identity and its records.
 func TestTornWriteIsNotDamage(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newCluster(t, seed, "a", "b", "c")
@@ -145,7 +146,7 @@
 		for number := range 1 + seed%3 {
 			assert.Equal(t, put(c, m, c.record(fmt.Sprint("turn ", number), "")), tierpb.StoreStatus_STORE_OK)
 		}
-		m.crashAfter(int(seed % 2)) // behind the write, or behind its sync
+		m.crashAfter(int(seed % 2)) // after the write, or after its sync
 		put(c, m, c.record("torn", ""))
 		m.disarmCrash()
 		c.losePower(m)
@@ -155,7 +156,7 @@
 	}
 }
 
-// Marks that cannot be written, or that a loss of power takes, cost nothing that is held.
+// Offsets that are corrupt or missing lose no records.
 func TestLostOffsetsChangeNothing(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -178,8 +179,8 @@
 	assert.Equal(t, m.store.Records(), 2)
 }
 
-// A process that is killed between writing and syncing leaves what the next one reads, counts as a copy and
-// acknowledges: by then it has to be synced.
+// A process that is killed between a write and its sync leaves data that the next one reads and acknowledges as a replica:
+// by then it must be synced.
 func TestRecoveredDataSurvivesAPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, "a", "b", "c")
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// An extension that comes again is acknowledged when the first is synced, not before.
+// A repeated extension is acknowledged only when the first one is synced.
 func TestRepeatedExtensionWaitsForTheSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, "a", "b", "c")
@@ -80,7 +80,7 @@
 	})
 }
 
-// The clock of a store may be ahead by the slack: a record is still kept for all of its retention.
+// A store's clock may be ahead by the grace period: a record is still kept for all of its retention.
 func TestClockAheadByTheGracePeriodKeepsRecords(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
--- a/internal/tier/turnstore/simulation_clients_test.go
+++ b/internal/tier/turnstore/simulation_clients_test.go
@@ -14,7 +14,7 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// clientOptions is a client's that hears of changes later than the stores.
+// clientOptions returns the options of a client that learns of changes later than the stores.
 func (w *simulation) clientOptions(seed uint64) (context.Context, context.CancelFunc, replica.Options) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
@@ -34,7 +34,7 @@
 	return ctx, cancel, options
 }
 
-// membershipBefore is the membership that was the newest some time ago.
+// membershipBefore returns the membership that was the newest some time ago.
 func (w *simulation) membershipBefore(lag time.Duration) *tierpb.StoreMembership {
 	w.cluster.mu.Lock()
 	defer w.cluster.mu.Unlock()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// reportViolation notes what a client found that must not be.
+// reportViolation records a violation of a guarantee that a client has found.
 func (w *simulation) reportViolation(format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,7 +85,7 @@
 	})
 }
 
-// spend has some turns of a program claim at the same time: of a new program, or of one that has claimed before.
+// spend makes concurrent claims on the budget of a new program or of one that has claimed before.
 func (w *simulation) spend() {
 	at := w.random.IntN(1 + 2*len(w.programs))
 	if at >= len(w.programs) {
@@ -118,7 +118,7 @@
 	})
 }
 
-// currentOptions is a client's that knows the newest membership.
+// currentOptions returns the options of a client that knows the newest membership.
 func (w *simulation) currentOptions() replica.Options {
 	options := w.options()
 	options.CacheBytes = 1
--- a/internal/tier/turnstore/simulation_failures_test.go
+++ b/internal/tier/turnstore/simulation_failures_test.go
@@ -5,17 +5,21 @@
 	"time"
 )
 
-// Kinds of losses.
+// failureKind is how a machine fails.
+type failureKind int
+
 const (
-	failureCrash = iota
+	failureCrash failureKind = iota
 	failurePowerLoss
 	failureDiskLoss
 	failurePartition
-	failureReplacement // the machine never comes back, another one comes at another address
+	failureReplacement // the machine never returns, an empty one replaces it at another address
+
+	failureKinds = iota // number of kinds
 )
 
-// failMachine takes a machine away, as long as no more are lost than are tolerated.
-func (w *simulation) failMachine(kind int) {
+// failMachine fails a random machine, unless as many have failed as are tolerated.
+func (w *simulation) failMachine(kind failureKind) {
 	var running []*machine
 	for _, m := range w.sortedMachines() {
 		if _, isLost := w.failed[m]; !isLost && m.store != nil {
@@ -50,7 +54,7 @@
 	m.disk.setSyncTime(w.syncTime(m))
 }
 
-// replaceMachine has an empty machine at another address take the place of one that is gone.
+// replaceMachine replaces a machine by an empty one at another address.
 func (w *simulation) replaceMachine(m *machine) {
 	w.halt(m)
 	w.wipeDisk(m)
@@ -84,7 +88,7 @@
 	}
 }
 
-// slowOneDisk makes one disk slow, and all others quick.
+// slowOneDisk makes one disk slow and all others fast.
 func (w *simulation) slowOneDisk() {
 	all := w.sortedMachines()
 	chosen := w.random.IntN(len(all))
--- a/internal/tier/turnstore/simulation_placement_test.go
+++ b/internal/tier/turnstore/simulation_placement_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// sendJoin has a store call the coordinators, which may miss it.
+// sendJoin delivers a store's join request to the coordinators, each of which may miss it.
 func (w *simulation) sendJoin(m *machine) {
 	running := w.rebalancers[m]
 	copied := running.rebalancer.CompletedEpoch()
@@ -34,7 +34,7 @@
 	}
 }
 
-// runPlacement takes the next step by what one coordinator has heard.
+// runPlacement runs the placement role on the join requests that one coordinator has received.
 func (w *simulation) runPlacement(joins map[uint64]placement.Join) {
 	view := &placement.View{
 		Now: time.Now(), ListeningSince: w.began, Tolerance: w.tolerance, CatchUpTimeout: catchUp, MembershipSeen: w.moveSeen,
@@ -67,7 +67,7 @@
 	w.cluster.mu.Unlock()
 }
 
-// endRecoveredFailures takes away machines that were emptied, and ends losses that are over.
+// endRecoveredFailures shuts down machines whose retirement is complete, and ends the failures that are recovered.
 func (w *simulation) endRecoveredFailures() {
 	for _, retirement := range w.control.Retirements {
 		if m := w.machines[retirement.Node]; m != nil && retirement.Completed {
@@ -87,13 +87,13 @@
 		}
 	}
 	for m := range w.failed {
-		if w.machines[m.address] != m { // it was taken away, and so has been what it stood in for
+		if w.machines[m.address] != m { // it was shut down
 			delete(w.failed, m)
 		}
 	}
 }
 
-// allDisksPresent says whether the disks of all members are there.
+// allDisksPresent returns whether the disks of all members exist.
 func (w *simulation) allDisksPresent(members []*tierpb.Node) bool {
 	for _, member := range members {
 		m := w.machines[member.Address]
@@ -109,7 +109,7 @@
 	w.remove(m)
 }
 
-// retire gives the order to empty a machine, where enough stay.
+// retire retires a random member, if enough remain.
 func (w *simulation) retire() {
 	next := w.control.CloneVT()
 	stores := next.Stores
--- a/internal/tier/turnstore/simulation_test.go
+++ b/internal/tier/turnstore/simulation_test.go
@@ -19,7 +19,7 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// seedsVariable asks for more schedules than a usual run plays.
+// seedsVariable is the environment variable of the number of schedules to play, if more than usual.
 const (
 	seedsVariable = "PULLEYTIER_SCHEDULES"
 	usualSeeds    = 4
@@ -32,7 +32,7 @@
 	return usualSeeds
 }
 
-// deployment is a deployment's.
+// deployment is the size of a tier.
 type deployment struct{ tolerance, members int }
 
 const (
@@ -40,7 +40,7 @@
 	catchUp              = 4 * time.Second
 	simulationRetention  = 10 * time.Minute
 	maxUpdateLag         = 300 * time.Millisecond
-	partitionedUpdateLag = 3 * time.Second // of clients that are cut off from news
+	partitionedUpdateLag = 3 * time.Second // of clients that receive updates late
 	slowSync             = 350 * time.Millisecond
 	convergenceTimeout   = 60 * time.Second
 )
@@ -53,8 +53,8 @@
 	}
 }
 
-// Two disks are lost, the second while the first one's move is under way. What only they held may be gone; the others
-// serve on, and take writes again.
+// More disks are lost than are tolerated, the last during the rebalance after the first. What only they had may be lost; the
+// others continue to serve and accept writes again.
 func TestSecondDiskLossDuringARebalanceDoesNotStopTheTier(t *testing.T) {
 	for seed := range uint64(simulationSeeds()) {
 		for _, of := range []deployment{{1, 3}, {1, 4}, {2, 5}} {
@@ -82,7 +82,7 @@
 	}
 }
 
-// runSimulation plays one schedule, and then lets everything come back.
+// runSimulation plays one schedule, and then lets all failures recover.
 func runSimulation(t *testing.T, seed uint64, of deployment) {
 	t.Helper()
 	t.Logf("seed %d, %d members of which %d may be lost", seed, of.members, of.tolerance)
@@ -97,7 +97,7 @@
 	for _, m := range w.machines {
 		m.slow.Store(false)
 	}
-	for range of.tolerance { // for machines that were emptied while others were lost
+	for range of.tolerance { // for machines that were retired while others had failed
 		w.addMachine()
 	}
 	for m := range w.failed {
@@ -113,23 +113,23 @@
 		len(w.oracle.turns), len(w.oracle.claims), len(w.control.Retirements))
 }
 
-// simulation is a cluster whose stores copy by themselves, whose members are placed by package placement, and which loses
-// as many machines at a time as it tolerates. A loss is over at the very moment at which the tier takes it for over:
-// the machine runs, and no records move.
+// simulation is a cluster whose stores run their rebalancers, whose membership is decided by package placement, and in
+// which as many machines fail at a time as are tolerated. A failure ends as soon as the tier regards it as recovered: the
+// machine is up and no rebalance is in progress.
 type simulation struct {
 	*cluster
 	control           *tierpb.ControlState
-	receivedJoins     [2]map[uint64]placement.Join // what two coordinators have heard; either may hold the lease
+	receivedJoins     [2]map[uint64]placement.Join // by two coordinators; either may be the lease holder
 	moveSeen          time.Time
 	began             time.Time
 	history           []published
 	rebalancers       map[*machine]*runningRebalancer
-	failed            map[*machine]time.Time // when it is to come back
+	failed            map[*machine]time.Time // and when they restart
 	maxMachines       int
 	nextName          int
 	failures          int
-	tolerated         int  // machines that may be lost at once
-	toleranceExceeded bool // more are lost than are tolerated: copies may be gone
+	tolerated         int  // machines that may have failed at the same time
+	toleranceExceeded bool // more disks were lost than are tolerated: records may be lost
 	programs          []*spending
 	log               []string
 
@@ -137,10 +137,10 @@
 	clients    sync.WaitGroup
 	mu         sync.Mutex
 	oracle     oracle
-	violations string // what a client found that must not be
+	violations string // of guarantees, found by clients
 }
 
-// published is a membership and when it was chosen.
+// published is a membership and when it was published.
 type published struct {
 	at         time.Time
 	membership *tierpb.StoreMembership
@@ -180,7 +180,7 @@
 	return w
 }
 
-// run starts a machine's store and its copying.
+// run starts the store and the rebalancer of a machine.
 func (w *simulation) run(m *machine) {
 	w.start(m)
 	w.logEvent("%s runs as %d", m.address, m.store.Identity())
@@ -191,7 +191,7 @@
 	w.copiers.Go(func() { running.rebalancer.Run(ctx) })
 }
 
-// halt ends a machine's process.
+// halt ends the process of a machine.
 func (w *simulation) halt(m *machine) {
 	if running := w.rebalancers[m]; running != nil {
 		running.cancel()
@@ -208,7 +208,7 @@
 	w.copiers.Wait()
 }
 
-// node is a machine as it calls itself.
+// node returns how a store describes itself.
 func (w *simulation) node(m *machine) *tierpb.Node {
 	return &tierpb.Node{
 		Name: m.address, Address: m.address, Zone: m.zone, Identity: m.store.Identity(), Role: tierpb.Role_ROLE_TURN_STORE,
@@ -227,7 +227,7 @@
 	w.run(m)
 }
 
-// syncTime is how long a machine's disk takes now; some disks are slow for a while.
+// syncTime returns the duration of syncs of a machine's disk; some disks are slow for a while.
 func (w *simulation) syncTime(m *machine) func() time.Duration {
 	return func() time.Duration {
 		if m.slow.Load() {
@@ -237,7 +237,7 @@
 	}
 }
 
-// sortedMachines lists machines by address, so that a seed plays the same schedule again.
+// sortedMachines lists the machines by address, so that a seed always gives the same schedule.
 func (w *simulation) sortedMachines() []*machine {
 	var all []*machine
 	for _, m := range w.machines {
@@ -252,7 +252,7 @@
 	return all
 }
 
-// pass lets time go by: stores call the coordinators and learn, and one that holds the lease places them.
+// advanceTime lets time pass: stores send join requests and learn control states, and one coordinator runs the placement.
 func (w *simulation) advanceTime(duration time.Duration) {
 	time.Sleep(duration)
 	w.clock.advance(time.Since(w.clock.time()))
@@ -281,7 +281,7 @@
 	assert.Equal(w.t, w.oracle.findUnderReplicated(w.control.Stores, w.tolerance, w.machines), "", "%s", w.describe())
 }
 
-// waitFor lets time go by until the tier has come to a state.
+// waitFor lets time pass until a condition holds.
 func (w *simulation) waitFor(reached func() bool) {
 	limit := time.Now().Add(convergenceTimeout)
 	for !reached() {
@@ -305,7 +305,7 @@
 	assert.NilError(w.t, turns.NewClient(w.currentOptions()).Save(context.Background(), w.record("last", "")))
 }
 
-// event lets one thing happen, and some time go by.
+// event plays one random event and lets some time pass.
 func (w *simulation) event() {
 	moved := len(w.control.Stores.Previous) > 0
 	switch number := w.random.IntN(100); {
@@ -315,12 +315,12 @@
 		w.spend()
 	case number < 60:
 		w.read()
-		if moved { // answers from before and after the end of a move meet
+		if moved { // replies from before and after the end of a rebalance meet
 			w.read()
 			w.read()
 		}
 	case number < 68:
-		w.failMachine(w.random.IntN(5))
+		w.failMachine(failureKind(w.random.IntN(failureKinds)))
 	case number < 71 && len(w.machines) < w.maxMachines:
 		w.addMachine()
 	case number < 74:
@@ -338,17 +338,17 @@
 	}
 	w.advanceTime(pause)
 	if moved && len(w.control.Stores.Previous) == 0 && w.random.IntN(2) == 0 {
-		w.advanceTime(5 * time.Millisecond) // right after a repair
+		w.advanceTime(5 * time.Millisecond) // right after a rebalance
 		w.failMachine(failureDiskLoss)
 	}
 }
 
-// logEvent adds to what a failed schedule tells.
+// logEvent adds a line to the log that a failed schedule prints.
 func (w *simulation) logEvent(format string, values ...any) {
 	w.log = append(w.log, time.Since(w.began).Truncate(time.Millisecond).String()+" "+fmt.Sprintf(format, values...))
 }
 
-// describe tells how the members and the machines are.
+// describe returns the log, the membership and the state of the machines.
 func (w *simulation) describe() string {
 	stores := w.control.Stores
 	text := strings.Join(w.log, "\n") + "\n"
