--- a/internal/tier/replica/call_quorum.go
+++ b/internal/tier/replica/call_quorum.go
@@ -93,7 +93,7 @@
 		if done || err != nil {
 			return err
 		}
-		if err := q.backOff(ctx); err != nil {
+		if err := q.waitBackoff(ctx); err != nil {
 			return err
 		}
 	}
@@ -265,8 +265,8 @@
 	return resultFailed
 }
 
-// backOff waits before the next attempt, unless a newer membership is known already.
-func (q *quorumCall[R]) backOff(ctx context.Context) error {
+// waitBackoff waits before the next attempt, unless a newer membership is known already.
+func (q *quorumCall[R]) waitBackoff(ctx context.Context) error {
 	newest := q.client.Membership()
 	if newest.GetEpoch() >= q.membership.GetEpoch() && haveDifferentSets(newest, q.membership) {
 		return nil
--- a/internal/tier/turnstore/budget_claims_test.go
+++ b/internal/tier/turnstore/budget_claims_test.go
@@ -18,7 +18,7 @@
 // returns the tokens of those that were granted.
 func reserveConcurrently(c *cluster, program string, turns int, allowance uint64) uint64 {
 	var mu sync.Mutex
-	var passed uint64
+	var granted uint64
 	var calls sync.WaitGroup
 	for i := range turns {
 		options := c.options()
@@ -37,11 +37,11 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			passed += maxTokensPerTurn
+			granted += maxTokensPerTurn
 		})
 	}
 	calls.Wait()
-	return passed
+	return granted
 }
 
 func TestConcurrentClaimsNeverExceedTheBudget(t *testing.T) {
@@ -51,12 +51,12 @@
 			c := newCluster(t, seed, "a", "b", "c")
 			defer c.close()
 			c.latency = randomLatency(seed, 60*time.Millisecond)
-			passed := reserveConcurrently(c, fmt.Sprintf("program%d", seed), 3+int(seed%4), 2*maxTokensPerTurn)
-			assert.Assert(t, passed <= 2*maxTokensPerTurn, "seed %d: %d", seed, passed)
-			sum += passed
+			granted := reserveConcurrently(c, fmt.Sprintf("program%d", seed), 3+int(seed%4), 2*maxTokensPerTurn)
+			assert.Assert(t, granted <= 2*maxTokensPerTurn, "seed %d: %d", seed, granted)
+			sum += granted
 		})
 	}
-	t.Logf("%d of %d passed", sum, 300*2*maxTokensPerTurn)
+	t.Logf("%d of %d granted", sum, 300*2*maxTokensPerTurn)
 }
 
 // A withdrawn claim counts nothing any more, so the same request must not be granted again.
@@ -87,7 +87,7 @@
 		c.latency = func() time.Duration { return time.Millisecond }
 		set := replica.Set(c.currentMembership().Current, program, replica.Size(1))
 		first, second := set[0].Address, set[1].Address
-		passed := 0
+		granted := 0
 		var mu sync.Mutex
 		var calls sync.WaitGroup
 		claim := func(request string, after time.Duration, network *slowNetwork) {
@@ -101,7 +101,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
-					passed++
+					granted++
 				}
 			})
 		}
@@ -109,6 +109,6 @@
 		claim("past the first", 2*time.Millisecond, &slowNetwork{cluster: c, unreachable: first})
 		claim("past the second", 18*time.Millisecond, &slowNetwork{cluster: c, unreachable: second})
 		calls.Wait()
-		assert.Assert(t, passed <= 2, "%d passed", passed)
+		assert.Assert(t, granted <= 2, "%d granted", granted)
 	})
 }
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -374,13 +374,13 @@
 }
 
 // randomLatency returns random durations below a maximum. It is safe for concurrent use.
-func randomLatency(seed uint64, most time.Duration) func() time.Duration {
+func randomLatency(seed uint64, maximum time.Duration) func() time.Duration {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 7))
 	return func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		return time.Duration(random.Int64N(int64(most)))
+		return time.Duration(random.Int64N(int64(maximum)))
 	}
 }
 
--- a/internal/tier/turnstore/idempotence_test.go
+++ b/internal/tier/turnstore/idempotence_test.go
@@ -29,8 +29,8 @@
 	add := func(method rpc.Method, request rpc.Message) {
 		all = append(all, incomingCall{method: method, request: request})
 	}
-	claim := func(program, request string, stage uint32, tokens uint64, marked bool) *tierpb.ProgramBudget {
-		entry := &tierpb.BudgetEntry{Request: request, Stage: stage, Tokens: tokens, Confirmed: marked}
+	claim := func(program, request string, stage uint32, tokens uint64, confirmed bool) *tierpb.ProgramBudget {
+		entry := &tierpb.BudgetEntry{Request: request, Stage: stage, Tokens: tokens, Confirmed: confirmed}
 		return &tierpb.ProgramBudget{
 			Program: program, Entries: []*tierpb.BudgetEntry{entry}, LastUsedUnixMs: c.clock.time().UnixMilli(),
 		}
@@ -43,8 +43,8 @@
 		record := c.record(id, previous)
 		record.RetentionMs += uint32(i) * 1000
 		program := fmt.Sprintf("program-%d", i%2)
-		reserve := func(stage uint32, tokens uint64, marked bool) {
-			add(rpc.MethodReserveBudget, &tierpb.ReserveBudgetRequest{Header: header, Budget: claim(program, id, stage, tokens, marked)})
+		reserve := func(stage uint32, tokens uint64, confirmed bool) {
+			add(rpc.MethodReserveBudget, &tierpb.ReserveBudgetRequest{Header: header, Budget: claim(program, id, stage, tokens, confirmed)})
 		}
 		reserve(budget.StageReserved, 10, false)
 		reserve(budget.StageReserved, 10, true) // the confirming write
@@ -58,7 +58,7 @@
 		add(rpc.MethodOfferRecords, &tierpb.OfferRecordsRequest{Header: header, Ids: []string{id, "unknown"}})
 		add(rpc.MethodMoveRecords, &tierpb.MoveRecordsRequest{
 			Header: header, Records: []*tierpb.TurnRecord{record},
-			Budgets: []*tierpb.ProgramBudget{claim(program, "moved-"+id, budget.StageReserved, 5, i == 1)},
+			Budgets: []*tierpb.ProgramBudget{claim(program, "transferred-"+id, budget.StageReserved, 5, i == 1)},
 		})
 		add(rpc.MethodGetChain, &tierpb.GetChainRequest{Header: header, Id: id})
 		until := c.clock.time().Add(time.Duration(i+1) * time.Hour).UnixMilli()
--- a/internal/tier/turnstore/memory_benchmark_test.go
+++ b/internal/tier/turnstore/memory_benchmark_test.go
@@ -29,16 +29,16 @@
 func BenchmarkHeapPerTurn(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newState()
+		stored := newState()
 		for number := range countedItems {
-			held.addRecord(&tierpb.TurnRecord{
+			stored.addRecord(&tierpb.TurnRecord{
 				Id: fmt.Sprintf("%0*x", requestIDBytes, number), Previous: fmt.Sprintf("%0*x", requestIDBytes, number-1),
 				Input: bytes.Repeat([]byte("i"), countedInput), Output: bytes.Repeat([]byte("o"), countedOutput),
 			}, nil)
 		}
 		cost := float64(heapInUse()-before) / countedItems
 		b.ReportMetric(cost-countedInput-countedOutput, "B/turn")
-		b.ReportMetric(float64(held.bytes)/countedItems-countedInput-countedOutput, "reckoned-B/turn")
+		b.ReportMetric(float64(stored.bytes)/countedItems-countedInput-countedOutput, "accounted-B/turn")
 	}
 }
 
@@ -46,16 +46,16 @@
 func BenchmarkHeapPerProgram(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newState()
+		stored := newState()
 		for number := range countedItems {
 			entries := make([]*tierpb.BudgetEntry, claimsEach)
 			for i := range entries {
 				entries[i] = &tierpb.BudgetEntry{Request: fmt.Sprintf("%0*x", requestIDBytes, number*claimsEach+i), Tokens: 60}
 			}
-			held.mergeClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
+			stored.mergeClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
 		}
 		cost := float64(heapInUse()-before) / countedItems
 		b.ReportMetric(cost, "B/program")
-		b.ReportMetric(float64(held.bytes)/countedItems, "reckoned-B/program")
+		b.ReportMetric(float64(stored.bytes)/countedItems, "accounted-B/program")
 	}
 }
--- a/internal/tier/turnstore/oracle_test.go
+++ b/internal/tier/turnstore/oracle_test.go
@@ -55,28 +55,28 @@
 	views := o.durableStates(machines)
 	count := func(key string, has func(*state) bool) string {
 		set := replica.Set(base, key, replica.Size(tolerance))
-		copies, lost := 0, 0
+		replicas, lost := 0, 0
 		for _, member := range set {
 			switch found := views[member.Identity]; {
 			case found == nil:
 				lost++
 			case has(found):
-				copies++
+				replicas++
 			}
 		}
-		if copies+lost >= tolerance+1 && copies > 0 {
+		if replicas+lost >= tolerance+1 && replicas > 0 {
 			return ""
 		}
-		return fmt.Sprintf("%s: %d copies, %d of its set lost", key, copies, lost)
+		return fmt.Sprintf("%s: %d replicas, %d of its set lost", key, replicas, lost)
 	}
 	for _, id := range o.turns {
-		if short := count(id, func(v *state) bool { return v.records[id] != nil }); short != "" {
-			return short
+		if shortage := count(id, func(v *state) bool { return v.records[id] != nil }); shortage != "" {
+			return shortage
 		}
 	}
 	for _, claim := range o.claims {
-		if short := count(claim.program, claim.isIn); short != "" {
-			return claim.request + " of " + short
+		if shortage := count(claim.program, claim.isIn); shortage != "" {
+			return claim.request + " of " + shortage
 		}
 	}
 	return ""
--- a/internal/tier/turnstore/random_schedule_test.go
+++ b/internal/tier/turnstore/random_schedule_test.go
@@ -318,7 +318,7 @@
 			continue
 		}
 		m.store.mu.Lock()
-		text += fmt.Sprintf("\n%s identity %d epoch %d cut %v lost %v holds %v disk %v", address, m.store.identity,
+		text += fmt.Sprintf("\n%s identity %d epoch %d partitioned %v failed %v has the turn %v disk %v", address, m.store.identity,
 			m.store.membership.GetEpoch(), s.partitioned[address], m == s.failed, m.store.state.records[id] != nil, m.store.wal.checkWritable())
 		m.store.mu.Unlock()
 	}
--- a/internal/tier/turnstore/rebalance_test.go
+++ b/internal/tier/turnstore/rebalance_test.go
@@ -37,13 +37,13 @@
 		assert.NilError(t, c.rebalanceOn(c.machines[node.Address]))
 	}
 	c.clock.advance(30 * time.Minute)
-	copies := 0
+	replicas := 0
 	for _, node := range current {
 		store := c.machines[node.Address].store
 		store.state.removeExpired(c.clock.time())
-		copies += store.Records()
+		replicas += store.Records()
 	}
-	assert.Assert(t, copies >= 2, "%d copies", copies)
+	assert.Assert(t, replicas >= 2, "%d replicas", replicas)
 }
 
 // A record in memory that is not synced yet counts as a replica neither for the store itself nor for one that offers it.
@@ -57,7 +57,7 @@
 		c.setMembers(previous)
 		m.disk.setSyncTime(func() time.Duration { return 200 * time.Millisecond })
 		go put(c, m, c.record("turn", ""))
-		copies := func() (own int, lacking int) {
+		replicas := func() (durable int, missing int) {
 			work := &rebalance{store: m.store, caller: c, tolerance: 3, membership: c.currentMembership(), after: firesAtOnce}
 			header := &tierpb.StoreRequestHeader{Identity: m.store.Identity(), Epoch: c.currentMembership().Epoch}
 			request := &tierpb.OfferRecordsRequest{Header: header, Ids: []string{"turn"}}
@@ -66,12 +66,12 @@
 			return len(work.newProgress(transferKey{name: "turn"}).durableOn), len(reply.Missing)
 		}
 		time.Sleep(100 * time.Millisecond)
-		own, lacking := copies()
-		assert.Equal(t, own, 0)
-		assert.Equal(t, lacking, 1)
+		durable, missing := replicas()
+		assert.Equal(t, durable, 0)
+		assert.Equal(t, missing, 1)
 		time.Sleep(200 * time.Millisecond)
-		own, lacking = copies()
-		assert.Equal(t, own, 1)
-		assert.Equal(t, lacking, 0)
+		durable, missing = replicas()
+		assert.Equal(t, durable, 1)
+		assert.Equal(t, missing, 0)
 	})
 }
--- a/internal/tier/turnstore/rebalancer.go
+++ b/internal/tier/turnstore/rebalancer.go
@@ -66,7 +66,7 @@
 		}
 	}()
 	for r.Store.saveMembership(membership) != nil {
-		if !r.backOff(ctx) {
+		if !r.waitBackoff(ctx) {
 			return false
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	started := r.Store.options.Now()
 	for work.run(ctx) != nil {
-		if !r.backOff(ctx) {
+		if !r.waitBackoff(ctx) {
 			return false
 		}
 	}
@@ -93,8 +93,8 @@
 	return true
 }
 
-// backOff waits before the next attempt; it returns false if ctx ends.
-func (r *Rebalancer) backOff(ctx context.Context) bool {
+// waitBackoff waits before the next attempt; it returns false if ctx ends.
+func (r *Rebalancer) waitBackoff(ctx context.Context) bool {
 	select {
 	case <-r.Store.options.After(rebalanceBackoff):
 		return true
--- a/internal/tier/turnstore/simulation_failures_test.go
+++ b/internal/tier/turnstore/simulation_failures_test.go
@@ -22,7 +22,7 @@
 func (w *simulation) failMachine(kind failureKind) {
 	var running []*machine
 	for _, m := range w.sortedMachines() {
-		if _, isLost := w.failed[m]; !isLost && m.store != nil {
+		if _, hasFailed := w.failed[m]; !hasFailed && m.store != nil {
 			running = append(running, m)
 		}
 	}
@@ -31,7 +31,7 @@
 	}
 	w.failures++
 	m := running[w.random.IntN(len(running))]
-	w.logEvent("%s is lost, kind %d", m.address, kind)
+	w.logEvent("%s fails, kind %d", m.address, kind)
 	w.failed[m] = time.Now().Add(time.Duration(w.random.Int64N(int64(3 * time.Second))))
 	switch kind {
 	case failureCrash:
@@ -82,7 +82,7 @@
 		m.disk.losePower(w.random)
 	}
 	for _, m := range w.sortedMachines() {
-		if _, isLost := w.failed[m]; !isLost {
+		if _, hasFailed := w.failed[m]; !hasFailed {
 			w.run(m)
 		}
 	}
--- a/internal/tier/turnstore/simulation_placement_test.go
+++ b/internal/tier/turnstore/simulation_placement_test.go
@@ -80,7 +80,7 @@
 		return
 	}
 	for _, m := range w.sortedMachines() {
-		if _, isLost := w.failed[m]; isLost && m.store != nil && !w.partitioned[m.address] &&
+		if _, hasFailed := w.failed[m]; hasFailed && m.store != nil && !w.partitioned[m.address] &&
 			replica.Contains(stores.Current, m.store.Identity()) {
 			w.logEvent("over: %s", m.address)
 			delete(w.failed, m)
@@ -117,14 +117,14 @@
 		return
 	}
 	at := w.random.IntN(len(stores.Current))
-	leaver := stores.Current[at]
+	retired := stores.Current[at]
 	if len(stores.Previous) == 0 {
 		stores.Previous = stores.Current
 	}
 	current := make([]*tierpb.Node, 0, len(stores.Current))
 	stores.Current = append(append(current, stores.Current[:at]...), stores.Current[at+1:]...)
 	stores.Epoch++
-	w.logEvent("retire %s", leaver.Name)
-	next.Retirements = append(next.Retirements, &tierpb.Retirement{Node: leaver.Name, Identity: leaver.Identity})
+	w.logEvent("retire %s", retired.Name)
+	next.Retirements = append(next.Retirements, &tierpb.Retirement{Node: retired.Name, Identity: retired.Identity})
 	w.publish(next)
 }
--- a/internal/tier/turnstore/simulation_test.go
+++ b/internal/tier/turnstore/simulation_test.go
@@ -258,8 +258,8 @@
 	w.clock.advance(time.Since(w.clock.time()))
 	now := time.Now()
 	for _, m := range w.sortedMachines() {
-		back, isLost := w.failed[m]
-		if isLost && now.After(back) {
+		restartAt, hasFailed := w.failed[m]
+		if hasFailed && now.After(restartAt) {
 			w.restart(m)
 		}
 		if m.store != nil && !w.partitioned[m.address] {
@@ -307,7 +307,7 @@
 
 // event plays one random event and lets some time pass.
 func (w *simulation) event() {
-	moved := len(w.control.Stores.Previous) > 0
+	rebalancing := len(w.control.Stores.Previous) > 0
 	switch number := w.random.IntN(100); {
 	case number < 30:
 		w.save()
@@ -315,7 +315,7 @@
 		w.spend()
 	case number < 60:
 		w.read()
-		if moved { // replies from before and after the end of a rebalance meet
+		if rebalancing { // replies from before and after the end of a rebalance meet
 			w.read()
 			w.read()
 		}
@@ -337,7 +337,7 @@
 		pause = time.Duration(w.random.Int64N(int64(300 * time.Millisecond)))
 	}
 	w.advanceTime(pause)
-	if moved && len(w.control.Stores.Previous) == 0 && w.random.IntN(2) == 0 {
+	if rebalancing && len(w.control.Stores.Previous) == 0 && w.random.IntN(2) == 0 {
 		w.advanceTime(5 * time.Millisecond) // right after a rebalance
 		w.failMachine(failureDiskLoss)
 	}
@@ -354,14 +354,14 @@
 	text := strings.Join(w.log, "\n") + "\n"
 	text += fmt.Sprintf("epoch %d, current %v, previous %v", stores.Epoch, identitiesOf(stores.Current), identitiesOf(stores.Previous))
 	for _, m := range w.sortedMachines() {
-		_, isLost := w.failed[m]
+		_, hasFailed := w.failed[m]
 		if m.store == nil {
 			text += fmt.Sprintf("\n%s is down", m.address)
 			continue
 		}
 		known, _ := m.store.Membership()
-		text += fmt.Sprintf("\n%s identity %d knows %d copied %d lost %v cut %v", m.address, m.store.Identity(),
-			known.GetEpoch(), w.rebalancers[m].rebalancer.CompletedEpoch(), isLost, w.partitioned[m.address])
+		text += fmt.Sprintf("\n%s identity %d epoch %d completed %d failed %v partitioned %v", m.address, m.store.Identity(),
+			known.GetEpoch(), w.rebalancers[m].rebalancer.CompletedEpoch(), hasFailed, w.partitioned[m.address])
 	}
 	return text
 }
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -82,7 +82,7 @@
 	s.membership = nil
 	if err := s.Compact(context.Background()); err != nil {
 		s.options.Log.Warn("cannot replace damaged files", "error", err)
-		s.wal.markFailed()
+		s.wal.setFailed()
 	}
 }
 
--- a/internal/tier/turnstore/wal.go
+++ b/internal/tier/turnstore/wal.go
@@ -134,8 +134,8 @@
 	w.bytes = compactedBytes
 }
 
-// markFailed makes the log reject everything until a compaction has saved all that is in memory.
-func (w *writeAheadLog) markFailed() {
+// setFailed makes the log reject everything until a compaction has saved all that is in memory.
+func (w *writeAheadLog) setFailed() {
 	w.mu.Lock()
 	w.failed = true
 	w.failures++
