--- a/internal/tier/turnstore/memory_benchmark_test.go
+++ b/internal/tier/turnstore/memory_benchmark_test.go
@@ -17,7 +17,7 @@
 	requestIDBytes = 16
 )
 
-// heapInUse is what is reachable, after a collection.
+// heapInUse returns the bytes of reachable objects, after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var read runtime.MemStats
@@ -25,20 +25,20 @@
 	return read.HeapAlloc
 }
 
-// BenchmarkHeapPerTurn reports what a record costs in memory besides its input and output, and what is reckoned for it.
+// BenchmarkHeapPerTurn reports the memory use of a record besides its input and output, and what the store accounts for it.
 func BenchmarkHeapPerTurn(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newState()
+		stored := newState()
 		for number := range countedItems {
-			held.addRecord(&tierpb.TurnRecord{
+			stored.addRecord(&tierpb.TurnRecord{
 				Id: fmt.Sprintf("%0*x", requestIDBytes, number), Previous: fmt.Sprintf("%0*x", requestIDBytes, number-1),
 				Input: bytes.Repeat([]byte("i"), countedInput), Output: bytes.Repeat([]byte("o"), countedOutput),
 			}, nil)
 		}
 		cost := float64(heapInUse()-before) / countedItems
 		b.ReportMetric(cost-countedInput-countedOutput, "B/turn")
-		b.ReportMetric(float64(held.bytes)/countedItems-countedInput-countedOutput, "reckoned-B/turn")
+		b.ReportMetric(float64(stored.bytes)/countedItems-countedInput-countedOutput, "accounted-B/turn")
 	}
 }
 
@@ -46,16 +46,16 @@
 func BenchmarkHeapPerProgram(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
-		held := newState()
+		stored := newState()
 		for number := range countedItems {
 			entries := make([]*tierpb.BudgetEntry, claimsEach)
 			for i := range entries {
 				entries[i] = &tierpb.BudgetEntry{Request: fmt.Sprintf("%0*x", requestIDBytes, number*claimsEach+i), Tokens: 60}
 			}
-			held.mergeClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
+			stored.mergeClaims(&tierpb.ProgramBudget{Program: fmt.Sprintf("%x", number), Entries: entries})
 		}
 		cost := float64(heapInUse()-before) / countedItems
 		b.ReportMetric(cost, "B/program")
-		b.ReportMetric(float64(held.bytes)/countedItems, "reckoned-B/program")
+		b.ReportMetric(float64(stored.bytes)/countedItems, "accounted-B/program")
 	}
 }
