--- a/internal/tier/soak/history.go
+++ b/internal/tier/soak/history.go
@@ -10,153 +10,156 @@
 	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
-// Attempt is one try of a client and what it was told.
+// Attempt is one request of a client with its outcome.
 type Attempt struct {
-	ID       string    `json:"id"`
-	Route    string    `json:"route"`
-	Front    string    `json:"front"`
-	Method   string    `json:"method"`
-	Path     string    `json:"path"`
-	Program  string    `json:"program,omitempty"`
-	Previous string    `json:"previous,omitempty"`
-	Body     []byte    `json:"body,omitempty"`
-	Prompt   []byte    `json:"prompt,omitempty"` // all that a store is to get
-	Sent     time.Time `json:"sent"`
-	Ended    time.Time `json:"ended"`
-	Status   int       `json:"status"`
-	Error    string    `json:"error,omitempty"`
-	Events   int       `json:"events,omitempty"` // whole events that came
-	Left     bool      `json:"left,omitempty"`   // the client gave it up
-	Bad      string    `json:"bad,omitempty"`    // what is wrong with the answer
-}
-
-// whole says whether the answer came to its end.
-func (a *Attempt) whole() bool { return a.Error == "" }
-
-// promised says whether the answer promises that the request has not run and never will.
-func (a *Attempt) promised() bool {
+	ID           string    `json:"id"`
+	Route        string    `json:"route"`
+	Front        string    `json:"front"`
+	Method       string    `json:"method"`
+	Path         string    `json:"path"`
+	Program      string    `json:"program,omitempty"`
+	Previous     string    `json:"previous,omitempty"`
+	Body         []byte    `json:"body,omitempty"`
+	Prompt       []byte    `json:"prompt,omitempty"` // body that a store must get
+	Sent         time.Time `json:"sent"`
+	Ended        time.Time `json:"ended"`
+	Status       int       `json:"status"`
+	Error        string    `json:"error,omitempty"`
+	Events       int       `json:"events,omitempty"` // complete events received
+	Disconnected bool      `json:"left,omitempty"`   // the client disconnected on purpose
+	Bad          string    `json:"bad,omitempty"`    // what is wrong with the response
+}
+
+// isComplete reports whether the response was received to its end.
+func (a *Attempt) isComplete() bool { return a.Error == "" }
+
+// isNotExecuted reports whether the response guarantees that the request has not run and never will.
+func (a *Attempt) isNotExecuted() bool {
 	reply := testbed.Reply{Status: a.Status}
-	return a.whole() && (reply.NotExecuted() || a.Status == statusSpent)
+	return a.isComplete() && (reply.NotExecuted() || a.Status == statusBudgetSpent)
 }
 
-const statusSpent = 402
+// statusBudgetSpent is the status for programs without tokens left.
+const statusBudgetSpent = 402
 
-// Violation is a promise that was broken.
+// Violation is a violated rule.
 type Violation struct {
 	Rule string    `json:"rule"`
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-// History is what clients, stores and operators saw. It is safe for concurrent use.
+// History records what clients and operators observed, the faults, and the violations. It is safe for concurrent use.
 type History struct {
 	log io.Writer
 
 	mu         sync.Mutex
 	attempts   []*Attempt
 	violations []Violation
-	sometimes  map[string]int // how often what a soak is for came about
-	troubles   []span
+	sometimes  map[string]int // how often each situation occurred that the soak is meant to produce
+	faults     []faultSpan
 }
 
-// span is the time that a trouble lasted; end is zero while it does.
-type span struct {
-	cause
+// faultSpan is the time of a fault; end is zero while it lasts.
+type faultSpan struct {
+	faultScope
 	start, end time.Time
 }
 
-// cause is what a trouble is, so far as rules excuse by it.
-type cause struct {
+// faultScope is the part of a fault by which rules excuse a violation.
+type faultScope struct {
 	what    string
-	planned bool   // work that clients must not notice
-	stops   string // front address of the edge whose processes it stops or freezes, or everyEdge
+	planned bool   // planned work, which clients must not notice
+	stops   string // front address of the edge whose processes it stops or pauses, or everyEdge
 }
 
+// everyEdge stands for all edges in faultScope.stops.
 const everyEdge = "*"
 
-// NewHistory makes an empty history that tells its events to a log as they come.
+// NewHistory creates an empty history that also writes its events to a log.
 func NewHistory(log io.Writer) *History {
 	return &History{log: log, sometimes: make(map[string]int)}
 }
 
-// Note writes a line into the common log.
-func (h *History) Note(format string, values ...any) {
-	fmt.Fprintf(h.log, "soak %s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, values...))
+// Logf writes a line to the common log.
+func (h *History) Logf(format string, values ...any) {
+	_, _ = fmt.Fprintf(h.log, "soak %s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, values...))
 }
 
-// Count counts that something came about.
+// Count counts an occurrence of a situation.
 func (h *History) Count(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sometimes[what]++
 }
 
-// Break records a broken promise.
-func (h *History) Break(rule, format string, values ...any) {
+// ReportViolation records the violation of a rule.
+func (h *History) ReportViolation(rule, format string, values ...any) {
 	text := fmt.Sprintf(format, values...)
-	h.Note("BROKEN %s: %s", rule, text)
+	h.Logf("BROKEN %s: %s", rule, text)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, Violation{Rule: rule, At: time.Now(), Text: text})
 }
 
+// add records an attempt that has ended.
 func (h *History) add(attempt *Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.attempts = append(h.attempts, attempt)
-	h.sometimes[fmt.Sprintf("answer %s %d", attempt.Route, attempt.Status)]++
+	h.sometimes[fmt.Sprintf("response %s %d", attempt.Route, attempt.Status)]++
 }
 
-// begin notes the start of a trouble and returns what notes its end.
-func (h *History) begin(why cause) (end func()) {
-	h.Note("trouble begins: %s", why.what)
+// beginFault records the start of a fault and returns the function that records its end.
+func (h *History) beginFault(scope faultScope) (end func()) {
+	h.Logf("fault begins: %s", scope.what)
 	h.mu.Lock()
-	number := len(h.troubles)
-	h.troubles = append(h.troubles, span{cause: why, start: time.Now()})
+	number := len(h.faults)
+	h.faults = append(h.faults, faultSpan{faultScope: scope, start: time.Now()})
 	h.mu.Unlock()
 	return func() {
 		h.mu.Lock()
-		h.troubles[number].end = time.Now()
+		h.faults[number].end = time.Now()
 		h.mu.Unlock()
-		h.Note("trouble ends: %s", why.what)
+		h.Logf("fault ends: %s", scope.what)
 	}
 }
 
-// calm says that no trouble was on between two times, nor in the time before the first.
+// calm reports whether there was no fault between two times, nor in the time before the first.
 func (h *History) calm(before time.Duration, from, to time.Time) bool {
-	return h.without(before, from, to, func(cause) bool { return true })
+	return h.without(before, from, to, func(faultScope) bool { return true })
 }
 
-// planned says that there was nothing but planned work.
+// planned reports whether there were no faults but planned work.
 func (h *History) planned(before time.Duration, from, to time.Time) bool {
-	return h.without(before, from, to, func(why cause) bool { return !why.planned })
+	return h.without(before, from, to, func(scope faultScope) bool { return !scope.planned })
 }
 
-// running says that nothing stopped or froze an edge.
+// running reports whether no fault stopped or paused an edge.
 func (h *History) running(front string, before time.Duration, from, to time.Time) bool {
-	return h.without(before, from, to, func(why cause) bool { return why.stops == front || why.stops == everyEdge })
+	return h.without(before, from, to, func(scope faultScope) bool { return scope.stops == front || scope.stops == everyEdge })
 }
 
-// without says that no trouble that counts was on between two times, nor in the time before the first.
-func (h *History) without(before time.Duration, from, to time.Time, counts func(cause) bool) bool {
+// without reports whether there was no fault that counts between two times, nor in the time before the first.
+func (h *History) without(before time.Duration, from, to time.Time, counts func(faultScope) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, trouble := range h.troubles {
-		if counts(trouble.cause) && trouble.start.Before(to) && (trouble.end.IsZero() || trouble.end.Add(before).After(from)) {
+	for _, fault := range h.faults {
+		if counts(fault.faultScope) && fault.start.Before(to) && (fault.end.IsZero() || fault.end.Add(before).After(from)) {
 			return false
 		}
 	}
 	return true
 }
 
-// Violations lists the broken promises.
+// Violations returns the violations so far.
 func (h *History) Violations() []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]Violation(nil), h.violations...)
 }
 
-// Sometimes tells how often what a soak is for came about.
+// Sometimes returns how often each counted situation occurred.
 func (h *History) Sometimes() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +170,7 @@
 	return counts
 }
 
-// Save writes all attempts, one a line.
+// Save writes all attempts as JSON, one per line.
 func (h *History) Save(to io.Writer) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/tier/soak/relay.go
+++ b/internal/tier/soak/relay.go
@@ -14,36 +14,37 @@
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 )
 
-// connected is the byte by which the relay tells that the far end took the connection.
+// connected is the byte by which the relay reports that the far end accepted the connection.
 const connected = 'K'
 
+// relayBuffer is the size in bytes of each read.
 const relayBuffer = 32 << 10
 
-// Relay leads the connections between the tier's processes, so that links can be cut without the rights to change the
-// network. Links are directed and named by the addresses of machines.
+// Relay forwards the connections between the tier's processes, so that links can be partitioned without the privileges to
+// change the network. Links are directed and named by the addresses of machines.
 type Relay struct {
 	listener net.Listener
 
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced at each change of a link
-	blocked map[link]int  // cuts in force
-	delayed map[link]time.Duration
-	losing  map[string]int // machines whose replies are lost
-	open    map[*relayed]struct{}
-	lost    int // replies cut off so far
-	held    int // times that bytes waited for a cut to end
+	mu             sync.Mutex
+	changed        chan struct{} // closed and replaced at each change of a link
+	blocked        map[link]int  // number of partitions in force
+	delayed        map[link]time.Duration
+	dropping       map[string]int // machines whose replies are dropped
+	open           map[*relayedConnection]struct{}
+	droppedReplies int // replies truncated so far
+	blockedReads   int // times that bytes waited for the end of a partition
 }
 
-// link is the way from one machine to another.
+// link is the direction from one machine to another.
 type link struct{ from, to string }
 
-// relayed is one connection that is led on.
-type relayed struct {
+// relayedConnection is a connection that the relay forwards.
+type relayedConnection struct {
 	link      link
 	near, far net.Conn
 }
 
-// NewRelay listens at an address.
+// NewRelay starts a relay that listens at an address.
 func NewRelay(address string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -51,13 +52,14 @@
 	}
 	relay := &Relay{
 		listener: listener, changed: make(chan struct{}), blocked: make(map[link]int),
-		delayed: make(map[link]time.Duration), losing: make(map[string]int), open: make(map[*relayed]struct{}),
+		delayed: make(map[link]time.Duration), dropping: make(map[string]int), open: make(map[*relayedConnection]struct{}),
 	}
 	go relay.serve()
 	return relay, nil
 }
 
-// Dialer makes the dial function of a process on the machine with this address.
+// Dialer returns the dial function of a process on the machine with address self. Connections to the same machine are
+// direct.
 func Dialer(relay, self string) rpc.DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		dialer := net.Dialer{KeepAlive: -1}
@@ -76,7 +78,7 @@
 	}
 }
 
-// request asks the relay for a connection and waits until the far end has taken it.
+// request requests a connection from the relay and waits until the far end has accepted it.
 func request(ctx context.Context, connection net.Conn, self, address string) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = connection.SetDeadline(deadline)
@@ -84,41 +86,41 @@
 	if _, err := fmt.Fprintf(connection, "%s %s\n", self, address); err != nil {
 		return err
 	}
-	told := make([]byte, 1)
-	if _, err := connection.Read(told); err != nil {
+	accepted := make([]byte, 1)
+	if _, err := connection.Read(accepted); err != nil {
 		return err
 	}
 	return connection.SetDeadline(time.Time{})
 }
 
-// Close ends the relay and all connections.
+// Close closes the relay and all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.Reset("")
 }
 
-// Block holds what goes one way between two machines until the returned function is called. Nothing is lost by it: what
-// was held goes on then, late.
+// Block blocks one direction between two machines until the returned function is called. No bytes are lost: they are
+// delivered late, as TCP retransmits after a partition.
 func (r *Relay) Block(from, to string) (release func()) {
 	way := link{from, to}
 	r.change(func() { r.blocked[way]++ })
 	return sync.OnceFunc(func() { r.change(func() { r.blocked[way]-- }) })
 }
 
-// Delay slows what goes one way between two machines.
+// Delay delays one direction between two machines until the returned function is called.
 func (r *Relay) Delay(from, to string, by time.Duration) (release func()) {
 	way := link{from, to}
 	r.change(func() { r.delayed[way] = by })
 	return sync.OnceFunc(func() { r.change(func() { delete(r.delayed, way) }) })
 }
 
-// LoseReplies has every connection to a machine end in the middle of the next reply.
-func (r *Relay) LoseReplies(to string) (release func()) {
-	r.change(func() { r.losing[to]++ })
-	return sync.OnceFunc(func() { r.change(func() { r.losing[to]-- }) })
+// DropReplies resets every connection to a machine in the middle of its next reply, until the returned function is called.
+func (r *Relay) DropReplies(to string) (release func()) {
+	r.change(func() { r.dropping[to]++ })
+	return sync.OnceFunc(func() { r.change(func() { r.dropping[to]-- }) })
 }
 
-// Reset ends the connections of a machine, or all of them.
+// Reset resets the connections of a machine, or all connections for the empty string, and returns their number.
 func (r *Relay) Reset(machine string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,13 +134,14 @@
 	return ended
 }
 
-// Counts tells how many replies were cut off and how often bytes waited for a cut to end.
-func (r *Relay) Counts() (lost, held int) {
+// Counts returns how many replies were truncated, and how often bytes waited for the end of a partition.
+func (r *Relay) Counts() (droppedReplies, blockedReads int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lost, r.held
+	return r.droppedReplies, r.blockedReads
 }
 
+// change applies a change of links and wakes up all that wait for one.
 func (r *Relay) change(apply func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,11 +156,12 @@
 		if err != nil {
 			return
 		}
-		go r.lead(near)
+		go r.forward(near)
 	}
 }
 
-func (r *Relay) lead(near net.Conn) {
+// forward serves one connection to the relay.
+func (r *Relay) forward(near net.Conn) {
 	reader := bufio.NewReader(near)
 	line, err := reader.ReadString('\n')
 	words := strings.Fields(line)
@@ -167,36 +171,36 @@
 	}
 	host, _, _ := net.SplitHostPort(words[1])
 	way := link{words[0], host}
-	r.await(way)
+	r.awaitUnblocked(way)
 	far, err := net.DialTimeout("tcp4", words[1], time.Second)
 	if err != nil {
 		_ = near.Close()
 		return
 	}
-	r.await(link{way.to, way.from})
-	led := &relayed{link: way, near: near, far: far}
+	r.awaitUnblocked(link{way.to, way.from})
+	connection := &relayedConnection{link: way, near: near, far: far}
 	r.mu.Lock()
-	r.open[led] = struct{}{}
+	r.open[connection] = struct{}{}
 	r.mu.Unlock()
 	if _, err := near.Write([]byte{connected}); err != nil {
-		led.reset()
+		connection.reset()
 	}
-	go r.pump(led, far, reader, way, false)
-	r.pump(led, near, far, link{way.to, way.from}, true)
+	go r.pump(connection, far, reader, way, false)
+	r.pump(connection, near, far, link{way.to, way.from}, true)
 	r.mu.Lock()
-	delete(r.open, led)
+	delete(r.open, connection)
 	r.mu.Unlock()
 }
 
-// await returns when a link is not blocked, and says whether it was.
-func (r *Relay) await(way link) {
+// awaitUnblocked returns when a link is not blocked, after its delay.
+func (r *Relay) awaitUnblocked(way link) {
 	counted := false
 	for {
 		r.mu.Lock()
 		blocked, changed, delay := r.blocked[way] > 0, r.changed, r.delayed[way]
 		if blocked && !counted {
 			counted = true
-			r.held++
+			r.blockedReads++
 		}
 		r.mu.Unlock()
 		if !blocked {
@@ -207,16 +211,16 @@
 	}
 }
 
-// pump passes bytes on one way until either end closes; an end behind a cut is told when the cut is over.
-func (r *Relay) pump(led *relayed, to net.Conn, from interface{ Read([]byte) (int, error) }, way link, replies bool) {
-	defer led.close()
+// pump forwards bytes in one direction until either end closes. The close is forwarded after the end of a partition.
+func (r *Relay) pump(connection *relayedConnection, to net.Conn, from interface{ Read([]byte) (int, error) }, way link, replies bool) {
+	defer connection.close()
 	buffer := make([]byte, relayBuffer)
 	for {
 		read, err := from.Read(buffer)
-		r.await(way)
-		if replies && read > 0 && r.loses(way.from) {
+		r.awaitUnblocked(way)
+		if replies && read > 0 && r.dropsReply(way.from) {
 			_, _ = to.Write(buffer[:read/2])
-			led.reset()
+			connection.reset()
 			return
 		}
 		if read > 0 {
@@ -230,23 +234,23 @@
 	}
 }
 
-func (r *Relay) loses(machine string) bool {
+func (r *Relay) dropsReply(machine string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.losing[machine] == 0 {
+	if r.dropping[machine] == 0 {
 		return false
 	}
-	r.lost++
+	r.droppedReplies++
 	return true
 }
 
-func (c *relayed) close() {
+func (c *relayedConnection) close() {
 	_ = c.near.Close()
 	_ = c.far.Close()
 }
 
-// reset ends both ends so that bytes on the way are lost.
-func (c *relayed) reset() {
+// reset resets both ends, so that bytes in flight are lost.
+func (c *relayedConnection) reset() {
 	for _, end := range []net.Conn{c.near, c.far} {
 		if tcp, ok := end.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
--- a/internal/tier/soak/run.go
+++ b/internal/tier/soak/run.go
@@ -19,14 +19,14 @@
 
 // Times of a run.
 const (
-	calmTime    = 6 * time.Second // without troubles, before the last one
-	recoverTime = 12 * time.Second
-	backAfter   = 500 * time.Millisecond
+	calmTime     = 6 * time.Second // without faults, before the final one
+	recoverTime  = 12 * time.Second
+	restartDelay = 500 * time.Millisecond
 
-	untimedRecovery = time.Minute // where bounds are not judged
+	untimedRecovery = time.Minute // if time bounds are not checked
 )
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Plan       Plan           `json:"plan"`
 	Violations []Violation    `json:"violations"`
@@ -36,172 +36,172 @@
 	Seconds    float64        `json:"seconds"`
 }
 
-// Run plays a plan and judges it. The history is returned for what it holds of single requests.
+// Run runs a plan and checks it. The history is returned for the details of single requests.
 func Run(ctx context.Context, plan Plan, options Options) (*Result, *History, error) {
 	started := time.Now()
-	w, err := newWorld(ctx, plan, options)
+	h, err := newHarness(ctx, plan, options)
 	if err != nil {
 		return nil, nil, err
 	}
-	w.play(ctx)
-	w.finalFault(ctx)
-	w.verify(ctx)
-	w.close()
-	w.judge()
-	return w.result(time.Since(started)), w.History, nil
+	h.play(ctx)
+	h.injectFinalFault(ctx)
+	h.verify(ctx)
+	h.close()
+	h.check()
+	return h.result(time.Since(started)), h.History, nil
 }
 
-// play runs traffic and troubles, and then traffic alone.
-func (w *world) play(ctx context.Context) {
+// play runs traffic with faults, and then traffic alone.
+func (h *harness) play(ctx context.Context) {
 	traffic, stop := context.WithCancel(ctx)
 	churning, stopChurn := context.WithCancel(ctx)
 	var group, churn sync.WaitGroup
 	for worker := range programWorkers {
-		group.Go(func() { w.runPrograms(traffic, worker) })
+		group.Go(func() { h.runPrograms(traffic, worker) })
 	}
 	for worker := range plainWorkers {
-		group.Go(func() { w.runPlain(traffic, worker) })
-	}
-	group.Go(func() { w.runRude(traffic) })
-	group.Go(func() { w.config.operate(traffic) })
-	group.Go(func() { w.config.readAlong(traffic) })
-	group.Go(func() { w.config.probe(traffic) })
-	churn.Go(func() { w.stores.churn(churning) })
-	w.runTroubles(ctx)
+		group.Go(func() { h.runPlain(traffic, worker) })
+	}
+	group.Go(func() { h.runMisbehavingClients(traffic) })
+	group.Go(func() { h.config.operate(traffic) })
+	group.Go(func() { h.config.readContinuously(traffic) })
+	group.Go(func() { h.config.probe(traffic) })
+	churn.Go(func() { h.stores.churn(churning) })
+	h.injectFaults(ctx)
 	stopChurn()
 	churn.Wait()
-	w.Note("calm")
+	h.Logf("calm")
 	clock.Sleep(ctx, calmTime)
 	stop()
 	group.Wait()
 }
 
-// finalFault brings about the last trouble, right behind an acknowledged change and an acknowledged turn.
-func (w *world) finalFault(ctx context.Context) {
-	if w.plan.Final == NoTrouble {
+// injectFinalFault injects the final fault, directly after an acknowledged change and acknowledged turns.
+func (h *harness) injectFinalFault(ctx context.Context) {
+	if h.plan.Final == NoFault {
 		return
 	}
-	random := rand.New(rand.NewPCG(w.plan.Seed, 4000))
-	made := w.config.compose(w.config.base().generation+1, w.config.base())
-	w.config.note(made)
+	random := rand.New(rand.NewPCG(h.plan.Seed, 4000))
+	made := h.config.compose(h.config.base().generation+1, h.config.base())
+	h.config.record(made)
 	ordering, cancel := context.WithTimeout(ctx, recoverTime)
-	w.config.send(ordering, made, random)
+	h.config.putUntilDefinite(ordering, made, random)
 	cancel()
-	end := w.begin(cause{what: "final " + string(w.plan.Final), stops: everyEdge})
+	end := h.beginFault(faultScope{what: "final " + string(h.plan.Final), stops: everyEdge})
 	defer end()
-	if w.plan.Volatile {
-		w.losePower()
+	if h.plan.Volatile {
+		h.powerLoss()
 		return
 	}
-	w.killAll(w.members(), 0)
-	w.loseDisks()
+	h.killMachines(h.members(), 0)
+	h.wipeDisks()
 }
 
-// losePower ends all machines at the same moment, those too that do not count, and of some the disk is lost in it.
-func (w *world) losePower() {
-	members := w.members()
+// powerLoss kills all machines at the same time, those without a disk too, and wipes the disks of some.
+func (h *harness) powerLoss() {
+	members := h.members()
 	var group sync.WaitGroup
 	for _, machine := range members {
-		group.Go(func() { w.kill(machine) })
+		group.Go(func() { h.kill(machine) })
 	}
 	group.Wait()
-	if w.plan.Final == Wipe {
-		for _, lost := range w.plan.Lost {
-			_ = w.machine(lost).Wipe()
-			w.Count("final loss of power with a lost disk in " + lost.Class)
+	if h.plan.Final == Wipe {
+		for _, lost := range h.plan.Lost {
+			_ = h.machine(lost).Wipe()
+			h.Count("final power loss with a lost disk in " + lost.Class)
 		}
 	}
-	clock.Sleep(context.Background(), backAfter)
+	clock.Sleep(context.Background(), restartDelay)
 	for _, machine := range members {
-		_ = w.launch(machine)
+		_ = h.launch(machine)
 	}
 }
 
-// loseDisks takes disks of running machines one by one.
-func (w *world) loseDisks() {
-	if w.plan.Final != Wipe {
+// wipeDisks kills, wipes and restarts the machines whose disks the plan loses.
+func (h *harness) wipeDisks() {
+	if h.plan.Final != Wipe {
 		return
 	}
 	var group sync.WaitGroup
-	for _, lost := range w.plan.Lost {
-		machine := w.machine(lost)
-		if !w.claim(machine) {
+	for _, lost := range h.plan.Lost {
+		machine := h.machine(lost)
+		if !h.claim(machine) {
 			continue
 		}
 		group.Go(func() {
-			defer w.release(machine)
-			w.loseDisk(machine, Trouble{Kind: Wipe, For: backAfter})
-			w.Count("final loss of a disk in " + lost.Class)
+			defer h.release(machine)
+			h.restartWithDamagedDisk(machine, Fault{Kind: Wipe, For: restartDelay})
+			h.Count("final loss of a disk in " + lost.Class)
 		})
 	}
 	group.Wait()
 }
 
-// verify wants all that was acknowledged to be there within the time that recovery may take.
-func (w *world) verify(ctx context.Context) {
+// verify checks that everything acknowledged is available within the time that recovery may take.
+func (h *harness) verify(ctx context.Context) {
 	allowed := recoverTime
-	if !w.timed {
+	if !h.timed {
 		allowed = untimedRecovery
 	}
 	ctx, cancel := context.WithTimeout(ctx, allowed)
 	defer cancel()
-	if err := w.untilServed(ctx, allowed); err != nil {
-		w.Break("RECOVER", "%v", err)
+	if err := h.awaitServed(ctx, allowed); err != nil {
+		h.ReportViolation("RECOVER", "%v", err)
 	}
-	random := rand.New(rand.NewPCG(w.plan.Seed, 4001))
-	w.verifyConfiguration(ctx, random)
+	random := rand.New(rand.NewPCG(h.plan.Seed, 4001))
+	h.verifyConfiguration(ctx, random)
 	var group sync.WaitGroup
-	for _, kept := range w.turns.sample(random, samples) {
+	for _, kept := range h.turns.sample(random, samples) {
 		source := rand.New(rand.NewPCG(random.Uint64(), 0))
-		group.Go(func() { w.verifyTurn(ctx, source, kept) })
+		group.Go(func() { h.verifyTurn(ctx, source, kept) })
 	}
 	group.Wait()
 }
 
-func (w *world) verifyConfiguration(ctx context.Context, random *rand.Rand) {
+func (h *harness) verifyConfiguration(ctx context.Context, random *rand.Rand) {
 	for {
-		if _, ok := w.config.read(ctx, random); ok {
+		if h.config.read(ctx, random) {
 			return
 		}
-		if !clock.Sleep(ctx, orderPause) {
-			w.Break("RECOVER", "no coordinator tells the configuration")
+		if !clock.Sleep(ctx, retryInterval) {
+			h.ReportViolation("RECOVER", "no coordinator returns the configuration")
 			return
 		}
 	}
 }
 
-// verifyTurn goes on from a turn that was answered whole, in a new program.
-func (w *world) verifyTurn(ctx context.Context, random *rand.Rand, kept *turn) {
+// verifyTurn continues a turn that was answered completely, in a new program.
+func (h *harness) verifyTurn(ctx context.Context, random *rand.Rand, kept *turn) {
 	client := testbed.NewClient()
 	defer client.Close()
 	for {
 		call := callOf(talkRoute, "afterwards\n")
 		call.Program, call.Session, call.Budget = "after-"+kept.id, "s", 1000
-		attempt := w.try(ctx, client, w.Edges[random.IntN(len(w.Edges))], talkRoute, call, kept)
-		if attempt.Status == 200 && attempt.whole() || attempt.Status == 404 {
+		attempt := h.send(ctx, client, h.Edges[random.IntN(len(h.Edges))], talkRoute, call, kept)
+		if attempt.Status == 200 && attempt.isComplete() || attempt.Status == 404 {
 			return
 		}
 		if !clock.Sleep(ctx, 100*time.Millisecond) {
-			w.Break("LOST", "turn %s is not served after the last trouble: %s", kept.id, outcomeOf(attempt))
+			h.ReportViolation("LOST", "turn %s is not served after the final fault: %s", kept.id, outcomeOf(attempt))
 			return
 		}
 	}
 }
 
-func (w *world) result(took time.Duration) *Result {
-	w.History.mu.Lock()
+func (h *harness) result(took time.Duration) *Result {
+	h.History.mu.Lock()
 	served := 0
-	for _, attempt := range w.attempts {
-		if attempt.Status == 200 && attempt.whole() {
+	for _, attempt := range h.attempts {
+		if attempt.Status == 200 && attempt.isComplete() {
 			served++
 		}
 	}
-	attempts := len(w.attempts)
-	w.History.mu.Unlock()
-	lost, held := w.relay.Counts()
-	sometimes := w.Sometimes()
-	sometimes["replies cut by the relay"], sometimes["bytes held by a cut"] = lost, held
+	attempts := len(h.attempts)
+	h.History.mu.Unlock()
+	truncated, delayed := h.relay.Counts()
+	sometimes := h.Sometimes()
+	sometimes["replies truncated by the relay"], sometimes["bytes delayed by a partition"] = truncated, delayed
 	return &Result{
-		Plan: w.plan, Violations: w.Violations(), Sometimes: sometimes, Attempts: attempts, Served: served, Seconds: took.Seconds(),
+		Plan: h.plan, Violations: h.Violations(), Sometimes: sometimes, Attempts: attempts, Served: served, Seconds: took.Seconds(),
 	}
 }
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -23,22 +23,22 @@
 )
 
 var (
-	seeds   = flag.Int("seeds", 2, "number of plans that TestSoak plays")
+	seeds   = flag.Int("seeds", 2, "number of plans that TestSoak runs")
 	first   = flag.Uint64("first-seed", 1, "seed of the first plan")
-	traffic = flag.Duration("traffic", 6*time.Second, "how long troubles come in each plan")
-	jobs    = flag.Int("jobs", 1, "plans played at once")
-	timed   = flag.Bool("timed", false, "judge the bounds of the rules too: for a machine that does nothing else")
-	keep    = flag.String("keep", "", "folder for the logs of plans that broke a promise; those of the test where empty")
+	traffic = flag.Duration("traffic", 6*time.Second, "how long faults are injected in each plan")
+	jobs    = flag.Int("jobs", 1, "plans run at the same time")
+	timed   = flag.Bool("timed", false, "check the time bounds of the rules too; for a machine that runs nothing else")
+	keep    = flag.String("keep", "", "folder for the logs of plans with violations; empty: the temporary folder of the test")
 	other   = flag.String("other", "", "program of the tier of another build, for plans that mix builds")
 	keepAll = flag.Bool("keep-all", false, "keep the logs of all plans")
-	planned = flag.String("plan", "", "file of one plan to play in place of drawn ones, as a failure leaves it")
+	planned = flag.String("plan", "", "plan file to run instead of drawn plans, as a failure leaves it")
 )
 
-// Variables that turn this test's binary into the tier's.
+// Environment variables that make this test's binary run a role of the tier.
 const (
 	relayVariable = "PULLEYTIER_SOAK_RELAY"
 	selfVariable  = "PULLEYTIER_SOAK_SELF"
-	diskVariable  = "PULLEYTIER_SOAK_DISK" // data folder of a process whose kills lose what was not synced
+	diskVariable  = "PULLEYTIER_SOAK_DISK" // data folder of a process whose kills lose unsynced writes
 )
 
 func TestMain(m *testing.M) {
@@ -60,7 +60,7 @@
 	return started
 }
 
-// otherBuild makes the commands of the other build, nil where none is named.
+// otherBuild returns the launcher of the other build, nil if none is given.
 func otherBuild() func(role, settingsPath string) *exec.Cmd {
 	if *other == "" {
 		return nil
@@ -72,13 +72,13 @@
 
 var usedSubnets atomic.Int32
 
-// subnet gives each plan addresses of its own, away from those of package endtoend.
+// subnet returns addresses for one plan, disjoint from those of package endtoend.
 func subnet() string {
 	const firstOfSoak, count = 130, 60
 	return fmt.Sprintf("127.%d.%d", firstOfSoak+os.Getpid()%count, (os.Getpid()/count+int(usedSubnets.Add(1)))%250)
 }
 
-// TestSoak plays drawn plans; any promise that breaks fails it and leaves the plan, the log and the history in a folder.
+// TestSoak runs drawn plans. Any violation fails it and leaves the plan, the log and the history in a folder.
 func TestSoak(t *testing.T) {
 	if *planned != "" {
 		play(t, readPlan(t, *planned))
@@ -110,6 +110,7 @@
 }
 
 func play(t *testing.T, plan soak.Plan) {
+	t.Helper()
 	folder := t.TempDir()
 	logs := folder
 	if *keep != "" {
@@ -138,8 +139,8 @@
 	t.Logf("seed %d: %d of %d requests served in %.0f s, final %s, %v", plan.Seed, result.Served, result.Attempts, result.Seconds,
 		plan.Final, result.Sometimes)
 	save(t, logs, result, history)
-	for _, broken := range result.Violations {
-		t.Errorf("seed %d: %s at %s: %s (logs in %s)", plan.Seed, broken.Rule, broken.At.Format("15:04:05.000"), broken.Text, logs)
+	for _, violation := range result.Violations {
+		t.Errorf("seed %d: %s at %s: %s (logs in %s)", plan.Seed, violation.Rule, violation.At.Format("15:04:05.000"), violation.Text, logs)
 	}
 	if len(result.Violations) == 0 && *keep != "" && !*keepAll {
 		_ = os.RemoveAll(logs)
@@ -148,6 +149,7 @@
 
 // save writes the plan, the result and the history of clients beside the log.
 func save(t *testing.T, folder string, result *soak.Result, history *soak.History) {
+	t.Helper()
 	for name, value := range map[string]any{"plan.json": result.Plan, "result.json": result} {
 		text, err := json.MarshalIndent(value, "", " ")
 		if err == nil {
--- a/internal/tier/soak/stores.go
+++ b/internal/tier/soak/stores.go
@@ -11,89 +11,99 @@
 )
 
 const (
-	fewestStores  = 2 // of each service that stay well
-	churnPause    = 700 * time.Millisecond
-	ackPatience   = 6 * time.Second
-	servesOn      = 3500 * time.Millisecond // after its leave was acknowledged, longer than drainMs
-	disturbedTime = 900 * time.Millisecond
-	reuseAfter    = 2 * time.Second // reuseAfterS
+	minHealthyStores     = 2 // of each service
+	churnInterval        = 700 * time.Millisecond
+	acknowledgeTimeout   = 6 * time.Second
+	serveAfterDeregister = 3500 * time.Millisecond // longer than drainMs
+	storeFaultDuration   = 900 * time.Millisecond
+	reuseAfter           = 2 * time.Second // reuseAfterS
 )
 
-// servesOnLong is how long a store serves on whose leave was acknowledged by a machine that ended right after.
-const servesOnLong = 9 * time.Second
+// Events of the churn. The remaining numbers below storeEvents make the store misbehave for a while.
+const (
+	storeCrashes = iota
+	storeDrains
+	storeDeregisters
+	storeEvents = 6
+)
+
+// serveLongAfterDeregister is how long a store serves whose deregistration was acknowledged by a coordinator that was
+// killed directly after.
+const serveLongAfterDeregister = 9 * time.Second
 
-// storeSet holds the stores of the two services, those that have ended too: their runs are judged.
+// storeSet holds the fake stores of the two services. Those that have ended are kept, since their runs are checked.
 type storeSet struct {
-	world *world
+	harness *harness
 
-	mu      sync.Mutex
-	all     []*testbed.Store
-	well    map[string][]*testbed.Store // by service
-	leaving map[*testbed.Store]time.Time
+	mu            sync.Mutex
+	all           []*testbed.Store
+	healthy       map[string][]*testbed.Store // by service
+	deregistering map[*testbed.Store]time.Time
 }
 
 func (s *storeSet) add(ctx context.Context, service string) error {
 	return s.addAt(ctx, "", service)
 }
 
-// addAt adds a store at an address that an earlier one had, or at a new one where it is empty.
+// addAt adds a store at an address that an earlier one had, or at a new one if the address is empty.
 func (s *storeSet) addAt(ctx context.Context, address, service string) error {
-	store, err := s.begin(address, service)
+	store, err := s.start(address, service)
 	if err != nil {
 		return err
 	}
-	if err := store.Register(ctx); err != nil { // it may be known all the same, and have run something
+	if err := store.Register(ctx); err != nil { // it may be registered nevertheless, and have run requests
 		store.Kill()
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.well[service] = append(s.well[service], store)
+	s.healthy[service] = append(s.healthy[service], store)
 	return nil
 }
 
-// begin starts a store; from here on its runs are judged.
-func (s *storeSet) begin(address, service string) (*testbed.Store, error) {
+// start starts a store, whose runs are checked from here on.
+func (s *storeSet) start(address, service string) (*testbed.Store, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	start := func() (*testbed.Store, error) { return s.world.NewStore(service, slots) }
+	start := func() (*testbed.Store, error) { return s.harness.NewStore(service, slots) }
 	if address != "" {
-		start = func() (*testbed.Store, error) { return s.world.NewStoreAt(address, service, slots) }
+		start = func() (*testbed.Store, error) { return s.harness.NewStoreAt(address, service, slots) }
 	}
 	store, err := start()
 	if err != nil {
 		return nil, err
 	}
-	if s.well == nil {
-		s.well, s.leaving = make(map[string][]*testbed.Store), make(map[*testbed.Store]time.Time)
+	if s.healthy == nil {
+		s.healthy, s.deregistering = make(map[string][]*testbed.Store), make(map[*testbed.Store]time.Time)
 	}
 	s.all = append(s.all, store)
 	return store, nil
 }
 
-// take removes a store from those that are well, nil where too few would remain.
-func (s *storeSet) take(service string, number int) *testbed.Store {
+// removeHealthy removes a store from the healthy ones and returns it, nil if too few would remain.
+func (s *storeSet) removeHealthy(service string, number int) *testbed.Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	well := s.well[service]
-	if len(well) <= fewestStores {
+	healthy := s.healthy[service]
+	if len(healthy) <= minHealthyStores {
 		return nil
 	}
-	taken := well[number%len(well)]
-	kept := make([]*testbed.Store, 0, len(well)-1)
-	for _, store := range well {
-		if store != taken {
+	removed := healthy[number%len(healthy)]
+	kept := make([]*testbed.Store, 0, len(healthy)-1)
+	for _, store := range healthy {
+		if store != removed {
 			kept = append(kept, store)
 		}
 	}
-	s.well[service] = kept
-	return taken
+	s.healthy[service] = kept
+	return removed
 }
 
-func (s *storeSet) giveBack(service string, store *testbed.Store) {
+// addHealthy adds a store to the healthy ones again.
+func (s *storeSet) addHealthy(service string, store *testbed.Store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.well[service] = append(s.well[service], store)
+	s.healthy[service] = append(s.healthy[service], store)
 }
 
 func (s *storeSet) closeAll() {
@@ -104,62 +114,62 @@
 	}
 }
 
-// left notes when the leave of a store was acknowledged.
-func (s *storeSet) left(store *testbed.Store) {
+// recordDeregistered records when the drain or deregistration of a store was acknowledged.
+func (s *storeSet) recordDeregistered(store *testbed.Store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving[store] = time.Now()
+	s.deregistering[store] = time.Now()
 }
 
-// churn has stores come, leave, crash and misbehave until ctx ends.
+// churn makes stores join, drain, deregister, crash and misbehave until ctx ends.
 func (s *storeSet) churn(ctx context.Context) {
-	random := rand.New(rand.NewPCG(s.world.plan.Seed, 2000))
+	random := rand.New(rand.NewPCG(s.harness.plan.Seed, 2000))
 	var group sync.WaitGroup
 	defer group.Wait()
-	for clock.Sleep(ctx, churnPause) {
+	for clock.Sleep(ctx, churnInterval) {
 		service := []string{testbed.EngineService, testbed.PlainService}[random.IntN(2)]
-		store := s.take(service, random.IntN(1<<16))
+		store := s.removeHealthy(service, random.IntN(1<<16))
 		if store == nil {
 			if s.add(ctx, service) != nil {
-				s.world.Count("a store could not register")
+				s.harness.Count("a store could not register")
 			}
 			continue
 		}
-		how, disturbance := random.IntN(6), testbed.Fault(1+random.IntN(int(testbed.LastFault)))
+		event, fault := random.IntN(storeEvents), testbed.Fault(1+random.IntN(int(testbed.LastFault)))
 		source := rand.New(rand.NewPCG(random.Uint64(), 0))
-		group.Go(func() { s.trouble(ctx, service, store, how, disturbance, source) })
+		group.Go(func() { s.injectFault(ctx, service, store, event, fault, source) })
 	}
 }
 
-// deliverLate delivers a heartbeat of before the leave behind its acknowledgement.
-func (s *storeSet) deliverLate(ctx context.Context, late func(context.Context, string) error) {
-	for _, address := range s.world.Controls() {
-		if late(ctx, address) == nil {
-			s.world.Count("heartbeat came behind the leave")
+// deliverLateHeartbeat delivers a heartbeat from before the deregistration after its acknowledgement.
+func (s *storeSet) deliverLateHeartbeat(ctx context.Context, heartbeat func(context.Context, string) error) {
+	for _, address := range s.harness.Controls() {
+		if heartbeat(ctx, address) == nil {
+			s.harness.Count("heartbeat arrived after the deregistration")
 		}
 	}
 }
 
-// leaveAlone ends, for half of the stores, the coordinator that acknowledged the leave in the same moment: the others have
-// to know of it. Else a heartbeat of before comes late.
-func (s *storeSet) leaveAlone(
-	ctx, patience context.Context, store *testbed.Store, late func(context.Context, string) error, spared bool,
+// killAcknowledgingCoordinator kills, for half of the stores, the coordinator that acknowledged the deregistration directly
+// after it: the other coordinators must know of it. For the other half an old heartbeat arrives late.
+func (s *storeSet) killAcknowledgingCoordinator(
+	ctx, acknowledgeCtx context.Context, store *testbed.Store, heartbeat func(context.Context, string) error, spared bool,
 ) {
-	w := s.world
-	machine := w.machineAt(store.AcknowledgedBy())
-	if machine == nil || spared || !w.claim(machine) {
-		s.deliverLate(patience, late)
-		clock.Sleep(ctx, servesOn)
+	h := s.harness
+	machine := h.machineAt(store.AcknowledgedBy())
+	if machine == nil || spared || !h.claim(machine) {
+		s.deliverLateHeartbeat(acknowledgeCtx, heartbeat)
+		clock.Sleep(ctx, serveAfterDeregister)
 		return
 	}
-	end := w.begin(cause{what: "coordinator " + machine.Settings.NodeName + " ends behind an acknowledgement"})
-	w.kill(machine)
+	end := h.beginFault(faultScope{what: "coordinator " + machine.Settings.NodeName + " is killed after an acknowledgement"})
+	h.kill(machine)
 	clock.Sleep(ctx, time.Second)
-	_ = w.launch(machine)
-	w.release(machine)
+	_ = h.launch(machine)
+	h.release(machine)
 	end()
-	w.Count("coordinator ended behind the acknowledgement of a leave")
-	clock.Sleep(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
+	h.Count("coordinator killed after the acknowledgement of a deregistration")
+	clock.Sleep(context.WithoutCancel(ctx), serveLongAfterDeregister) // into the calm period, where a late request shows
 }
 
 // reuse starts a store of the other service at the address of one that crashed.
@@ -169,83 +179,84 @@
 		other = testbed.PlainService
 	}
 	if clock.Sleep(ctx, reuseAfter) && s.addAt(ctx, address, other) == nil {
-		s.world.Count("address used again by another service")
+		s.harness.Count("address reused by another service")
 	}
 }
 
-// leaveCutOff has a coordinator that is cut off from all other machines be told of a leave, and ends it behind that: an
-// acknowledgement that it gave by itself is known to nobody. Then the others start anew, so that they know as little of the
-// store's silence. It says whether there was an acknowledgement. Of one coordinator it is none of its own, and while that is away
-// nobody is in touch.
-func (s *storeSet) leaveCutOff(ctx, patience context.Context, store *testbed.Store, random *rand.Rand) bool {
-	w := s.world
-	machine := w.Coordinators[random.IntN(len(w.Coordinators))]
-	if len(w.Coordinators) == 1 || !w.claim(machine) {
+// deregisterAtPartitionedCoordinator deregisters a store at a coordinator that is partitioned from all other machines, and
+// kills that coordinator: an acknowledgement that it gave alone would be known to no other. Then the others restart, so that
+// they know nothing of the store's heartbeat time-out either. It reports whether there was an acknowledgement. With a single
+// coordinator it does nothing: the acknowledgement is not given alone, and no store can register while it is down.
+func (s *storeSet) deregisterAtPartitionedCoordinator(ctx, acknowledgeCtx context.Context, store *testbed.Store, random *rand.Rand) bool {
+	h := s.harness
+	machine := h.Coordinators[random.IntN(len(h.Coordinators))]
+	if len(h.Coordinators) == 1 || !h.claim(machine) {
 		return false
 	}
-	defer w.release(machine)
-	end := w.begin(cause{what: "coordinator " + machine.Settings.NodeName + " is cut off, told of a leave and killed"})
-	restore := w.isolate(machine)
-	err := store.DeregisterAt(patience, machine.Settings.Listen.Control)
-	w.kill(machine)
+	defer h.release(machine)
+	end := h.beginFault(faultScope{what: "coordinator " + machine.Settings.NodeName + " is partitioned, receives a deregistration and is killed"})
+	restore := h.isolate(machine)
+	err := store.DeregisterAt(acknowledgeCtx, machine.Settings.Listen.Control)
+	h.kill(machine)
 	restore()
-	w.Count("leave told to a coordinator that was cut off")
+	h.Count("deregistration sent to a partitioned coordinator")
 	if err != nil {
-		_ = w.launch(machine)
+		_ = h.launch(machine)
 		end()
 		return false
 	}
-	s.left(store)
-	w.Count("leave acknowledged by a coordinator that was cut off")
-	w.killAll(w.Coordinators, 0)
-	end()                                                 // away, it disturbs nobody any more
-	clock.Sleep(context.WithoutCancel(ctx), servesOnLong) // into the calm time, where a late request shows
-	defer w.begin(cause{what: "coordinator " + machine.Settings.NodeName + " is back"})()
-	_ = w.launch(machine)
+	s.recordDeregistered(store)
+	h.Count("deregistration acknowledged by a partitioned coordinator")
+	h.killMachines(h.Coordinators, 0)
+	end()                                                             // while it is down, it affects no request
+	clock.Sleep(context.WithoutCancel(ctx), serveLongAfterDeregister) // into the calm period, where a late request shows
+	defer h.beginFault(faultScope{what: "coordinator " + machine.Settings.NodeName + " is back"})()
+	_ = h.launch(machine)
 	return true
 }
 
-func (s *storeSet) trouble(
-	ctx context.Context, service string, store *testbed.Store, how int, disturbance testbed.Fault, random *rand.Rand,
+// injectFault makes one event of the churn happen to a store. Fault also decides between the variants of an event.
+func (s *storeSet) injectFault(
+	ctx context.Context, service string, store *testbed.Store, event int, fault testbed.Fault, random *rand.Rand,
 ) {
-	w := s.world
-	acknowledged, cancel := context.WithTimeout(context.WithoutCancel(ctx), ackPatience)
+	h := s.harness
+	acknowledgeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), acknowledgeTimeout)
 	defer cancel()
-	late := store.DelayedHeartbeat()
-	switch how {
-	case 0:
-		end := w.begin(cause{what: "store " + store.ID() + " crashes"})
+	heartbeat := store.DelayedHeartbeat()
+	switch event {
+	case storeCrashes:
+		end := h.beginFault(faultScope{what: "store " + store.ID() + " crashes"})
 		store.Kill()
 		end()
-		w.Count("store crashed")
-		if disturbance%2 == 0 {
+		h.Count("store crashed")
+		if fault%2 == 0 {
 			s.reuse(ctx, store.Address(), service)
 		}
-	case 1:
-		if store.Drain(acknowledged) == nil {
-			s.left(store)
-			w.Count("store drained")
-			s.deliverLate(acknowledged, late)
-			clock.Sleep(ctx, servesOn)
-			_ = store.Shutdown(acknowledged)
+	case storeDrains:
+		if store.Drain(acknowledgeCtx) == nil {
+			s.recordDeregistered(store)
+			h.Count("store drained")
+			s.deliverLateHeartbeat(acknowledgeCtx, heartbeat)
+			clock.Sleep(ctx, serveAfterDeregister)
+			_ = store.Shutdown(acknowledgeCtx)
 		}
 		store.Kill()
-	case 2:
-		if disturbance%2 == 1 && !s.world.mixed && s.leaveCutOff(ctx, acknowledged, store, random) {
+	case storeDeregisters:
+		if fault%2 == 1 && !s.harness.mixed && s.deregisterAtPartitionedCoordinator(ctx, acknowledgeCtx, store, random) {
 			break
 		}
-		if store.Deregister(acknowledged) == nil {
-			s.left(store)
-			w.Count("store said nothing but DELETE")
-			s.leaveAlone(ctx, acknowledged, store, late, disturbance%2 == 0)
+		if store.Deregister(acknowledgeCtx) == nil {
+			s.recordDeregistered(store)
+			h.Count("store deregistered without draining")
+			s.killAcknowledgingCoordinator(ctx, acknowledgeCtx, store, heartbeat, fault%2 == 0)
 		}
 		store.Kill()
 	default:
-		defer w.begin(cause{what: "store " + store.ID() + " is disturbed"})()
-		w.Count("store disturbed")
-		store.SetFault(disturbance)
-		clock.Sleep(ctx, disturbedTime)
+		defer h.beginFault(faultScope{what: "store " + store.ID() + " misbehaves"})()
+		h.Count("store misbehaved")
+		store.SetFault(fault)
+		clock.Sleep(ctx, storeFaultDuration)
 		store.SetFault(testbed.NoFault)
-		s.giveBack(service, store)
+		s.addHealthy(service, store)
 	}
 }
