--- a/internal/gatherer/net/opensearch/exchange.go
+++ b/internal/gatherer/net/opensearch/exchange.go
@@ -82,7 +82,7 @@
 		}
 	}
 	t.mu.Unlock()
-	t.endAll(stale, decision.Moot)
+	t.endAll(stale, decision.NotSent)
 	return live
 }
 
@@ -104,7 +104,7 @@
 	switch p.Status {
 	case 200:
 	case 429:
-		t.endAll(live, decision.Full)
+		t.endAll(live, decision.Rejected)
 		return
 	default:
 		t.endAll(live, decision.Error)
@@ -124,12 +124,12 @@
 // deliver reports what came of one attempt.
 func (t *Stores) deliver(id decision.ServerID, a *gather.Attempt, came item) {
 	switch {
-	case a.Ask != nil && came.whole.Get("status").Int() == 400:
+	case a.Search != nil && came.whole.Get("status").Int() == 400:
 		if t.ended(a) {
 			t.report.Unanswerable(a, came.whole.Get("error.reason").String())
 		}
-	case a.Ask != nil && came.status == decision.OK:
-		found, why := parseFound(came.whole, a.Ask)
+	case a.Search != nil && came.status == decision.OK:
+		found, why := parseFound(came.whole, a.Search)
 		if why != "" {
 			t.Log.Warn("answer not believed", "store", id, "reason", why)
 			t.end(a, decision.Error, "")
@@ -170,8 +170,8 @@
 		}
 		target = "/_msearch"
 		fmt.Fprintf(&b, `{"index":%q,"preference":"_shards:%d"}`+"\n", index, a.Shard)
-		if a.Ask != nil {
-			b.Write(askBody(a.Text, a.Ask, a.Shard, left))
+		if a.Search != nil {
+			b.Write(askBody(a.Text, a.Search, a.Shard, left))
 			b.WriteByte('\n')
 			continue
 		}
@@ -225,7 +225,7 @@
 		hits, status := a.Get("hits"), a.Get("status").Int()
 		switch {
 		case status == 429:
-			items[i].status = decision.Full
+			items[i].status = decision.Rejected
 		case keyed && status == 201:
 			items[i] = item{status: decision.OK, value: a.Raw}
 		case keyed && status == 409:
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 
 	"pulleygw.example/pulleygw/internal/tier/changelog"
+	"pulleygw.example/pulleygw/internal/tier/coordinator/draining"
 	"pulleygw.example/pulleygw/internal/tier/failpoint"
-	"pulleygw.example/pulleygw/internal/tier/lease"
 	"pulleygw.example/pulleygw/internal/tier/register"
 	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/settings"
@@ -33,14 +33,14 @@
 const machineCount = 8
 
 // cluster is a set of coordinators in one process, under the clock of a synctest bubble. Calls take a millisecond;
-// those to a machine that is down fail at once, those over a cut link get no answer.
+// those to a machine that is down fail at once, those over a blocked link get no answer.
 type cluster struct {
 	t         *testing.T
 	seeds     []string
 	tolerance int
 	mu        sync.Mutex
 	machines  map[string]*machine // by name
-	cut       map[[2]string]bool  // by names, from and to
+	blocked   map[[2]string]bool  // by names, from and to
 	calls     map[rpc.Method]int  // answered
 	rate      int                 // bytes a second of each machine's link and direction; 0 for no limit
 	delay     atomic.Int64        // of each call, in nanoseconds
@@ -66,24 +66,23 @@
 // now is the clock of the machine's process.
 func (m *machine) now() time.Time { return time.Now().Add(time.Duration(m.ahead.Load())) }
 
-// sleepFor has a process find, at its next step, that its clock went on for a while in which it did nothing.
-func (m *machine) sleepFor(duration time.Duration) { m.ahead.Add(int64(duration)) }
+// stall has a process find, at its next step, that its clock went on for a while in which it did nothing.
+func (m *machine) stall(duration time.Duration) { m.ahead.Add(int64(duration)) }
 
 type process struct {
 	*coordinator
-	points   *stops
-	handler  http.Handler
-	acceptor *register.Acceptor
-	grantor  *lease.Lessor
-	stop     context.CancelFunc
-	done     *sync.WaitGroup
+	points  *failpointHook
+	handler http.Handler
+	stop    context.CancelFunc
+	done    *sync.WaitGroup
 }
 
 // inCluster runs a test with coordinators core-1 to core-count, of which the first three are the seeds.
 func inCluster(t *testing.T, count, tolerance int, test func(*cluster)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
-			t: t, tolerance: tolerance, machines: make(map[string]*machine), cut: make(map[[2]string]bool),
+			t: t, tolerance: tolerance, machines: make(map[string]*machine), blocked: make(map[[2]string]bool),
 			calls: make(map[rpc.Method]int),
 		}
 		c.delay.Store(int64(callDelay))
@@ -135,26 +134,20 @@
 		Name: m.name, Address: m.address, Zone: own.Zone, Role: tierpb.Role_ROLE_COORDINATOR,
 		Identity: acceptor.Identity(), Control: own.Listen.Control,
 	}
-	coordinator := newCoordinator(settings.Fixed(own), c.log(m.name), self, &caller{from: m})
-	coordinator.now, coordinator.directory.now = m.now, m.now
-	coordinator.directory.started = m.now()
-	coordinator.history, err = changelog.OpenSegmentStore(disk, ordersFolder)
+	history, err := changelog.OpenSegmentStore(disk, changesFolder)
 	assert.NilError(c.t, err)
-	assert.NilError(c.t, coordinator.openDepartures(disk, departuresFolder))
-	points := &stops{}
-	coordinator.faults = &failpoint.Points{ShouldStop: points.pass}
-	coordinator.useRegister(acceptor)
-	p := &process{coordinator: coordinator, points: points, handler: coordinator.routes(), acceptor: acceptor, done: &sync.WaitGroup{}}
-	p.grantor = coordinator.newGrantor(acceptor)
-	holder := coordinator.newHolder(p.grantor)
+	drains, err := draining.OpenTable(disk, draining.Folder)
+	assert.NilError(c.t, err)
+	points := &failpointHook{}
+	coordinator := newCoordinator(options{
+		live: settings.Fixed(own), log: c.log(m.name), self: self, caller: &caller{from: m}, now: m.now,
+		faults: &failpoint.Points{ShouldStop: points.pass}, acceptor: acceptor, history: history, drains: drains,
+	})
+	p := &process{coordinator: coordinator, points: points, handler: coordinator.api.Handler(), done: &sync.WaitGroup{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	parts := []func(context.Context){
-		coordinator.follow, coordinator.learnFirst, coordinator.keepJoining, coordinator.runMaintenance, coordinator.keepOrders,
-		coordinator.keepPlaced, c.candidacy(name, holder),
-	}
-	for _, part := range parts {
-		p.done.Go(func() { part(ctx) })
+	for _, run := range append(coordinator.loops(), c.candidacy(name, coordinator.candidate)) {
+		p.done.Go(func() { run(ctx) })
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +176,7 @@
 			p.done.Wait()
 		}
 	}
-	c.pass(announceEffort + time.Second) // announcements under way end by themselves
+	c.pass(draining.AnnounceTimeout + time.Second) // announcements under way end by themselves
 }
 
 func (c *cluster) at(name string) *process {
@@ -203,8 +196,8 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// configured sends a configuration.
-func (p *process) configured(ifMatch int, body string) int {
+// putConfiguration sends a configuration.
+func (p *process) putConfiguration(ifMatch int, body string) int {
 	status, _ := p.send(http.MethodPut, "/v1/config", fmt.Sprint(ifMatch), body)
 	return status
 }
@@ -240,7 +233,7 @@
 func (c *cluster) joinStore(request *tierpb.JoinRequest) {
 	for name := range c.machines {
 		if p := c.at(name); p != nil {
-			_, err := p.takeJoin(context.Background(), request.CloneVT())
+			_, err := p.membership.HandleJoin(context.Background(), request.CloneVT())
 			assert.NilError(c.t, err)
 		}
 	}
@@ -248,7 +241,7 @@
 
 // poll asks a coordinator as a follower of a role that knows nothing yet.
 func (p *process) poll(request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
-	return p.watch(context.Background(), request)
+	return p.membership.HandleWatch(context.Background(), request)
 }
 
 var _ watch.Source = (*watch.State)(nil)
--- a/internal/tier/admission/invariant_test.go
+++ b/internal/tier/coordinator/controlapi/invariant_test.go
@@ -1,4 +1,4 @@
-package admission
+package controlapi
 
 import "pulleygw.example/pulleygw/internal/tier/invariant"
 
