--- a/internal/gatherer/audit/audit_test.go
+++ b/internal/gatherer/audit/audit_test.go
@@ -17,7 +17,7 @@
 	return record.Entry{Kind: record.Arrived, At: ms(at), Request: id, Route: "r", Verdict: "admit", In: in()}
 }
 
-func try(id uint64, number int, sent, end int64) record.Entry {
+func attempt(id uint64, number int, sent, end int64) record.Entry {
 	return record.Entry{Kind: record.Attempt, At: ms(end), Request: id, Shard: 3, Number: number, Sent: ms(sent), Ran: true, Status: "error"}
 }
 
@@ -25,8 +25,8 @@
 	return record.Entry{Kind: record.Final, At: ms(at), Request: id, Verdict: "answered"}
 }
 
-// Each breach that is put in on purpose is found, with its entries, and none where there is none.
-func TestBreaches(t *testing.T) {
+// Each violation that is put in on purpose is found, with its entries, and none where there is none.
+func TestViolations(t *testing.T) {
 	loose := arrived(1, 0)
 	loose.In = &record.InForce{Attempts: 4, Timeout: 9_000_000, Window: 4_000_000}
 	copies := arrived(1, 0)
@@ -35,18 +35,18 @@
 		entries []record.Entry
 		want    string
 	}{
-		"none":           {[]record.Entry{arrived(1, 0), try(1, 0, 5, 100), final(1, 110), arrived(2, 600), try(2, 0, 605, 700), final(2, 710)}, ""},
-		"a third try":    {[]record.Entry{loose, try(1, 0, 5, 100), try(1, 1, 105, 200), try(1, 2, 205, 300), try(1, 3, 305, 400), try(1, 4, 405, 500), final(1, 510)}, "5 attempts over its steps, 4 allowed"},
-		"overlap":        {[]record.Entry{loose, try(1, 0, 5, 100), try(1, 1, 90, 200), final(1, 210)}, "attempt 1 left before attempt 0 had ended"},
-		"a second copy":  {[]record.Entry{copies, try(1, 0, 5, 300), try(1, 1, 90, 200), try(1, 2, 205, 400), final(1, 410)}, ""},
-		"a third copy":   {[]record.Entry{copies, try(1, 0, 5, 300), try(1, 1, 90, 200), try(1, 2, 195, 400), final(1, 410)}, "attempt 2 left before attempt 0 had ended"},
-		"past window":    {[]record.Entry{loose, try(1, 0, 5, 100), try(1, 1, 4006, 4100), final(1, 4110)}, "its window is 4s"},
+		"none":           {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), final(1, 110), arrived(2, 600), attempt(2, 0, 605, 700), final(2, 710)}, ""},
+		"a third try":    {[]record.Entry{loose, attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), attempt(1, 2, 205, 300), attempt(1, 3, 305, 400), attempt(1, 4, 405, 500), final(1, 510)}, "5 attempts over its steps, 4 allowed"},
+		"overlap":        {[]record.Entry{loose, attempt(1, 0, 5, 100), attempt(1, 1, 90, 200), final(1, 210)}, "attempt 1 left before attempt 0 had ended"},
+		"a second copy":  {[]record.Entry{copies, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 205, 400), final(1, 410)}, ""},
+		"a third copy":   {[]record.Entry{copies, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 195, 400), final(1, 410)}, "attempt 2 left before attempt 0 had ended"},
+		"past window":    {[]record.Entry{loose, attempt(1, 0, 5, 100), attempt(1, 1, 4006, 4100), final(1, 4110)}, "its window is 4s"},
 		"too late":       {[]record.Entry{arrived(1, 0), final(1, 3100)}, "3s allowed"},
 		"twice":          {[]record.Entry{arrived(1, 0), final(1, 10), final(1, 20)}, "two final answers"},
 		"two in hand":    {[]record.Entry{arrived(1, 0), arrived(2, 600), final(1, 700), final(2, 700)}, "2 requests in hand, 1 allowed"},
 		"too soon":       {[]record.Entry{arrived(1, 0), final(1, 10), arrived(2, 100), final(2, 110)}, "too soon for 2 a second"},
-		"budget":         {[]record.Entry{arrived(1, 0), try(1, 0, 5, 100), try(1, 1, 105, 200), final(1, 210), arrived(2, 600), try(2, 0, 605, 700), try(2, 1, 705, 800), final(2, 810)}, "2 further attempts within 10s"},
-		"never left":     {[]record.Entry{loose, try(1, 0, 5, 100), {Kind: record.Attempt, At: ms(101), Request: 1, Shard: 3, Number: 1, Status: "not sent"}, final(1, 110)}, ""},
+		"budget":         {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), final(1, 210), arrived(2, 600), attempt(2, 0, 605, 700), attempt(2, 1, 705, 800), final(2, 810)}, "2 further attempts within 10s"},
+		"never left":     {[]record.Entry{loose, attempt(1, 0, 5, 100), {Kind: record.Attempt, At: ms(101), Request: 1, Shard: 3, Number: 1, Status: "not sent"}, final(1, 110)}, ""},
 		"another start":  {[]record.Entry{arrived(1, 0), {Kind: record.Started}, arrived(1, 100), final(1, 110)}, ""},
 		"entries lacked": {[]record.Entry{{Kind: record.Dropped, Count: 3}, arrived(1, 0), arrived(2, 600)}, ""},
 	} {
@@ -55,8 +55,8 @@
 			a.Add(e)
 		}
 		r := a.Report()
-		if c.want == "" && len(r.Breaches) > 0 || c.want != "" && (len(r.Breaches) != 1 || !strings.Contains(r.Breaches[0].String(), c.want) || len(r.Breaches[0].Entries) == 0) {
-			t.Errorf("%s: %v, want %q", name, r.Breaches, c.want)
+		if c.want == "" && len(r.Violations) > 0 || c.want != "" && (len(r.Violations) != 1 || !strings.Contains(r.Violations[0].String(), c.want) || len(r.Violations[0].Entries) == 0) {
+			t.Errorf("%s: %v, want %q", name, r.Violations, c.want)
 		}
 	}
 }
--- a/internal/gatherer/cli/operate.go
+++ b/internal/gatherer/cli/operate.go
@@ -37,11 +37,11 @@
 			r, out := a.Report(), c.OutOrStdout()
 			fmt.Fprintf(out, "%d entries, %d files that end torn, %d entries dropped\n", n, torn, r.Dropped)
 			fmt.Fprintf(out, "%d requests: %d answered, %d refused, %d failed, %d left by their clients, %d still open; %d attempts\n",
-				r.Requests, r.Answered, r.Refused, r.Failed, r.Left, r.Open, r.Attempts)
-			for _, b := range r.Breaches {
+				r.Requests, r.Answered, r.Rejected, r.Failed, r.Disconnected, r.Open, r.Attempts)
+			for _, b := range r.Violations {
 				fmt.Fprintln(out, "breach:", b)
 			}
-			if found := len(r.Breaches) + r.More; found > 0 {
+			if found := len(r.Violations) + r.More; found > 0 {
 				return &codeError{ExitFault, fmt.Errorf("%d breaches", found)}
 			}
 			fmt.Fprintln(out, "every limit held")
--- a/internal/gatherer/gather/clock_test.go
+++ b/internal/gatherer/gather/clock_test.go
@@ -86,8 +86,8 @@
 		c.Outcome(a, decision.OK, "v")
 	}
 	receiveAll(c)
-	if r := log.Report(); len(r.Breaches) > 0 || r.Attempts != 2*shards {
-		t.Errorf("%d attempts, violations %v", r.Attempts, r.Breaches)
+	if r := log.Report(); len(r.Violations) > 0 || r.Attempts != 2*shards {
+		t.Errorf("%d attempts, violations %v", r.Attempts, r.Violations)
 	}
 }
 
@@ -119,7 +119,7 @@
 		}
 		spin(span)
 	}
-	if r := log.Report(); len(r.Breaches) > 0 || r.Requests != 2*rounds {
-		t.Errorf("%d requests, %d rejected, violations %v", r.Requests, r.Refused, r.Breaches)
+	if r := log.Report(); len(r.Violations) > 0 || r.Requests != 2*rounds {
+		t.Errorf("%d requests, %d rejected, violations %v", r.Requests, r.Rejected, r.Violations)
 	}
 }
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -136,7 +136,7 @@
 	}
 	c.Outcome(a[0], decision.OK, "late") // crosses the cancel, and changes nothing
 	if len(r.Done) != 0 {
-		t.Error("per second final answer")
+		t.Error("a second final answer")
 	}
 }
 
--- a/internal/gatherer/lifecycle/calls.go
+++ b/internal/gatherer/lifecycle/calls.go
@@ -27,7 +27,7 @@
 // call answers an operator's call. What it says yes to is in force, here and at the other process if there is one.
 func (d *Daemon) call(c admin.Call) (string, error) {
 	if c.Verb == admin.Ping {
-		if !d.ready.Load() || d.state().Draining {
+		if !d.ready.Load() || d.health().Draining {
 			return "", errors.New("not ready")
 		}
 		return "ready", nil
@@ -42,7 +42,7 @@
 		return "", fmt.Errorf("no lot store %s is known", c.Name)
 	}
 	if link := d.handover.other(); link != nil {
-		if err := link.Tell(handover.Message{Verb: string(c.Verb), Name: c.Name, AtMs: now.UnixMilli()}); err != nil {
+		if err := link.Call(handover.Message{Verb: string(c.Verb), Name: c.Name, AtMs: now.UnixMilli()}); err != nil {
 			d.log.Warn("handover call not taken", "call", c.Verb, "name", c.Name, "reason", err)
 		}
 	}
@@ -58,9 +58,9 @@
 	case admin.Attach:
 		known = d.core.Attach(c.Name, at)
 	case admin.LameDuck:
-		d.sendAway(true)
+		d.setLameDuck(true)
 	case admin.Rejoin:
-		d.sendAway(false)
+		d.setLameDuck(false)
 	}
 	if known {
 		d.log.Info("operator", "call", c.Verb, "name", c.Name)
@@ -69,11 +69,11 @@
 }
 
 // sendAway sets the one drain state: not ready, and clients' connections close as they are answered.
-func (d *Daemon) sendAway(on bool) {
-	d.lame.Store(on)
+func (d *Daemon) setLameDuck(on bool) {
+	d.lameDuck.Store(on)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, x := range d.listeners {
-		x.SendAway(on)
+		x.SetConnectionClose(on)
 	}
 }
--- a/internal/gatherer/lifecycle/config.go
+++ b/internal/gatherer/lifecycle/config.go
@@ -89,7 +89,7 @@
 	if c.Settings, err = settings.ParseDaemon([]byte(root.Get("settings").Raw)); err != nil {
 		return c, err
 	}
-	c.Settings.Policy.Connections = int(storeShare * float64(c.Sockets))
+	c.Settings.Policy.Connections = int(storeFraction * float64(c.Sockets))
 	if known := root.Get("known"); known.Exists() {
 		if c.KnownSeq, c.Known, err = discovery.ParseList([]byte(known.Raw), c.Settings.Zones); err != nil {
 			return c, fmt.Errorf("known: %w", err)
--- a/internal/gatherer/lifecycle/daemon.go
+++ b/internal/gatherer/lifecycle/daemon.go
@@ -29,16 +29,16 @@
 
 // Shares of the limits. The rest is spare: for the runtime, for discovery, for what is being closed.
 const (
-	memoryShare = 0.7   // of memory_mb, as the garbage collector's soft limit
-	bodyShare   = 0.125 // of memory_mb, for request bodies
-	clientShare = 0.45  // of sockets, for clients
-	keepShare   = 0.2   // of sockets, for clients' connections that are not pressed to close: they hold a third at most
-	secondShare = 0.08  // of sockets, for the second front's clients
-	storeShare  = 0.3   // of sockets, for lot stores
-	searchPart  = 4     // of memory_mb, for lot stores' answers to searches; a quarter of that for one search
-	answerPart  = 32    // of memory_mb, for one answer of a lot store that speaks the API
-	boundPart   = 16    // of memory_mb, for what is remembered of ranges
-	boundBytes  = 128   // of one such memory
+	memoryFraction     = 0.7   // of memory_mb, as the garbage collector's soft limit
+	bodyFraction       = 0.125 // of memory_mb, for request bodies
+	clientFraction     = 0.45  // of sockets, for clients
+	keepAliveFraction  = 0.2   // of sockets, for clients' connections that are not pressed to close: they hold a third at most
+	openSearchFraction = 0.08  // of sockets, for the second front's clients
+	storeFraction      = 0.3   // of sockets, for lot stores
+	searchDivisor      = 4     // of memory_mb, for lot stores' answers to searches; a quarter of that for one search
+	answerDivisor      = 32    // of memory_mb, for one answer of a lot store that speaks the API
+	boundsDivisor      = 16    // of memory_mb, for what is remembered of ranges
+	boundBytes         = 128   // of one such memory
 )
 
 // Bounds of the record of attempts: 512 MiB of files, and so many entries in memory that a disk may stall for a second.
@@ -51,12 +51,12 @@
 // answerFor is how long after SIGTERM the last answer is given where the clients' socket is inherited: SIGKILL
 // comes 0.7 s after the longest deadline, of which at most 3 s count.
 const (
-	answerFor    = 300 * time.Millisecond
-	deadlineMost = 3 * time.Second
+	finalAnswerWithin = 300 * time.Millisecond
+	maxDeadline       = 3 * time.Second
 )
 
 // acceptFor is how long after SIGTERM new connections are still accepted: they keep coming for up to 0.4 s.
-const acceptFor = 600 * time.Millisecond
+const acceptAfterSignal = 600 * time.Millisecond
 
 // transport is a gather.Transport that is told whom to report to.
 type transport interface {
@@ -83,46 +83,46 @@
 	}
 	return opensearch.NewStores(opensearch.StoresConfig{Class: class, Shards: set.Shards,
 		ConnectTimeout: set.ConnectTimeout, ConnIdle: set.ConnIdle, WriteFor: set.WriteFor(), MaxConns: conns,
-		MaxAnswer: c.MemoryMB << 20 / answerPart, Log: logger})
+		MaxAnswer: c.MemoryMB << 20 / answerDivisor, Log: logger})
 }
 
 // listener is one listening socket and what serves it.
 type listener struct {
 	*http1.Server
-	share  float64 // of the descriptors
-	addr   net.Addr
-	served chan struct{}
+	fraction float64 // of the descriptors
+	addr     net.Addr
+	served   chan struct{}
 }
 
 // Daemon is a gatherer that serves.
 type Daemon struct {
-	log       *slog.Logger
-	core      *gather.Core
-	settings  settings.Current
-	mu        sync.Mutex
-	listeners []*listener       // under mu; the platform's first, then the OpenSearch-style front's if it is on, then operations'
-	second    *opensearch.Front // nil when off
-	front     FrontConfig       // of the second front
-	limits    *config.Config    // in force, nil for none
-	record    *record.Writer    // nil for none
-	ops       *operations       // nil when off
-	bodies    chan struct{}     // has room for the request bodies that may be held at once
-	draining  atomic.Bool
-	drained   sync.Once
-	ready     atomic.Bool // started whole
-	lame      atomic.Bool // clients are sent away, by an operator or by the store's mark
-	admin     net.Listener
-	calls     sync.Mutex // operators' calls are carried out one after another
-	handover  handoverState
-	tr        transport
-	config    Config // as started with, but for what a reload has changed
-	watching  sync.Mutex
-	unwatch   func() // under watching; ends the watch of discovery and waits for its end; nil once a drain has done so
+	log        *slog.Logger
+	core       *gather.Core
+	settings   settings.Current
+	mu         sync.Mutex
+	listeners  []*listener       // under mu; the platform's first, then the OpenSearch-style front's if it is on, then operations'
+	openSearch *opensearch.Front // nil when off
+	front      FrontConfig       // of the second front
+	limits     *config.Config    // in force, nil for none
+	record     *record.Writer    // nil for none
+	ops        *operations       // nil when off
+	bodySlots  chan struct{}     // has room for the request bodies that may be held at once
+	draining   atomic.Bool
+	drained    sync.Once
+	ready      atomic.Bool // started whole
+	lameDuck   atomic.Bool // clients are sent away, by an operator or by the store's mark
+	admin      net.Listener
+	calls      sync.Mutex // operators' calls are carried out one after another
+	handover   handoverState
+	tr         transport
+	config     Config // as started with, but for what a reload has changed
+	watchMu    sync.Mutex
+	stopWatch  func() // under watching; ends the watch of discovery and waits for its end; nil once a drain has done so
 }
 
 // state is how the gatherer is, for balancers.
-func (d *Daemon) state() agentcheck.State {
-	return agentcheck.State{Draining: d.draining.Load() || d.lame.Load(), Load: d.core.Load()}
+func (d *Daemon) health() agentcheck.State {
+	return agentcheck.State{Draining: d.draining.Load() || d.lameDuck.Load(), Load: d.core.Load()}
 }
 
 // Start makes a gatherer that serves. A nil front leaves the OpenSearch-style front off, and nil operations
@@ -130,7 +130,7 @@
 func Start(c Config, f *FrontConfig, o *OperationsConfig, logger *slog.Logger) (*Daemon, error) {
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
 
-	d := &Daemon{log: logger, config: c, bodies: make(chan struct{}, int(bodyShare*float64(c.MemoryMB<<20)/mem.BufferSize))}
+	d := &Daemon{log: logger, config: c, bodySlots: make(chan struct{}, int(bodyFraction*float64(c.MemoryMB<<20)/mem.BufferSize))}
 	d.settings.Store(&c.Settings)
 	tr := newTransport(c, f, &d.settings, logger)
 	core, err := gather.New(c.Settings, c.Seed, tr, logger)
@@ -143,10 +143,10 @@
 	}
 	if f != nil && f.Stores {
 		core.ConfigureSearches(gather.SearchConfig{Phases: f.Phases, Ranges: c.Settings.Shards,
-			Bounds: c.MemoryMB << 20 / boundPart / boundBytes, Bytes: c.MemoryMB << 20 / searchPart})
+			Bounds: c.MemoryMB << 20 / boundsDivisor / boundBytes, Bytes: c.MemoryMB << 20 / searchDivisor})
 	}
 	d.tr = tr
-	d.share()
+	d.applyProcessLimits()
 	d.core = core
 	if c.RecordDir != "" {
 		if d.record, err = record.Open(record.Config{Dir: c.RecordDir, FileSize: recordFile, Files: recordFiles, Ring: recordRing, Log: logger}); err != nil {
@@ -157,7 +157,7 @@
 	}
 	go core.Run()
 	if d.limits != nil {
-		set := d.limited(c.Settings, d.limits)
+		set := d.applyLimits(c.Settings, d.limits)
 		d.settings.Store(&set)
 		logger.Info("limits in force", "routes", len(d.limits.Limits.Routes), "file", c.LimitsFile)
 	}
@@ -168,23 +168,23 @@
 	c.Known.Kind = decision.Cached
 	core.List(c.Known)
 	// A predecessor's list is younger than the one that the configuration has; the whole one is asked for then.
-	if d.takeOver() {
+	if d.restorePredecessor() {
 		c.KnownSeq = discovery.Fresh
 	}
-	d.follow(c.KnownSeq)
+	d.watch(c.KnownSeq)
 
 	// Listeners open only now: a gatherer is ready when it has its list.
-	front := &platform.Front{Core: core, Settings: &d.settings, Ready: func() bool { return !d.state().Draining }}
-	if err := d.open(c.Listen, c.Inherited, front.Handle, clientShare); err != nil {
+	front := &platform.Front{Core: core, Settings: &d.settings, Ready: func() bool { return !d.health().Draining }}
+	if err := d.open(c.Listen, c.Inherited, front.Handle, clientFraction); err != nil {
 		d.Drain()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if f != nil {
-		d.second = &opensearch.Front{Core: core, Settings: &d.settings, Name: fmt.Sprintf("os-%s-%x", c.Name, c.Seed), Plans: f.Stores, Ties: f.Ties}
-		d.second.SetIndices(f.Indices)
-		d.second.SetKeys(f.Keys)
+		d.openSearch = &opensearch.Front{Core: core, Settings: &d.settings, Name: fmt.Sprintf("os-%s-%x", c.Name, c.Seed), Plans: f.Stores, Ties: f.Ties}
+		d.openSearch.SetIndices(f.Indices)
+		d.openSearch.SetKeys(f.Keys)
 		d.front = *f
-		if err := d.open(f.Listen, 0, d.second.Handle, secondShare); err != nil {
+		if err := d.open(f.Listen, 0, d.openSearch.Handle, openSearchFraction); err != nil {
 			d.Drain()
 			return nil, fmt.Errorf("opensearch front: listen: %w", err)
 		}
@@ -204,14 +204,14 @@
 }
 
 // follow starts a watch of the configuration's discovery, from a version on.
-func (d *Daemon) follow(seq int64) {
+func (d *Daemon) watch(seq int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	w := &discovery.Watcher{Addr: d.config.Discovery, Zones: d.settings.Load().Zones, Log: d.log, Tell: d.core.List,
-		Siblings: func() int { return d.settings.Load().Policy.Instances },
-		Asked:    func() bool { return d.settings.Load().Policy.Polling }}
+	w := &discovery.Watcher{Addr: d.config.Discovery, Zones: d.settings.Load().Zones, Log: d.log, OnList: d.core.List,
+		Instances: func() int { return d.settings.Load().Policy.Instances },
+		Polling:   func() bool { return d.settings.Load().Policy.Polling }}
 	go func() { w.Run(ctx, seq); close(ended) }()
-	d.unwatch = func() { cancel(); <-ended }
+	d.stopWatch = func() { cancel(); <-ended }
 }
 
 // listen opens an address, or makes a listener of the descriptor that the platform holds for it. Of that one only
@@ -242,15 +242,15 @@
 		return err
 	}
 	x := &listener{http1.New(l.(*net.TCPListener), h, 0, d.log), share, l.Addr(), make(chan struct{})}
-	x.Bodies = d.bodies
+	x.Bodies = d.bodySlots
 	d.mu.Lock()
-	x.SetLimits(d.conns(x.share), d.conns(keepShare))
+	x.SetLimits(d.conns(x.fraction), d.conns(keepAliveFraction))
 	d.mu.Unlock()
 	go func() { x.Serve(); close(x.served) }()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listeners = append(d.listeners, x)
-	x.SendAway(d.lame.Load())
+	x.SetConnectionClose(d.lameDuck.Load())
 	return nil
 }
 
@@ -274,14 +274,14 @@
 			for _, k := range d.settings.Load().Policy.Classes {
 				longest = max(longest, k.Deadline)
 			}
-			longest = min(longest, deadlineMost) + answerFor
+			longest = min(longest, maxDeadline) + finalAnswerWithin
 			d.log.Info("drain accepts no more", "answered_within", longest)
 			d.core.EndBy(time.Now().Add(longest))
-			x.HandOff()
+			x.CloseListener()
 			continue
 		}
-		d.log.Info("drain accepts for a while", "addr", x.addr.String(), "for", acceptFor)
-		x.Drain(acceptFor)
+		d.log.Info("drain accepts for a while", "addr", x.addr.String(), "for", acceptAfterSignal)
+		x.Drain(acceptAfterSignal)
 	}
 	for _, x := range d.listeners {
 		<-x.served
@@ -294,12 +294,12 @@
 		d.admin.Close()
 	}
 	d.handover.close()
-	d.watching.Lock()
-	if d.unwatch != nil {
-		d.unwatch()
-		d.unwatch = nil
+	d.watchMu.Lock()
+	if d.stopWatch != nil {
+		d.stopWatch()
+		d.stopWatch = nil
 	}
-	d.watching.Unlock()
+	d.watchMu.Unlock()
 	d.core.Stop()
 	if d.record != nil {
 		d.record.Close()
--- a/internal/gatherer/lifecycle/handover.go
+++ b/internal/gatherer/lifecycle/handover.go
@@ -51,37 +51,37 @@
 func (d *Daemon) path() string { return filepath.Join(os.TempDir(), "pulleygw-"+d.config.Name+".sock") }
 
 // eachOfTwo is a process's part of the limits while there are two: what each needs beside its shares counts twice.
-const eachOfTwo = 0.45
+const overlapFraction = 0.45
 
 // conns is a share of the descriptors.
 func (d *Daemon) conns(share float64) int {
-	return max(int(share*float64(d.config.Sockets)*d.part()), 1)
+	return max(int(share*float64(d.config.Sockets)*d.processFraction()), 1)
 }
 
-func (d *Daemon) part() float64 {
+func (d *Daemon) processFraction() float64 {
 	if d.handover.other() != nil {
-		return eachOfTwo
+		return overlapFraction
 	}
 	return 1
 }
 
 // share puts this process's part of the limits in force.
-func (d *Daemon) share() {
-	debug.SetMemoryLimit(int64(memoryShare * float64(d.config.MemoryMB) * (1 << 20) * d.part()))
-	d.tr.SetMaxConns(d.conns(storeShare))
+func (d *Daemon) applyProcessLimits() {
+	debug.SetMemoryLimit(int64(memoryFraction * float64(d.config.MemoryMB) * (1 << 20) * d.processFraction()))
+	d.tr.SetMaxConns(d.conns(storeFraction))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, x := range d.listeners {
-		x.SetLimits(d.conns(x.share), d.conns(keepShare))
+		x.SetLimits(d.conns(x.fraction), d.conns(keepAliveFraction))
 	}
 }
 
 // takeOver goes on from a predecessor's state, if there is one. Whatever is wrong with it never stops a start.
-func (d *Daemon) takeOver() bool {
+func (d *Daemon) restorePredecessor() bool {
 	if d.config.Inherited == 0 {
 		return false
 	}
-	link, state, err := handover.Greet(d.path())
+	link, state, err := handover.Connect(d.path())
 	if errors.Is(err, fs.ErrNotExist) {
 		return false
 	}
@@ -97,10 +97,10 @@
 	}
 	d.core.Restore(s)
 	if state.Drain {
-		d.sendAway(true)
+		d.setLameDuck(true)
 	}
 	d.log.Info("handover took over", "stores", len(s.Servers), "records", len(s.Records), "out", s.Banned, "drain", state.Drain)
-	d.linked(link)
+	d.setLink(link)
 	go d.serveLink(link, false)
 	return true
 }
@@ -128,7 +128,7 @@
 			if err != nil {
 				return
 			}
-			link, err := handover.Welcome(nc, d.linked, d.handState)
+			link, err := handover.Accept(nc, d.setLink, d.successorState)
 			if err != nil {
 				d.log.Warn("handover successor failed", "reason", err)
 			}
@@ -142,7 +142,7 @@
 }
 
 // linked notes that there is another process; an earlier one has none to do with this one any more.
-func (d *Daemon) linked(link *handover.Link) {
+func (d *Daemon) setLink(link *handover.Link) {
 	h := &d.handover
 	h.mu.Lock()
 	if h.link != nil {
@@ -152,7 +152,7 @@
 		link.Close()
 	}
 	h.mu.Unlock()
-	d.share()
+	d.applyProcessLimits()
 }
 
 // serveLink carries out the other's calls until it has ended. Then all limits are this process's own.
@@ -170,7 +170,7 @@
 		return
 	}
 	d.log.Info("handover other has ended", "reason", err)
-	d.share()
+	d.applyProcessLimits()
 	if !successor {
 		return
 	}
@@ -184,11 +184,11 @@
 }
 
 // handState is what a successor begins with.
-func (d *Daemon) handState() handover.State {
+func (d *Daemon) successorState() handover.State {
 	s := d.core.Snapshot()
 	zones := d.settings.Load().Zones
 	x := handover.State{Hosts: discovery.AppendList(nil, 0, s.Servers, zones), Banned: append([]string{}, s.Banned...),
-		Attached: map[string]int64{}, Drain: d.lame.Load(), Records: []handover.Record{}, PerSecond: s.PerSecond}
+		Attached: map[string]int64{}, Drain: d.lameDuck.Load(), Records: []handover.Record{}, PerSecond: s.PerSecond}
 	for name, at := range s.Back {
 		x.Attached[name] = at.UnixMilli()
 	}
@@ -198,7 +198,7 @@
 			cold = r.SlowStartAge.Milliseconds()
 		}
 		x.Records = append(x.Records, handover.Record{Name: name, Answers: r.Answers, Latency: r.Latency,
-			Failing: r.Failing, Cap: r.Cap, ColdMs: cold})
+			Failing: r.Failing, Cap: r.Cap, SlowStartMs: cold})
 	}
 	return x
 }
@@ -219,8 +219,8 @@
 	}
 	for _, r := range state.Records {
 		cold := time.Duration(-1)
-		if r.ColdMs >= 0 {
-			cold = time.Duration(r.ColdMs) * time.Millisecond
+		if r.SlowStartMs >= 0 {
+			cold = time.Duration(r.SlowStartMs) * time.Millisecond
 		}
 		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, SlowStartAge: cold}
 	}
--- a/internal/gatherer/lifecycle/handover_test.go
+++ b/internal/gatherer/lifecycle/handover_test.go
@@ -146,7 +146,7 @@
 	var link *handover.Link
 	until(func() (is bool) {
 		var err error
-		link, _, err = handover.Greet(old.path())
+		link, _, err = handover.Connect(old.path())
 		return err == nil
 	})
 	defer link.Close()
@@ -158,8 +158,8 @@
 	}
 	old.Reload(write(t, strings.Replace(string(text), old.config.Discovery, other.Addr().String(), 1)))
 	go link.Serve(func(handover.Message) {})
-	if err := link.Tell(handover.Message{Verb: "LAMEDUCK", AtMs: 1}); err != nil || !old.lame.Load() {
-		t.Errorf("a call behind a reload: %v, sent away %v", err, old.lame.Load())
+	if err := link.Call(handover.Message{Verb: "LAMEDUCK", AtMs: 1}); err != nil || !old.lameDuck.Load() {
+		t.Errorf("a call behind a reload: %v, sent away %v", err, old.lameDuck.Load())
 	}
 	if old.config.Discovery != other.Addr().String() {
 		t.Error("the reload is not in force")
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -34,7 +34,7 @@
 }
 
 // narrowed is settings with the classes that routes narrow, and which class a route's requests come under.
-func narrowed(set settings.Settings, routes []*limits.Route) (settings.Settings, func(*limits.Route, int) int) {
+func narrowClasses(set settings.Settings, routes []*limits.Route) (settings.Settings, func(*limits.Route, int) int) {
 	type key struct {
 		route string
 		class int
@@ -108,14 +108,14 @@
 }
 
 // limited puts limits in force with settings: the settings first, as the limits name their classes.
-func (d *Daemon) limited(set settings.Settings, c *config.Config) settings.Settings {
+func (d *Daemon) applyLimits(set settings.Settings, c *config.Config) settings.Settings {
 	l := gather.Limits{}
 	if c != nil && c.Level != nil && d.config.Level != nil && d.config.Level.Level() != *c.Level {
 		d.config.Level.Set(*c.Level)
 		d.log.Warn("log level", "level", c.Level.String())
 	}
 	if c != nil {
-		set, l.Class = narrowed(set, c.Limits.Routes)
+		set, l.Class = narrowClasses(set, c.Limits.Routes)
 		l.Table, l.Repeats = c.Limits.Table, c.Limits.Repeats
 	}
 	d.core.ChangeSettings(set)
@@ -138,14 +138,14 @@
 		d.log.Warn("reload limits stay", "reason", err)
 		return d.limits
 	}
-	for _, line := range difference(d.limits, c) {
+	for _, line := range diffLimits(d.limits, c) {
 		d.log.Info("reload limits", "change", line)
 	}
 	return c
 }
 
 // difference says what a reload changed, route by route.
-func difference(old, now *config.Config) (lines []string) {
+func diffLimits(old, now *config.Config) (lines []string) {
 	routes := func(c *config.Config) map[string]*limits.Route {
 		m := map[string]*limits.Route{}
 		if c != nil {
--- a/internal/gatherer/lifecycle/limits_test.go
+++ b/internal/gatherer/lifecycle/limits_test.go
@@ -87,7 +87,7 @@
 	if _, err := record.Read(dir, func(e record.Entry) error { a.Add(e); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if r := a.Report(); len(r.Breaches) > 0 || r.Requests < 7 || r.Refused != 1 || r.Open != 0 || r.Attempts < 4 {
+	if r := a.Report(); len(r.Violations) > 0 || r.Requests < 7 || r.Rejected != 1 || r.Open != 0 || r.Attempts < 4 {
 		t.Errorf("the record: %+v", r)
 	}
 	write("version: 2\nlimits: []\n")
--- a/internal/gatherer/lifecycle/operations.go
+++ b/internal/gatherer/lifecycle/operations.go
@@ -20,17 +20,17 @@
 // operations is what balancers and operators are answered by. It reads the daemon's state, and sets its drain
 // mark and the second front's indices; no decision reads any of it.
 type operations struct {
-	d      *Daemon
-	store  *store.Store // nil without one
-	agent  net.Listener
-	marked bool // the store marks this gatherer as draining; its goroutine's own
+	daemon      *Daemon
+	store       *store.Store // nil without one
+	agent       net.Listener
+	drainMarked bool // the store marks this gatherer as draining; its goroutine's own
 }
 
-const operationsShare = 0.015 // of the descriptors, for balancers and operators
+const operationsFraction = 0.015 // of the descriptors, for balancers and operators
 
 // startOperations opens the balancers' endpoints and joins the store.
 func startOperations(d *Daemon, c Config, o *OperationsConfig) (_ *operations, err error) {
-	x := &operations{d: d}
+	x := &operations{daemon: d}
 	if o.Dir != "" {
 		if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 			return nil, fmt.Errorf("store.dir: %w", err)
@@ -44,11 +44,11 @@
 		x.close()
 		return nil, fmt.Errorf("operations: agent_check: %w", err)
 	}
-	if err := d.open(o.Health, 0, x.handle, operationsShare); err != nil {
+	if err := d.open(o.Health, 0, x.handle, operationsFraction); err != nil {
 		x.close()
 		return nil, fmt.Errorf("operations: health: %w", err)
 	}
-	go agentcheck.Serve(x.agent, d.state)
+	go agentcheck.Serve(x.agent, d.health)
 	d.log.Info("operations", "agent_check", x.agent.Addr().String(), "health", d.Addrs()[len(d.listeners)-1])
 	return x, nil
 }
@@ -71,31 +71,31 @@
 // changed puts what the store holds in force.
 func (x *operations) changed(c Config, values map[string]string) {
 	marked := values[drainKey+c.Name] == "on"
-	if x.marked != marked { // the last change counts, the store's or an operator's call
-		x.marked = marked
-		x.d.log.Info("store drain mark", "on", marked)
-		x.d.sendAway(marked)
+	if x.drainMarked != marked { // the last change counts, the store's or an operator's call
+		x.drainMarked = marked
+		x.daemon.log.Info("store drain mark", "on", marked)
+		x.daemon.setLameDuck(marked)
 	}
-	if text, ok := values[indicesKey]; ok && x.d.second != nil {
-		indices, err := parseIndices(gjson.Parse(text), x.d.settings.Load())
+	if text, ok := values[indicesKey]; ok && x.daemon.openSearch != nil {
+		indices, err := parseIndices(gjson.Parse(text), x.daemon.settings.Load())
 		if err != nil {
-			x.d.log.Warn("store value cannot be used", "key", indicesKey, "reason", err)
+			x.daemon.log.Warn("store value cannot be used", "key", indicesKey, "reason", err)
 			return
 		}
-		x.d.second.SetIndices(indices)
+		x.daemon.openSearch.SetIndices(indices)
 	}
 }
 
 // handle answers health checks and, where there is a store, questions after it and changes to it.
 func (x *operations) handle(r *http1.Request, _ <-chan struct{}) *http1.Response {
-	if p := agentcheck.Health(r, x.d.state); p != nil {
+	if p := agentcheck.Health(r, x.daemon.health); p != nil {
 		return p
 	}
 	if r.Path == "/-/limits" {
 		if r.Method != "GET" {
 			return http1.Text(405, "the counts are a GET")
 		}
-		b, err := json.Marshal(x.d.core.Gates())
+		b, err := json.Marshal(x.daemon.core.Gates())
 		if err != nil {
 			return http1.Text(500, err.Error())
 		}
@@ -148,6 +148,6 @@
 	case !gjson.Valid(value):
 		return errors.New("the value is not JSON")
 	}
-	_, err := parseIndices(gjson.Parse(value), x.d.settings.Load())
+	_, err := parseIndices(gjson.Parse(value), x.daemon.settings.Load())
 	return err
 }
--- a/internal/gatherer/lifecycle/reload.go
+++ b/internal/gatherer/lifecycle/reload.go
@@ -8,14 +8,14 @@
 
 // reloadKeys reads the keys of points in time again: a new first one signs, and tokens of the others stay good.
 func (d *Daemon) reloadKeys() {
-	if d.second == nil || d.front.KeyFile == "" {
+	if d.openSearch == nil || d.front.KeyFile == "" {
 		return
 	}
 	if err := d.front.loadKeys(); err != nil {
 		d.log.Warn("reload keys stay", "reason", err)
 		return
 	}
-	d.second.SetKeys(d.front.Keys)
+	d.openSearch.SetKeys(d.front.Keys)
 	d.log.Info("reload keys", "file", d.front.KeyFile)
 }
 
@@ -46,7 +46,7 @@
 	}
 	// The core hears first, so that it knows each class by the time that a request names it.
 	d.limits = d.reloadLimits(&set)
-	set = d.limited(set, d.limits)
+	set = d.applyLimits(set, d.limits)
 	d.settings.Store(&set)
 	var classes []string
 	for i, name := range set.Classes {
@@ -55,15 +55,15 @@
 		}
 	}
 	d.log.Info("reload settings in force", "classes", strings.Join(classes, " "))
-	d.watching.Lock()
-	defer d.watching.Unlock()
-	if c.Discovery == d.config.Discovery || d.unwatch == nil {
+	d.watchMu.Lock()
+	defer d.watchMu.Unlock()
+	if c.Discovery == d.config.Discovery || d.stopWatch == nil {
 		return // the watch goes on: a new one would not be told again what this one was; or nothing is in hand any more
 	}
 	// The old watch ends first, so that none of its news can follow the new list. Versions of one address
 	// mean nothing at another: the new one is followed from its whole list on.
-	d.unwatch()
+	d.stopWatch()
 	d.config.Discovery = c.Discovery
-	d.follow(discovery.Fresh)
+	d.watch(discovery.Fresh)
 	d.log.Info("reload discovery", "addr", c.Discovery)
 }
--- a/internal/gatherer/limits/budget.go
+++ b/internal/gatherer/limits/budget.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// slots counts amounts over a moving span in ten steps of it: no memory grows with what is counted.
+// slots counts over a sliding span in ten steps of it, in constant memory.
 type slots struct {
 	n    [slotCount + 1]float64
 	head int
-	at   time.Duration // when the newest slot began
+	at   time.Duration // when the newest slot started
 }
 
 const slotCount = 10
 
+// advance drops the slots that have left the span.
 func (s *slots) advance(now, span time.Duration) {
 	step := max(span/slotCount, 1)
-	gone := (now - s.at) / step
-	if gone <= 0 {
-		return // also where a clock went back: what was counted stays
+	passed := (now - s.at) / step
+	if passed <= 0 {
+		return // also where a clock went back: the counts stay
 	}
-	for range min(gone, slotCount+1) {
+	for range min(passed, slotCount+1) {
 		s.head = (s.head + 1) % len(s.n)
 		s.n[s.head] = 0
 	}
-	s.at += gone * step
+	s.at += passed * step
 }
 
 func (s *slots) add(now, span time.Duration, x float64) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// repeat says whether a further attempt fits, and counts it if so.
+// retry reports whether a retry is within the budget, and counts it if so.
 func (b *budget) retry(r RetryBudget, now time.Duration) bool {
 	if r.Span <= 0 {
 		return true
--- a/internal/gatherer/limits/check.go
+++ b/internal/gatherer/limits/check.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Effect says what a class's repeats do, as far as limits care.
+// Effect says what a repeated execution does, as decision.Effect.
 type Effect uint8
 
 // The effects.
@@ -15,32 +15,32 @@
 	NotIdempotent
 )
 
-// Class is what the operator's settings say of a class: limits must stay within.
+// Class is what the operator's settings say of a class. Limits must stay within it.
 type Class struct {
-	Name     string
-	Effect   Effect
-	LatencyTarget   time.Duration
-	Timeout   time.Duration
-	Window   time.Duration // of a keyed class: repeats are dropped so long
-	Attempts int
-	Floor    float64 // least share of any answer
+	Name          string
+	Effect        Effect
+	LatencyTarget time.Duration
+	Timeout       time.Duration
+	Window        time.Duration // Deduplicated: how long repeats are dropped
+	Attempts      int
+	Floor         float64 // least fraction of the weight for any answer
 }
 
-// Breach is one rule that a route's limits break.
+// Violation is one rule that the limits of a route violate.
 type Violation struct {
 	Field string // as the file has it
-	Rule  string // which rule, and what would be allowed
+	Rule  string // the rule, and what would be allowed
 }
 
-// Check says how limits break the rules of the class that they are for; none is let through.
+// Check returns how the limits violate the rules of the class that they are for, nil if they do not.
 func (l Limits) Check(c Class) (list []Violation) {
 	add := func(field, rule string) { list = append(list, Violation{field, rule}) }
-	wanted, giveUp := l.LatencyTarget, l.Timeout
-	if wanted == 0 {
-		wanted = c.LatencyTarget
+	target, timeout := l.LatencyTarget, l.Timeout
+	if target == 0 {
+		target = c.LatencyTarget
 	}
-	if giveUp == 0 {
-		giveUp = c.Timeout
+	if timeout == 0 {
+		timeout = c.Timeout
 	}
 	switch {
 	case l.Attempts < 0:
@@ -53,8 +53,8 @@
 	}
 	if l.LatencyTarget < 0 || l.LatencyTarget > c.LatencyTarget {
 		add("wanted", sprint("an answer of ", c.Name, " is wanted within ", c.LatencyTarget, ": wants more than 0 and at most that"))
-	} else if wanted > giveUp {
-		add("wanted", sprint("is past the give-up time of ", giveUp))
+	} else if target > timeout {
+		add("wanted", sprint("is past the give-up time of ", timeout))
 	}
 	if l.MinWeight != 0 && (l.MinWeight < c.Floor || l.MinWeight > 1) {
 		add("least", sprint("an answer of ", c.Name, " needs ", c.Floor, " of the weight: wants that to 1"))
@@ -68,6 +68,14 @@
 			add(x.field, "wants 0 or more")
 		}
 	}
+	l.checkConcurrency(timeout, add)
+	l.checkRate(add)
+	l.checkRetries(c, add)
+	return list
+}
+
+// checkConcurrency checks the limit of concurrency and its queue.
+func (l Limits) checkConcurrency(timeout time.Duration, add func(field, rule string)) {
 	k := l.Concurrency
 	if k.Floor > k.Max {
 		add("concurrency.floor", sprint("is over concurrency.most of ", k.Max))
@@ -75,42 +83,49 @@
 	if k.Queue > 0 && k.Max == 0 {
 		add("concurrency.queue", "has nothing to wait for without concurrency.most")
 	}
-	if k.Wait < 0 || k.Wait >= giveUp {
-		add("concurrency.wait", sprint("wants less than the give-up time of ", giveUp))
+	if k.Wait < 0 || k.Wait >= timeout {
+		add("concurrency.wait", sprint("wants less than the give-up time of ", timeout))
 	}
 	if k.Queue > 0 && k.Wait == 0 {
 		add("concurrency.wait", "wants a time where there is a queue")
 	}
+}
+
+// checkRate checks the rate limit.
+func (l Limits) checkRate(add func(field, rule string)) {
 	if r := l.Rate; r.PerSecond < 0 || math.IsNaN(r.PerSecond) || math.IsInf(r.PerSecond, 0) || r.PerSecond == 0 && r.Burst > 0 {
 		add("rate.per_second", "wants more than 0")
 	} else if r.Burst < 0 || r.PerSecond > 0 && r.Burst == 0 {
 		add("rate.burst", "wants 1 at least")
 	}
+}
+
+// checkRetries checks the retry budget.
+func (l Limits) checkRetries(c Class, add func(field, rule string)) {
 	if b := l.Retries; b.Span < 0 || b.Span == 0 && (b.Ratio > 0 || b.Minimum > 0) {
 		add("repeats.span", "wants more than 0")
 	} else if b.Span > 0 && (!(b.Ratio >= 0) || !(b.Minimum >= 0) || b.Ratio+b.Minimum == 0 || b.Ratio > float64(c.Attempts)) {
 		add("repeats.share", sprint("a budget of 0 repeats nothing ever, and more than ", c.Attempts, " to one is none: say attempts 1, or leave it out"))
 	}
-	return list
 }
 
-// Plan is what a fixed schedule of attempts comes to in the worst case: each runs to its time-out and is followed by its
-// wait. Installations that set time-outs and waits themselves are held to it.
+// Plan is a fixed schedule of attempts: in the worst case each runs to its time-out and is followed by its back-off.
+// Installations that configure time-outs and back-offs are checked against it.
 type Plan struct {
 	Attempts int
 	Timeout  time.Duration // of one attempt; 0 where the decision module sets it
-	Wait     time.Duration // before a further attempt
-	Jitter   float64       // by what share of itself a wait may be longer
+	Wait     time.Duration // back-off before a retry
+	Jitter   float64       // fraction by which a back-off may be longer
 }
 
-// Check adds a schedule up: the last attempt of a keyed class must begin inside its window, and the whole must end by the
-// time that the client gives up.
-func (p Plan) Check(c Class, giveUp time.Duration) (list []Violation) {
+// Check checks the schedule: the last attempt of a deduplicated class must begin within its window, and the last attempt
+// must end before the client times out.
+func (p Plan) Check(c Class, timeout time.Duration) (list []Violation) {
 	if p.Timeout == 0 && p.Wait == 0 {
 		return nil
 	}
-	if giveUp == 0 {
-		giveUp = c.Timeout
+	if timeout == 0 {
+		timeout = c.Timeout
 	}
 	n := p.Attempts
 	if n == 0 {
@@ -128,8 +143,8 @@
 	if c.Effect == NotIdempotent && n > 1 {
 		list = append(list, Violation{"attempts", sprint(c.Name, " must not be repeated: wants 1")})
 	}
-	if end := last + p.Timeout; end > giveUp {
-		list = append(list, Violation{"attempt", sprint(n, " attempts may end ", end, " after the first began, and clients of ", c.Name, " give up at ", giveUp)})
+	if end := last + p.Timeout; end > timeout {
+		list = append(list, Violation{"attempt", sprint(n, " attempts may end ", end, " after the first began, and clients of ", c.Name, " give up at ", timeout)})
 	}
 	return list
 }
--- a/internal/gatherer/limits/gate.go
+++ b/internal/gatherer/limits/gate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Verdict is what becomes of a request on arrival.
+// Action says what is to be done with a request.
 type Action uint8
 
-// The verdicts.
+// The actions.
 const (
 	Admit  Action = iota
-	Wait           // it has a place in the queue; Next says when it leaves
-	Reject         // at once, with when to come back
+	Wait          // it is queued; Next says when it leaves
+	Reject        // at once, with a time to retry after
 )
 
-// Why a request is refused.
+// Why a request is rejected, as clients see it.
 const (
 	ReasonRate  = "the route's rate"
 	ReasonFull  = "the route's concurrency, and its queue is full"
@@ -23,47 +23,47 @@
 	ReasonShort = "the time left is under the route's usual answer time"
 )
 
-// Decision is a verdict with its reason.
+// Decision is an action with its reason.
 type Decision struct {
-	Action    Action
-	Reason        string
+	Action     Action
+	Reason     string
 	RetryAfter time.Duration
 }
 
-// Gate keeps one route. It is not safe for concurrent use.
+// Gate enforces the limits of one route. It is not safe for concurrent use.
 type Gate struct {
 	Limits Limits
 
-	rate    gcra
-	budget  budget
-	limit   gradient
-	inFlight  int
-	waiting []waiter // by priority, then as they came
-	usual   float64  // smoothed answer time in seconds
-	counts  Counts
+	rate     gcra
+	budget   budget
+	limit    gradient
+	inFlight int
+	waiting  []waiter // by priority, then in order of arrival
+	usual    float64  // smoothed latency in seconds
+	counts   Counts
 }
 
-// Counts are what a gate has done, for operators.
+// Counts are the statistics of a gate, for operators.
 type Counts struct {
-	Admitted       uint64 `json:"admitted"`
-	Queued         uint64 `json:"queued"`
+	Admitted        uint64 `json:"admitted"`
+	Queued          uint64 `json:"queued"`
 	Rejected        uint64 `json:"refused"`  // on arrival
-	TimedOut        uint64 `json:"given_up"` // after they had waited
-	Retries        uint64 `json:"repeats"`
+	TimedOut        uint64 `json:"given_up"` // after they had been queued
+	Retries         uint64 `json:"repeats"`
 	RetriesRejected uint64 `json:"repeats_refused"`
-	InFlight         int    `json:"in_hand"`
-	Waiting        int    `json:"waiting"`
-	Limit          int    `json:"limit"` // of concurrency now, 0 for none
+	InFlight        int    `json:"in_hand"`
+	Waiting         int    `json:"waiting"`
+	Limit           int    `json:"limit"` // of concurrency now, 0 for none
 }
 
 type waiter struct {
 	id       uint64
 	priority int
 	until    time.Duration // when its wait is over
-	end      time.Duration // when its client gives up
+	end      time.Duration // when its client times out
 }
 
-// Change puts other limits in force. Another rate begins anew: the schedule of a lower one may lie far ahead.
+// Change changes the limits. A new rate starts afresh: the schedule of a lower one may lie far ahead.
 func (g *Gate) Change(l Limits) {
 	if l.Rate != g.Limits.Rate {
 		g.rate = gcra{}
@@ -71,7 +71,7 @@
 	g.Limits = l
 }
 
-// Arrive decides on a request whose client gives up at end.
+// Arrive decides on a new request whose client times out at end.
 func (g *Gate) Arrive(id uint64, priority int, now, end time.Duration) Decision {
 	if end-now < time.Duration(g.usual*minTimeShare*float64(time.Second)) {
 		g.counts.Rejected++
@@ -108,33 +108,34 @@
 	return Decision{Action: Wait}
 }
 
-// shortOf is the share of the usual answer time that a request's time must at least be: with less it is work for nobody.
+// minTimeShare is the fraction of the usual latency that a client must still wait: with less the work would be wasted.
 const minTimeShare = 0.25
 
+// admit counts an admitted request.
 func (g *Gate) admit() {
 	g.inFlight++
 	g.counts.Admitted++
 }
 
-// comeBack is when a refused client may well be let in: after an answer time, by when places have come free.
+// retryAfter is when a rejected client may be admitted: after a latency, when others have ended.
 func (g *Gate) retryAfter() time.Duration {
 	return min(max(time.Duration(g.usual*float64(time.Second)), retryAfterLeast), retryAfterMost)
 }
 
-// Bounds of what a refused client is told.
+// Bounds of retryAfter.
 const (
 	retryAfterLeast = 100 * time.Millisecond
 	retryAfterMost  = 5 * time.Second
 )
 
-// Given is a request that waited and is decided on now.
+// Dequeued is a queued request that is decided on now.
 type Dequeued struct {
 	ID uint64
 	Decision
 }
 
-// Next decides on those that wait: whose wait is over is refused, and free places are given to the rest. A queue that is
-// longer than its limit by now, as after a reload, gives up those behind it.
+// Next decides on queued requests: those whose wait is over are rejected, and others are admitted up to the limit. Where a
+// queue is longer than its limit by now, as after a reload, those beyond it are rejected.
 func (g *Gate) Next(now time.Duration) (list []Dequeued) {
 	c := g.Limits.Concurrency
 	kept := g.waiting[:0]
@@ -154,7 +155,7 @@
 	return list
 }
 
-// Due is when Next is wanted at the latest, 0 for not at all.
+// Due is when Next must be called at the latest, 0 for never.
 func (g *Gate) Due() (due time.Duration) {
 	for _, w := range g.waiting {
 		if due == 0 || w.until < due {
@@ -164,15 +165,15 @@
 	return due
 }
 
-// Leave takes a request out that waits and whose client is gone; false where it does not wait.
+// Remove removes a queued request whose client has disconnected. It returns false if it is not queued.
 func (g *Gate) Remove(id uint64) bool {
 	n := len(g.waiting)
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waiter) bool { return w.id == id })
 	return len(g.waiting) < n
 }
 
-// Done records the end of an admitted request. Only an answer's time says anything: a refusal by the decision module,
-// or a failure, is none.
+// Done records the end of an admitted request. Only the latency of an answer is recorded, not that of a rejection or a
+// failure.
 func (g *Gate) Done(took time.Duration, answered bool) {
 	inHand := g.inFlight
 	g.inFlight = max(g.inFlight-1, 0)
@@ -186,10 +187,10 @@
 	g.limit.answered(g.Limits.Concurrency, took, inHand)
 }
 
-// First counts a part's first attempt.
+// FirstAttempt counts the first attempt of a subquery.
 func (g *Gate) FirstAttempt(now time.Duration) { g.budget.countFirst(g.Limits.Retries, now) }
 
-// Repeat says whether a part's further attempt fits the route's budget.
+// Retry reports whether a retry of a subquery is within the budget of the route, and counts it.
 func (g *Gate) Retry(now time.Duration) bool {
 	ok := g.budget.retry(g.Limits.Retries, now)
 	if ok {
@@ -200,7 +201,7 @@
 	return ok
 }
 
-// Counts tells what the gate has done so far.
+// Counts returns the statistics so far.
 func (g *Gate) Counts() Counts {
 	c := g.counts
 	c.InFlight, c.Waiting, c.Limit = g.inFlight, len(g.waiting), g.limit.now(g.Limits.Concurrency)
--- a/internal/gatherer/limits/limits.go
+++ b/internal/gatherer/limits/limits.go
@@ -1,29 +1,31 @@
-// Package limits decides what is let in by route: which route a request takes, whether it is admitted now, waits or is
-// refused, and whether a part may be repeated. It does no input or output, keeps no clock (times are arguments, as
-// durations since some fixed moment) and knows no wire. It never widens what the operator's settings allow, and it
-// never chooses lot stores: attempts stay package policy's.
+// Package limits decides on the admission of requests by route: which route a request matches, whether it is admitted,
+// queued or rejected, and whether a subquery may be retried. It does no I/O and has no clock: times are arguments, as
+// durations since some fixed moment. It never widens what the operator's settings allow, and it never chooses lot stores:
+// that is package policy's.
+//
+// [NewTable] makes the routes, [Table.Find] matches a request, and each route has a [Gate].
 package limits
 
 import "time"
 
-// Limits of one route. The zero value of a field sets no limit of its kind.
+// Limits are the limits of one route. The zero value of a field sets no limit of its kind.
 type Limits struct {
-	LatencyTarget   time.Duration // answered within this it earns full worth
-	Timeout   time.Duration // the longest that a client's deadline counts for
-	Attempts int           // of one part, the first included
-	MinWeight    float64       // share of the weight that an answer needs
-	CompleteOnly    bool          // no partial answers, whatever the class allows
-	MaxBody     int           // bytes of a request's body
-	MaxAnswer   int           // bytes of lot stores' answers that one request may hold
-	MaxDepth    int           // from + size of a search
-	Priority int           // of those that wait, the higher goes first
+	LatencyTarget time.Duration // an answer within this has its full value
+	Timeout       time.Duration // upper bound of a client's time-out
+	Attempts      int           // most attempts of one subquery, the first included
+	MinWeight     float64       // fraction of the weight that an answer needs
+	CompleteOnly  bool          // no partial answers, whatever the class allows
+	MaxBody       int           // bytes of a request body
+	MaxAnswer     int           // bytes of lot stores' answers to one request
+	MaxDepth      int           // from + size of a search
+	Priority      int           // of queued requests, the higher leaves first
 
 	Concurrency Concurrency
 	Rate        Rate
 	Retries     RetryBudget
 }
 
-// Fields are the limits that are set, by their names in the file; one that is not set is empty.
+// Fields returns all limits by their names in the configuration file. The value of one that is not set is empty.
 func (l Limits) Fields() [][2]string {
 	set := func(x any, is bool) string {
 		if !is {
@@ -40,23 +42,23 @@
 		{"repeats.free", set(b.Minimum, b.Span > 0)}, {"repeats.span", set(b.Span, b.Span > 0)}}
 }
 
-// Concurrency bounds the requests of a route that are in hand at once.
+// Concurrency bounds the requests of a route in flight.
 type Concurrency struct {
-	Max  int           // at once; 0 for no limit
-	Floor int           // where it follows answer times: it never falls under this; 0 for a limit that stands
-	Queue int           // requests that may wait for a place
-	Wait  time.Duration // the longest that one waits
+	Max   int           // in flight; 0 for no limit
+	Floor int           // least limit where it adapts to latency; 0 for a fixed limit of Max
+	Queue int           // requests that may be queued
+	Wait  time.Duration // longest time in the queue
 }
 
-// Rate bounds the requests of a route by time.
+// Rate is a rate limit.
 type Rate struct {
 	PerSecond float64 // 0 for no limit
-	Burst     int     // requests at once that an idle route may have; at least 1
+	Burst     int     // requests that an idle route may have at once; at least 1
 }
 
-// Repeats is a retry budget: of a span's attempts, how many may be further ones.
+// RetryBudget bounds the retries in any span of time.
 type RetryBudget struct {
-	Ratio float64       // of first attempts; 0 with no Span for no limit
-	Minimum  float64       // and so many in any span, however little comes in
-	Span  time.Duration // 0 for no limit
+	Ratio   float64       // retries per first attempt
+	Minimum float64       // retries allowed in any span whatever the traffic
+	Span    time.Duration // 0 for no limit
 }
--- a/internal/gatherer/limits/limits_test.go
+++ b/internal/gatherer/limits/limits_test.go
@@ -23,7 +23,7 @@
 	bid    = Class{Name: "place-bid", Effect: Deduplicated, LatencyTarget: 1500 * ms, Timeout: 4 * sec, Window: 4 * sec, Attempts: 4, Floor: 1}
 )
 
-// Limits that are wider than the settings, or that the rules forbid, are told by field; good ones pass.
+// Limits that exceed the settings, or that violate the rules, are reported by field; valid ones pass.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		l     Limits
@@ -78,8 +78,8 @@
 	}
 }
 
-// Whatever comes, a gate has no more in hand than its limit, gives every request one decision, serves higher priorities
-// first and the rest as they came, and never more in any second than its rate and burst.
+// A gate never has more in flight than its limit, decides once on every request, serves higher priorities first and the
+// rest in order of arrival, and admits no more in any second than its rate and burst.
 func TestGate(t *testing.T) {
 	proptest.Seed(t, 400)
 	rapid.Check(t, func(t *rapid.T) {
@@ -91,20 +91,20 @@
 			g.Limits.Rate = Rate{float64(rapid.IntRange(1, 20).Draw(t, "per second")), rapid.IntRange(1, 5).Draw(t, "burst")}
 		}
 		now, id := sec, uint64(0)
-		var inHand, waiting []uint64
+		var inFlight, waiting []uint64
 		prio := map[uint64]int{}
 		decided := map[uint64]int{}
 		var passed []time.Duration
 		decide := func(n uint64, d Decision) {
 			switch d.Action {
 			case Admit:
-				inHand = append(inHand, n)
+				inFlight = append(inFlight, n)
 			case Wait:
 				waiting = append(waiting, n)
 				return
 			case Reject:
 				if d.RetryAfter <= 0 || d.Reason == "" {
-					t.Fatalf("refused without a time to come back or a reason: %+v", d)
+					t.Fatalf("rejected without a retry-after time or a reason: %+v", d)
 				}
 			}
 			if decided[n]++; decided[n] > 1 {
@@ -115,7 +115,7 @@
 			for _, x := range g.Next(now) {
 				i := slices.Index(waiting, x.ID)
 				if i < 0 {
-					t.Fatalf("request %d does not wait", x.ID)
+					t.Fatalf("request %d is not queued", x.ID)
 				}
 				for _, o := range waiting {
 					if x.Action == Admit && decided[o] == 0 && (prio[o] > prio[x.ID] || prio[o] == prio[x.ID] && o < x.ID) {
@@ -138,8 +138,8 @@
 				}
 				decide(id, d)
 			case 2:
-				if len(inHand) > 0 {
-					inHand = inHand[1:]
+				if len(inFlight) > 0 {
+					inFlight = inFlight[1:]
 					g.Done(time.Duration(rapid.IntRange(1, 900).Draw(t, "took"))*ms, rapid.Bool().Draw(t, "answered"))
 				}
 			case 3:
@@ -152,8 +152,8 @@
 			}
 			next()
 			c := g.Counts()
-			if len(inHand) > g.Limits.Concurrency.Max || c.InFlight != len(inHand) || len(waiting) > g.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
-				t.Fatalf("%d in hand, %d waiting: %+v", len(inHand), len(waiting), c)
+			if len(inFlight) > g.Limits.Concurrency.Max || c.InFlight != len(inFlight) || len(waiting) > g.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
+				t.Fatalf("%d in hand, %d waiting: %+v", len(inFlight), len(waiting), c)
 			}
 			if due := g.Due(); len(waiting) > 0 && due <= now {
 				t.Fatalf("due at %v, it is %v", due, now)
@@ -175,8 +175,8 @@
 	})
 }
 
-// A fifth of the stores dies and every part wants a repeat: the budget lets through its share and no storm after.
-func TestRepeatBudget(t *testing.T) {
+// A fifth of the stores fails and every subquery wants a retry: the budget allows its ratio and no storm after it.
+func TestRetryBudget(t *testing.T) {
 	g := &Gate{Limits: Limits{Retries: RetryBudget{Ratio: 0.1, Minimum: 2, Span: 10 * sec}}}
 	now, allowed, first := sec, 0, 0
 	for range 20000 { // 1,000 a second
@@ -199,8 +199,8 @@
 	}
 }
 
-// The limit falls while answers are slower than usual, to its floor and no lower, and comes back after.
-func TestFollowsAnswerTimes(t *testing.T) {
+// The limit falls while answers are slower than usual, to its floor and no lower, and recovers afterwards.
+func TestLimitAdaptsToLatency(t *testing.T) {
 	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 64, Floor: 4}}}
 	play := func(took time.Duration, answers int) int {
 		for range answers {
@@ -227,12 +227,12 @@
 	}
 }
 
-// plain is the table as one would write it first.
-func plain(routes []*Route, r *Request, class string) (best *Route) {
+// linear finds a route by looking at all of them.
+func linear(routes []*Route, r *Request, class string) (best *Route) {
 	var at specificity
 	for _, x := range routes {
 		literal, open := strings.CutSuffix(x.Match.Index, "*")
-		if x.Match.Index != "" && r.Index != literal && !(open && strings.HasPrefix(r.Index, literal)) || x.Class != "" && x.Class != class || !x.Match.takes(r) {
+		if x.Match.Index != "" && r.Index != literal && (!open || !strings.HasPrefix(r.Index, literal)) || x.Class != "" && x.Class != class || !x.Match.takes(r) {
 			continue
 		}
 		if e := x.specificity(r.Client); best == nil || e.compare(at) > 0 {
@@ -291,7 +291,7 @@
 			value := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "tool")
 			q.Header = func(string) string { return value }
 			class := rapid.SampledFrom([]string{"c", "d"}).Draw(t, "class")
-			got, want := table.Find(q, class), plain(list, q, class)
+			got, want := table.Find(q, class), linear(list, q, class)
 			if got != want && (got == nil || want == nil || got.specificity(q.Client).compare(want.specificity(q.Client)) != 0) {
 				t.Fatalf("%+v: found %+v, want %+v", q, got, want)
 			}
@@ -321,13 +321,13 @@
 		b.Run(fmt.Sprintf("scan/routes=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				plain(list, q, "")
+				linear(list, q, "")
 			}
 		})
 	}
 }
 
-// BenchmarkGate lets a request in and out.
+// BenchmarkGate admits and ends a request.
 func BenchmarkGate(b *testing.B) {
 	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 100, Floor: 10, Queue: 100, Wait: sec}, Rate: Rate{1e9, 1000}, Retries: RetryBudget{0.2, 5, 10 * sec}}}
 	b.ReportAllocs()
--- a/internal/gatherer/limits/rate.go
+++ b/internal/gatherer/limits/rate.go
@@ -6,7 +6,7 @@
 // schedule.
 type gcra struct{ nextAt time.Duration }
 
-// take lets a request through, or says how long it is too soon.
+// allow admits a request and returns 0, or returns how long it is too early.
 func (g *gcra) allow(r Rate, now time.Duration) (wait time.Duration) {
 	if r.PerSecond <= 0 {
 		return 0
--- a/internal/gatherer/limits/route.go
+++ b/internal/gatherer/limits/route.go
@@ -12,7 +12,7 @@
 
 func sprint(a ...any) string { return fmt.Sprint(a...) }
 
-// Request is what a route is found by.
+// Request is what routes are matched against.
 type Request struct {
 	Front  string
 	Method string
@@ -21,35 +21,35 @@
 	Header func(name string) string // nil for none
 }
 
-// Match says which requests a route takes. Empty fields match all.
+// Match says which requests a route matches. Empty fields match all.
 type Match struct {
 	Front   string
 	Methods []string
 	Index   string // with at most one *, at its end
 	Clients []netip.Prefix
-	Header  string // its name, and
+	Header  string // its name
 	Value   string // the value that it must have
 }
 
 // Route is a rule for the requests that it matches.
 type Route struct {
-	Name   string
-	Class  string // it is for this class's requests alone; empty for any
-	Match  Match
-	Limits Limits
-	Plan   Plan
-	LineNumber   int            // where it stands, for operators
-	LineNumbers  map[string]int // and each of its fields
+	Name        string
+	Class       string // empty for any
+	Match       Match
+	Limits      Limits
+	Plan        Plan
+	LineNumber  int            // where it stands, for operators
+	LineNumbers map[string]int // and each of its fields
 }
 
-// LineOf is where a field stands, or the object that it is of; the route's own line where neither is known.
+// LineNumberOf is the line of a field in the file, or of the object that it is in, or of the route.
 func (r *Route) LineNumberOf(field string) int {
-	whole, _, _ := strings.Cut(field, ".")
-	return cmp.Or(r.LineNumbers[field], r.LineNumbers[whole], r.LineNumber)
+	object, _, _ := strings.Cut(field, ".")
+	return cmp.Or(r.LineNumbers[field], r.LineNumbers[object], r.LineNumber)
 }
 
-// exactness orders routes: index before class, header, client group, method and front, as each of these tells more of
-// what is asked than the next.
+// specificity orders routes: index before class, header, client group, method and front, as each of these says more of
+// the request than the next.
 type specificity struct{ index, class, header, clients, methods, front int }
 
 func (r *Route) specificity(client netip.Addr) specificity {
@@ -85,7 +85,7 @@
 		cmp.Compare(a.methods, b.methods), cmp.Compare(a.front, b.front))
 }
 
-// pattern is the index pattern; * alone is as good as none.
+// pattern is the index pattern; * alone counts as none.
 func (m *Match) pattern() string {
 	if m.Index == "*" {
 		return ""
@@ -93,6 +93,7 @@
 	return m.Index
 }
 
+// takes reports whether all but the index matches.
 func (m *Match) takes(r *Request) bool {
 	if m.Front != "" && m.Front != r.Front || len(m.Methods) > 0 && !slices.Contains(m.Methods, r.Method) {
 		return false
@@ -103,36 +104,37 @@
 	return len(m.Clients) == 0 || slices.ContainsFunc(m.Clients, func(p netip.Prefix) bool { return p.Contains(r.Client) })
 }
 
-// Table finds routes: a trie over index patterns, whose nodes hold the routes of a pattern, the most exact first, and
-// where these are many by client groups a table of prefixes. It does not change once made.
+// Table finds the route of a request: a trie over index patterns, whose nodes hold the routes of a pattern, the most
+// specific first, and where these are many a table of prefixes of client groups. It is immutable.
 type Table struct {
 	root   node
 	routes []*Route
 }
 
-// node is a letter of the trie.
+// node is a node of the trie.
 type node struct {
-	next  map[byte]*node
-	exact *routeGroup // of patterns that end here
-	prefix  *routeGroup // of patterns that go on by *
+	next   map[byte]*node
+	exact  *routeGroup // of patterns that end here
+	prefix *routeGroup // of patterns that go on by *
 }
 
-// bunch is the routes of one pattern.
+// routeGroup is the routes of one pattern.
 type routeGroup struct {
-	routes  []*Route           // by exactness, the rest of it
-	byNet *bart.Table[[]int] // places in list by client group, where there are many
+	routes []*Route           // by specificity
+	byNet  *bart.Table[[]int] // indices of routes by client group, where there are many
 }
 
-const byNetFrom = 8 // so many routes or more of one pattern are looked up by client group
+// byNetFrom is the number of routes of one pattern from which they are looked up by client group.
+const byNetFrom = 8
 
-// Conflict is two routes of which neither is more exact for a request that both match.
+// ConflictError is two routes of which neither is more specific for a request that both match.
 type ConflictError struct{ First, Second *Route }
 
 func (c ConflictError) Error() string {
 	return fmt.Sprintf("routes %s and %s match the same requests, and neither is more exact", c.First.Name, c.Second.Name)
 }
 
-// NewTable makes a table, or says which routes are in each other's way.
+// NewTable returns a table of the routes, and the conflicts between them.
 func NewTable(routes []*Route) (*Table, []ConflictError) {
 	t := &Table{routes: routes}
 	bunches := map[string]*routeGroup{}
@@ -159,6 +161,7 @@
 	return t, conflicts
 }
 
+// insert adds the routes of a pattern to the trie.
 func (t *Table) insert(pattern string, b *routeGroup) {
 	literal, open := strings.CutSuffix(pattern, "*")
 	n := &t.root
@@ -178,9 +181,9 @@
 	}
 }
 
-// conflicts finds the pairs of one pattern that some request matches alike.
+// conflicts finds the pairs of routes of one pattern that some request matches equally.
 func (b *routeGroup) conflicts() (list []ConflictError) {
-	groups := map[string][]*Route{} // of routes that are as exact in all but client groups
+	groups := map[string][]*Route{} // of routes equally specific in all but client groups
 	for _, r := range b.routes {
 		m := &r.Match
 		key := fmt.Sprint(m.Header, "\x00", m.Header != "", len(m.Methods) > 0, m.Front != "", r.Class)
@@ -195,8 +198,8 @@
 	return list
 }
 
-// overlap says whether two matches of one pattern and of one shape take a request in common that neither is more exact
-// for: of client groups the longer prefix is, so that only the same one is in the way.
+// overlap reports whether two matches of one pattern and one specificity have a request in common. Of client groups the
+// longer prefix is more specific, so that only equal ones conflict.
 func overlap(a, b *Match) bool {
 	if a.Front != b.Front || a.Value != b.Value {
 		return false
@@ -210,6 +213,7 @@
 	return slices.ContainsFunc(a.Clients, func(p netip.Prefix) bool { return slices.Contains(b.Clients, p) })
 }
 
+// index builds the table by client group.
 func (b *routeGroup) index() {
 	b.byNet = &bart.Table[[]int]{}
 	all := []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0"), netip.MustParsePrefix("::/0")}
@@ -219,13 +223,13 @@
 			nets = all
 		}
 		for _, p := range nets {
-			places, _ := b.byNet.Get(p)
-			b.byNet.Insert(p, append(slices.Clip(places), i))
+			indices, _ := b.byNet.Get(p)
+			b.byNet.Insert(p, append(slices.Clip(indices), i))
 		}
 	}
 }
 
-// find is the most exact route of the bunch that takes a request, nil for none.
+// find returns the most specific route of the group that matches a request, nil for none.
 func (b *routeGroup) find(r *Request, class string) (best *Route) {
 	var at specificity
 	try := func(x *Route) {
@@ -237,8 +241,8 @@
 		}
 	}
 	if b.byNet != nil && r.Client.IsValid() {
-		for _, places := range b.byNet.Supernets(netip.PrefixFrom(r.Client, r.Client.BitLen())) {
-			for _, i := range places {
+		for _, indices := range b.byNet.Supernets(netip.PrefixFrom(r.Client, r.Client.BitLen())) {
+			for _, i := range indices {
 				try(b.routes[i])
 			}
 		}
@@ -250,13 +254,13 @@
 	return best
 }
 
-// Find is the route of a request of a class, nil where none takes it.
+// Find returns the most specific route that matches a request of a class, nil for none.
 func (t *Table) Find(r *Request, class string) *Route {
-	var open [16]*routeGroup // patterns on the way, the longest last
+	var open [16]*routeGroup // prefix patterns that match, the longest last
 	n, depth := &t.root, 0
 	push := func(b *routeGroup) {
 		if b != nil {
-			if depth == len(open) { // the shortest is the least exact
+			if depth == len(open) { // the shortest is the least specific
 				copy(open[:], open[1:])
 				depth--
 			}
@@ -284,5 +288,5 @@
 	return nil
 }
 
-// Routes are all routes, as they were given.
+// Routes returns all routes in the given order.
 func (t *Table) Routes() []*Route { return t.routes }
--- a/internal/gatherer/mem/cluster/candidates.go
+++ b/internal/gatherer/mem/cluster/candidates.go
@@ -45,7 +45,7 @@
 			cell[i] = spread.Replica{Rank: s.TieBreak, Usable: s.State == decision.Ready && warmth(s) >= 1}
 			s.Reserve = s.Reserve || cell[i].Usable
 		}
-		for i, keep := range spread.Keep(cell, size) {
+		for i, keep := range spread.Select(cell, size) {
 			kept[list[i]] = kept[list[i]] || keep
 		}
 	}
--- a/internal/gatherer/mem/mem_test.go
+++ b/internal/gatherer/mem/mem_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A ban holds whatever the list says, per second one changes nothing, and a lifted ban makes it a new server, in slow start
+// A ban holds whatever the list says, a second one changes nothing, and a lifted ban makes it a new server, in slow start
 // from then. The ban of a name that is no longer listed can be lifted.
 func TestBan(t *testing.T) {
 	l, now := NewServers(), time.Now()
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	waitFor   = 2 * time.Second // of one watch: an agent that went silent is noticed soon after, and asking is free
-	graceFor  = time.Second     // past that, the agent is taken for silent
-	dialFor   = time.Second
-	backFirst = 20 * time.Millisecond // back-off of reconnects, doubled up to backMost
-	backMost  = time.Second
+	waitFor      = 2 * time.Second // of one watch: an agent that went silent is noticed soon after, and asking is free
+	graceFor     = time.Second     // past that, the agent is taken for silent
+	dialFor      = time.Second
+	backoffFirst = 20 * time.Millisecond // back-off of reconnects, doubled up to backMost
+	backoffMax   = time.Second
 
 	// Where it must be asked, discovery takes up so many watches in a time and has calls past that wait, and fail.
 	// One that goes on costs it nothing. Many gatherers that begin or fail at once must not all come at once, nor soon again: so much
@@ -44,12 +44,12 @@
 	Zones []string
 	Log   *slog.Logger
 	// Siblings is how many gatherers there are, this one included.
-	Siblings func() int
+	Instances func() int
 	// Asked says whether a call is work for discovery itself. Where it is not, the agent answers with what it was
 	// sent anyhow, which counts as told from then on: there is nothing to spare and much to miss.
-	Asked func() bool
+	Polling func() bool
 	// Tell takes the news, in order.
-	Tell func(gather.List)
+	OnList func(gather.List)
 }
 
 // ParseList reads a list in the format of discovery and the configuration.
@@ -135,9 +135,9 @@
 // Run follows the list from a version on until the context ends. Nothing is told after it has returned.
 func (w *Watcher) Run(ctx context.Context, seq int64) {
 	c := &http1.Client{Addr: w.Addr}
-	back, turns, failing := backFirst, time.Duration(1), false
-	if d := w.round(); d > 0 { // the list from the configuration serves until then
-		w.rest(ctx, rand.N(d))
+	back, turns, failing := backoffFirst, time.Duration(1), false
+	if d := w.startSpread(); d > 0 { // the list from the configuration serves until then
+		w.sleep(ctx, rand.N(d))
 	}
 	for ctx.Err() == nil {
 		next, err := w.watch(ctx, c, seq)
@@ -145,7 +145,7 @@
 			if failing {
 				w.Log.Info("discovery follows again", "seq", next)
 			}
-			seq, back, turns, failing = next, backFirst, 1, false
+			seq, back, turns, failing = next, backoffFirst, 1, false
 			continue // at once: a watch goes on only if the next call comes within 200 ms
 		}
 		c.Close()
@@ -155,17 +155,17 @@
 		if !failing {
 			w.Log.Warn("discovery fails", "reason", err)
 		}
-		w.rest(ctx, w.pause(err, !failing, back, turns))
+		w.sleep(ctx, w.backoff(err, !failing, back, turns))
 		failing = true
-		back, turns = min(2*back, backMost), min(2*turns, turnMost)
+		back, turns = min(2*back, backoffMax), min(2*turns, turnMost)
 	}
 	c.Close()
 }
 
 // pause is how long to leave discovery alone after a failure, more or less: the first after a watch that went on, or one
 // of several in a row.
-func (w *Watcher) pause(err error, first bool, back, turns time.Duration) time.Duration {
-	d := max(back, turns*w.round())
+func (w *Watcher) backoff(err error, first bool, back, turns time.Duration) time.Duration {
+	d := max(back, turns*w.startSpread())
 	if first && errors.Is(err, os.ErrDeadlineExceeded) { // it is silent, and has refused nothing
 		d = min(d, reopenFor)
 	}
@@ -174,15 +174,15 @@
 
 // round is the time in which all gatherers have had their turn to begin a watch; none where they are few, or where
 // asking costs nothing.
-func (w *Watcher) round() time.Duration {
-	if n := w.Siblings(); n > few && w.Asked() {
+func (w *Watcher) startSpread() time.Duration {
+	if n := w.Instances(); n > few && w.Polling() {
 		return time.Duration(n) * turnFor
 	}
 	return 0
 }
 
 // rest waits for a time, more or less.
-func (w *Watcher) rest(ctx context.Context, d time.Duration) {
+func (w *Watcher) sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -200,7 +200,7 @@
 		return 0, err
 	}
 	defer context.AfterFunc(ctx, c.Aborter())() // a watch that is dropped must not go on waiting, nor tell news
-	now, wait := time.Now(), max(waitFor, w.round())
+	now, wait := time.Now(), max(waitFor, w.startSpread())
 	target := "/api/targets?since=" + strconv.FormatInt(seq, 10) + "&timeout_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	if seq == Fresh {
 		target = "/api/targets"
@@ -227,7 +227,7 @@
 		return 0, fmt.Errorf("the list went back from version %d to %d", seq, next)
 	}
 	if ctx.Err() == nil && (l.Kind == decision.FullList || len(l.Servers) > 0) {
-		w.Tell(l)
+		w.OnList(l)
 	}
 	return next, nil
 }
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -54,8 +54,8 @@
 // follow is watch at an address; stop ends it and returns when it has ended.
 func follow(t *testing.T, addr string, siblings int, asked bool) (told chan gather.List, stop func()) {
 	told = make(chan gather.List, 100)
-	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), Tell: func(l gather.List) { told <- l },
-		Siblings: func() int { return siblings }, Asked: func() bool { return asked }}
+	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.List) { told <- l },
+		Instances: func() int { return siblings }, Polling: func() bool { return asked }}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx, 3); close(ended) }()
@@ -109,17 +109,17 @@
 		t.Errorf("told %+v", got)
 	}
 	for _, asked := range []bool{false, true} {
-		w := &Watcher{Siblings: func() int { return many }, Asked: func() bool { return asked }}
+		w := &Watcher{Instances: func() int { return many }, Polling: func() bool { return asked }}
 		silent := fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
-		longest := 3 * w.pause(silent, true, backFirst, 1) / 2
+		longest := 3 * w.backoff(silent, true, backoffFirst, 1) / 2
 		if late := graceFor + longest; late > 2*time.Second-dialFor/2 {
 			t.Errorf("asked %v: a new watch comes %v after the wait of a silent one is over", asked, late)
 		}
 		refused := errors.New("status 503")
-		if d := w.pause(refused, true, backFirst, 1); d < w.round() {
-			t.Errorf("asked %v: refused, it comes back after %v of a round of %v", asked, d, w.round())
+		if d := w.backoff(refused, true, backoffFirst, 1); d < w.startSpread() {
+			t.Errorf("asked %v: refused, it comes back after %v of a round of %v", asked, d, w.startSpread())
 		}
-		if d := w.pause(silent, false, backFirst, turnMost); d < turnMost*w.round() {
+		if d := w.backoff(silent, false, backoffFirst, turnMost); d < turnMost*w.startSpread() {
 			t.Errorf("asked %v: silent again, it comes back after %v", asked, d)
 		}
 	}
@@ -130,21 +130,21 @@
 func TestManyWatchInTurn(t *testing.T) {
 	n := 2
 	asked := true
-	w := &Watcher{Siblings: func() int { return n }, Asked: func() bool { return asked }}
-	if w.round() != 0 {
-		t.Errorf("%d gatherers wait %v", n, w.round())
+	w := &Watcher{Instances: func() int { return n }, Polling: func() bool { return asked }}
+	if w.startSpread() != 0 {
+		t.Errorf("%d gatherers wait %v", n, w.startSpread())
 	}
 	n = 8
-	eight := w.round()
-	if n = 48; w.round() != 6*eight || eight <= 0 {
-		t.Errorf("8 take %v and 48 take %v: together they would ask more", eight, w.round())
+	eight := w.startSpread()
+	if n = 48; w.startSpread() != 6*eight || eight <= 0 {
+		t.Errorf("8 take %v and 48 take %v: together they would ask more", eight, w.startSpread())
 	}
-	if asked = false; w.round() != 0 {
-		t.Errorf("an agent that is sent the list is asked in a round of %v: what it holds counts as told meanwhile", w.round())
+	if asked = false; w.startSpread() != 0 {
+		t.Errorf("an agent that is sent the list is asked in a round of %v: what it holds counts as told meanwhile", w.startSpread())
 	}
 	asked = true
-	if n = 80; 3*w.round()/2 > 10*time.Second { // the longest rest; settings let 10 s pass between calls
-		t.Errorf("one of 80 may go without news for %v after its start", 3*w.round()/2)
+	if n = 80; 3*w.startSpread()/2 > 10*time.Second { // the longest rest; settings let 10 s pass between calls
+		t.Errorf("one of 80 may go without news for %v after its start", 3*w.startSpread()/2)
 	}
 	targets := make(chan string, 100)
 	h := func(r *http1.Request, _ <-chan struct{}) *http1.Response {
--- a/internal/gatherer/net/handover/handover_test.go
+++ b/internal/gatherer/net/handover/handover_test.go
@@ -11,7 +11,7 @@
 )
 
 var state = State{Hosts: []byte(`{"seq":0,"whole":true,"hosts":[]}`), Banned: []string{"s-1"}, Attached: map[string]int64{"s-2": 1764600000000},
-	Drain: true, PerSecond: 12.5, Records: []Record{{Name: "s-1", Answers: []float64{0, 1.5}, Latency: 0.04, Failing: 0.1, Cap: 4, ColdMs: -1}}}
+	Drain: true, PerSecond: 12.5, Records: []Record{{Name: "s-1", Answers: []float64{0, 1.5}, Latency: 0.04, Failing: 0.1, Cap: 4, SlowStartMs: -1}}}
 
 func line(m Message) string { return strings.TrimSuffix(string(m.Append(nil)), "\n") }
 
@@ -41,11 +41,11 @@
 		if err != nil {
 			return
 		}
-		if x, err := Welcome(nc, func(*Link) {}, func() State { return state }); err == nil {
+		if x, err := Accept(nc, func(*Link) {}, func() State { return state }); err == nil {
 			x.Serve(do)
 		}
 	}()
-	successor, s, err = Greet(path)
+	successor, s, err = Connect(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		t.Errorf("%+v", s)
 	}
 	go x.Serve(func(Message) {})
-	if err := x.Tell(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err != nil {
+	if err := x.Call(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err != nil {
 		t.Fatal(err)
 	}
 	if m := <-heard; m.Name != "s-3" || m.AtMs != 5 {
@@ -92,7 +92,7 @@
 	x, _, _ = pair(t, func(Message) { <-ready; x.nc.Close() })
 	go x.Serve(func(Message) {})
 	close(ready)
-	if err := x.Tell(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err == nil {
+	if err := x.Call(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err == nil {
 		t.Error("a call that nobody confirmed counts as heard")
 	}
 }
@@ -100,13 +100,13 @@
 // What is torn, stale or no socket at all is an error, not a wait.
 func TestGreetBad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("greeted nobody")
 	}
 	if err := os.WriteFile(path, []byte("stale"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("greeted a file")
 	}
 	l, err := Listen(path) // takes the name, whatever has it
@@ -124,7 +124,7 @@
 			nc.Close()
 		}
 	}()
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("took a torn state")
 	}
 }
--- a/internal/gatherer/net/handover/link.go
+++ b/internal/gatherer/net/handover/link.go
@@ -55,7 +55,7 @@
 }
 
 // Greet is the successor's side: it says hello to the process that has the name, and returns its state.
-func Greet(path string) (*Link, *State, error) {
+func Connect(path string) (*Link, *State, error) {
 	nc, err := net.DialTimeout("unix", path, startFor)
 	if err != nil {
 		return nil, nil, err
@@ -79,7 +79,7 @@
 
 // Welcome is the old process's side of a connection: it awaits hello, has the link taken up, so that every call
 // from then on goes over it, and answers with the state as it is then.
-func Welcome(nc net.Conn, up func(*Link), state func() State) (*Link, error) {
+func Accept(nc net.Conn, up func(*Link), state func() State) (*Link, error) {
 	x := newLink(nc)
 	nc.SetReadDeadline(time.Now().Add(startFor))
 	m, err := x.read()
@@ -109,7 +109,7 @@
 		piece, err := x.r.ReadSlice('\n')
 		line = append(line, piece...)
 		switch {
-		case len(line) > maxLine:
+		case len(line) > maxMessage:
 			return Message{}, errTooLong
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
@@ -156,7 +156,7 @@
 }
 
 // Tell has the other carry out a call, and returns when it has. One that does not in time is given up as dead.
-func (x *Link) Tell(m Message) error {
+func (x *Link) Call(m Message) error {
 	done := make(chan struct{})
 	x.mu.Lock()
 	x.lastID++
--- a/internal/gatherer/net/handover/message.go
+++ b/internal/gatherer/net/handover/message.go
@@ -45,19 +45,19 @@
 
 // Record is what is known of a lot store.
 type Record struct {
-	Name    string    `json:"name"`
-	Answers []float64 `json:"answers"` // answer times, by bucket
-	Latency float64   `json:"latency"` // seconds
-	Failing float64   `json:"failing"` // share
-	Cap     float64   `json:"cap"`
-	ColdMs  int64     `json:"cold_ms"` // how long ago it was seen to start over, -1 for never
+	Name        string    `json:"name"`
+	Answers     []float64 `json:"answers"` // answer times, by bucket
+	Latency     float64   `json:"latency"` // seconds
+	Failing     float64   `json:"failing"` // share
+	Cap         float64   `json:"cap"`
+	SlowStartMs int64     `json:"cold_ms"` // how long ago it was seen to start over, -1 for never
 }
 
 // perSecondMost is more parts a second than one gatherer can have answered.
 const perSecondMost = 1e6
 
 // maxLine bounds a line: a state of some hundred lot stores.
-const maxLine = 4 << 20
+const maxMessage = 4 << 20
 
 // Append appends the message as it goes on the wire.
 func (m Message) Append(b []byte) []byte {
@@ -111,7 +111,7 @@
 	var err error
 	records.ForEach(func(_, r gjson.Result) bool {
 		x := Record{Name: r.Get("name").String(), Latency: r.Get("latency").Num, Failing: r.Get("failing").Num,
-			Cap: r.Get("cap").Num, ColdMs: r.Get("cold_ms").Int()}
+			Cap: r.Get("cap").Num, SlowStartMs: r.Get("cold_ms").Int()}
 		for _, n := range r.Get("answers").Array() {
 			if n.Num < 0 {
 				err = bad("a record below 0")
--- a/internal/gatherer/net/http1/server.go
+++ b/internal/gatherer/net/http1/server.go
@@ -40,15 +40,15 @@
 	Bodies   chan struct{} // bounds the bodies held at once, of all servers that share it; nil for no bound
 	Log      *slog.Logger
 
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	draining bool
-	handOff  bool // draining, with a successor on the same socket
-	lame     int  // odd while sent away: goes up by one with each change
-	listener *net.TCPListener
-	last     time.Time // when accepting ends, while draining
-	freed    chan struct{}
-	done     sync.WaitGroup
+	mu             sync.Mutex
+	conns          map[*conn]struct{}
+	draining       bool
+	listenerClosed bool // draining, with a successor on the same socket
+	lame           int  // odd while sent away: goes up by one with each change
+	listener       *net.TCPListener
+	last           time.Time // when accepting ends, while draining
+	freed          chan struct{}
+	done           sync.WaitGroup
 }
 
 // New makes a server on a listener; Serve must follow.
@@ -66,7 +66,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			// The drain's time is over. Closing now would reset what waits in the backlog, whose requests
 			// count as taken: accepting goes on until a whole look finds nothing, or too long.
-			if s.handOff || quiet || time.Now().After(s.until()) {
+			if s.listenerClosed || quiet || time.Now().After(s.until()) {
 				return
 			}
 			quiet = true
@@ -131,16 +131,16 @@
 
 // HandOff stops accepting at once, as a successor has the same socket and takes its backlog. The connections
 // accepted are served; those that rest are left open for a request on the way until their time is up.
-func (s *Server) HandOff() {
+func (s *Server) CloseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining, s.handOff = true, true
+	s.draining, s.listenerClosed = true, true
 	s.listener.SetDeadline(time.Now())
 }
 
 // SendAway has each connection close behind its next answer, and those that rest when new ones have stopped
 // coming. The listener stays open.
-func (s *Server) SendAway(on bool) {
+func (s *Server) SetConnectionClose(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on == (s.lame%2 == 1) {
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -257,10 +257,10 @@
 		time.Sleep(5 * time.Second)
 		r.stop()
 		got := a.Report()
-		for _, b := range got.Breaches {
+		for _, b := range got.Violations {
 			t.Errorf("%v", b)
 		}
-		if got.Requests != 600 || got.Open != 0 || got.Answered == 0 || got.Refused == 0 || got.Left == 0 || got.Attempts < 1000 {
+		if got.Requests != 600 || got.Open != 0 || got.Answered == 0 || got.Rejected == 0 || got.Disconnected == 0 || got.Attempts < 1000 {
 			t.Errorf("%+v of %d entries", got, entries)
 		}
 	})
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -37,7 +37,7 @@
 }
 
 func (c *core) Submit(r *gather.Request)      { c.asked = r; r.Done <- c.result }
-func (c *core) ClientGone(*gather.Request)         {}
+func (c *core) ClientGone(*gather.Request)    {}
 func (c *core) Snapshot() (s gather.Snapshot) { return s }
 
 func front(res gather.Result) (*Front, *core) {
--- a/internal/gatherer/record/record.go
+++ b/internal/gatherer/record/record.go
@@ -1,6 +1,8 @@
-// Package record keeps what became of every request and attempt: entries in files of a folder, appended, rotated and
-// bounded. Whoever writes an entry never waits; what finds no room is dropped and counted, and the count is itself an
-// entry, so that a reader knows what it does not know.
+// Package record keeps a log of the fate of every request and attempt: entries in the files of a folder, appended,
+// rotated and bounded in size. Record never blocks its caller. Entries beyond its buffer are dropped and counted, and the
+// count is itself an entry, so that a reader knows what is missing.
+//
+// An entry is its length and its checksum (CRC-32C), four bytes each, least significant first, and a MessagePack array.
 package record
 
 import (
@@ -21,23 +23,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Kind says what an entry tells.
+// Kind is the kind of an entry.
 type Kind uint8
 
 // The kinds.
 const (
-	Arrived Kind = iota + 1 // a request came, and what its route decided
-	Released                     // one that waited was let in or given up
-	Attempt                 // an attempt has ended
-	Final                   // a request has its final answer, or its client left
-	Dropped                 // so many entries before this one found no room
-	Started                   // a process began: numbers of requests begin again
+	Arrived  Kind = iota + 1 // a request arrived, and what its route decided
+	Released                 // a queued request was admitted or rejected
+	Attempt                  // an attempt has ended
+	Final                    // a request has its final answer, or its client has disconnected
+	Dropped                  // so many entries before this one were dropped
+	Started                  // a process started: numbers of requests start again
 )
 
-// Steps of an attempt past the first one's 0.
+// The steps of an attempt beyond the first, which is 0.
 const (
-	ListingStep = 1 // a search's listings: attempts of both steps count together
-	LoadStep    = 2 // a class's own second step
+	ListingStep = 1 // the listings of a search: attempts of both steps count together
+	LoadStep    = 2 // a plain second step
 )
 
 // Entry is one thing that happened. Times are Unix times in microseconds, by one clock that never goes back.
@@ -58,44 +60,44 @@
 	Step   int    `msgpack:"s,omitempty"` // 0, ListingStep or LoadStep
 	Number int    `msgpack:"n,omitempty"`
 	Store  uint32 `msgpack:"d,omitempty"`
-	Sent   int64  `msgpack:"b,omitempty"` // when it was handed over; At is its end
+	Sent   int64  `msgpack:"b,omitempty"` // when it was handed to the transport; At is its end
 	Ran    bool   `msgpack:"m,omitempty"` // it may have run
 	Status string `msgpack:"e,omitempty"`
 
 	Count uint64 `msgpack:"x,omitempty"` // of Dropped
 }
 
-// InForce are the limits that a request came under; times in microseconds, 0 for no limit.
+// InForce are the limits in force for a request. Times are in microseconds; 0 is no limit.
 type InForce struct {
-	Attempts  int     `msgpack:"a"`
-	Timeout    int64   `msgpack:"g"`
-	Window    int64   `msgpack:"w,omitempty"` // of a keyed class
-	Hedging    bool    `msgpack:"c,omitempty"` // a part may have two attempts out at once
-	MaxConcurrency      int     `msgpack:"m,omitempty"`
-	PerSecond float64 `msgpack:"r,omitempty"`
-	Burst     int     `msgpack:"b,omitempty"`
-	Ratio     float64 `msgpack:"s,omitempty"` // of the route's repeats
-	Free      float64 `msgpack:"f,omitempty"`
-	Span      int64   `msgpack:"p,omitempty"`
+	Attempts       int     `msgpack:"a"`
+	Timeout        int64   `msgpack:"g"`
+	Window         int64   `msgpack:"w,omitempty"` // deduplication window
+	Hedging        bool    `msgpack:"c,omitempty"` // a subquery may have two attempts in flight
+	MaxConcurrency int     `msgpack:"m,omitempty"`
+	PerSecond      float64 `msgpack:"r,omitempty"`
+	Burst          int     `msgpack:"b,omitempty"`
+	Ratio          float64 `msgpack:"s,omitempty"` // of the route's retry budget
+	Free           float64 `msgpack:"f,omitempty"`
+	Span           int64   `msgpack:"p,omitempty"`
 }
 
-// Config says where and how much is kept.
+// Config configures a Writer.
 type Config struct {
 	Dir      string
-	FileSize int64 // bytes of a file, after which the next is begun
-	Files    int   // kept; the oldest goes first
-	Ring     int   // entries that may wait for the writer
-	// Open makes a file; nil for os.OpenFile, appending.
+	FileSize int64 // bytes of a file, after which the next is started
+	Files    int   // number of files kept; the oldest is removed first
+	Ring     int   // entries that may be queued for the writer
+	// Open creates a file; nil for os.OpenFile, appending.
 	Open func(path string) (io.WriteCloser, error)
 	Log  *slog.Logger // nil for none
 }
 
-// Bounds of an entry's text.
+// maxEntry bounds the bytes of an entry.
 const maxEntry = 16 << 10
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Writer writes entries. Record may be called from any goroutine and never waits.
+// Writer writes entries. Record may be called from any goroutine and never blocks.
 type Writer struct {
 	c       Config
 	ring    chan Entry
@@ -105,7 +107,7 @@
 	done    chan struct{}
 }
 
-// Open begins to write behind what the folder has.
+// Open starts a Writer, in a new file behind those that the folder has.
 func Open(c Config) (*Writer, error) {
 	if c.FileSize < maxEntry || c.Files < 1 || c.Ring < 1 {
 		return nil, fmt.Errorf("record: a file of %d bytes, %d files and room for %d entries: want %d, 1 and 1 at least", c.FileSize, c.Files, c.Ring, maxEntry)
@@ -125,7 +127,8 @@
 	}
 	next := 1
 	if len(names) > 0 {
-		fmt.Sscanf(filepath.Base(names[len(names)-1]), "record-%d", &next)
+		// A name without a number leaves next at 1.
+		_, _ = fmt.Sscanf(filepath.Base(names[len(names)-1]), "record-%d", &next)
 		next++ // never behind what may be a torn end
 	}
 	w.Record(Entry{Kind: Started, At: time.Now().UnixMicro()})
@@ -133,7 +136,7 @@
 	return w, nil
 }
 
-// Record hands an entry to the writer, or drops it where that is behind.
+// Record passes an entry to the writer, or drops it if the queue is full.
 func (w *Writer) Record(e Entry) {
 	w.total.Add(1)
 	select {
@@ -143,116 +146,136 @@
 	}
 }
 
-// Counts tells how many entries were handed over, and how many of them were dropped.
+// Counts returns how many entries were recorded, and how many of them were dropped.
 func (w *Writer) Counts() (total, dropped uint64) { return w.total.Load(), w.dropped.Load() }
 
-// Close writes what waits, and ends.
+// Close writes what is queued and stops the writer.
 func (w *Writer) Close() {
 	close(w.quit)
 	<-w.done
 }
 
-// file is the one that is being written.
+// file is the file being written.
 type file struct {
 	f    io.WriteCloser
 	b    *bufio.Writer
 	size int64
 }
 
+// appender appends entries to the files of a folder. Only the writer's goroutine uses it.
+type appender struct {
+	*Writer
+	out      *file // nil until the next entry
+	next     int   // number of the next file, or of out
+	reported uint64
+	failing  bool // since the last flush
+	encoder  Encoder
+}
+
+// run writes entries until Close.
 func (w *Writer) run(next int) {
 	defer close(w.done)
-	var out *file
-	var told uint64
-	var encoder Encoder
-	failing := false
+	a := &appender{Writer: w, next: next}
 	timer := time.NewTimer(flushEvery)
 	defer timer.Stop()
-	fail := func(err error) { // a full disk: what is lost is counted, and the next file is tried a moment later
-		if !failing && w.c.Log != nil {
-			w.c.Log.Warn("record drops entries", "reason", err)
-		}
-		failing = true
-		if out != nil {
-			out.f.Close()
-			out = nil
-			next++
-		}
-	}
-	write := func(e Entry) {
-		if out == nil {
-			f, err := w.c.Open(filepath.Join(w.c.Dir, fmt.Sprintf("record-%09d", next)))
-			if err != nil {
-				w.dropped.Add(1)
-				fail(err)
-				return
-			}
-			out = &file{f: f, b: bufio.NewWriterSize(f, 64<<10)}
-			w.prune()
-		}
-		n, err := encoder.Append(out.b, &e)
-		if out.size += int64(n); err != nil {
-			w.dropped.Add(1)
-			fail(err)
-			return
-		}
-		if out.size >= w.c.FileSize {
-			if err := errors.Join(out.b.Flush(), out.f.Close()); err != nil {
-				fail(err)
-			}
-			out = nil
-			next++
-		}
-	}
-	one := func(e Entry) {
-		if d := w.dropped.Load(); d > told && !failing {
-			write(Entry{Kind: Dropped, At: e.At, Count: d - told})
-			told = d
-		}
-		write(e)
-	}
-	flush := func() {
-		failing = false // by the next moment the disk may have room
-		if out != nil {
-			if err := out.b.Flush(); err != nil {
-				fail(err)
-			}
-		}
-	}
 	for {
 		select {
 		case e := <-w.ring:
-			one(e)
+			a.append(e)
 		case <-timer.C:
-			flush()
+			a.flush()
 			timer.Reset(flushEvery)
 		case <-w.quit:
 			for len(w.ring) > 0 {
-				one(<-w.ring)
+				a.append(<-w.ring)
 			}
-			flush()
-			if out != nil {
-				out.f.Close()
+			a.flush()
+			if a.out != nil {
+				a.closeFile()
 			}
 			return
 		}
 	}
 }
 
-// flushEvery is how long an entry stays in memory at the most: a crash loses so much of the record.
+// append writes an entry, behind one that counts those dropped before it.
+func (a *appender) append(e Entry) {
+	if d := a.dropped.Load(); d > a.reported && !a.failing {
+		a.write(Entry{Kind: Dropped, At: e.At, Count: d - a.reported})
+		a.reported = d
+	}
+	a.write(e)
+}
+
+// write writes one entry and ends a file that is large enough.
+func (a *appender) write(e Entry) {
+	if a.out == nil {
+		f, err := a.c.Open(filepath.Join(a.c.Dir, fmt.Sprintf("record-%09d", a.next)))
+		if err != nil {
+			a.dropped.Add(1)
+			a.fail(err)
+			return
+		}
+		a.out = &file{f: f, b: bufio.NewWriterSize(f, 64<<10)}
+		a.prune()
+	}
+	n, err := a.encoder.Append(a.out.b, &e)
+	if a.out.size += int64(n); err != nil {
+		a.dropped.Add(1)
+		a.fail(err)
+		return
+	}
+	if a.out.size >= a.c.FileSize {
+		if err := errors.Join(a.out.b.Flush(), a.out.f.Close()); err != nil {
+			a.fail(err)
+		}
+		a.out = nil
+		a.next++
+	}
+}
+
+// flush writes what is buffered. After a failure it allows the next file, as the disk may have space by then.
+func (a *appender) flush() {
+	a.failing = false
+	if a.out != nil {
+		if err := a.out.b.Flush(); err != nil {
+			a.fail(err)
+		}
+	}
+}
+
+// fail ends the file after an error, as of a full disk. What is lost is counted, and the next file is tried later.
+func (a *appender) fail(err error) {
+	if !a.failing && a.c.Log != nil {
+		a.c.Log.Warn("record drops entries", "reason", err)
+	}
+	a.failing = true
+	if a.out != nil {
+		a.closeFile()
+		a.out = nil
+		a.next++
+	}
+}
+
+// closeFile closes the file. Its error adds nothing: what was not flushed is counted as dropped, or ends torn.
+func (a *appender) closeFile() { _ = a.out.f.Close() }
+
+// flushEvery is how long an entry stays in memory at most: a crash loses so much of the record.
 const flushEvery = 200 * time.Millisecond
 
-// prune drops the oldest files.
+// prune removes the oldest files. One that cannot be removed is tried again with the next file.
 func (w *Writer) prune() {
 	names, err := files(w.c.Dir)
 	if err != nil {
 		return
 	}
 	for len(names) > w.c.Files {
-		os.Remove(names[0])
+		_ = os.Remove(names[0])
 		names = names[1:]
 	}
 }
 
+// files lists the files of a folder, the oldest first.
 func files(dir string) ([]string, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "record-*"))
 	if err != nil {
@@ -262,17 +285,17 @@
 	return names, nil
 }
 
-// Encoder formats entries, each in the memory of the one before. The zero Encoder is ready.
+// Encoder encodes entries and reuses its buffer. The zero Encoder is ready to use.
 type Encoder struct {
 	b   bytes.Buffer
 	enc *msgpack.Encoder
 }
 
-// Append writes an entry: its length and checksum, four bytes each, least significant first, and its text.
+// Append writes an entry and returns the number of bytes written.
 func (x *Encoder) Append(w io.Writer, e *Entry) (int, error) {
 	if x.enc == nil {
 		x.enc = msgpack.NewEncoder(&x.b)
-		x.enc.UseArrayEncodedStructs(true) // names in each entry would be half of it
+		x.enc.UseArrayEncodedStructs(true) // field names would make half of each entry
 	}
 	x.b.Reset()
 	x.b.Write(make([]byte, 8))
@@ -289,8 +312,8 @@
 	return w.Write(b)
 }
 
-// Read hands each entry of a folder's files to f, the oldest first, and says how many files end torn: what stands behind
-// a torn place of a file is passed over.
+// Read calls f with each entry of a folder's files, the oldest first, and returns how many files end torn. What follows a
+// torn entry in a file is skipped.
 func Read(dir string, f func(Entry) error) (torn int, err error) {
 	names, err := files(dir)
 	if err != nil {
@@ -305,7 +328,7 @@
 			return torn, fmt.Errorf("record: %w", err)
 		}
 		good, _, err := Decode(in, f)
-		in.Close()
+		_ = in.Close() // only read
 		if err != nil {
 			return torn, fmt.Errorf("%s: %w", name, err)
 		}
@@ -316,14 +339,14 @@
 	return torn, nil
 }
 
-// Decode hands each entry of a text to f; false where the text ends torn. read is the bytes of whole entries. An error
-// is f's.
+// Decode calls f with each entry. Good is false if the input ends with a torn entry, as one still being written, or cannot
+// be read; read is the number of bytes of complete entries. The only error is that of f.
 func Decode(in io.Reader, f func(Entry) error) (good bool, read int64, err error) {
 	r := bufio.NewReader(in)
 	var head [8]byte
 	for {
 		if _, err := io.ReadFull(r, head[:]); err != nil {
-			return err == io.EOF, read, nil
+			return errors.Is(err, io.EOF), read, nil //nolint:nilerr // good reports a torn end; the error is f's alone
 		}
 		n := binary.LittleEndian.Uint32(head[:4])
 		if n > maxEntry {
@@ -331,11 +354,11 @@
 		}
 		text := make([]byte, n)
 		if _, err := io.ReadFull(r, text); err != nil || crc32.Checksum(text, table) != binary.LittleEndian.Uint32(head[4:]) {
-			return false, read, nil
+			return false, read, nil //nolint:nilerr // as above
 		}
 		var e Entry
 		if msgpack.Unmarshal(text, &e) != nil {
-			return false, read, nil
+			return false, read, nil //nolint:nilerr // as above
 		}
 		read += 8 + int64(n)
 		if err := f(e); err != nil {
@@ -344,15 +367,15 @@
 	}
 }
 
-// Tail reads a folder's entries as they come.
+// Tail follows a folder's entries.
 type Tail struct {
-	Dir  string
-	name string
-	at   int64
+	Dir    string
+	name   string // of the file last read
+	offset int64  // in it, behind the last complete entry
 }
 
-// Next hands the entries that are new since the last call to f. An end that is torn is perhaps still being written, and
-// is tried again until a later file is there.
+// Next calls f with the entries that are new since the last call. A torn end is perhaps still being written and is read
+// again until there is a later file.
 func (t *Tail) Next(f func(Entry) error) error {
 	names, err := files(t.Dir)
 	if err != nil {
@@ -363,22 +386,22 @@
 			continue
 		}
 		if name > t.name {
-			t.name, t.at = name, 0
+			t.name, t.offset = name, 0
 		}
 		in, err := os.Open(name)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // it was the oldest, and has gone since
+			continue // it was the oldest and has been removed
 		}
 		if err != nil {
 			return fmt.Errorf("record: %w", err)
 		}
-		_, err = in.Seek(t.at, io.SeekStart)
+		_, err = in.Seek(t.offset, io.SeekStart)
 		if err == nil {
 			var read int64
 			_, read, err = Decode(in, f)
-			t.at += read
+			t.offset += read
 		}
-		in.Close()
+		_ = in.Close() // only read
 		if err != nil {
 			return err
 		}
--- a/internal/gatherer/record/record_test.go
+++ b/internal/gatherer/record/record_test.go
@@ -17,6 +17,7 @@
 }
 
 func open(t *testing.T, change func(*Config)) (*Writer, string) {
+	t.Helper()
 	c := Config{Dir: t.TempDir(), FileSize: 64 << 10, Files: 3, Ring: 100000, Log: slog.New(slog.DiscardHandler)}
 	if change != nil {
 		change(&c)
@@ -28,8 +29,8 @@
 	return w, c.Dir
 }
 
-// What was written is read, over files and starts; only the newest files stay; a torn end costs what stands behind it.
-func TestFiles(t *testing.T) {
+// What was written is read back, over files and restarts; only the newest files stay; a torn entry loses what follows it.
+func TestReadBack(t *testing.T) {
 	w, dir := open(t, nil)
 	for n := range 3000 {
 		w.Record(entry(n))
@@ -82,7 +83,7 @@
 	}
 }
 
-// A tail hands each entry over once, over files, a torn end included once it is whole.
+// A tail returns each entry once, over files, and a torn one once it is complete.
 func TestTail(t *testing.T) {
 	dir := t.TempDir()
 	var got []uint64
@@ -116,7 +117,7 @@
 	}
 }
 
-// full is a disk with room for so many bytes.
+// full is a disk with space for so many bytes.
 type full struct {
 	mu   sync.Mutex
 	left int
@@ -134,8 +135,8 @@
 }
 func (f *full) Close() error { return nil }
 
-// A full disk, and a writer that is behind, lose entries and count them; nobody waits, and what has room is good.
-func TestFullDiskAndRing(t *testing.T) {
+// A full disk and a full queue lose entries and count them; Record never blocks, and the other entries are good.
+func TestFullDiskAndQueue(t *testing.T) {
 	disk := &full{left: 200 << 10}
 	w, _ := open(t, func(c *Config) {
 		c.FileSize = 1 << 20
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// Cuts and garbage are torn places, and never more.
-func TestGarbage(t *testing.T) {
+// Truncated and corrupt files are reported as torn.
+func TestCorruptFiles(t *testing.T) {
 	var b bytes.Buffer
 	if _, err := new(Encoder).Append(&b, &seven); err != nil {
 		t.Fatal(err)
@@ -195,7 +196,7 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = feed(b) })
 }
 
-// BenchmarkAppend is what the writer does for an entry.
+// BenchmarkAppend measures the encoding of an entry.
 func BenchmarkAppend(b *testing.B) {
 	b.ReportAllocs()
 	var x Encoder
@@ -207,7 +208,7 @@
 	}
 }
 
-// BenchmarkRecord is what an entry costs whoever hands it over, and the writer with it.
+// BenchmarkRecord measures an entry for the caller of Record, with the writer running.
 func BenchmarkRecord(b *testing.B) {
 	w, err := Open(Config{Dir: b.TempDir(), FileSize: 16 << 20, Files: 2, Ring: 16384})
 	if err != nil {
--- a/internal/gatherer/spread/spread.go
+++ b/internal/gatherer/spread/spread.go
@@ -1,9 +1,9 @@
-// Package spread decides which lot stores one gatherer keeps to, so that many gatherers that share nothing load the
-// stores evenly. It holds no I/O, clock or wire type: callers pass what they were told and what is set.
+// Package spread selects the subset of lot stores that one gatherer uses, so that many gatherers that share nothing load
+// the stores evenly. It does no I/O and has no clock.
 //
-// Each gatherer ranks the replicas of a cell, by rendezvous hashing of its own seed and the store's name (highest
-// random weight, Rank) or by a draw of its own such as policy's lead, and keeps the first k that are usable. A store that comes or goes moves only the gatherers that
-// ranked it among their first k. See docs/design/spread.md.
+// Each gatherer ranks the replicas of a cell, by rendezvous hashing (highest random weight) of its own seed and the
+// store's name (Rank) or by its own random numbers, and selects the first k that are usable. A store that comes or goes
+// moves only the gatherers that ranked it among their first k. See docs/design/spread.md.
 package spread
 
 import (
@@ -14,33 +14,33 @@
 
 // Replica is one store of a cell, as the caller sees it now.
 type Replica struct {
-	Rank   float64 // higher first: Rank's rendezvous weight, or any draw of the caller's that is its own
-	Usable bool    // ready, not draining, not gone, not in doubt
+	Rank   float64 // higher first: Rank's rendezvous weight, or any random number of the caller's
+	Usable bool    // ready and healthy
 }
 
-// Size is how many replicas of each cell a gatherer keeps to. The fewer, the more often it meets each and the sooner it
-// learns; but each of so many gatherers chooses alone, so that a store's share of them is drawn: k of r replicas kept by
-// n gatherers give shares with a standard deviation of sqrt((r-k)/(k n)) of the mean. So it is the least k at which that
-// is no more than uneven, and no more than the table of connections has room for, one at the least: room is the bound on
-// connections to lot stores (0 for none stated), cells the number of cells listed, replicas the most of one cell.
-func Size(room, cells, replicas, gatherers int, uneven float64) int {
-	most := max(replicas, 1)
-	if cells > 0 && room > 0 {
-		most = min(max(room/cells, 1), most)
+// Size is how many replicas of each cell a gatherer selects. With fewer it uses each more often and learns more of it; but
+// each gatherer selects alone, so that the number of gatherers per store is random: k of r replicas selected by n gatherers
+// give a standard deviation of sqrt((r-k)/(k n)) of the mean. Size is the least k at which that is at most uneven, and no
+// more than the connections allow, at least 1. Connections is the bound on connections to lot stores (0 for none), cells
+// the number of cells listed, replicas the largest number of replicas of a cell.
+func Size(connections, cells, replicas, gatherers int, uneven float64) int {
+	limit := max(replicas, 1)
+	if cells > 0 && connections > 0 {
+		limit = min(max(connections/cells, 1), limit)
 	}
-	for k := 1; k < most; k++ {
+	for k := 1; k < limit; k++ {
 		if float64(replicas-k) <= uneven*uneven*float64(k*max(gatherers, 1)) {
 			return k
 		}
 	}
-	return most
+	return limit
 }
 
-// Rank is the rendezvous weight of a store, by its name in the discovery list, for the gatherer of this seed: in
-// [0, 1), the same for the same two, and independent between gatherers.
+// Rank is the rendezvous weight, in [0, 1), of a store by its name in the server list, for the gatherer of this seed. It is
+// deterministic, and independent between gatherers.
 func Rank(seed uint64, name string) float64 {
 	h := fnv.New64a()
-	h.Write([]byte(name))
+	_, _ = h.Write([]byte(name)) // a hash does not fail
 	return float64(mix(h.Sum64()^seed)>>11) / (1 << 53)
 }
 
@@ -53,10 +53,10 @@
 	return x ^ x>>31
 }
 
-// Keep says which replicas of one cell are kept to: the k usable ones of highest rank. The result is in the order of
-// cell, true for kept. Where fewer than k are usable, all usable ones are kept; an unusable replica is never kept, so
-// that one gives way to the next by rank for as long as it is unusable.
-func Keep(cell []Replica, k int) []bool {
+// Select selects the k usable replicas of highest rank of one cell. The result is in the order of cell, true for selected
+// ones. Where fewer than k are usable, all of them are selected; an unusable replica is replaced by the next by rank for as
+// long as it is unusable.
+func Select(cell []Replica, k int) []bool {
 	order := make([]int, 0, len(cell))
 	for i, r := range cell {
 		if r.Usable {
@@ -64,9 +64,9 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(cell[b].Rank, cell[a].Rank) })
-	kept := make([]bool, len(cell))
+	selected := make([]bool, len(cell))
 	for _, i := range order[:min(k, len(order))] {
-		kept[i] = true
+		selected[i] = true
 	}
-	return kept
+	return selected
 }
--- a/internal/gatherer/spread/spread_test.go
+++ b/internal/gatherer/spread/spread_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is cells of so many replicas, named by cell and replica, as the discovery list would.
-func fleet(cells, replicas int) [][]string {
+// cluster is cells of so many replicas, named by cell and replica.
+func cluster(cells, replicas int) [][]string {
 	all := make([][]string, cells)
 	for c := range all {
 		for r := range replicas {
@@ -18,7 +18,7 @@
 	return all
 }
 
-// ranked is one cell as the gatherer of this seed sees it, all usable.
+// ranked is one cell as the gatherer of this seed ranks it, all usable.
 func ranked(seed uint64, names []string) []Replica {
 	cell := make([]Replica, len(names))
 	for i, name := range names {
@@ -27,13 +27,13 @@
 	return cell
 }
 
-// kept counts, for each store, the gatherers that keep to it.
-func kept(gatherers int, cells [][]string, k int) map[string]int {
+// selections counts, for each store, the gatherers that select it.
+func selections(gatherers int, cells [][]string, k int) map[string]int {
 	n := map[string]int{}
 	for g := range gatherers {
 		seed := mix(uint64(g) + 1)
 		for _, names := range cells {
-			for i, on := range Keep(ranked(seed, names), k) {
+			for i, on := range Select(ranked(seed, names), k) {
 				if on {
 					n[names[i]]++
 				}
@@ -43,11 +43,11 @@
 	return n
 }
 
-// 300 gatherers over 200 stores, each keeping one replica a cell: no store holds more than 1.25 of the mean, none
+// 300 gatherers over 200 stores, each selecting one replica a cell: no store has more than 1.25 of the mean, none
 // under 0.25 of it. Binomial(300, 1/2) gives about 1.15 at the largest of 100 cells.
 func TestEvenAmongMany(t *testing.T) {
-	cells := fleet(100, 2)
-	n := kept(300, cells, 1)
+	cells := cluster(100, 2)
+	n := selections(300, cells, 1)
 	mean := 300.0 / 2
 	for _, names := range cells {
 		for _, name := range names {
@@ -58,17 +58,17 @@
 	}
 }
 
-// A store that goes moves only its own gatherers, and each of them to a usable one; when it comes back they return.
-func TestLeavingMovesOnlyItsOwn(t *testing.T) {
+// A store that is removed moves only its own gatherers, each to a usable one; when it is added again they return.
+func TestRemovalMovesOnlyItsOwn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := rapid.IntRange(2, 5).Draw(t, "replicas")
 		k := rapid.IntRange(1, replicas).Draw(t, "k")
 		seed := rapid.Uint64().Draw(t, "seed")
-		cell := ranked(seed, fleet(1, replicas)[0])
+		cell := ranked(seed, cluster(1, replicas)[0])
 		gone := rapid.IntRange(0, replicas-1).Draw(t, "gone")
-		before := Keep(cell, k)
+		before := Select(cell, k)
 		cell[gone].Usable = false
-		after := Keep(cell, k)
+		after := Select(cell, k)
 		if after[gone] {
 			t.Fatalf("an unusable store is kept")
 		}
@@ -92,15 +92,15 @@
 			t.Fatalf("%d stores taken up for one that went, want %d (it was kept: %v)", moved, want, before[gone])
 		}
 		cell[gone].Usable = true
-		if back := Keep(cell, k); fmt.Sprint(back) != fmt.Sprint(before) {
+		if back := Select(cell, k); fmt.Sprint(back) != fmt.Sprint(before) {
 			t.Fatalf("after the return %v, before %v", back, before)
 		}
 	})
 }
 
-// The subset never holds more stores than the table has room for, once a cell has one each, and it is as small as
-// leaves the stores' shares even.
-func TestSizeKeepsToRoom(t *testing.T) {
+// The subset never has more stores than connections, once each cell has one, and it is as small as
+// keeps the load of the stores even.
+func TestSizeWithinConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(1, 2000).Draw(t, "room")
 		cells := rapid.IntRange(1, 300).Draw(t, "cells")
