--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -1,6 +1,7 @@
 package aggs_test
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -204,7 +205,9 @@
 		below, _ := parse(`{"aggs":{"r":{"range":{"field":"price","ranges":[{"to":` + fmt.Sprint(v.Num+1e-6) + `}]}}}}`)
 		rank := merge(t, below, answers(t, c.Whole(), below, 0), false).Get("r.buckets.0.doc_count").Num / n
 		var want float64
-		fmt.Sscan(k.Str, &want)
+		if _, err := fmt.Sscan(k.Str, &want); err != nil {
+			t.Fatal(err)
+		}
 		if math.Abs(rank-want/100) > 0.011 {
 			t.Errorf("percentile %s is %v, of rank %.3f", k.Str, v.Num, rank)
 		}
@@ -271,7 +274,7 @@
 	}
 	list, _ := parse(`{"a":{"h":{"histogram":{"field":"x","interval":1}}}}`)
 	parts, _ := aggs.Decode(list, gjson.Parse(`{"h":{"buckets":[{"key":0,"doc_count":1},{"key":1e9,"doc_count":1}]}}`))
-	if _, err := aggs.Merge(list, [][]aggs.Part{parts}, false); err != aggs.ErrTooMany {
+	if _, err := aggs.Merge(list, [][]aggs.Part{parts}, false); !errors.Is(err, aggs.ErrTooMany) {
 		t.Errorf("a billion empty buckets: %v", err)
 	}
 }
--- a/internal/gatherer/cli/cli_test.go
+++ b/internal/gatherer/cli/cli_test.go
@@ -14,6 +14,7 @@
 )
 
 func run(t *testing.T, args ...string) (code int, out, errOut string, served *Files) {
+	t.Helper()
 	var o, e bytes.Buffer
 	code = Run(args, &o, &e, func(f Files) error { served = &f; return nil })
 	return code, o.String(), e.String(), served
--- a/internal/gatherer/lifecycle/calls.go
+++ b/internal/gatherer/lifecycle/calls.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/handover"
 )
 
-// openAdmin listens for operators' calls, where the configuration says.
+// openAdmin listens for operators' calls, if an address is configured.
 func (d *Daemon) openAdmin() error {
 	if d.config.Admin == "" {
 		return nil
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// call answers an operator's call. What it says yes to is in force, here and at the other process if there is one.
+// call carries out an operator's call, here and at the other process if there is one, and returns the answer.
 func (d *Daemon) call(c admin.Call) (string, error) {
 	if c.Verb == admin.Ping {
 		if !d.ready.Load() || d.health().Draining {
@@ -35,7 +35,7 @@
 	if !d.ready.Load() {
 		return "", errors.New("starting")
 	}
-	d.calls.Lock() // the other is told in the same order
+	d.calls.Lock() // the other process gets them in the same order
 	defer d.calls.Unlock()
 	now := time.Now()
 	if !d.apply(c, now) {
@@ -49,7 +49,7 @@
 	return "done", nil
 }
 
-// apply puts a call in force in this process, and says whether its lot store is known.
+// apply applies a call in this process, and reports whether its lot store is known.
 func (d *Daemon) apply(c admin.Call, at time.Time) (known bool) {
 	known = true
 	switch c.Verb {
@@ -68,7 +68,7 @@
 	return known
 }
 
-// sendAway sets the one drain state: not ready, and clients' connections close as they are answered.
+// setLameDuck sets the drain state: not ready, and clients' connections are closed as they are answered.
 func (d *Daemon) setLameDuck(on bool) {
 	d.lameDuck.Store(on)
 	d.mu.Lock()
--- a/internal/gatherer/lifecycle/calls_test.go
+++ b/internal/gatherer/lifecycle/calls_test.go
@@ -14,8 +14,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/standin"
 )
 
-// operator calls a daemon and returns the first word of the answer.
+// operator makes an operator's call and returns the first word of the answer.
 func operator(t *testing.T, d *Daemon, line string) string {
+	t.Helper()
 	nc, err := net.Dial("tcp", d.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -29,13 +30,14 @@
 	return string(b[:3])
 }
 
-// keptConn is a client's connection that is kept.
+// keptConn is a client's keep-alive connection.
 type keptConn struct {
 	net.Conn
 	r *http1.Reader
 }
 
 func dialKept(t *testing.T, addr string) *keptConn {
+	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -45,6 +47,7 @@
 }
 
 func (c *keptConn) get(t *testing.T, path string) *http1.Response {
+	t.Helper()
 	c.Write(http1.AppendRequest(nil, "GET", path, "x", nil, nil))
 	p, err := c.r.Response()
 	if err != nil {
@@ -53,9 +56,9 @@
 	return p
 }
 
-// LAMEDUCK: not ready at once, the next answer closes its connection, one that rests goes by itself, and new ones
-// are still served. REJOIN undoes all of it. A lot store that is out gets nothing until it is put back.
-func TestCalls(t *testing.T) {
+// LAMEDUCK: not ready at once, the next answer closes its connection, an idle connection is closed, and new ones are still
+// served. REJOIN undoes all of it. A detached lot store gets nothing until it is attached.
+func TestOperatorCalls(t *testing.T) {
 	w := startConfig(t, "frames", nil, func(c *Config) { c.Admin = "127.0.0.1:0" })
 	want := func(line, code string) {
 		t.Helper()
@@ -64,18 +67,18 @@
 		}
 	}
 	addr := w.Addrs()[0]
-	used, resting := dialKept(t, addr), dialKept(t, addr)
+	used, idle := dialKept(t, addr), dialKept(t, addr)
 	used.get(t, "/-/ready")
-	resting.get(t, "/-/ready")
+	idle.get(t, "/-/ready")
 	want("PING", "200")
 	want("LAMEDUCK", "200")
 	want("LAMEDUCK", "200")
 	want("PING", "400")
 	if p := used.get(t, "/-/ready"); p.Status != 503 || !p.Close {
-		t.Errorf("sent away: %d, close %v", p.Status, p.Close)
+		t.Errorf("lame duck: %d, close %v", p.Status, p.Close)
 	}
-	if resting.r.Await() == nil {
-		t.Error("a resting connection says something")
+	if idle.r.Await() == nil {
+		t.Error("an idle connection receives something")
 	}
 	if p := dialKept(t, addr).get(t, "/-/healthy"); p.Status != 200 || !p.Close {
 		t.Errorf("a new connection: %d, close %v", p.Status, p.Close)
@@ -93,19 +96,19 @@
 	want("DETACH s-0", "200")
 	want("DETACH s-1", "200")
 	if a := w.platform(t, 1, recorded{Shards: []int{0}}); !strings.HasPrefix(a.kind, "refused") {
-		t.Errorf("with both of its lot stores out a shard is %s", a.kind)
+		t.Errorf("with both of its lot stores detached a shard is %s", a.kind)
 	}
 	want("ATTACH s-0", "200")
 	if a := w.platform(t, 2, recorded{Shards: []int{0}, TimeoutMs: 30000}); a.kind != "answered whole" {
-		t.Errorf("with one put back a shard is %s", a.kind)
+		t.Errorf("with one attached again a shard is %s", a.kind)
 	}
 	want("ATTACH s-99", "400")
 }
 
-// On SIGTERM with an inherited socket the successor takes what waits to be accepted: this one stops at once,
-// leaves a resting connection open for a request on the way, answers it with close, and gives the request that
-// no lot store answers its final answer in time. The socket itself stays open.
-func TestHandOff(t *testing.T) {
+// On SIGTERM with an inherited socket the successor accepts new connections: this process stops accepting at once, leaves
+// an idle connection open for a request on the way, answers it with close, and gives the request that no lot store answers
+// its final answer in time. The socket itself stays open.
+func TestInheritedSocketDrain(t *testing.T) {
 	l := standin.Listen(t).(*net.TCPListener)
 	t.Setenv("TMPDIR", t.TempDir())
 	w := startConfig(t, "frames", nil, func(c *Config) { c.Inherited = descriptor(t, l) })
@@ -140,16 +143,17 @@
 	} else {
 		got.Close()
 	}
-	bufio.NewReader(nc).ReadByte()
+	_, _ = bufio.NewReader(nc).ReadByte() // the end of the connection, whichever way
 }
 
-// A descriptor that is no listening socket is refused by name.
-func TestInheritedBad(t *testing.T) {
-	c, err := LoadConfig("../../../examples/config.json", func(k string) string { return map[string]string{"LB_INHERITED_FD": "4x"}[k] })
+// A descriptor that is no listening socket is an error that names the setting.
+func TestInheritedSocketInvalid(t *testing.T) {
+	_, err := LoadConfig("../../../examples/config.json", func(k string) string { return map[string]string{"LB_INHERITED_FD": "4x"}[k] })
 	if err == nil || !strings.Contains(err.Error(), "LB_INHERITED_FD") {
 		t.Errorf("%v", err)
 	}
-	if c, err = LoadConfig("../../../examples/config.json", noEnv); err != nil {
+	c, err := LoadConfig("../../../examples/config.json", noEnv)
+	if err != nil {
 		t.Fatal(err)
 	}
 	c.Inherited = 1 << 20
--- a/internal/gatherer/lifecycle/config.go
+++ b/internal/gatherer/lifecycle/config.go
@@ -1,4 +1,5 @@
-// Package lifecycle starts the daemon and stops it.
+// Package lifecycle starts, reloads, hands over and stops the daemon. LoadConfig and its kin read the configuration, Start
+// returns a Daemon, Daemon.Reload applies a changed configuration and Daemon.Drain shuts down gracefully.
 package lifecycle
 
 import (
@@ -22,14 +23,14 @@
 	"pulleygw.example/pulleygw/internal/gatherer/store"
 )
 
-// Config is what one daemon is told.
+// Config is the configuration of a daemon.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string         // where operators call; empty for nowhere
-	Level                   *slog.LevelVar // of the log, for the file of limits to set; nil for not
-	RecordDir               string         // of the record of attempts; empty for none
-	LimitsFile              string         // of limits by route; empty, or not there, for none
-	Inherited               int            // descriptor of the clients' listening socket, 0 where Listen is to be opened
+	Admin                   string         // address for operators' calls; empty for none
+	Level                   *slog.LevelVar // of the log, which the file of limits may set; nil if it may not
+	RecordDir               string         // of the record; empty for none
+	LimitsFile              string         // of limits by route; none if empty or missing
+	Inherited               int            // descriptor of the clients' listening socket, 0 to listen on Listen
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
@@ -38,8 +39,8 @@
 	Settings                settings.Settings
 }
 
-// LoadConfig reads the configuration file. The environment's LB_NAME, LB_LISTEN and LB_DISCOVERY, where
-// set, count for more. Every error names the field.
+// LoadConfig reads the configuration file. The environment's LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_ADMIN override it.
+// Every error names the field.
 func LoadConfig(path string, env func(string) string) (c Config, err error) {
 	if path == "" {
 		return c, errors.New("LB_CONFIG is not set: it names the configuration file")
@@ -98,18 +99,18 @@
 	return c, nil
 }
 
-// FrontConfig says where the OpenSearch-style front listens, and what it serves.
+// FrontConfig is the configuration of the OpenSearch-style front.
 type FrontConfig struct {
 	Listen  string
 	Indices map[string]string // index to class
-	Stores  bool              // the lot stores speak the API as well, not frames
-	Phases  search.Phases     // how searches are put to such lot stores; 0 for what is measured to be better
+	Stores  bool              // the lot stores speak the API too, not frames
+	Phases  search.Phases     // of searches at such lot stores; 0 for whichever is measured to be better
 	Ties    bool              // such lot stores break ties by id
-	KeyFile string            // of the keys of points in time; empty for one that this process makes and takes with it
+	KeyFile string            // of the keys of points in time; empty for a random key of this process
 	Keys    *pages.Keys
 }
 
-// LoadFront reads the second front's file. Without the file that front is off, and the result is nil.
+// LoadFront reads the file of the OpenSearch-style front. Without the file that front is off, and the result is nil.
 func LoadFront(path string, set *settings.Settings) (*FrontConfig, error) {
 	root, err := optional(path)
 	if err != nil || !root.Exists() {
@@ -147,7 +148,7 @@
 	return f, nil
 }
 
-// loadKeys reads the keys of points in time, or makes one where no file is named.
+// loadKeys reads the keys of points in time, or makes a random one where no file is configured.
 func (f *FrontConfig) loadKeys() (err error) {
 	if f.KeyFile == "" {
 		key := make([]byte, 32)
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// optional reads a file that may be absent; the result does not exist then.
+// optional reads a JSON file. If the file is missing, the result does not exist.
 func optional(path string) (gjson.Result, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -189,7 +190,7 @@
 	return gjson.ParseBytes(text), nil
 }
 
-// parseIndices reads an object of indices, each for a class of its own. A class that came with a reload may have none.
+// parseIndices reads an object of indices, each for a class of its own. A class added by a reload may have none.
 func parseIndices(object gjson.Result, set *settings.Settings) (map[string]string, error) {
 	classes := map[string]string{}
 	for index, class := range object.Map() {
@@ -204,14 +205,14 @@
 	return classes, nil
 }
 
-// OperationsConfig says where balancers and operators are answered, and what the replicated store is.
+// OperationsConfig is the configuration of the endpoints for balancers and operators, and of the replicated store.
 type OperationsConfig struct {
 	AgentCheck, Health string
 	Dir                string // of the store; empty for none
 	Nodes              []store.Node
 }
 
-// LoadOperations reads the operations' file. Without the file all of it is off, and the result is nil.
+// LoadOperations reads the file of operations. Without the file all of them are off, and the result is nil.
 func LoadOperations(path string) (*OperationsConfig, error) {
 	root, err := optional(path)
 	if err != nil || !root.Exists() {
--- a/internal/gatherer/lifecycle/daemon.go
+++ b/internal/gatherer/lifecycle/daemon.go
@@ -27,45 +27,45 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// Shares of the limits. The rest is spare: for the runtime, for discovery, for what is being closed.
+// Fractions of the limits of memory and sockets. The rest is spare: for the runtime, discovery, and closing connections.
 const (
 	memoryFraction     = 0.7   // of memory_mb, as the garbage collector's soft limit
 	bodyFraction       = 0.125 // of memory_mb, for request bodies
 	clientFraction     = 0.45  // of sockets, for clients
-	keepAliveFraction  = 0.2   // of sockets, for clients' connections that are not pressed to close: they hold a third at most
-	openSearchFraction = 0.08  // of sockets, for the second front's clients
+	keepAliveFraction  = 0.2   // of sockets, for idle clients' connections that are kept open: clients use a third at most
+	openSearchFraction = 0.08  // of sockets, for clients of the OpenSearch-style front
 	storeFraction      = 0.3   // of sockets, for lot stores
-	searchDivisor      = 4     // of memory_mb, for lot stores' answers to searches; a quarter of that for one search
-	answerDivisor      = 32    // of memory_mb, for one answer of a lot store that speaks the API
-	boundsDivisor      = 16    // of memory_mb, for what is remembered of ranges
-	boundBytes         = 128   // of one such memory
+	searchDivisor      = 4     // memory_mb divided by this is for lot stores' answers to searches; a quarter of that for one search
+	answerDivisor      = 32    // and for one answer of a lot store that speaks the API
+	boundsDivisor      = 16    // and for remembered bounds of ranges
+	boundBytes         = 128   // bytes of one such bound
 )
 
-// Bounds of the record of attempts: 512 MiB of files, and so many entries in memory that a disk may stall for a second.
+// Bounds of the record: 512 MiB of files, and enough entries in memory for a disk that stalls for a second.
 const (
 	recordFile  = 16 << 20
 	recordFiles = 32
 	recordRing  = 16384
 )
 
-// answerFor is how long after SIGTERM the last answer is given where the clients' socket is inherited: SIGKILL
-// comes 0.7 s after the longest deadline, of which at most 3 s count.
+// finalAnswerWithin is how long after SIGTERM and the longest deadline the last answer is given where the clients' socket is
+// inherited: SIGKILL follows 0.7 s after the longest deadline, of which at most maxDeadline counts.
 const (
 	finalAnswerWithin = 300 * time.Millisecond
 	maxDeadline       = 3 * time.Second
 )
 
-// acceptFor is how long after SIGTERM new connections are still accepted: they keep coming for up to 0.4 s.
+// acceptAfterSignal is how long after SIGTERM new connections are still accepted: they keep arriving for up to 0.4 s.
 const acceptAfterSignal = 600 * time.Millisecond
 
-// transport is a gather.Transport that is told whom to report to.
+// transport is a gather.Transport with its configuration.
 type transport interface {
 	gather.Transport
 	Start(gather.Reporter)
 	SetMaxConns(int)
 }
 
-// newTransport makes the side towards the lot stores: frames, or the API where the front's file says so.
+// newTransport returns the transport to the lot stores: frames, or the API where the front's file says so.
 func newTransport(c Config, f *FrontConfig, current *settings.Current, logger *slog.Logger) transport {
 	set, conns := c.Settings, c.Settings.Policy.Connections
 	if f == nil || !f.Stores {
@@ -78,7 +78,7 @@
 	}
 	class := func(n int) (index string, keyed bool) {
 		s := current.Load()
-		// A class that came with a reload stands under its own name.
+		// A class that was added by a reload has its own name as index.
 		return cmp.Or(indices[s.Classes[n]], s.Classes[n]), s.Policy.Classes[n].Effect != decision.Idempotent
 	}
 	return opensearch.NewStores(opensearch.StoresConfig{Class: class, Shards: set.Shards,
@@ -86,51 +86,76 @@
 		MaxAnswer: c.MemoryMB << 20 / answerDivisor, Log: logger})
 }
 
-// listener is one listening socket and what serves it.
+// listener is a listening socket with its server.
 type listener struct {
 	*http1.Server
-	fraction float64 // of the descriptors
+	fraction float64 // of the sockets
 	addr     net.Addr
 	served   chan struct{}
 }
 
-// Daemon is a gatherer that serves.
+// Daemon is a running gatherer. Start it with Start, stop it with Drain.
 type Daemon struct {
 	log        *slog.Logger
 	core       *gather.Core
 	settings   settings.Current
 	mu         sync.Mutex
-	listeners  []*listener       // under mu; the platform's first, then the OpenSearch-style front's if it is on, then operations'
+	listeners  []*listener       // under mu; the platform's, then the OpenSearch-style front's if it is on, then operations'
 	openSearch *opensearch.Front // nil when off
-	front      FrontConfig       // of the second front
+	front      FrontConfig       // of the OpenSearch-style front
 	limits     *config.Config    // in force, nil for none
 	record     *record.Writer    // nil for none
 	ops        *operations       // nil when off
-	bodySlots  chan struct{}     // has room for the request bodies that may be held at once
+	bodySlots  chan struct{}     // one slot for each request body that may be held in memory
 	draining   atomic.Bool
 	drained    sync.Once
-	ready      atomic.Bool // started whole
-	lameDuck   atomic.Bool // clients are sent away, by an operator or by the store's mark
+	ready      atomic.Bool // Start has succeeded
+	lameDuck   atomic.Bool // clients' connections are closed, for an operator or the store's drain mark
 	admin      net.Listener
-	calls      sync.Mutex // operators' calls are carried out one after another
+	calls      sync.Mutex // serialises operators' calls
 	handover   handoverState
 	tr         transport
-	config     Config // as started with, but for what a reload has changed
+	config     Config // as started with, and changed by reloads
 	watchMu    sync.Mutex
-	stopWatch  func() // under watching; ends the watch of discovery and waits for its end; nil once a drain has done so
+	stopWatch  func() // under watchMu; stops the watch of discovery and waits for its end; nil once a drain has done so
 }
 
-// state is how the gatherer is, for balancers.
+// health is the state of the gatherer, for balancers.
 func (d *Daemon) health() agentcheck.State {
 	return agentcheck.State{Draining: d.draining.Load() || d.lameDuck.Load(), Load: d.core.Load()}
 }
 
-// Start makes a gatherer that serves. A nil front leaves the OpenSearch-style front off, and nil operations
-// the balancers' endpoints and the store.
+// Start starts a gatherer and returns when it is ready. A nil front leaves the OpenSearch-style front off, and nil
+// operations the balancers' endpoints and the store. Stop it with Drain.
 func Start(c Config, f *FrontConfig, o *OperationsConfig, logger *slog.Logger) (*Daemon, error) {
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
 
-	d := &Daemon{log: logger, config: c, bodySlots: make(chan struct{}, int(bodyFraction*float64(c.MemoryMB<<20)/mem.BufferSize))}
+	d, err := newDaemon(c, f, logger)
+	if err != nil {
+		return nil, err
+	}
+	go d.core.Run()
+	if d.limits != nil {
+		set := d.applyLimits(c.Settings, d.limits)
+		d.settings.Store(&set)
+		logger.Info("limits in force", "routes", len(d.limits.Limits.Routes), "file", c.LimitsFile)
+	}
+	if err := d.serve(c, f, o); err != nil {
+		d.Drain()
+		return nil, err
+	}
+	if err := d.offer(); err != nil {
+		logger.Warn("handover cannot be offered", "reason", err)
+	}
+	d.ready.Store(true)
+	logger.Info("ready", "name", c.Name, "listen", d.Addrs(), "known", len(c.Known.Servers))
+	return d, nil
+}
+
+// newDaemon makes a gatherer with its core, transport, limits and record, none of which runs yet but the record.
+func newDaemon(c Config, f *FrontConfig, logger *slog.Logger) (*Daemon, error) {
+	slots := int(bodyFraction * float64(c.MemoryMB<<20) / mem.BufferSize)
+	d := &Daemon{log: logger, config: c, bodySlots: make(chan struct{}, slots)}
 	d.settings.Store(&c.Settings)
 	tr := newTransport(c, f, &d.settings, logger)
 	core, err := gather.New(c.Settings, c.Seed, tr, logger)
@@ -149,61 +174,58 @@
 	d.applyProcessLimits()
 	d.core = core
 	if c.RecordDir != "" {
-		if d.record, err = record.Open(record.Config{Dir: c.RecordDir, FileSize: recordFile, Files: recordFiles, Ring: recordRing, Log: logger}); err != nil {
+		d.record, err = record.Open(record.Config{Dir: c.RecordDir, FileSize: recordFile, Files: recordFiles, Ring: recordRing, Log: logger})
+		if err != nil {
 			return nil, err
 		}
 		core.SetRecorder(d.record.Record)
 		logger.Info("record", "folder", c.RecordDir)
 	}
-	go core.Run()
-	if d.limits != nil {
-		set := d.applyLimits(c.Settings, d.limits)
-		d.settings.Store(&set)
-		logger.Info("limits in force", "routes", len(d.limits.Limits.Routes), "file", c.LimitsFile)
-	}
+	return d, nil
+}
+
+// serve gives the core its server list and then opens the listeners: a gatherer is ready only when it has its list.
+func (d *Daemon) serve(c Config, f *FrontConfig, o *OperationsConfig) error {
 	if err := d.openAdmin(); err != nil {
-		d.Drain()
-		return nil, err
+		return err
 	}
 	c.Known.Kind = decision.Cached
-	core.List(c.Known)
-	// A predecessor's list is younger than the one that the configuration has; the whole one is asked for then.
+	d.core.List(c.Known)
+	// A predecessor's list is newer than the one of the configuration; discovery is asked for the full list then.
 	if d.restorePredecessor() {
 		c.KnownSeq = discovery.Fresh
 	}
 	d.watch(c.KnownSeq)
 
-	// Listeners open only now: a gatherer is ready when it has its list.
-	front := &platform.Front{Core: core, Settings: &d.settings, Ready: func() bool { return !d.health().Draining }}
+	front := &platform.Front{Core: d.core, Settings: &d.settings, Ready: func() bool { return !d.health().Draining }}
 	if err := d.open(c.Listen, c.Inherited, front.Handle, clientFraction); err != nil {
-		d.Drain()
-		return nil, fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("listen: %w", err)
 	}
 	if f != nil {
-		d.openSearch = &opensearch.Front{Core: core, Settings: &d.settings, Name: fmt.Sprintf("os-%s-%x", c.Name, c.Seed), Plans: f.Stores, Ties: f.Ties}
-		d.openSearch.SetIndices(f.Indices)
-		d.openSearch.SetKeys(f.Keys)
-		d.front = *f
-		if err := d.open(f.Listen, 0, d.openSearch.Handle, openSearchFraction); err != nil {
-			d.Drain()
-			return nil, fmt.Errorf("opensearch front: listen: %w", err)
+		if err := d.openOpenSearch(c, f); err != nil {
+			return fmt.Errorf("opensearch front: listen: %w", err)
 		}
 	}
 	if o != nil {
-		if d.ops, err = startOperations(d, c, o); err != nil {
-			d.Drain()
-			return nil, err
+		ops, err := startOperations(d, c, o)
+		if err != nil {
+			return err
 		}
+		d.ops = ops
 	}
-	if err := d.offer(); err != nil {
-		logger.Warn("handover cannot be offered", "reason", err)
-	}
-	d.ready.Store(true)
-	logger.Info("ready", "name", c.Name, "listen", d.Addrs(), "known", len(c.Known.Servers))
-	return d, nil
+	return nil
+}
+
+// openOpenSearch opens the OpenSearch-style front.
+func (d *Daemon) openOpenSearch(c Config, f *FrontConfig) error {
+	d.openSearch = &opensearch.Front{Core: d.core, Settings: &d.settings, Name: fmt.Sprintf("os-%s-%x", c.Name, c.Seed), Plans: f.Stores, Ties: f.Ties}
+	d.openSearch.SetIndices(f.Indices)
+	d.openSearch.SetKeys(f.Keys)
+	d.front = *f
+	return d.open(f.Listen, 0, d.openSearch.Handle, openSearchFraction)
 }
 
-// follow starts a watch of the configuration's discovery, from a version on.
+// watch starts to watch discovery from a version on.
 func (d *Daemon) watch(seq int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -214,8 +236,8 @@
 	d.stopWatch = func() { cancel(); <-ended }
 }
 
-// listen opens an address, or makes a listener of the descriptor that the platform holds for it. Of that one only
-// our copies are ever closed: the socket is the platform's.
+// listen listens on an address, or makes a listener of the descriptor that the platform passes. Only our copies of it are
+// ever closed: the socket is the platform's.
 func listen(addr string, inherited int) (net.Listener, error) {
 	if inherited == 0 {
 		return net.Listen("tcp", addr)
@@ -224,7 +246,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("LB_INHERITED_FD: no descriptor %d", inherited)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // our copy
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("LB_INHERITED_FD: %w", err)
@@ -236,6 +258,7 @@
 	return l, nil
 }
 
+// open starts a server on an address, with a fraction of the sockets.
 func (d *Daemon) open(addr string, inherited int, h http1.Handler, share float64) error {
 	l, err := listen(addr, inherited)
 	if err != nil {
@@ -254,7 +277,7 @@
 	return nil
 }
 
-// Addrs tells where the fronts listen, the platform's first.
+// Addrs returns the addresses that the fronts listen on, the platform's first.
 func (d *Daemon) Addrs() (addrs []string) {
 	for _, x := range d.listeners {
 		addrs = append(addrs, x.addr.String())
@@ -262,8 +285,8 @@
 	return addrs
 }
 
-// Drain goes on accepting for a short time, answers all that was taken, and returns when that is done.
-// Further calls do nothing.
+// Drain shuts the gatherer down gracefully: it accepts connections for a short time, answers every request, and returns
+// when all is done. Further calls do nothing.
 func (d *Daemon) Drain() { d.drained.Do(d.drain) }
 
 func (d *Daemon) drain() {
--- a/internal/gatherer/lifecycle/handover.go
+++ b/internal/gatherer/lifecycle/handover.go
@@ -18,13 +18,13 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/handover"
 )
 
-// A process that inherits the clients' socket may be started beside another of its name: a successor beside its
-// predecessor. Both count as one gatherer, so that they share the limits, and an operator's call to either binds both.
+// Handover: a process that inherits the clients' socket may be started beside another of its name, as its successor. Both
+// count as one gatherer, so they share the limits, and an operator's call to either applies to both.
 
-// handoverState is what a process has of the other.
+// handoverState is the connection to the other process.
 type handoverState struct {
 	mu       sync.Mutex
-	listener net.Listener   // where a successor comes; nil for nowhere
+	listener net.Listener   // for a successor; nil for none
 	link     *handover.Link // to the other process; nil without one
 	closed   bool
 }
@@ -47,17 +47,18 @@
 	return h.link
 }
 
-// path is where a successor finds this process.
+// path is the socket by which a successor finds this process.
 func (d *Daemon) path() string { return filepath.Join(os.TempDir(), "pulleygw-"+d.config.Name+".sock") }
 
-// eachOfTwo is a process's part of the limits while there are two: what each needs beside its shares counts twice.
+// overlapFraction is the fraction of the limits that each of two processes has: what each needs beside them counts twice.
 const overlapFraction = 0.45
 
-// conns is a share of the descriptors.
-func (d *Daemon) conns(share float64) int {
-	return max(int(share*float64(d.config.Sockets)*d.processFraction()), 1)
+// conns is a fraction of the sockets.
+func (d *Daemon) conns(fraction float64) int {
+	return max(int(fraction*float64(d.config.Sockets)*d.processFraction()), 1)
 }
 
+// processFraction is the fraction of the limits that this process has.
 func (d *Daemon) processFraction() float64 {
 	if d.handover.other() != nil {
 		return overlapFraction
@@ -65,7 +66,7 @@
 	return 1
 }
 
-// share puts this process's part of the limits in force.
+// applyProcessLimits applies this process's fraction of the limits.
 func (d *Daemon) applyProcessLimits() {
 	debug.SetMemoryLimit(int64(memoryFraction * float64(d.config.MemoryMB) * (1 << 20) * d.processFraction()))
 	d.tr.SetMaxConns(d.conns(storeFraction))
@@ -76,7 +77,7 @@
 	}
 }
 
-// takeOver goes on from a predecessor's state, if there is one. Whatever is wrong with it never stops a start.
+// restorePredecessor continues from a predecessor's state, if there is one. A failure never prevents the start.
 func (d *Daemon) restorePredecessor() bool {
 	if d.config.Inherited == 0 {
 		return false
@@ -105,7 +106,7 @@
 	return true
 }
 
-// offer waits for a successor.
+// offer listens for a successor.
 func (d *Daemon) offer() error {
 	if d.config.Inherited == 0 {
 		return nil
@@ -141,21 +142,21 @@
 	return nil
 }
 
-// linked notes that there is another process; an earlier one has none to do with this one any more.
+// setLink sets the link to the other process and closes an earlier one.
 func (d *Daemon) setLink(link *handover.Link) {
 	h := &d.handover
 	h.mu.Lock()
 	if h.link != nil {
 		h.link.Close()
 	}
-	if h.link = link; h.closed { // the drain has passed here already
+	if h.link = link; h.closed { // the drain has closed the links already
 		link.Close()
 	}
 	h.mu.Unlock()
 	d.applyProcessLimits()
 }
 
-// serveLink carries out the other's calls until it has ended. Then all limits are this process's own.
+// serveLink carries out the other process's calls until it has ended. Then this process has all of the limits.
 func (d *Daemon) serveLink(link *handover.Link, successor bool) {
 	err := link.Serve(func(m handover.Message) {
 		d.apply(admin.Call{Verb: admin.Verb(m.Verb), Name: m.Name}, time.UnixMilli(m.AtMs))
@@ -177,13 +178,13 @@
 	h.mu.Lock()
 	h.listener.Close()
 	h.mu.Unlock()
-	// The successor has died: the name is to lead here again.
+	// The successor has failed: the name must lead here again.
 	if err := d.offer(); err != nil {
 		d.log.Warn("handover cannot be offered", "reason", err)
 	}
 }
 
-// handState is what a successor begins with.
+// successorState is the state that a successor starts with.
 func (d *Daemon) successorState() handover.State {
 	s := d.core.Snapshot()
 	zones := d.settings.Load().Zones
@@ -193,17 +194,17 @@
 		x.Attached[name] = at.UnixMilli()
 	}
 	for name, r := range s.Records {
-		cold := int64(-1)
+		slowStart := int64(-1)
 		if r.SlowStartAge >= 0 {
-			cold = r.SlowStartAge.Milliseconds()
+			slowStart = r.SlowStartAge.Milliseconds()
 		}
 		x.Records = append(x.Records, handover.Record{Name: name, Answers: r.Answers, Latency: r.Latency,
-			Failing: r.Failing, Cap: r.Cap, SlowStartMs: cold})
+			Failing: r.Failing, Cap: r.Cap, SlowStartMs: slowStart})
 	}
 	return x
 }
 
-// snapshot reads a predecessor's state.
+// snapshot converts a predecessor's state.
 func (d *Daemon) snapshot(state *handover.State) (s gather.Snapshot, err error) {
 	_, list, err := discovery.ParseList(state.Hosts, d.settings.Load().Zones)
 	if err != nil {
@@ -218,11 +219,11 @@
 		s.Back[name] = time.UnixMilli(at)
 	}
 	for _, r := range state.Records {
-		cold := time.Duration(-1)
+		slowStart := time.Duration(-1)
 		if r.SlowStartMs >= 0 {
-			cold = time.Duration(r.SlowStartMs) * time.Millisecond
+			slowStart = time.Duration(r.SlowStartMs) * time.Millisecond
 		}
-		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, SlowStartAge: cold}
+		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, SlowStartAge: slowStart}
 	}
 	return s, nil
 }
--- a/internal/gatherer/lifecycle/handover_test.go
+++ b/internal/gatherer/lifecycle/handover_test.go
@@ -16,6 +16,7 @@
 
 // descriptor is a new descriptor of a listening socket, as a process inherits it.
 func descriptor(t *testing.T, l *net.TCPListener) int {
+	t.Helper()
 	f, err := l.File()
 	if err != nil {
 		t.Fatal(err)
@@ -28,15 +29,15 @@
 	return fd
 }
 
-// until waits for something that another goroutine is about to do.
+// until waits until done returns true.
 func until(done func() bool) {
 	for !done() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A successor begins with the bans, the drain state, the list and the records; a call to either then binds both;
-// while there are two, each has half of the limits, and whichever is left has all of them.
+// A successor starts with the bans, the drain state, the server list and the records. A call to either then applies to
+// both. While there are two, each has half of the limits; the one that remains has all of them.
 func TestSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	l := standin.Listen(t).(*net.TCPListener)
@@ -100,7 +101,7 @@
 	}
 }
 
-// A stale or torn file where the other process should be never stops a start.
+// A stale or corrupt file in place of the socket never prevents a start.
 func TestStaleHandover(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	if err := os.WriteFile(os.TempDir()+"/pulleygw-n1.sock", []byte(`{"kind":"sta`), 0o600); err != nil {
@@ -117,9 +118,9 @@
 	}
 }
 
-// A successor that dies before, in or behind its hello leaves the old process with all limits, and its name leads there
-// again; a reload of the old one while a successor is there changes nothing for their link.
-func TestSuccessorDiesHalfway(t *testing.T) {
+// A successor that fails before, in or after its hello leaves the old process with all limits, and the name leads there
+// again. A reload of the old one while there is a successor does not affect their link.
+func TestSuccessorFails(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	l := standin.Listen(t).(*net.TCPListener)
 	old := startConfig(t, "frames", nil, func(c *Config) { c.Inherited = descriptor(t, l) })
--- a/internal/gatherer/lifecycle/lifecycle_test.go
+++ b/internal/gatherer/lifecycle/lifecycle_test.go
@@ -17,6 +17,7 @@
 )
 
 func write(t *testing.T, text string) string {
+	t.Helper()
 	file := t.TempDir() + "/file.json"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -26,7 +27,7 @@
 
 func noEnv(string) string { return "" }
 
-// The example's configuration is good, and each field that is not is named.
+// The example configuration is valid, and each invalid field is named.
 func TestConfig(t *testing.T) {
 	good, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// What a balancer is told follows the drain mark in the store; the second front's indices follow it too.
+// The balancers' state follows the drain mark in the store; the indices of the OpenSearch-style front follow the store too.
 func TestOperations(t *testing.T) {
 	// An address of its own: a port that is closed for a moment there is nobody else's to take.
 	raft, err := net.Listen("tcp", "127.77.0.2:0")
@@ -168,9 +169,8 @@
 	}
 }
 
-// A drain under load loses nothing: each request gets its whole answer, or, where the close of an idle
-// connection crossed it, is answered on a new connection. Clients open no others once the gatherer is not
-// ready.
+// A drain under load loses nothing: each request gets its complete answer, or, where the close of an idle connection
+// crossed it, is answered on a new connection. Clients open no others once the gatherer is not ready.
 func TestDrainUnderLoad(t *testing.T) {
 	w := start(t, "frames")
 	addr := w.Addrs()[0]
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -15,12 +15,12 @@
 	"pulleygw.example/pulleygw/internal/gatherer/store"
 )
 
-// LimitClasses are the operator's classes as limits know them.
+// LimitClasses converts the operator's classes for package limits.
 func LimitClasses(set *settings.Settings) (list []limits.Class) {
 	effects := map[decision.Effect]limits.Effect{decision.Idempotent: limits.Idempotent, decision.Deduplicated: limits.Deduplicated, decision.NotIdempotent: limits.NotIdempotent}
 	for i, name := range set.Classes {
 		if set.Class(name) != i {
-			continue // kept for requests in hand only
+			continue // kept for requests in flight only
 		}
 		k := set.Policy.Classes[i]
 		attempts := k.MaxAttempts
@@ -33,7 +33,8 @@
 	return list
 }
 
-// narrowed is settings with the classes that routes narrow, and which class a route's requests come under.
+// narrowClasses returns the settings with a class for each route that narrows one, and the function from a route and the
+// class of a request to the class in force.
 func narrowClasses(set settings.Settings, routes []*limits.Route) (settings.Settings, func(*limits.Route, int) int) {
 	type key struct {
 		route string
@@ -48,22 +49,8 @@
 			if r.Class != "" && r.Class != name {
 				continue
 			}
-			l := r.Limits
 			var n int
-			set, n = set.Narrow(i, func(k *decision.Class) {
-				if l.LatencyTarget > 0 {
-					k.LatencyTarget = min(k.LatencyTarget, l.LatencyTarget)
-				}
-				if l.Timeout > 0 {
-					k.Deadline = min(k.Deadline, l.Timeout)
-				}
-				if l.Attempts > 0 {
-					k.MaxAttempts = l.Attempts
-				}
-				if l.MinWeight > 0 {
-					k.Floor = max(k.Floor, min(l.MinWeight, k.Need))
-				}
-			})
+			set, n = set.Narrow(i, func(k *decision.Class) { narrow(k, r.Limits) })
 			numbers[key{r.Name, i}] = n
 		}
 	}
@@ -75,7 +62,23 @@
 	}
 }
 
-// loadLimits reads the installation's file for settings, nil where there is none.
+// narrow applies the limits of a route to a class.
+func narrow(k *decision.Class, l limits.Limits) {
+	if l.LatencyTarget > 0 {
+		k.LatencyTarget = min(k.LatencyTarget, l.LatencyTarget)
+	}
+	if l.Timeout > 0 {
+		k.Deadline = min(k.Deadline, l.Timeout)
+	}
+	if l.Attempts > 0 {
+		k.MaxAttempts = l.Attempts
+	}
+	if l.MinWeight > 0 {
+		k.Floor = max(k.Floor, min(l.MinWeight, k.Need))
+	}
+}
+
+// loadLimits reads the file of limits, nil where there is none.
 func loadLimits(path string, set *settings.Settings) (*config.Config, error) {
 	if path == "" {
 		return nil, nil
@@ -83,7 +86,7 @@
 	return config.Load(path, LimitClasses(set))
 }
 
-// LoadFile reads the installation's file, and what it says of the second front and of operations; all nil without it.
+// LoadFile returns what the file of limits says of the OpenSearch-style front and of operations; nil without the file.
 func LoadFile(path string, set *settings.Settings) (*FrontConfig, *OperationsConfig, error) {
 	c, err := loadLimits(path, set)
 	if err != nil || c == nil {
@@ -107,7 +110,8 @@
 	return front, operations, nil
 }
 
-// limited puts limits in force with settings: the settings first, as the limits name their classes.
+// applyLimits applies settings and limits: the settings first, as the limits name their classes. It returns the settings
+// with the narrowed classes.
 func (d *Daemon) applyLimits(set settings.Settings, c *config.Config) settings.Settings {
 	l := gather.Limits{}
 	if c != nil && c.Level != nil && d.config.Level != nil && d.config.Level.Level() != *c.Level {
@@ -123,7 +127,7 @@
 	return set
 }
 
-// reloadLimits reads the file again for new settings. One that cannot be used leaves the limits as they are, so far as
+// reloadLimits reads the file of limits again for new settings. An unusable file leaves the limits as they are, so far as
 // the settings still allow them.
 func (d *Daemon) reloadLimits(set *settings.Settings) *config.Config {
 	c, err := loadLimits(d.config.LimitsFile, set)
@@ -144,7 +148,7 @@
 	return c
 }
 
-// difference says what a reload changed, route by route.
+// diffLimits returns what a reload changed, route by route.
 func diffLimits(old, now *config.Config) (lines []string) {
 	routes := func(c *config.Config) map[string]*limits.Route {
 		m := map[string]*limits.Route{}
--- a/internal/gatherer/lifecycle/limits_test.go
+++ b/internal/gatherer/lifecycle/limits_test.go
@@ -15,7 +15,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 )
 
-// lockedBuffer takes log lines from any goroutine.
+// lockedBuffer collects log lines from any goroutine.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -33,8 +33,8 @@
 	return l.b.String()
 }
 
-// Limits hold on both fronts from the start, by route; a reload changes them whole or not at all and says what changed.
-// Without the file there are none, and a bad one keeps the daemon from starting, with all its faults.
+// Limits by route apply on both fronts from the start. A reload changes all of them or none and logs what changed. Without
+// the file there are none, and an invalid one prevents the start, with all its errors.
 func TestLimitsByRoute(t *testing.T) {
 	file := t.TempDir() + "/limits.yaml"
 	write := func(text string) {
@@ -77,7 +77,9 @@
 	if level.Level() != slog.LevelDebug {
 		t.Errorf("level %v", level.Level())
 	}
-	os.Remove(file)
+	if err := os.Remove(file); err != nil {
+		t.Fatal(err)
+	}
 	w.Reload(w.file)
 	if got := w.core.Gates(); len(got) != 0 {
 		t.Errorf("without the file: %v", got)
@@ -98,8 +100,8 @@
 	}
 }
 
-// On the platform, whose deploy folder has no file of limits, there are none.
-func TestNoLimitsOnThePlatform(t *testing.T) {
+// Without a file of limits, as on the platform, there are none.
+func TestNoLimitsWithoutFile(t *testing.T) {
 	if _, err := os.Stat("../../../deploy/pulleygw.yaml"); !os.IsNotExist(err) {
 		t.Error("deploy/pulleygw.yaml is there")
 	}
--- a/internal/gatherer/lifecycle/oncall_test.go
+++ b/internal/gatherer/lifecycle/oncall_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Each event of the code stands on the page for on-call staff.
+// Each log event of the code is described on the page for on-call staff.
 func TestEventsOnCall(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/oncall.md")
 	if err != nil {
--- a/internal/gatherer/lifecycle/operations.go
+++ b/internal/gatherer/lifecycle/operations.go
@@ -17,18 +17,19 @@
 	"pulleygw.example/pulleygw/internal/gatherer/store"
 )
 
-// operations is what balancers and operators are answered by. It reads the daemon's state, and sets its drain
-// mark and the second front's indices; no decision reads any of it.
+// operations serves balancers and operators. It reads the daemon's state, and sets its drain mark and the indices of the
+// OpenSearch-style front; no scheduling decision depends on it.
 type operations struct {
 	daemon      *Daemon
 	store       *store.Store // nil without one
 	agent       net.Listener
-	drainMarked bool // the store marks this gatherer as draining; its goroutine's own
+	drainMarked bool // the store marks this gatherer as draining; owned by the store's goroutine
 }
 
-const operationsFraction = 0.015 // of the descriptors, for balancers and operators
+// operationsFraction is the fraction of the sockets for balancers and operators.
+const operationsFraction = 0.015
 
-// startOperations opens the balancers' endpoints and joins the store.
+// startOperations opens the endpoints and joins the store.
 func startOperations(d *Daemon, c Config, o *OperationsConfig) (_ *operations, err error) {
 	x := &operations{daemon: d}
 	if o.Dir != "" {
@@ -53,25 +54,26 @@
 	return x, nil
 }
 
+// close closes the endpoints and leaves the store.
 func (x *operations) close() {
 	if x.agent != nil {
 		x.agent.Close()
 	}
 	if x.store != nil {
-		x.store.Close()
+		_ = x.store.Close() // at the end of the process; the store syncs what it acknowledges
 	}
 }
 
-// The keys that the store takes.
+// The keys of the store.
 const (
 	drainKey   = "drain/"
 	indicesKey = "front/indices"
 )
 
-// changed puts what the store holds in force.
+// changed applies the values of the store.
 func (x *operations) changed(c Config, values map[string]string) {
 	marked := values[drainKey+c.Name] == "on"
-	if x.drainMarked != marked { // the last change counts, the store's or an operator's call
+	if x.drainMarked != marked { // the last change counts, the store's or that of an operator's call
 		x.drainMarked = marked
 		x.daemon.log.Info("store drain mark", "on", marked)
 		x.daemon.setLameDuck(marked)
@@ -86,7 +88,7 @@
 	}
 }
 
-// handle answers health checks and, where there is a store, questions after it and changes to it.
+// handle answers health checks, limits and, where there is a store, reads and changes of it.
 func (x *operations) handle(r *http1.Request, _ <-chan struct{}) *http1.Response {
 	if p := agentcheck.Health(r, x.daemon.health); p != nil {
 		return p
@@ -134,7 +136,7 @@
 	return http1.Text(200, "done")
 }
 
-// check says what is wrong with a key or its value.
+// check returns what is wrong with a key or its value.
 func (x *operations) check(key, value string) error {
 	switch name, isDrain := strings.CutPrefix(key, drainKey); {
 	case isDrain && !http1.IsName(name):
--- a/internal/gatherer/lifecycle/reload.go
+++ b/internal/gatherer/lifecycle/reload.go
@@ -6,7 +6,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/discovery"
 )
 
-// reloadKeys reads the keys of points in time again: a new first one signs, and tokens of the others stay good.
+// reloadKeys reads the keys of points in time again: the first one signs, and tokens of the others stay valid.
 func (d *Daemon) reloadKeys() {
 	if d.openSearch == nil || d.front.KeyFile == "" {
 		return
@@ -19,9 +19,9 @@
 	d.log.Info("reload keys", "file", d.front.KeyFile)
 }
 
-// Reload reads the configuration file again and puts its settings and its address of discovery in force. The file
-// counts alone, as the environment still says what held at the start. A file that cannot be used in any part
-// changes nothing. It may be called beside Drain, as what is in hand then needs a true list for seconds, but not beside itself.
+// Reload reads the configuration file again and applies its settings and its address of discovery. The environment is
+// ignored, as it still says what held at the start. An unusable file changes nothing. Reload may run beside Drain, as
+// requests in flight need the true server list for seconds, but not beside itself.
 func (d *Daemon) Reload(path string) {
 	d.reloadKeys()
 	c, err := LoadConfig(path, func(string) string { return "" })
@@ -44,7 +44,7 @@
 	for _, name := range kept {
 		d.log.Warn("reload waits for the next start", "field", name)
 	}
-	// The core hears first, so that it knows each class by the time that a request names it.
+	// The core first, so that it knows each class by the time that a request names it.
 	d.limits = d.reloadLimits(&set)
 	set = d.applyLimits(set, d.limits)
 	d.settings.Store(&set)
@@ -58,10 +58,10 @@
 	d.watchMu.Lock()
 	defer d.watchMu.Unlock()
 	if c.Discovery == d.config.Discovery || d.stopWatch == nil {
-		return // the watch goes on: a new one would not be told again what this one was; or nothing is in hand any more
+		return // the watch continues: a new one would not be sent again what this one was; or the drain is over
 	}
-	// The old watch ends first, so that none of its news can follow the new list. Versions of one address
-	// mean nothing at another: the new one is followed from its whole list on.
+	// The old watch ends first, so that none of its updates can follow the new list. Versions of one address mean
+	// nothing at another: the new one is asked for its full list.
 	d.stopWatch()
 	d.config.Discovery = c.Discovery
 	d.watch(discovery.Fresh)
--- a/internal/gatherer/lifecycle/reload_test.go
+++ b/internal/gatherer/lifecycle/reload_test.go
@@ -16,8 +16,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/standin"
 )
 
-// agent is a discovery agent that notes what it is asked, and answers a watch of version 1 or later never.
+// agent is a discovery agent that records its requests, and never answers a watch of version 1 or later.
 func agent(t *testing.T, list string) (addr string, asked chan string, left chan struct{}) {
+	t.Helper()
 	l := standin.Listen(t)
 	asked, left = make(chan string, 1000), make(chan struct{}, 10)
 	go http1.New(l.(*net.TCPListener), func(r *http1.Request, gone <-chan struct{}) *http1.Response {
@@ -32,8 +33,8 @@
 	return l.Addr().String(), asked, left
 }
 
-// A reload drops the old watch and asks the address in the file, whatever the environment says, for the
-// whole list; a file that cannot be used changes nothing and is logged by field.
+// A reload ends the old watch and asks the address in the file, whatever the environment says, for the full list. An
+// unusable file changes nothing and is logged by field.
 func TestReload(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
@@ -78,6 +79,7 @@
 
 // program builds the daemon.
 func program(t *testing.T) string {
+	t.Helper()
 	bin := t.TempDir() + "/pulleygw"
 	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/pulleygw").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
@@ -85,8 +87,9 @@
 	return bin
 }
 
-// run starts the daemon with more in its environment, and returns what ends with it and what it logs until then.
+// run starts the daemon with additions to its environment, and returns its exit and its log.
 func run(t *testing.T, config string, files []*os.File, env ...string) (cmd *exec.Cmd, ended chan error, lines *lockedBuffer) {
+	t.Helper()
 	cmd = exec.Command(program(t), "-config", config)
 	cmd.Env, cmd.ExtraFiles = append(os.Environ(), env...), files
 	lines = &lockedBuffer{}
@@ -96,11 +99,12 @@
 	}
 	ended = make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended
 	return cmd, ended, lines
 }
 
 func signals(t *testing.T, cmd *exec.Cmd, list ...syscall.Signal) {
+	t.Helper()
 	for _, s := range list {
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Error(err)
@@ -108,7 +112,7 @@
 	}
 }
 
-// The program outlives SIGHUP, and a SIGTERM right behind it still drains: exit code 0.
+// The program survives SIGHUP, and a SIGTERM right behind it still drains: exit code 0.
 func TestSignals(t *testing.T) {
 	addr, asked, _ := agent(t, standin.List(1))
 	cmd, ended, lines := run(t, "../../../examples/config.json", nil, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY="+addr)
@@ -119,8 +123,8 @@
 	}
 }
 
-// A SIGHUP that comes while a drain waits for what is in hand is carried out: the old address may be gone, and what is told
-// at the new one binds this process until its end. A second SIGTERM cuts nothing short.
+// A SIGHUP during a drain is carried out: the old address may no longer serve, and the list of the new one applies until the
+// process ends. A second SIGTERM cuts nothing short.
 func TestReloadWhileDraining(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
@@ -175,8 +179,8 @@
 	}
 }
 
-// A SIGTERM, or two, that come while the process starts are carried out once it has: here it waits for a predecessor, which
-// dies after half of its state.
+// A SIGTERM, or two, during the start are carried out afterwards: here the process waits for a predecessor, which fails
+// after half of its state.
 func TestTerminateDuringStart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	addr, _, _ := agent(t, standin.List(1))
@@ -203,7 +207,7 @@
 	}
 }
 
-// A process is ready, and serves by the list that its configuration knows, while discovery is down.
+// While discovery is down, a process is ready and serves by the list of its configuration.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	down := standin.Listen(t)
 	down.Close()
@@ -216,8 +220,8 @@
 	}
 }
 
-// A new class is served from the reload on, a dropped one no more, the second front's indices stay, and a file that
-// is broken anywhere changes neither settings nor discovery.
+// After a reload a new class is served and a removed one is not, the indices of the OpenSearch-style front stay, and a file
+// with any error changes neither settings nor discovery.
 func TestReloadSettings(t *testing.T) {
 	w := start(t, "opensearch")
 	text, err := os.ReadFile(w.file)
--- a/internal/gatherer/lifecycle/replay_test.go
+++ b/internal/gatherer/lifecycle/replay_test.go
@@ -36,6 +36,7 @@
 }
 
 func (r recorded) ends(t *testing.T) (ends map[int][]standin.End, attempts map[int]int) {
+	t.Helper()
 	ends, attempts = map[int][]standin.End{}, map[int]int{}
 	var err error
 	if r.Routing == "" {
@@ -63,25 +64,30 @@
 	return ends, attempts
 }
 
-// world is a daemon among stand-ins.
+// world is a daemon among fake lot stores and a fake discovery agent.
 type world struct {
 	*Daemon
 	script *standin.Script
 	file   string // the configuration
 }
 
-// start puts a daemon among 12 lot stores, two to a cell, that speak frames or the API.
-func start(t *testing.T, storesSpeak string) world { return startWith(t, storesSpeak, nil) }
+// start starts a daemon among 12 fake lot stores, two to a cell, that speak frames or the API.
+func start(t *testing.T, storesSpeak string) world {
+	t.Helper()
+	return startWith(t, storesSpeak, nil)
+}
 
 func node(name, raft, operations string) store.Node {
 	return store.Node{Name: name, Raft: raft, Operations: operations}
 }
 
 func startWith(t *testing.T, storesSpeak string, o *OperationsConfig) world {
+	t.Helper()
 	return startConfig(t, storesSpeak, o, func(*Config) {})
 }
 
 func startConfig(t *testing.T, storesSpeak string, o *OperationsConfig, change func(*Config)) world {
+	t.Helper()
 	s := &standin.Script{}
 	var hosts []string
 	for i := range 12 {
@@ -99,13 +105,15 @@
 	return world{d, s, file}
 }
 
-// startAmong starts a daemon whose discovery has a list, and tells its configuration file.
+// startAmong starts a daemon whose discovery has a list, and returns its configuration file too.
 func startAmong(t *testing.T, list string, f *FrontConfig, o *OperationsConfig, change func(*Config)) (*Daemon, string) {
+	t.Helper()
 	return startSettings(t, "testdata/settings.json", list, f, o, change)
 }
 
 // startSettings is startAmong with the settings of a file.
 func startSettings(t *testing.T, settings, list string, f *FrontConfig, o *OperationsConfig, change func(*Config)) (*Daemon, string) {
+	t.Helper()
 	agent := standin.Listen(t)
 	go standin.Discovery(agent, list)
 	set, err := os.ReadFile(settings)
@@ -133,6 +141,7 @@
 
 // do sends one request on a connection of its own.
 func do(t *testing.T, addr, method, target string, h textproto.MIMEHeader, body string) *http1.Response {
+	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -149,13 +158,14 @@
 	return p
 }
 
-// answer is what a client was told, in no front's words.
+// answer is what a client received, independent of the front.
 type answer struct {
 	kind   string
 	values map[int]string
 }
 
 func (w world) platform(t *testing.T, id int, r recorded) answer {
+	t.Helper()
 	h := textproto.MIMEHeader{"Req-Id": {fmt.Sprintf("r%d", id)}}
 	class, list := "lot-search", r.Shards
 	if r.Routing != "" {
@@ -194,6 +204,7 @@
 }
 
 func (w world) openSearch(t *testing.T, id int, r recorded) answer {
+	t.Helper()
 	a := answer{values: map[int]string{}}
 	timeout := ""
 	if r.TimeoutMs > 0 {
@@ -207,23 +218,23 @@
 		p = do(t, w.Addrs()[1], "PUT", fmt.Sprintf("/bids/_create/bid-%d?routing=%s%s", id, r.Routing, timeout), nil, `{"query":{}}`)
 	}
 	body := gjson.ParseBytes(p.Body)
-	switch {
-	case p.Status == 200 || p.Status == 201:
-		n, whole := body.Get("_shards"), "answered whole"
+	switch p.Status {
+	case 200, 201:
+		n, kind := body.Get("_shards"), "answered whole"
 		if n.Get("failed").Int() > 0 {
-			whole = "answered partial"
+			kind = "answered partial"
 		}
 		if n.Get("total").Int() != n.Get("successful").Int()+n.Get("failed").Int() || n.Get("failed").Int() != n.Get("failures.#").Int() {
 			t.Errorf("_shards do not add up: %s", n.Raw)
 		}
-		a.kind = whole
+		a.kind = kind
 		for _, h := range body.Get("hits.hits").Array() {
 			a.values[int(h.Get("_id").Int())] = h.Get("_source.item").String()
 		}
 		if r.Routing != "" {
 			a.values[opensearch.Shard(r.Routing, shards)] = body.Get("get._source.item").String()
 		}
-	case p.Status == 429:
+	case 429:
 		a.kind = "refused"
 		if p.Header.Get("Retry-After") == "" || body.Get("error.type").String() != "rejected_execution_exception" {
 			t.Errorf("refused with %v %s", p.Header, p.Body)
@@ -237,8 +248,8 @@
 	return a
 }
 
-// The same traffic through both fronts, to lot stores of both kinds, gets the same answers, refusals and
-// failures, from the same numbers of attempts.
+// The same traffic through both fronts, to lot stores of both kinds, gets the same answers, rejections and failures, from
+// the same numbers of attempts.
 func TestReplay(t *testing.T) {
 	text, err := os.ReadFile("testdata/traffic.json")
 	if err != nil {
@@ -276,8 +287,8 @@
 	}
 }
 
-// What cannot be used, and what may not be answered in part, gets its own answer through both fronts, and no
-// lot store hears of the former.
+// Invalid requests, and those that accept no partial answer, get their own answers through both fronts, and the former
+// reach no lot store.
 func TestBadRequests(t *testing.T) {
 	w := start(t, "frames")
 	large := strings.Repeat("x", 70000)
--- a/internal/gatherer/lifecycle/ring_test.go
+++ b/internal/gatherer/lifecycle/ring_test.go
@@ -12,13 +12,15 @@
 	"pulleygw.example/pulleygw/internal/gatherer/standin"
 )
 
-// startRing puts a daemon among six lot stores that stand in a ring, each of which holds two shards.
+// startRing starts a daemon among six fake lot stores in a ring, each of which holds two shards.
 func startRing(t *testing.T, s *standin.Script) *Daemon {
+	t.Helper()
 	return startRingOf(t, func(int) *standin.Script { return s })
 }
 
 // startRingOf gives each store a script of its own.
 func startRingOf(t *testing.T, script func(store int) *standin.Script) *Daemon {
+	t.Helper()
 	var hosts []string
 	for i := range 6 {
 		l := standin.Listen(t)
@@ -29,8 +31,9 @@
 	return d
 }
 
-// query puts one query for all six shards of the ring.
+// query sends one query for all six shards of the ring.
 func query(t *testing.T, d *Daemon, id, class string) (status int, body gjson.Result) {
+	t.Helper()
 	var buckets []string
 	for i := range 6 {
 		buckets = append(buckets, fmt.Sprintf(`{"bucket":%d,"part":%v}`, i, 1/6.0))
@@ -40,8 +43,8 @@
 	return p.Status, gjson.ParseBytes(p.Body)
 }
 
-// A class with a second step is answered by its values alone, from the shards that scored best; one without is not
-// touched by it.
+// A class with a second step is answered by its values alone, from the shards with the best scores; one without is not
+// affected by it.
 func TestSecondStepOnSockets(t *testing.T) {
 	s := &standin.Script{Fetch: 3}
 	d := startRing(t, s)
@@ -74,9 +77,8 @@
 	}
 }
 
-// In a ring a shard goes to the store where it begins and to the next one, and to no other, in halls of which one may
-// have a holder of it or none; a class that takes no answer in part fails or is refused when a shard has no holder that
-// answers, and nothing marked served is given.
+// In a ring a shard is sent to the store where it begins and to the next one, and to no other, in zones that may have a
+// replica of it or none. A class without partial answers fails or is rejected when no replica of a shard answers.
 func TestRing(t *testing.T) {
 	scripts := make([]*standin.Script, 6)
 	for i := range scripts {
@@ -110,7 +112,7 @@
 	}
 }
 
-// Lot stores that tell no score, or an unreadable one, cost the one query that needs it, and nobody else's.
+// Lot stores that send no score, or an unreadable one, fail the query that needs it, and no other.
 func TestNoScoreOnSockets(t *testing.T) {
 	for _, score := range []string{"-", "nan", "1e999", "0x"} {
 		s := &standin.Script{Fetch: 3, Scores: func(int) string { return score }}
--- a/internal/gatherer/lifecycle/search_test.go
+++ b/internal/gatherer/lifecycle/search_test.go
@@ -1,7 +1,9 @@
 package lifecycle
 
 import (
+	"errors"
 	"fmt"
+	"io/fs"
 	"net"
 	"os"
 	"strings"
@@ -17,8 +19,8 @@
 )
 
 // A daemon on sockets among lot stores that hold lots: pages are the same in one phase and in two, in which most ranges
-// are skipped once they are known and listings are asked of few; an answer cut short ends its connection only, and the
-// page is whole.
+// are skipped once their bounds are known and few are asked for listings. A truncated answer ends its connection only, and
+// the page is complete.
 func TestSearchOnSockets(t *testing.T) {
 	pages := map[search.Phases][]string{}
 	for _, phases := range []search.Phases{search.One, search.Two} {
@@ -64,8 +66,8 @@
 	}
 }
 
-// Keys of points in time rotate by SIGHUP: tokens of the key before stay good until it is taken out, at every process
-// that has the file, and a file that others can read or that holds no key changes nothing.
+// Keys of points in time rotate by SIGHUP: tokens of the previous key stay valid until it is removed, at every process that
+// has the file. A file that others can read or that holds no key changes nothing.
 func TestKeysRotate(t *testing.T) {
 	corpus := lots.New(7, shards, 5)
 	var hosts []string
@@ -81,7 +83,9 @@
 		for _, n := range names {
 			text += strings.Repeat(n, 32) + "\n"
 		}
-		os.Remove(keys)
+		if err := os.Remove(keys); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			t.Fatal(err)
+		}
 		if err := os.WriteFile(keys, []byte(text), mode); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gatherer/net/admin/admin.go
+++ b/internal/gatherer/net/admin/admin.go
@@ -39,10 +39,10 @@
 
 // Bounds of what callers may hold.
 const (
-	maxLine  = 256
-	maxConns = 12              // of callers at once; one more closes the one that has waited longest
-	readFor  = 5 * time.Second // for the whole line
-	writeFor = time.Second
+	maxLine      = 256
+	maxConns     = 12              // of callers at once; one more closes the one that has waited longest
+	readTimeout  = 5 * time.Second // for the whole line
+	writeTimeout = time.Second
 )
 
 var errNoNewline = errors.New("the line does not end")
@@ -96,11 +96,11 @@
 			return
 		}
 		if err != nil { // out of descriptors: callers that say nothing hold some
-			s.shed(0)
+			s.closeOldest(0)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.shed(maxConns - 1)
+		s.closeOldest(maxConns - 1)
 		s.mu.Lock()
 		s.conns = append(s.conns, nc)
 		s.mu.Unlock()
@@ -109,7 +109,7 @@
 }
 
 // shed closes the longest waiting callers until so many are left: the silent hold up nobody.
-func (s *Server) shed(left int) {
+func (s *Server) closeOldest(left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.conns) > left {
@@ -120,7 +120,7 @@
 
 func (s *Server) serve(nc net.Conn) {
 	defer nc.Close()
-	nc.SetReadDeadline(time.Now().Add(readFor))
+	nc.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(nc)
 	s.mu.Lock()
 	for i, c := range s.conns {
@@ -133,7 +133,7 @@
 	if errors.Is(err, errNoNewline) && !errors.Is(err, bufio.ErrBufferFull) {
 		return // half a call does nothing
 	}
-	nc.SetWriteDeadline(time.Now().Add(writeFor))
+	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err != nil {
 		fmt.Fprintf(nc, "400 the line is over %d bytes\n", maxLine)
 		return
--- a/internal/gatherer/net/admin/admin_test.go
+++ b/internal/gatherer/net/admin/admin_test.go
@@ -34,6 +34,7 @@
 }
 
 func serve(t *testing.T, h Handler) func(string) net.Conn {
+	t.Helper()
 	l := standin.Listen(t)
 	go New(l, h).Serve()
 	return func(text string) net.Conn {
--- a/internal/gatherer/net/agentcheck/agentcheck.go
+++ b/internal/gatherer/net/agentcheck/agentcheck.go
@@ -17,7 +17,7 @@
 	Load     float64 // share of its in-flight table that is taken, 0 to 1
 }
 
-const writeFor = time.Second
+const writeTimeout = time.Second
 
 // Line is the agent's answer: drain, or up and ready with a weight that falls as the table fills.
 func Line(s State) string {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return
 		}
-		c.SetWriteDeadline(time.Now().Add(writeFor))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		io.WriteString(c, Line(state()))
 		c.Close()
 	}
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	waitFor      = 2 * time.Second // of one watch: an agent that went silent is noticed soon after, and asking is free
-	graceFor     = time.Second     // past that, the agent is taken for silent
-	dialFor      = time.Second
+	watchTimeout = 2 * time.Second // of one watch: an agent that went silent is noticed soon after, and asking is free
+	watchGrace   = time.Second     // past that, the agent is taken for silent
+	dialTimeout  = time.Second
 	backoffFirst = 20 * time.Millisecond // back-off of reconnects, doubled up to backMost
 	backoffMax   = time.Second
 
 	// Where it must be asked, discovery takes up so many watches in a time and has calls past that wait, and fail.
 	// One that goes on costs it nothing. Many gatherers that begin or fail at once must not all come at once, nor soon again: so much
 	// time is left for each.
-	few      = 4
-	turnFor  = 50 * time.Millisecond
-	turnMost = 4 // failures in a row double the time up to so much
+	maxUnspread = 4
+	turnTime    = 50 * time.Millisecond
+	maxTurns    = 4 // failures in a row double the time up to so much
 
 	// A watch that has fallen silent is broken, and what it misses counts as told 2 s after its wait: less graceFor and
 	// the dial, this much is left to spread the new watches over.
-	reopenFor = 300 * time.Millisecond
+	reopenSpread = 300 * time.Millisecond
 )
 
 // Watcher follows the list.
@@ -157,7 +157,7 @@
 		}
 		w.sleep(ctx, w.backoff(err, !failing, back, turns))
 		failing = true
-		back, turns = min(2*back, backoffMax), min(2*turns, turnMost)
+		back, turns = min(2*back, backoffMax), min(2*turns, maxTurns)
 	}
 	c.Close()
 }
@@ -167,7 +167,7 @@
 func (w *Watcher) backoff(err error, first bool, back, turns time.Duration) time.Duration {
 	d := max(back, turns*w.startSpread())
 	if first && errors.Is(err, os.ErrDeadlineExceeded) { // it is silent, and has refused nothing
-		d = min(d, reopenFor)
+		d = min(d, reopenSpread)
 	}
 	return d
 }
@@ -175,8 +175,8 @@
 // round is the time in which all gatherers have had their turn to begin a watch; none where they are few, or where
 // asking costs nothing.
 func (w *Watcher) startSpread() time.Duration {
-	if n := w.Instances(); n > few && w.Polling() {
-		return time.Duration(n) * turnFor
+	if n := w.Instances(); n > maxUnspread && w.Polling() {
+		return time.Duration(n) * turnTime
 	}
 	return 0
 }
@@ -196,19 +196,19 @@
 
 // watch makes one call and tells what it brings.
 func (w *Watcher) watch(ctx context.Context, c *http1.Client, seq int64) (int64, error) {
-	if err := c.Dial(ctx, dialFor); err != nil {
+	if err := c.Dial(ctx, dialTimeout); err != nil {
 		return 0, err
 	}
 	defer context.AfterFunc(ctx, c.Aborter())() // a watch that is dropped must not go on waiting, nor tell news
-	now, wait := time.Now(), max(waitFor, w.startSpread())
+	now, wait := time.Now(), max(watchTimeout, w.startSpread())
 	target := "/api/targets?since=" + strconv.FormatInt(seq, 10) + "&timeout_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	if seq == Fresh {
 		target = "/api/targets"
 	}
-	if err := c.Write(now.Add(dialFor), "GET", target, nil, nil); err != nil {
+	if err := c.Write(now.Add(dialTimeout), "GET", target, nil, nil); err != nil {
 		return 0, err
 	}
-	p, err := c.Read(now.Add(wait + graceFor))
+	p, err := c.Read(now.Add(wait + watchGrace))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -45,6 +45,7 @@
 
 // watch follows an agent from version 3 on, as one of so many gatherers, until the test ends; what it tells comes.
 func watch(t *testing.T, agent http1.Handler, siblings int, asked bool) (told chan gather.List) {
+	t.Helper()
 	l := standin.Listen(t)
 	go http1.New(l.(*net.TCPListener), agent, 10, slog.New(slog.DiscardHandler)).Serve()
 	told, _ = follow(t, l.Addr().String(), siblings, asked)
@@ -53,6 +54,7 @@
 
 // follow is watch at an address; stop ends it and returns when it has ended.
 func follow(t *testing.T, addr string, siblings int, asked bool) (told chan gather.List, stop func()) {
+	t.Helper()
 	told = make(chan gather.List, 100)
 	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.List) { told <- l },
 		Instances: func() int { return siblings }, Polling: func() bool { return asked }}
@@ -112,14 +114,14 @@
 		w := &Watcher{Instances: func() int { return many }, Polling: func() bool { return asked }}
 		silent := fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
 		longest := 3 * w.backoff(silent, true, backoffFirst, 1) / 2
-		if late := graceFor + longest; late > 2*time.Second-dialFor/2 {
+		if late := watchGrace + longest; late > 2*time.Second-dialTimeout/2 {
 			t.Errorf("asked %v: a new watch comes %v after the wait of a silent one is over", asked, late)
 		}
 		refused := errors.New("status 503")
 		if d := w.backoff(refused, true, backoffFirst, 1); d < w.startSpread() {
 			t.Errorf("asked %v: refused, it comes back after %v of a round of %v", asked, d, w.startSpread())
 		}
-		if d := w.backoff(silent, false, backoffFirst, turnMost); d < turnMost*w.startSpread() {
+		if d := w.backoff(silent, false, backoffFirst, maxTurns); d < maxTurns*w.startSpread() {
 			t.Errorf("asked %v: silent again, it comes back after %v", asked, d)
 		}
 	}
--- a/internal/gatherer/net/frames/codec.go
+++ b/internal/gatherer/net/frames/codec.go
@@ -1,5 +1,7 @@
-// Package frames speaks the lot stores' frames: a length of four bytes, least significant first, one
-// letter, and the rest.
+// Package frames is the transport to lot stores that speak frames: a length of four bytes, least significant first, one
+// byte for the type of the message, and its payload. A connection carries several calls and their outcomes at once.
+//
+// Create a Transport with New, name its Reporter with Start, then use it as a gather.Transport.
 package frames
 
 import (
@@ -17,131 +19,132 @@
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 )
 
-// The letters of the frames.
+// The message types.
 const (
-	letterCall   = 'A'
-	letterGiveUp = 'B'
-	letterProbe  = 'C'
-	letterEnd    = 'E'
-	letterBad    = 'F'
+	messageCall        = 'A'
+	messageCancel      = 'B'
+	messageHealthCheck = 'C'
+	messageOutcome     = 'E'
+	messageError       = 'F'
 )
 
 const (
-	headSize = 5
-	maxFrame = mem.BufferSize // of an answer: a value of 64 KiB and its line
+	headerSize = 5
+	maxFrame   = mem.BufferSize // of an answer: a value of 64 KiB and its line
 )
 
-// errMalformed is what a peer sent that cannot be read: its stream is of no further use.
+// errMalformed is a message that cannot be parsed. Its connection cannot be used any further.
 var errMalformed = errors.New("malformed frame")
 
+// malformed returns an errMalformed with details.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
 
-// readFrame reads one frame and hands it to use, for which alone the rest is valid. What its first bytes
-// show to be no frame is refused with the rest unread, whatever length it claims.
-func readFrame(r *bufio.Reader, use func(letter byte, rest []byte) error) error {
-	head, err := r.Peek(headSize)
+// readFrame reads one frame and passes it to use. The payload is valid only until use returns. What is no frame by its
+// first bytes is an error with the rest unread, whatever length it claims.
+func readFrame(r *bufio.Reader, use func(message byte, payload []byte) error) error {
+	head, err := r.Peek(headerSize)
 	if err != nil {
 		return err
 	}
-	n, letter := binary.LittleEndian.Uint32(head), head[headSize-1]
+	n, message := binary.LittleEndian.Uint32(head), head[headerSize-1]
 	switch {
 	case n < 1 || n > maxFrame:
 		return malformed("length %d", n)
-	case letter != letterEnd && letter != letterProbe && letter != letterBad:
-		return malformed("letter %q", letter)
+	case message != messageOutcome && message != messageHealthCheck && message != messageError:
+		return malformed("letter %q", message)
 	}
-	size := headSize - 1 + int(n)
-	if size <= r.Size() { // nearly all: no buffer of its own is needed
+	size := headerSize - 1 + int(n)
+	if size <= r.Size() { // nearly all frames: no separate buffer is needed
 		b, err := r.Peek(size)
 		if err != nil {
 			return err
 		}
-		err = use(letter, b[headSize:])
-		r.Discard(size)
+		err = use(message, b[headerSize:])
+		_, _ = r.Discard(size) // it is buffered
 		return err
 	}
 	buf := mem.GetBuffer()
 	defer mem.PutBuffer(buf)
-	r.Discard(headSize)
+	_, _ = r.Discard(headerSize) // it is buffered
 	if _, err := io.ReadFull(r, buf[:n-1]); err != nil {
 		return err
 	}
-	return use(letter, buf[:n-1])
+	return use(message, buf[:n-1])
 }
 
-// end is what an E frame tells of one part.
-type end struct {
-	id, how string
-	score   *float64 // nil for none that can be read
-	value   []byte
+// outcome is the payload of an outcome message.
+type outcome struct {
+	id, status string
+	score      *float64 // nil for none or an unreadable one
+	value      []byte
 }
 
-// parseEnd reads the rest of an E frame: the line ID END SCORE REPORT, and the value. A score or a report that cannot
-// be read does not spoil the answer: whoever needs the score sees that there is none.
-func parseEnd(rest []byte) (end, error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
+// parseOutcome parses the payload of an outcome: the line ID STATUS SCORE REPORT, and the value. An unreadable score or
+// report does not invalidate the answer: who needs the score sees that there is none.
+func parseOutcome(payload []byte) (outcome, error) {
+	line, value, ok := bytes.Cut(payload, []byte{'\n'})
 	fields := bytes.SplitN(line, []byte{' '}, 4)
 	if !ok || len(fields) != 4 || len(fields[0]) == 0 {
-		return end{}, malformed("E with the line %.80q", line)
+		return outcome{}, malformed("E with the line %.80q", line)
 	}
 	switch string(fields[1]) {
 	case "hit", "fault", "overload":
 	default:
-		return end{}, malformed("E with the end %.20q", fields[1])
+		return outcome{}, malformed("E with the end %.20q", fields[1])
 	}
-	e := end{id: string(fields[0]), how: string(fields[1]), value: value}
+	e := outcome{id: string(fields[0]), status: string(fields[1]), value: value}
 	if score, err := strconv.ParseFloat(string(fields[2]), 64); err == nil && !math.IsNaN(score) && !math.IsInf(score, 0) {
 		e.score = &score
 	}
 	return e, nil
 }
 
-// appendFrame appends a frame whose rest is given.
-func appendFrame(b []byte, letter byte, rest string) []byte {
-	b = binary.LittleEndian.AppendUint32(b, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+// appendFrame appends a frame.
+func appendFrame(b []byte, message byte, payload string) []byte {
+	b = binary.LittleEndian.AppendUint32(b, uint32(1+len(payload)))
+	return append(append(b, message), payload...)
 }
 
-// loadMark ends the id of a part of a second step.
-const loadMark = ".load"
+// secondStepSuffix ends the id of a subquery of a second step.
+const secondStepSuffix = ".load"
 
-// partID is a part's name on this wire.
-func partID(a *gather.Attempt) string {
+// subqueryID is the id of a subquery on this wire.
+func subqueryID(a *gather.Attempt) string {
 	id := a.Query + "." + strconv.Itoa(a.Shard)
 	if a.Load != nil {
-		id += loadMark
+		id += secondStepSuffix
 	}
 	return id
 }
 
-// partLine is what goes before a part's text in a call.
-func partLine(a *gather.Attempt, waitMs int64) string {
+// subqueryHeader is the line before a subquery's text in a call.
+func subqueryHeader(a *gather.Attempt, waitMs int64) string {
 	list := "d=" + strconv.FormatInt(max(waitMs, 1), 10)
 	if a.Key != "" {
 		list += ",k=" + a.Key
 	}
 	if a.Load != nil {
-		list += "," + loadList(a.Load)
+		list += "," + firstStepFields(a.Load)
 	}
-	return fmt.Sprintf("%s %d %s %d\n", partID(a), a.Shard, list, len(a.Text))
+	return fmt.Sprintf("%s %d %s %d\n", subqueryID(a), a.Shard, list, len(a.Text))
 }
 
-// loadList is what a part of a second step tells of the first.
-func loadList(l *gather.Load) string {
+// firstStepFields are the fields of a second step that describe the first.
+func firstStepFields(l *gather.Load) string {
 	from := make([]string, len(l.From))
 	for i, shard := range l.From {
 		from[i] = strconv.Itoa(shard)
 	}
-	whole := 0
+	complete := 0
 	if l.FirstComplete {
-		whole = 1
+		complete = 1
 	}
-	return fmt.Sprintf("from=%s,whole=%d", strings.Join(from, "+"), whole)
+	return fmt.Sprintf("from=%s,whole=%d", strings.Join(from, "+"), complete)
 }
 
-// writeCall writes one call. Large ones go out in pieces, as buffers have one size.
+// writeCall writes one call. A large one is written in pieces, as buffers have one size.
 func writeCall(w io.Writer, lines []string, attempts []*gather.Attempt) error {
 	n := 1
 	for i, a := range attempts {
@@ -150,7 +153,7 @@
 	buf := mem.GetBuffer()
 	defer mem.PutBuffer(buf)
 	out := binary.LittleEndian.AppendUint32(buf[:0], uint32(n))
-	out = append(out, letterCall)
+	out = append(out, messageCall)
 	put := func(s []byte) error {
 		if len(out)+len(s) > len(buf) {
 			if _, err := w.Write(out); err != nil {
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -20,8 +20,9 @@
 // linked parks a connection that leads to a listener, and gives its other side. The test does what its reader and its
 // writer would.
 func linked(t *testing.T, tr *Transport, l net.Listener) (*conn, *net.TCPConn) {
+	t.Helper()
 	here, there := standin.Pair(t, l)
-	tr.conns++
+	tr.connCount++
 	return parked(tr, here), there
 }
 
@@ -86,17 +87,17 @@
 	idle, _ := linked(t, tr, l)
 	busy, _ := linked(t, tr, l)
 	list := attempts(2)
-	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
+	busy.inFlight["q.0"], busy.load, tr.byAttempt[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
 	started := mem.Server{ID: 1, Addr: l.Addr().String(), State: decision.Ready, Started: time.Now()}
 	young, _ := linked(t, tr, l)
-	young.since = started.Started.Add(time.Microsecond)
+	young.connectedAt = started.Started.Add(time.Microsecond)
 	tr.Servers([]mem.Server{started})
-	if !idle.dead || busy.dead || busy.Ready() != 0 || young.dead || young.Ready() == 0 {
+	if !idle.removed || busy.removed || busy.Ready() != 0 || young.removed || young.Ready() == 0 {
 		t.Errorf("idle one closed %v, busy one closed %v, fit %v, young one closed %v, fit %v",
-			idle.dead, busy.dead, busy.Ready() != 0, young.dead, young.Ready() != 0)
+			idle.removed, busy.removed, busy.Ready() != 0, young.removed, young.Ready() != 0)
 	}
 	tr.Call(1, list[1:])
-	if tr.where[list[1]] != young {
+	if tr.byAttempt[list[1]] != young {
 		t.Error("a part goes to the process before")
 	}
 	if err := busy.receive('E', []byte("q.0 hit 7 -\nv")); err != nil {
@@ -121,7 +122,9 @@
 		tr.ConnectTimeout, tr.WriteFor = time.Hour, x.writeFor
 		c, there := linked(t, tr, l)
 		c.nc.(*net.TCPConn).SetWriteBuffer(4 << 10)
-		there.SetReadBuffer(4 << 10)
+		if err := there.SetReadBuffer(4 << 10); err != nil {
+			t.Fatal(err)
+		}
 		list := attempts(1)
 		list[0].Text, list[0].NotAfter = make([]byte, 4<<20), x.notAfter
 		tr.Call(1, list)
@@ -132,7 +135,7 @@
 		go func() { ended <- c.writeCall(call, x.now) }() // it has the lock, and gives it back
 		for begun := false; !begun; {
 			tr.mu.Lock()
-			begun = len(c.out) > 0 || len(ended) > 0
+			begun = len(c.inFlight) > 0 || len(ended) > 0
 			tr.mu.Unlock()
 		}
 		tr.Servers([]mem.Server{{ID: 1, Addr: l.Addr().String(), State: decision.Draining}})
@@ -196,7 +199,9 @@
 	tr.WriteFor = time.Hour
 	c, there := linked(t, tr, l)
 	c.nc.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	there.SetReadBuffer(4 << 10)
+	if err := there.SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
 	list := attempts(2)
 	tr.Call(1, list[:1])
 	if _, err := c.write(); err != nil {
@@ -204,7 +209,7 @@
 	}
 	list[1].Text = make([]byte, 4<<20)
 	tr.mu.Lock()
-	c.queue, c.load, tr.where[list[1]] = [][]*gather.Attempt{list[1:]}, 2, c // it shares the connection
+	c.queue, c.load, tr.byAttempt[list[1]] = [][]*gather.Attempt{list[1:]}, 2, c // it shares the connection
 	tr.mu.Unlock()
 	ended := make(chan error, 1)
 	go func() { _, err := c.write(); ended <- err }()
@@ -229,8 +234,8 @@
 	for _, gone := range []bool{false, true} {
 		tr, r := transport(l.Addr().String(), time.Minute)
 		c := parked(tr, nil)
-		c.up = false // it is being dialled
-		tr.conns = 1
+		c.connected = false // it is being dialled
+		tr.connCount = 1
 		list := attempts(2)
 		tr.Call(1, list[:1])
 		tr.Cancel(list[0])
@@ -248,13 +253,13 @@
 			c.remove()
 		}
 		tr.mu.Unlock()
-		want := string(standin.Frame('A', partLine(list[1], 0)))[headSize:]
+		want := string(standin.Frame('A', subqueryHeader(list[1], 0)))[headerSize:]
 		want = want[:len("q.1 ")]
-		b := make([]byte, headSize+len(want))
+		b := make([]byte, headerSize+len(want))
 		switch n, err := io.ReadFull(there, b); {
 		case gone && (n > 0 || err == nil):
 			t.Errorf("to a store that is gone: %q", b[:n])
-		case !gone && (err != nil || string(b[headSize:]) != want):
+		case !gone && (err != nil || string(b[headerSize:]) != want):
 			t.Errorf("first written: %q, %v", b[:n], err)
 		}
 		there.Close()
@@ -292,7 +297,7 @@
 	tr, r := transport(addr, time.Minute)
 	tr.ConnectTimeout = time.Hour
 	c := parked(tr, nil)
-	c.up, tr.conns = false, 1
+	c.connected, tr.connCount = false, 1
 	list := attempts(1)
 	tr.Call(1, list)
 	ended := make(chan struct{})
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -21,13 +21,13 @@
 	proptest.CheckParser(t, true, func(b []byte) error {
 		return readFrame(bufio.NewReader(bytes.NewReader(b)), func(byte, []byte) error { return nil })
 	}, string(standin.Frame('E', "a.3 hit 7 -\n"+strings.Repeat("v", 9000))), string(standin.Frame('E', "a.3 hit 7 -\nvalue")), string(standin.Frame('C', "hit")))
-	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseEnd(b); return err },
+	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err },
 		"9b1f03aa5c7e2d41.3 hit 1840277719 inflight=7,util=0.61\nvalue", "a.1 overload 0 -\n", "a.1 hit 0 %% =, nan\nvalue", "a.1 hit 0 \n")
 	proptest.CheckParser(t, false, func(b []byte) error {
 		if len(b) == 0 {
 			return nil
 		}
-		return (&conn{t: New(Config{}), s: &server{}, past: []string{"a.3"}}).receive(b[0], b[1:])
+		return (&conn{t: New(Config{}), s: &server{}, recent: []string{"a.3"}}).receive(b[0], b[1:])
 	}, "Chit", "Ea.3 hit 7 -\nvalue")
 }
 
@@ -39,7 +39,7 @@
 	var lines []string
 	want := ""
 	for _, a := range all {
-		lines = append(lines, partLine(a, 240))
+		lines = append(lines, subqueryHeader(a, 240))
 		want += lines[len(lines)-1] + string(a.Text)
 	}
 	if lines[0] != "9b1f03aa5c7e2d41.3 3 d=240,k=5c0f 8\n" || lines[1] != "b.4 4 d=240 61440\n" {
@@ -57,16 +57,16 @@
 	list := attempts(2)
 	first, load := list[0], list[1]
 	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
-	if l := partLine(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
+	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
 	load.Key, load.Load.FirstComplete = "5c0f", false
-	if l := partLine(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
+	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
-	c.out["q.0"], c.out["q.0.load"] = &entry{a: first}, &entry{a: load}
+	c.inFlight["q.0"], c.inFlight["q.0.load"] = &entry{a: first}, &entry{a: load}
 	for _, x := range []struct {
 		id   string
 		want *gather.Attempt
@@ -90,7 +90,7 @@
 // A score is a number or there is none; the answer is good all the same.
 func TestScore(t *testing.T) {
 	for text, want := range map[string]float64{"1840277719": 1840277719, "-3": -3, "0": 0, "-": -1, "": -1, "nan": -1, "inf": -1, "1e999": -1, "7x": -1} {
-		e, err := parseEnd([]byte("q.1 hit " + text + " -\nv"))
+		e, err := parseOutcome([]byte("q.1 hit " + text + " -\nv"))
 		got := -1.0
 		if e.score != nil {
 			got = *e.score
@@ -99,7 +99,7 @@
 			t.Errorf("%q: score %v, value %q, error %v", text, got, e.value, err)
 		}
 	}
-	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseEnd(b); return err }, "9b1f03aa5c7e2d41.3.load hit 1840277719 inflight=7\nvalue")
+	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err }, "9b1f03aa5c7e2d41.3.load hit 1840277719 inflight=7\nvalue")
 }
 
 // What breaks before its frame's last byte never ran; what breaks after that may have, all parts of it.
@@ -244,10 +244,10 @@
 	tr.Call(1, list)
 	tr.Cancel(queued)
 	r.want(t, 1, decision.Cancelled)
-	c.out["q.1"], c.queue = &entry{a: out, written: time.Now()}, nil
+	c.inFlight["q.1"], c.queue = &entry{a: out, written: time.Now()}, nil
 	tr.Cancel(out)
-	if c.load != 0 || len(c.out) != 0 || len(c.give) != 1 || c.give[0] != out {
-		t.Errorf("load %d, out %v, give up %v", c.load, c.out, c.give)
+	if c.load != 0 || len(c.inFlight) != 0 || len(c.cancels) != 1 || c.cancels[0] != out {
+		t.Errorf("load %d, out %v, give up %v", c.load, c.inFlight, c.cancels)
 	}
 	if err := c.receive('E', []byte("q.1 hit 0 -\nv")); err != nil || len(r.ch) != 0 {
 		t.Errorf("error %v, %d reports", err, len(r.ch))
@@ -261,8 +261,8 @@
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, here)
 	list := attempts(2)
-	c.out["q.0"], c.out["q.1"], c.load = &entry{a: list[0], written: time.Now()}, &entry{a: list[1], written: time.Now()}, 2
-	tr.where[list[0]], tr.where[list[1]] = c, c
+	c.inFlight["q.0"], c.inFlight["q.1"], c.load = &entry{a: list[0], written: time.Now()}, &entry{a: list[1], written: time.Now()}, 2
+	tr.byAttempt[list[0]], tr.byAttempt[list[1]] = c, c
 	tr.Cancel(list[0])
 	if len(r.ch) > 0 {
 		t.Error("reported before it was told")
@@ -291,14 +291,14 @@
 		c := parked(tr, nil)
 		list := attempts(1)
 		tr.Call(1, list)
-		long := time.Now().Add(-tr.silentFor() - time.Millisecond)
-		c.out["q.0"], c.queue = &entry{a: list[0], written: long}, nil
+		long := time.Now().Add(-tr.unresponsiveAfter() - time.Millisecond)
+		c.inFlight["q.0"], c.queue = &entry{a: list[0], written: long}, nil
 		if heard {
-			c.heard = time.Now()
+			c.receivedAt = time.Now()
 		}
 		tr.Cancel(list[0])
-		if c.silent == heard || (c.Ready() > 0) != heard {
-			t.Errorf("heard %v: silent %v, ready %d", heard, c.silent, c.Ready())
+		if c.unresponsive == heard || (c.Ready() > 0) != heard {
+			t.Errorf("heard %v: silent %v, ready %d", heard, c.unresponsive, c.Ready())
 		}
 	}
 }
@@ -315,7 +315,7 @@
 	io.ReadFull(c, make([]byte, 5))
 	c.Write(standin.Frame('C', "fault"))
 	r.want(t, 1, decision.Error)
-	if n, err := c.Read(make([]byte, 1)); err != io.EOF {
+	if n, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
@@ -326,16 +326,16 @@
 	parked(tr, nil)
 	busy := parked(tr, nil)
 	list := attempts(1)
-	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
-	tr.conns = 2
+	busy.inFlight["q.0"], busy.load, tr.byAttempt[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
+	tr.connCount = 2
 	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Deregistered}})
-	if tr.conns != 1 || len(tr.servers) != 1 {
-		t.Errorf("%d connections, %d servers while one part is out", tr.conns, len(tr.servers))
+	if tr.connCount != 1 || len(tr.servers) != 1 {
+		t.Errorf("%d connections, %d servers while one part is out", tr.connCount, len(tr.servers))
 	}
 	busy.fail(io.EOF)
 	r.want(t, 1, decision.Reset)
-	if tr.conns != 0 || len(tr.servers) != 0 || len(tr.where) != 0 {
-		t.Errorf("%d connections, %d servers, %d attempts are kept", tr.conns, len(tr.servers), len(tr.where))
+	if tr.connCount != 0 || len(tr.servers) != 0 || len(tr.byAttempt) != 0 {
+		t.Errorf("%d connections, %d servers, %d attempts are kept", tr.connCount, len(tr.servers), len(tr.byAttempt))
 	}
 }
 
@@ -347,10 +347,10 @@
 	c := parked(tr, here)
 	tr.Call(1, attempts(1))
 	go func() { // the frame is read but for its last byte, which the pipe hands over once the connection has failed
-		frame := len(standin.Frame('A', partLine(attempts(1)[0], 59999)))
+		frame := len(standin.Frame('A', subqueryHeader(attempts(1)[0], 59999)))
 		io.ReadFull(there, make([]byte, frame-1))
 		c.t.mu.Lock()
-		c.dead, c.ran = true, decision.Error // as fail leaves it
+		c.removed, c.endStatus = true, decision.Error // as fail leaves it
 		c.t.mu.Unlock()
 		io.ReadFull(there, make([]byte, 1))
 	}()
--- a/internal/gatherer/net/frames/receive.go
+++ b/internal/gatherer/net/frames/receive.go
@@ -10,77 +10,78 @@
 
 var statuses = map[string]decision.Status{"hit": decision.OK, "fault": decision.Error, "overload": decision.Rejected}
 
-// receive handles one frame. An error closes the connection and ends all that is out on it.
-func (c *conn) receive(letter byte, rest []byte) error {
-	switch letter {
-	case letterEnd:
-		e, err := parseEnd(rest)
+// receive handles one frame. An error closes the connection and ends all that is in flight on it.
+func (c *conn) receive(message byte, payload []byte) error {
+	switch message {
+	case messageOutcome:
+		e, err := parseOutcome(payload)
 		if err != nil {
 			return err
 		}
-		return c.ended(e)
-	case letterProbe:
-		if string(rest) != "hit" && string(rest) != "fault" {
-			return malformed("C with %.20q", rest)
+		return c.handleOutcome(e)
+	case messageHealthCheck:
+		if string(payload) != "hit" && string(payload) != "fault" {
+			return malformed("C with %.20q", payload)
 		}
-		c.probed(string(rest) == "hit")
-	case letterBad:
-		return fmt.Errorf("the lot store could not use a frame: %.200q", rest)
+		c.handleHealthCheck(string(payload) == "hit")
+	case messageError:
+		return fmt.Errorf("the lot store could not use a frame: %.200q", payload)
 	}
 	return nil
 }
 
-// pastMost bounds the parts remembered of a connection: of more, none can still be answered late.
-const pastMost = 64
+// maxRecent bounds the ids remembered of a connection: of more, none can still be answered late.
+const maxRecent = 64
 
-// over notes that a part is not out here any more; the lock is held. What still comes for it, as when its
-// answer crosses its cancel or comes twice, is dropped and harms nothing.
-func (c *conn) over(id string) {
-	delete(c.out, id)
-	if len(c.past) == pastMost {
-		c.past = slices.Delete(c.past, 0, 1)
+// forget records that a subquery is no longer in flight here. What is still received for it, as when its answer crosses its
+// cancellation or comes twice, is ignored. The lock is held.
+func (c *conn) forget(id string) {
+	delete(c.inFlight, id)
+	if len(c.recent) == maxRecent {
+		c.recent = slices.Delete(c.recent, 0, 1)
 	}
-	c.past = append(c.past, id)
+	c.recent = append(c.recent, id)
 }
 
-// ended reports a part's outcome. One that was never out here shows an answer that lost its id: the part
-// that it was for would wait for nothing.
-func (c *conn) ended(x end) error {
+// handleOutcome reports the outcome of a subquery. One that was never in flight here is an error, as an answer has lost its
+// id: the subquery that it was for would wait in vain.
+func (c *conn) handleOutcome(x outcome) error {
 	c.t.mu.Lock()
-	e := c.out[x.id]
-	if e == nil && !slices.Contains(c.past, x.id) {
+	e := c.inFlight[x.id]
+	if e == nil && !slices.Contains(c.recent, x.id) {
 		c.t.mu.Unlock()
 		return malformed("E for %.40q, which is not out here", x.id)
 	}
-	c.heard, c.silent = time.Now(), false
+	c.receivedAt, c.unresponsive = time.Now(), false
 	if e != nil {
 		c.served = true
-		c.over(x.id)
-		delete(c.t.where, e.a)
+		c.forget(x.id)
+		delete(c.t.byAttempt, e.a)
 		c.load--
-		c.settle()
+		c.updateIdle()
 	}
 	c.t.mu.Unlock()
 	switch {
 	case e == nil:
-	case statuses[x.how] == decision.OK && x.score != nil:
+	case statuses[x.status] == decision.OK && x.score != nil:
 		c.t.report.Scored(e.a, string(x.value), *x.score)
 	default:
-		c.t.report.Outcome(e.a, statuses[x.how], string(x.value))
+		c.t.report.Outcome(e.a, statuses[x.status], string(x.value))
 	}
 	return nil
 }
 
-func (c *conn) probed(ok bool) {
+// handleHealthCheck reports the answer to a health check.
+func (c *conn) handleHealthCheck(ok bool) {
 	c.t.mu.Lock()
-	c.heard = time.Now()
-	asked := len(c.asked) > 0
-	if asked {
-		c.asked = c.asked[1:]
+	c.receivedAt = time.Now()
+	expected := len(c.checksSent) > 0
+	if expected {
+		c.checksSent = c.checksSent[1:]
 	}
 	id := c.s.ID
 	c.t.mu.Unlock()
-	if asked {
+	if expected {
 		c.t.report.HealthChecked(id, ok)
 	}
 }
--- a/internal/gatherer/net/frames/rig_test.go
+++ b/internal/gatherer/net/frames/rig_test.go
@@ -62,8 +62,8 @@
 func parked(tr *Transport, nc net.Conn) *conn {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	c := &conn{t: tr, s: tr.servers[1], addr: tr.servers[1].Addr, nc: nc, up: true, out: map[string]*entry{}, wake: make(chan struct{}, 1)}
-	c.ctx, c.end = context.WithCancel(context.Background())
+	c := &conn{t: tr, s: tr.servers[1], addr: tr.servers[1].Addr, nc: nc, connected: true, inFlight: map[string]*entry{}, wake: make(chan struct{}, 1)}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.s.pool.Add(c)
 	return c
 }
--- a/internal/gatherer/net/frames/transport.go
+++ b/internal/gatherer/net/frames/transport.go
@@ -12,26 +12,26 @@
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 )
 
-// Config is what a transport needs to know.
+// Config configures a Transport.
 type Config struct {
-	Streams        int           // parts that one connection carries at once
-	ConnectTimeout time.Duration // also a probe's
-	ConnIdle       time.Duration // the lot store closes a connection idle for so long
-	WriteFor       time.Duration // a lot store that does not read is waited for so long
-	MaxConns       int           // in all
+	Streams        int           // subqueries in flight on one connection
+	ConnectTimeout time.Duration // also of a health check
+	ConnIdle       time.Duration // a lot store closes a connection that has been idle for so long
+	WriteFor       time.Duration // time-out of a write, where a lot store does not read
+	MaxConns       int           // to all lot stores together
 	Log            *slog.Logger
 }
 
-// Transport implements gather.Transport on frames. One lock covers all its tables; nothing is written, read
-// or reported under it.
+// Transport implements gather.Transport on frames. One lock guards all its tables; nothing is written, read or reported
+// under it.
 type Transport struct {
 	Config
 	report gather.Reporter
 
-	mu      sync.Mutex
-	servers map[decision.ServerID]*server
-	where   map[*gather.Attempt]*conn
-	conns   int
+	mu        sync.Mutex
+	servers   map[decision.ServerID]*server
+	byAttempt map[*gather.Attempt]*conn
+	connCount int
 }
 
 type server struct {
@@ -39,20 +39,20 @@
 	pool mem.Pool[*conn]
 }
 
-// New makes a transport; Start must come before any other call.
+// New returns a transport. Start must be called before any other method.
 func New(c Config) *Transport {
-	return &Transport{Config: c, servers: map[decision.ServerID]*server{}, where: map[*gather.Attempt]*conn{}}
+	return &Transport{Config: c, servers: map[decision.ServerID]*server{}, byAttempt: map[*gather.Attempt]*conn{}}
 }
 
-// Start names whom outcomes are reported to.
+// Start sets the reporter of outcomes.
 func (t *Transport) Start(r gather.Reporter) { t.report = r }
 
-// Servers applies changes of the server list. What waits to be written to a server that may be sent nothing new is
-// dropped now: the time until such sends must have stopped runs.
-func (t *Transport) Servers(news []mem.Server) {
+// Servers applies changes of the server list. What waits to be written to a server that must be sent nothing new is dropped
+// now, as the drain grace period has begun.
+func (t *Transport) Servers(changed []mem.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, n := range news {
+	for _, n := range changed {
 		s := t.servers[n.ID]
 		if s == nil {
 			if n.State == decision.Deregistered {
@@ -67,18 +67,18 @@
 			for _, c := range s.pool.All() {
 				dropped = append(dropped, c.dropQueue()...)
 			}
-			t.end(dropped, decision.NotSent)
+			t.reportAll(dropped, decision.NotSent)
 		}
-		t.closeIdle(s, func(c *conn) bool { return n.State == decision.Deregistered || c.unfit() })
+		t.closeIdle(s, func(c *conn) bool { return n.State == decision.Deregistered || c.unusable() })
 		if n.State == decision.Deregistered && s.pool.Len() == 0 {
 			delete(t.servers, n.ID)
 		}
 	}
 }
 
-// end reports the same outcome for attempts, from a goroutine of its own as the caller holds the lock or is
-// the core itself.
-func (t *Transport) end(attempts []*gather.Attempt, s decision.Status) {
+// reportAll reports the same outcome for all attempts, from a goroutine of its own as the caller holds the lock or is the
+// core itself.
+func (t *Transport) reportAll(attempts []*gather.Attempt, s decision.Status) {
 	if len(attempts) == 0 {
 		return
 	}
@@ -96,41 +96,41 @@
 	t.call(id, attempts)
 }
 
-// call queues a call on a connection; the lock is held.
+// call queues a call on a connection. The lock is held.
 func (t *Transport) call(id decision.ServerID, attempts []*gather.Attempt) {
 	s := t.servers[id]
 	if s == nil || s.State != decision.Ready {
-		t.end(attempts, decision.NotSent)
+		t.reportAll(attempts, decision.NotSent)
 		return
 	}
 	c := t.conn(s, len(attempts))
 	if c == nil {
 		t.Log.Warn("connections used up", "most", t.MaxConns, "store", id)
-		t.end(attempts, decision.ConnectFailed)
+		t.reportAll(attempts, decision.ConnectFailed)
 		return
 	}
 	c.queue = append(c.queue, attempts)
 	c.load += len(attempts)
 	for _, a := range attempts {
-		t.where[a] = c
+		t.byAttempt[a] = c
 	}
-	c.kick()
+	c.wakeWriter()
 }
 
-// conn picks a connection with room for n parts, or opens one. An answer that cannot be read ends all that
-// is out on its connection, so that calls share one only where a server has its part of all connections.
+// conn picks a connection with capacity for n subqueries, or opens one. A malformed answer ends all that is in flight on its
+// connection, so calls share one only where a server has its share of all connections.
 func (t *Transport) conn(s *server, n int) *conn {
 	c, ok := s.pool.Pick(n)
 	if ok && (c.load == 0 || s.pool.Len() >= t.MaxConns/len(t.servers)) {
 		return c
 	}
-	if t.conns >= t.MaxConns {
-		return c // nil where none has room
+	if t.connCount >= t.MaxConns {
+		return c // nil where none has capacity
 	}
-	c = &conn{t: t, s: s, addr: s.Addr, out: map[string]*entry{}, ran: decision.Reset, wake: make(chan struct{}, 1), idle: time.Now()}
-	c.ctx, c.end = context.WithCancel(context.Background())
+	c = &conn{t: t, s: s, addr: s.Addr, inFlight: map[string]*entry{}, endStatus: decision.Reset, wake: make(chan struct{}, 1), idleSince: time.Now()}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	s.pool.Add(c)
-	t.conns++
+	t.connCount++
 	go c.run()
 	return c
 }
@@ -139,37 +139,37 @@
 func (t *Transport) Cancel(a *gather.Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.where[a]
+	c := t.byAttempt[a]
 	if c == nil {
 		return
 	}
-	delete(t.where, a)
+	delete(t.byAttempt, a)
 	c.load--
-	defer c.settle()
+	defer c.updateIdle()
 	for i, call := range c.queue {
 		if j := slices.Index(call, a); j >= 0 {
 			c.queue[i] = slices.Delete(call, j, j+1)
-			t.end([]*gather.Attempt{a}, decision.Cancelled)
+			t.reportAll([]*gather.Attempt{a}, decision.Cancelled)
 			return
 		}
 	}
-	if c.dead { // its writer is about to find out, and the frame was never whole
-		t.end([]*gather.Attempt{a}, decision.Cancelled)
+	if c.removed { // its writer is about to notice, and the frame was never complete
+		t.reportAll([]*gather.Attempt{a}, decision.Cancelled)
 		return
 	}
-	e := c.out[partID(a)]
-	c.over(partID(a))
-	// A machine that vanished gives no sign: a connection on which nothing came for long after a part that is
-	// now given up is not trusted with another. The Mixer gives up a little before the attempt's time is up, so
-	// that the time itself tells nothing.
-	if e != nil && !e.written.IsZero() && time.Since(e.written) > t.silentFor() && c.heard.Before(e.written) {
-		c.silent = true
+	e := c.inFlight[subqueryID(a)]
+	c.forget(subqueryID(a))
+	// A machine that vanished gives no sign: a connection on which nothing was received for long after a subquery that
+	// is now cancelled gets no other. The scheduler cancels a little before the attempt's time-out, so the time-out
+	// itself says nothing.
+	if e != nil && !e.written.IsZero() && time.Since(e.written) > t.unresponsiveAfter() && c.receivedAt.Before(e.written) {
+		c.unresponsive = true
 	}
-	c.give = append(c.give, a)
-	c.kick()
+	c.cancels = append(c.cancels, a)
+	c.wakeWriter()
 }
 
-// Probe implements gather.Transport.
+// HealthCheck implements gather.Transport.
 func (t *Transport) HealthCheck(id decision.ServerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,8 +183,8 @@
 		go t.report.HealthChecked(id, false)
 		return
 	}
-	c.probes++
-	c.kick()
+	c.checksQueued++
+	c.wakeWriter()
 }
 
 // CloseIdle implements gather.Transport.
@@ -192,34 +192,33 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.servers[id]; s != nil {
-		t.closeIdle(s, every)
+		t.closeIdle(s, anyConn)
 	}
 }
 
-// SetMaxConns gives another bound, and closes idle connections past it.
+// SetMaxConns changes the bound of connections, and closes idle ones beyond it.
 func (t *Transport) SetMaxConns(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.MaxConns = n
 	for _, s := range t.servers {
-		if t.conns <= n {
+		if t.connCount <= n {
 			return
 		}
-		t.closeIdle(s, every)
+		t.closeIdle(s, anyConn)
 	}
 }
 
-func every(*conn) bool { return true }
+func anyConn(*conn) bool { return true }
 
-// closeIdle closes those of a server's connections on which nothing is out or asked and that are to be closed. The lock
-// is held.
+// closeIdle closes those of a server's connections that have nothing in flight and that which selects. The lock is held.
 func (t *Transport) closeIdle(s *server, which func(*conn) bool) {
 	for _, c := range s.pool.All() {
-		if which(c) && c.load == 0 && len(c.asked) == 0 && c.probes == 0 {
+		if which(c) && c.load == 0 && len(c.checksSent) == 0 && c.checksQueued == 0 {
 			c.remove()
 		}
 	}
 }
 
-// silentFor is how long a connection may be silent with a part out on it.
-func (t *Transport) silentFor() time.Duration { return 4 * t.ConnectTimeout }
+// unresponsiveAfter is how long a connection may receive nothing with a subquery in flight.
+func (t *Transport) unresponsiveAfter() time.Duration { return 4 * t.ConnectTimeout }
--- a/internal/gatherer/net/frames/write.go
+++ b/internal/gatherer/net/frames/write.go
@@ -8,36 +8,36 @@
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 )
 
-// write writes the next thing in line and says whether there was one. An idle connection is closed here.
+// write writes the next message and reports whether there was one. It closes an idle connection.
 func (c *conn) write() (more bool, err error) {
-	if c.crossed() {
+	if c.closedByPeer() {
 		return false, io.EOF
 	}
 	t, now := c.t, time.Now()
 	t.mu.Lock()
 	switch {
-	case c.dead:
+	case c.removed:
 		t.mu.Unlock()
 		return false, nil
-	case len(c.give) > 0 || c.probes > 0:
+	case len(c.cancels) > 0 || c.checksQueued > 0:
 		var b []byte
-		for _, a := range c.give {
-			b = appendFrame(b, letterGiveUp, partID(a))
+		for _, a := range c.cancels {
+			b = appendFrame(b, messageCancel, subqueryID(a))
 		}
-		given := c.give
-		for range c.probes {
-			b = appendFrame(b, letterProbe, "")
-			c.asked = append(c.asked, now)
-			time.AfterFunc(t.ConnectTimeout+time.Millisecond, c.kick) // to see whether it is overdue
+		cancelled := c.cancels
+		for range c.checksQueued {
+			b = appendFrame(b, messageHealthCheck, "")
+			c.checksSent = append(c.checksSent, now)
+			time.AfterFunc(t.ConnectTimeout+time.Millisecond, c.wakeWriter) // to check whether it is overdue
 		}
-		c.give, c.probes = nil, 0
+		c.cancels, c.checksQueued = nil, 0
 		t.mu.Unlock()
 		c.nc.SetWriteDeadline(now.Add(t.WriteFor))
 		_, err := c.nc.Write(b)
 		if err != nil {
-			c.nc.Close() // that, too, gives them up
+			c.nc.Close() // which cancels them as well
 		}
-		for _, a := range given {
+		for _, a := range cancelled {
 			t.report.Outcome(a, decision.Cancelled, "")
 		}
 		return true, err
@@ -46,24 +46,23 @@
 		c.queue = c.queue[1:]
 		return true, c.writeCall(call, now)
 	}
-	if len(c.asked) > 0 && now.Sub(c.asked[0]) > t.ConnectTimeout {
-		c.asked = c.asked[1:]
-		c.silent = true
+	if len(c.checksSent) > 0 && now.Sub(c.checksSent[0]) > t.ConnectTimeout {
+		c.checksSent = c.checksSent[1:]
+		c.unresponsive = true
 		id := c.s.ID
 		t.mu.Unlock()
 		t.report.HealthChecked(id, false)
 		return true, nil
 	}
-	if c.load == 0 && len(c.asked) == 0 && (c.unfit() || now.Sub(c.idle) > t.ConnIdle/2) {
+	if c.load == 0 && len(c.checksSent) == 0 && (c.unusable() || now.Sub(c.idleSince) > t.ConnIdle/2) {
 		c.remove()
 	}
 	t.mu.Unlock()
 	return false, nil
 }
 
-// writeCall writes one call; the lock is held on entry and is not on return. It looks again at what time
-// and the list say: a keyed part past its window, a part past its time or a server that drains by now are
-// not written, and never ran.
+// writeCall writes one call. The lock is held on entry and released on return. It checks the time and the server list again:
+// an attempt past its deduplication window or time-out, or to a server that is draining by now, is not written and never ran.
 func (c *conn) writeCall(call []*gather.Attempt, now time.Time) error {
 	t := c.t
 	var lines []string
@@ -71,15 +70,15 @@
 	for _, a := range call {
 		if c.s.State != decision.Ready || a.Stale(now) {
 			late = append(late, a)
-			delete(t.where, a)
+			delete(t.byAttempt, a)
 			c.load--
 			continue
 		}
-		c.out[partID(a)] = &entry{a: a}
+		c.inFlight[subqueryID(a)] = &entry{a: a}
 		attempts = append(attempts, a)
-		lines = append(lines, partLine(a, a.Until.Sub(now).Milliseconds()))
+		lines = append(lines, subqueryHeader(a, a.Until.Sub(now).Milliseconds()))
 	}
-	c.settle()
+	c.updateIdle()
 	t.mu.Unlock()
 	for _, a := range late {
 		t.report.Outcome(a, decision.NotSent, "")
@@ -92,19 +91,19 @@
 	t.mu.Lock()
 	var ended []*gather.Attempt
 	for _, a := range attempts {
-		e := c.out[partID(a)]
+		e := c.inFlight[subqueryID(a)]
 		if e == nil || e.a != a {
 			continue // answered or cancelled meanwhile
 		}
-		if err == nil && !c.dead {
+		if err == nil && !c.removed {
 			e.written = time.Now()
 			continue
 		}
-		delete(c.out, partID(a))
-		delete(t.where, a)
+		delete(c.inFlight, subqueryID(a))
+		delete(t.byAttempt, a)
 		ended = append(ended, a)
 	}
-	status := c.ran // written whole, and the connection ended before that was booked
+	status := c.endStatus // written completely, but the connection ended before that was recorded
 	t.mu.Unlock()
 	if err != nil {
 		status = decision.ConnectFailed
--- a/internal/gatherer/net/handover/handover_test.go
+++ b/internal/gatherer/net/handover/handover_test.go
@@ -17,7 +17,7 @@
 
 func TestParse(t *testing.T) {
 	valid := []string{line(Message{Kind: Hello}), line(Message{Kind: CallMade, ID: 1, Verb: "DETACH", Name: "s-1", AtMs: 1}),
-		line(Message{Kind: CallHeard, ID: 1}), line(Message{Kind: StateIs, State: &state})}
+		line(Message{Kind: CallDone, ID: 1}), line(Message{Kind: StateSent, State: &state})}
 	proptest.CheckParser(t, true, func(b []byte) error { _, err := Parse(b); return err }, valid...)
 	for _, text := range []string{`{}`, `[]`, `{"kind":"call"}`, `{"kind":"state"}`, `{"kind":"call","verb":"DETACH","at_ms":-1}`,
 		strings.Replace(valid[3], `"failing":0.1`, `"failing":2`, 1), strings.Replace(valid[3], `1.5`, `-1.5`, 1),
@@ -30,6 +30,7 @@
 
 // pair links two sides over a socket in a folder of its own.
 func pair(t *testing.T, do func(Message)) (successor *Link, s *State, path string) {
+	t.Helper()
 	path = filepath.Join(t.TempDir(), "s")
 	l, err := Listen(path)
 	if err != nil {
@@ -120,7 +121,7 @@
 			if err != nil {
 				return
 			}
-			nc.Write([]byte(line(Message{Kind: StateIs, State: &state})[:40] + "\n"))
+			nc.Write([]byte(line(Message{Kind: StateSent, State: &state})[:40] + "\n"))
 			nc.Close()
 		}
 	}()
--- a/internal/gatherer/net/handover/link.go
+++ b/internal/gatherer/net/handover/link.go
@@ -12,9 +12,9 @@
 
 // Times of a link. An operator's answer is due within 1 s.
 const (
-	startFor = time.Second            // for hello, and for the state
-	callFor  = 500 * time.Millisecond // for the other to carry out a call
-	writeFor = 300 * time.Millisecond
+	startTimeout = time.Second            // for hello, and for the state
+	callTimeout  = 500 * time.Millisecond // for the other to carry out a call
+	writeTimeout = 300 * time.Millisecond
 )
 
 // Link is the way to the other process.
@@ -56,17 +56,17 @@
 
 // Greet is the successor's side: it says hello to the process that has the name, and returns its state.
 func Connect(path string) (*Link, *State, error) {
-	nc, err := net.DialTimeout("unix", path, startFor)
+	nc, err := net.DialTimeout("unix", path, startTimeout)
 	if err != nil {
 		return nil, nil, err
 	}
 	x := newLink(nc)
-	nc.SetDeadline(time.Now().Add(startFor))
+	nc.SetDeadline(time.Now().Add(startTimeout))
 	m := Message{}
 	if _, err = nc.Write(Message{Kind: Hello}.Append(nil)); err == nil {
 		m, err = x.read()
 	}
-	if err == nil && m.Kind != StateIs {
+	if err == nil && m.Kind != StateSent {
 		err = bad("%s in place of the state", m.Kind)
 	}
 	if err != nil {
@@ -81,7 +81,7 @@
 // from then on goes over it, and answers with the state as it is then.
 func Accept(nc net.Conn, up func(*Link), state func() State) (*Link, error) {
 	x := newLink(nc)
-	nc.SetReadDeadline(time.Now().Add(startFor))
+	nc.SetReadDeadline(time.Now().Add(startTimeout))
 	m, err := x.read()
 	if err == nil && m.Kind != Hello {
 		err = bad("%s in place of hello", m.Kind)
@@ -95,8 +95,8 @@
 	defer x.wmu.Unlock()
 	up(x)
 	s := state()
-	nc.SetWriteDeadline(time.Now().Add(startFor))
-	if _, err := nc.Write(Message{Kind: StateIs, State: &s}.Append(nil)); err != nil {
+	nc.SetWriteDeadline(time.Now().Add(startTimeout))
+	if _, err := nc.Write(Message{Kind: StateSent, State: &s}.Append(nil)); err != nil {
 		x.Close()
 		return x, err
 	}
@@ -123,7 +123,7 @@
 func (x *Link) write(m Message) error {
 	x.wmu.Lock()
 	defer x.wmu.Unlock()
-	x.nc.SetWriteDeadline(time.Now().Add(writeFor))
+	x.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := x.nc.Write(m.Append(nil))
 	return err
 }
@@ -139,10 +139,10 @@
 		switch m.Kind {
 		case CallMade:
 			do(m)
-			if err := x.write(Message{Kind: CallHeard, ID: m.ID}); err != nil {
+			if err := x.write(Message{Kind: CallDone, ID: m.ID}); err != nil {
 				return err
 			}
-		case CallHeard:
+		case CallDone:
 			x.mu.Lock()
 			if done := x.pending[m.ID]; done != nil {
 				close(done)
@@ -165,7 +165,7 @@
 	x.mu.Unlock()
 	err := x.write(m)
 	if err == nil {
-		t := time.NewTimer(callFor)
+		t := time.NewTimer(callTimeout)
 		defer t.Stop()
 		select {
 		case <-done:
--- a/internal/gatherer/net/handover/message.go
+++ b/internal/gatherer/net/handover/message.go
@@ -17,9 +17,9 @@
 // The kinds.
 const (
 	Hello     Kind = "hello"
-	StateIs   Kind = "state"
+	StateSent Kind = "state"
 	CallMade  Kind = "call"
-	CallHeard Kind = "done" // that call is in force here, too
+	CallDone  Kind = "done" // that call is in force here, too
 )
 
 // Message is one line.
@@ -54,7 +54,7 @@
 }
 
 // perSecondMost is more parts a second than one gatherer can have answered.
-const perSecondMost = 1e6
+const maxPerSecond = 1e6
 
 // maxLine bounds a line: a state of some hundred lot stores.
 const maxMessage = 4 << 20
@@ -79,12 +79,12 @@
 	m = Message{Kind: Kind(root.Get("kind").String()), ID: root.Get("id").Int(), Verb: root.Get("verb").String(),
 		Name: root.Get("name").String(), AtMs: root.Get("at_ms").Int()}
 	switch m.Kind {
-	case Hello, CallHeard:
+	case Hello, CallDone:
 	case CallMade:
 		if m.Verb == "" || m.AtMs <= 0 || m.AtMs > time.Now().Add(time.Hour).UnixMilli() {
 			return m, bad("a call lacks its verb or time")
 		}
-	case StateIs:
+	case StateSent:
 		m.State, err = parseState(root.Get("state"))
 	default:
 		err = bad("kind %.20q", m.Kind)
@@ -99,7 +99,7 @@
 	}
 	s := &State{Hosts: json.RawMessage(hosts.Raw), Drain: drain.Bool(), Banned: []string{}, Attached: map[string]int64{},
 		PerSecond: root.Get("per_second").Num}
-	if s.PerSecond < 0 || s.PerSecond > perSecondMost {
+	if s.PerSecond < 0 || s.PerSecond > maxPerSecond {
 		return nil, bad("per_second is out of range")
 	}
 	for _, name := range banned.Array() {
--- a/internal/gatherer/net/http1/client.go
+++ b/internal/gatherer/net/http1/client.go
@@ -10,10 +10,10 @@
 	"pulleygw.example/pulleygw/internal/shared/peek"
 )
 
-// Client is one connection for one request at a time. It is not safe for concurrent use.
+// Client is a client with one connection, for one request at a time. It is not safe for concurrent use.
 type Client struct {
 	Addr string
-	// MaxBody, where above the usual bound, is the longest body of an answer that is taken.
+	// MaxBody, where above the constant of that name, is the longest body of a response that is accepted, in bytes.
 	MaxBody int
 
 	nc net.Conn
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Write sends a request. Without an error its last byte went out.
+// Write writes a request completely, or returns an error.
 func (c *Client) Write(deadline time.Time, method, target string, h textproto.MIMEHeader, body []byte) error {
 	buf := mem.GetBuffer()
 	defer mem.PutBuffer(buf)
@@ -43,15 +43,15 @@
 	return err
 }
 
-// Read reads the answer to what was written. Release it after use.
+// Read reads the response. Release it after use.
 func (c *Client) Read(deadline time.Time) (*Response, error) {
 	c.nc.SetReadDeadline(deadline)
 	if err := c.r.Await(); err != nil {
 		c.Close()
 		return nil, err
 	}
-	if soon := time.Now().Add(takeFor); soon.Before(deadline) {
-		c.nc.SetReadDeadline(soon) // what has begun must end
+	if soon := time.Now().Add(requestTimeout); soon.Before(deadline) {
+		c.nc.SetReadDeadline(soon) // a response that has begun must end within the time-out
 	}
 	p, err := c.r.Response()
 	if err != nil || p.Close {
@@ -68,19 +68,19 @@
 	}
 }
 
-// Open says whether the connection is open, as far as this side knows.
+// Open reports whether the connection is open, as far as this side knows.
 func (c *Client) Open() bool { return c.nc != nil }
 
-// Alive says whether the peer has neither closed the connection nor sent anything on it unasked. Without
-// this look, a call on a connection that the peer closed while it was idle would end as broken after it
-// was written, and would count as one that may have run.
+// Alive reports whether the peer has neither closed the connection nor sent anything unasked. Without this check, a request
+// on a connection that the peer closed while it was idle would fail after it was written, and would count as one that may
+// have run.
 func (c *Client) Alive() bool {
 	waiting, ended := peek.Look(c.nc)
 	return c.Open() && !waiting && !ended
 }
 
-// Aborter returns what ends a Read or Write from another goroutine, by closing the connection that is
-// open now. The owner still has to Close.
+// Aborter returns a function that ends a Read or Write from another goroutine by closing the current connection. The owner
+// must still call Close.
 func (c *Client) Aborter() func() {
 	nc := c.nc
 	return func() { nc.Close() }
--- a/internal/gatherer/net/http1/connection.go
+++ b/internal/gatherer/net/http1/connection.go
@@ -5,158 +5,158 @@
 	"time"
 )
 
-// conn is a client's connection. Its reader reads requests and notices that the client leaves; its
-// writer answers them.
+// conn is a client's connection. Its reader goroutine reads requests and notices that the client disconnects; its writer
+// goroutine answers them.
 type conn struct {
 	nc net.Conn
 
 	// Under the server's lock.
-	since time.Time // it was accepted, began a request, or was answered last
-	busy  int       // requests that have begun and are not answered
-	whole int       // those of them that are read: the connection is not closed before they are answered
-	used  bool      // a request has been answered
-	shut  bool      // this side has ended it: no request is taken any more, though its bytes may be here already
-	ahead int       // of busy: those read and not in hand yet
-	last  bool      // nothing behind what was read is taken: it could not be read, or was too far ahead
-	look  lookout
+	activeAt   time.Time // when it was accepted, began a request or was answered last
+	pending    int       // requests that have begun and are not answered
+	received   int       // those of them read completely: the connection is not closed before they are answered
+	served     bool      // a request has been answered
+	halfClosed bool      // this side has ended it: no request is accepted any more, though its bytes may have arrived
+	queued     int       // of received: those not yet being answered
+	noMore     bool      // no further request is accepted: one was invalid, or too much was pipelined
+	peeking    peekState
 }
 
-// lookout is what the reader does while a request waits behind the one in hand: it reads no further one, but looks
-// for the client's end, which would be hidden behind that request otherwise.
-type lookout uint8
+// peekState is what the reader does while a request is queued behind the one being answered: it reads no further one, but
+// peeks for the client's disconnection, which would otherwise be hidden behind that request.
+type peekState uint8
 
 const (
-	lookoutOff lookout = iota
-	lookoutOn
-	lookoutCalled // back: its read was broken off, and the deadline that did so is to be put right
+	peekOff peekState = iota
+	peekOn
+	peekInterrupted // its read was interrupted by a deadline, which is to be reset
 )
 
-// end says to the client that the connection ends, and gives it a time to end it too. Closing at once over bytes that
-// nobody has read would reset the connection, and an answer on its way could go with it; the connection's reader reads
-// off what crosses the end, and closes. The server's lock is held.
+// end closes the writing side of the connection, and gives the client a time to close its own. Closing at once with unread
+// bytes would reset the connection and could lose a response on its way; the reader discards what is still received, and
+// closes. The server's lock is held.
 func (c *conn) end(within time.Duration) {
-	c.shut = true
+	c.halfClosed = true
 	if t, ok := c.nc.(interface{ CloseWrite() error }); ok {
-		t.CloseWrite()
+		_ = t.CloseWrite() // if it fails, the connection is broken, which the reader notices
 	}
 	c.nc.SetReadDeadline(time.Now().Add(within))
 }
 
-// first sets by when a new connection's first request has to begin or, where none is awaited any more, to come.
-func (s *Server) first(c *conn) {
+// awaitFirst sets the deadline of a new connection's first request.
+func (s *Server) awaitFirst(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	within := takeFor
-	if s.draining || s.lame%2 == 1 {
-		within = firstFor
+	within := requestTimeout
+	if s.draining || s.closeGeneration%2 == 1 {
+		within = firstByteTimeout
 	}
-	c.nc.SetReadDeadline(c.since.Add(within))
+	c.nc.SetReadDeadline(c.activeAt.Add(within))
 }
 
-// begun notes that a request has begun, so that the connection is not closed as idle any more, and says whether it
-// may: not where the connection was ended just before.
-func (s *Server) begun(c *conn) bool {
+// requestStarted records that a request has begun, so that the connection is not closed as idle. It returns false where the
+// connection has been ended.
+func (s *Server) requestStarted(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.shut {
+	if c.halfClosed {
 		return false
 	}
-	c.busy++
-	if c.used || c.whole > 0 {
-		c.since = time.Now()
-		c.nc.SetReadDeadline(c.since.Add(takeFor))
+	c.pending++
+	if c.served || c.received > 0 {
+		c.activeAt = time.Now()
+		c.nc.SetReadDeadline(c.activeAt.Add(requestTimeout))
 	}
 	return true
 }
 
-// taken notes that a request was read whole, and says whether it is to be answered: not where the
-// connection was closed just before.
-func (s *Server) taken(c *conn, last bool) bool {
+// requestReceived records that a request was read completely. It returns false where the connection has been ended, so that
+// it must not be answered. Last says that no further one is accepted.
+func (s *Server) requestReceived(c *conn, last bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.shut {
+	if c.halfClosed {
 		return false
 	}
-	c.nc.SetReadDeadline(time.Time{}) // what the answer takes is the request's deadline's affair
-	c.whole++
-	c.ahead++
-	c.last = c.last || last
+	c.nc.SetReadDeadline(time.Time{}) // the request's own deadline bounds the response
+	c.received++
+	c.queued++
+	c.noMore = c.noMore || last
 	return true
 }
 
-// inHand notes that the request that was ahead is in hand, and calls the reader back to read the next.
-func (s *Server) inHand(c *conn) {
+// requestDequeued records that the queued request is being answered, and interrupts the reader to read the next.
+func (s *Server) requestDequeued(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.ahead--
-	if c.look == lookoutOn {
-		c.look = lookoutCalled
+	c.queued--
+	if c.peeking == peekOn {
+		c.peeking = peekInterrupted
 		c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// answered notes that a request was answered, and says whether the connection goes on; if not, it has been ended. A
-// client may have sent its next request before this is noted; that one is taken and is answered, draining or not.
-func (s *Server) answered(c *conn, closes bool, linger time.Duration) bool {
+// responseSent records that a request was answered, and reports whether the connection stays open; if not, it has been ended.
+// A client may have sent its next request before; that one is accepted and answered, draining or not.
+func (s *Server) responseSent(c *conn, closes bool, linger time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.busy--
-	c.whole--
-	c.used, c.since = true, time.Now()
-	switch more := !s.draining && s.lame%2 == 0 || c.busy > 0; {
+	c.pending--
+	c.received--
+	c.served, c.activeAt = true, time.Now()
+	switch more := !s.draining && s.closeGeneration%2 == 0 || c.pending > 0; {
 	case !more || closes:
-		if !c.shut {
+		if !c.halfClosed {
 			c.end(linger)
 		}
 		return false
-	case c.busy == 0 && c.look != lookoutCalled: // a reader that is being called back sets it, and would not hear the call else
-		c.nc.SetReadDeadline(c.since.Add(idleFor))
+	case c.pending == 0 && c.peeking != peekInterrupted: // a reader being interrupted sets it itself, and must not miss the interrupt
+		c.nc.SetReadDeadline(c.activeAt.Add(idleTimeout))
 	}
 	return true
 }
 
-// ended says whether this side has ended a connection, which is to go on until the client does or its time is up.
-func (s *Server) ended(c *conn) bool {
+// isHalfClosed reports whether this side has ended a connection, which stays until the client closes it or a time-out.
+func (s *Server) isHalfClosed(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.shut
+	return c.halfClosed
 }
 
-// rested ends a connection on which nothing came in time, and says whether it was resting.
-func (s *Server) rested(c *conn) bool {
+// endIdle ends a connection on which nothing was received in time, and reports whether it was idle.
+func (s *Server) endIdle(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.busy > 0 || c.shut {
+	if c.pending > 0 || c.halfClosed {
 		return false
 	}
-	c.end(partFor)
+	c.end(closeLinger)
 	return true
 }
 
-// tooFar notes that what follows the request ahead is dropped, unless that is in hand by now.
-func (s *Server) tooFar(c *conn) bool {
+// refuseMore records that what follows the queued request is discarded, unless that is being answered by now.
+func (s *Server) refuseMore(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.ahead > 0 && c.look == lookoutOn {
-		c.last, c.look = true, lookoutOff
+	if c.queued > 0 && c.peeking == peekOn {
+		c.noMore, c.peeking = true, peekOff
 	}
-	return c.last
+	return c.noMore
 }
 
-// lookout says whether a request waits behind the one in hand, so that the reader is to look for the client's end only.
-func (s *Server) lookout(c *conn) bool {
+// mustPeek reports whether a request is queued behind the one being answered, so that the reader must only peek.
+func (s *Server) mustPeek(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.look == lookoutCalled && !c.shut {
+	if c.peeking == peekInterrupted && !c.halfClosed {
 		by := time.Time{}
-		if c.busy == 0 {
-			by = c.since.Add(idleFor)
+		if c.pending == 0 {
+			by = c.activeAt.Add(idleTimeout)
 		}
 		c.nc.SetReadDeadline(by)
 	}
-	c.look = lookoutOff
-	if c.ahead > 0 && c.busy > 1 {
-		c.look = lookoutOn
+	c.peeking = peekOff
+	if c.queued > 0 && c.pending > 1 {
+		c.peeking = peekOn
 	}
-	return c.look == lookoutOn
+	return c.peeking == peekOn
 }
--- a/internal/gatherer/net/http1/crossings_test.go
+++ b/internal/gatherer/net/http1/crossings_test.go
@@ -37,6 +37,7 @@
 
 // tap serves one connection over loopback, whose reads are told.
 func tap(t *testing.T, h Handler) (s *Server, client net.Conn, c *tapped) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +50,7 @@
 	}
 	s = New(l.(*net.TCPListener), h, 10, slog.New(slog.DiscardHandler))
 	c = &tapped{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}, 100)}
-	x := &conn{nc: c, since: time.Now()}
+	x := &conn{nc: c, activeAt: time.Now()}
 	s.conns[x] = struct{}{}
 	s.done.Add(1)
 	go s.serve(x)
@@ -74,7 +75,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for x := range s.conns {
-			return x.used && x.busy == 0 && c.begun.Load() > reads
+			return x.served && x.pending == 0 && c.begun.Load() > reads
 		}
 		return false
 	}
@@ -99,7 +100,7 @@
 	for name, end := range map[string]func(s *Server){
 		"idle close": func(s *Server) { s.closeIdle() },
 		"room made": func(s *Server) {
-			if !s.shutLongest(func(*conn) bool { return true }) {
+			if !s.closeLongestIdle(func(*conn) bool { return true }) {
 				t.Error("no connection to close")
 			}
 		},
@@ -159,7 +160,7 @@
 				t.Errorf("%s: %+v %v", name, p, err)
 			}
 		}
-		if err := r.Await(); err != io.EOF {
+		if err := r.Await(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: behind the answer: %v", name, err)
 		}
 		client.Close()
@@ -199,7 +200,7 @@
 			answers++
 			last = p.Close
 		}
-		if err := r.Await(); n < 500 && (err != io.EOF || answers != n+1) {
+		if err := r.Await(); n < 500 && (!errors.Is(err, io.EOF) || answers != n+1) {
 			t.Errorf("%d pipelined: %d answers, then %v", n, answers, err)
 		}
 		client.Close()
@@ -220,7 +221,7 @@
 		await(t, c.read, "more is read")
 		s.mu.Lock()
 		for x := range s.conns {
-			last = x.last
+			last = x.noMore
 		}
 		s.mu.Unlock()
 	}
@@ -235,7 +236,7 @@
 		}
 		last = p.Close
 	}
-	if err := r.Await(); err != io.EOF || answers != 2 {
+	if err := r.Await(); !errors.Is(err, io.EOF) || answers != 2 {
 		t.Errorf("%d answers, then %v", answers, err)
 	}
 	client.Close()
@@ -260,7 +261,7 @@
 		for begun := false; !begun; { // by the reader, which has it in its hands
 			s.mu.Lock()
 			for x := range s.conns {
-				begun = x.busy == 1
+				begun = x.pending == 1
 			}
 			s.mu.Unlock()
 		}
@@ -274,7 +275,7 @@
 			t.Errorf("%+v %v", p, err)
 		}
 		io.WriteString(client, post)
-		if err := r.Await(); err != io.EOF {
+		if err := r.Await(); !errors.Is(err, io.EOF) {
 			t.Errorf("behind the answer: %v", err)
 		}
 		client.Close()
@@ -297,7 +298,7 @@
 	if p, err := r.Response(); err != nil || p.Status != 200 || !p.Close {
 		t.Errorf("%+v %v", p, err)
 	}
-	if err := r.Await(); err != io.EOF {
+	if err := r.Await(); !errors.Is(err, io.EOF) {
 		t.Errorf("behind the answer: %v", err)
 	}
 	client.Close()
--- a/internal/gatherer/net/http1/http1_test.go
+++ b/internal/gatherer/net/http1/http1_test.go
@@ -68,6 +68,7 @@
 
 // serve starts a server whose requests wait for a word on the channel.
 func serve(t *testing.T) (addr string, s *Server, began, finish chan struct{}, closed func()) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -89,6 +90,7 @@
 }
 
 func dial(t *testing.T, addr string) (net.Conn, *Reader) {
+	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -247,13 +249,13 @@
 	if p, err := onceReader.Response(); err != nil || p.Status != 200 {
 		t.Errorf("%+v %v", p, err)
 	}
-	if err := silent.Await(); err != io.EOF {
+	if err := silent.Await(); !errors.Is(err, io.EOF) {
 		t.Errorf("silent: %v", err)
 	}
 	if p, err := halfReader.Response(); err != nil || p.Status != 408 || !p.Close {
 		t.Errorf("half a request: %+v %v", p, err)
 	}
-	if err := onceReader.Await(); err != io.EOF {
+	if err := onceReader.Await(); !errors.Is(err, io.EOF) {
 		t.Errorf("asked once: %v", err)
 	}
 	half.Close()
@@ -290,7 +292,7 @@
 	if err != nil || len(r.Bodies) != 1 {
 		t.Fatalf("%v, %d held", err, len(r.Bodies))
 	}
-	if _, err := r.Request(); err != errBodies {
+	if _, err := r.Request(); !errors.Is(err, errBodies) {
 		t.Errorf("a second body: %v", err)
 	}
 	q.Release()
@@ -301,7 +303,7 @@
 		io.WriteString(write, post[:len(post)-2])
 		write.CloseWithError(errTooSlow)
 	}()
-	if _, err := half.Request(); err != errTooSlow || len(r.Bodies) != 0 {
+	if _, err := half.Request(); !errors.Is(err, errTooSlow) || len(r.Bodies) != 0 {
 		t.Errorf("%v, %d held", err, len(r.Bodies))
 	}
 }
@@ -314,12 +316,12 @@
 		t.Fatal(err)
 	}
 	s := New(l.(*net.TCPListener), func(*Request, <-chan struct{}) *Response { return Text(200, "done") }, 100, slog.New(slog.DiscardHandler))
-	s.Keep = 2
+	s.SoftMaxConns = 2
 	for i := range 3 {
-		c := &conn{nc: mustPipe(t), used: true, since: time.Now().Add(time.Duration(i)*time.Second - time.Hour)}
+		c := &conn{nc: mustPipe(t), served: true, activeAt: time.Now().Add(time.Duration(i)*time.Second - time.Hour)}
 		s.conns[c] = struct{}{}
 	}
-	busy := &conn{nc: mustPipe(t), used: true, busy: 1, since: time.Now().Add(-2 * time.Hour)}
+	busy := &conn{nc: mustPipe(t), served: true, pending: 1, activeAt: time.Now().Add(-2 * time.Hour)}
 	s.conns[busy] = struct{}{}
 	go s.Serve()
 	for want := range 3 {
@@ -331,7 +333,7 @@
 		s.mu.Lock()
 		rested := 0
 		for c := range s.conns {
-			if time.Since(c.since) > time.Minute && c != busy {
+			if time.Since(c.activeAt) > time.Minute && c != busy {
 				rested++
 			}
 		}
@@ -344,6 +346,7 @@
 }
 
 func mustPipe(t *testing.T) net.Conn {
+	t.Helper()
 	c, there := net.Pipe()
 	t.Cleanup(func() { there.Close() })
 	return c
--- a/internal/gatherer/net/http1/message.go
+++ b/internal/gatherer/net/http1/message.go
@@ -1,4 +1,5 @@
-// Package http1 speaks HTTP/1.1 on net/textproto: messages, a server for the fronts, and a client.
+// Package http1 implements HTTP/1.1 on net/textproto: messages, a server for the fronts, and a client. Unlike net/http, the
+// server can leave its listener to a successor, close connections by load, and tell a front that its client has gone.
 package http1
 
 import (
@@ -19,14 +20,14 @@
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 )
 
-// Bounds on what a peer may send.
+// Bounds of what a peer may send, in bytes.
 const (
 	MaxBody = 64 << 10
 	maxHead = 16 << 10
-	ahead   = 4 << 10 // what the buffered reader may read past a message's end
+	ahead   = 4 << 10 // that the buffered reader may read beyond the end of a message
 )
 
-// Error is a message that cannot be used, with the status to answer it with.
+// Error is an invalid message, with the status of the response to it.
 type Error struct {
 	Status int
 	Reason string
@@ -34,7 +35,7 @@
 
 func (e *Error) Error() string { return e.Reason }
 
-func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
+func bad(reason string) error { return &Error{400, reason} }
 
 var errTooSlow = &Error{408, "the request did not come whole in time"}
 
@@ -42,19 +43,19 @@
 
 var errTooLarge = &Error{413, fmt.Sprintf("the body is over %d bytes", MaxBody)}
 
-// Request is a request as read.
+// Request is a request as received.
 type Request struct {
 	Method, Path, Query string
 	Header              textproto.MIMEHeader
 	Body                []byte // valid until Release
-	Close               bool   // the connection ends with this exchange
+	Close               bool   // the connection is closed after this exchange
 	At                  time.Time
-	Client              netip.Addr // whose connection it came on
+	Client              netip.Addr // address of the client
 	buf                 *[mem.BufferSize]byte
 	bodies              chan struct{}
 }
 
-// Release gives the body's buffer back. A front does so as soon as it has parsed the body.
+// Release returns the body's buffer. A front calls it as soon as it has parsed the body.
 func (r *Request) Release() {
 	if r == nil {
 		return
@@ -65,12 +66,12 @@
 	release(&r.buf, &r.Body)
 }
 
-// Origin is what the request's route is found by; its header outlives the body.
+// Origin is what routes are matched against. Its header outlives the body.
 func (r *Request) Origin(front, index string) *limits.Request {
 	return &limits.Request{Front: front, Method: r.Method, Index: index, Client: r.Client, Header: r.Header.Get}
 }
 
-// Response is an answer, to be written or as read.
+// Response is a response, to be written or as received.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
@@ -79,7 +80,7 @@
 	buf    *[mem.BufferSize]byte
 }
 
-// Release gives the body's buffer back.
+// Release returns the body's buffer.
 func (r *Response) Release() { release(&r.buf, &r.Body) }
 
 func release(buf **[mem.BufferSize]byte, body *[]byte) {
@@ -91,12 +92,12 @@
 
 // Reader reads messages from a connection.
 type Reader struct {
-	// Continue, where set, tells a client that waits with its body to send it.
+	// Continue, where set, is called for a client that expects 100 Continue.
 	Continue func()
-	// Bodies, where set, has room for as many as may be held at once.
+	// Bodies, where set, has one slot for each body that may be held in memory.
 	Bodies chan struct{}
-	// MaxBody, where above the usual bound, is the longest body taken; what is longer than a pooled buffer has one of
-	// its own, which grows as it comes, as a length may be a lie.
+	// MaxBody, where above the constant of that name, is the longest body accepted, in bytes. A body longer than a pooled
+	// buffer has its own, which grows as it is received, as the stated length may be wrong.
 	MaxBody int
 
 	lim limited
@@ -104,7 +105,7 @@
 	tp  *textproto.Reader
 }
 
-// NewReader makes a reader.
+// NewReader returns a reader.
 func NewReader(r io.Reader) *Reader {
 	x := &Reader{lim: limited{r: r}}
 	x.br = bufio.NewReaderSize(&x.lim, ahead)
@@ -112,11 +113,11 @@
 	return x
 }
 
-// limited bounds what one message may make us read, as textproto itself sets no bound on a line.
+// limited bounds the bytes read for one message, as textproto has no bound on a line.
 type limited struct {
 	r    io.Reader
 	n    int
-	late bool // the deadline came in the middle: textproto takes the piece of a line for a whole one
+	late bool // the read deadline passed within a message: textproto takes a partial line for a complete one
 }
 
 var errHead = &Error{431, fmt.Sprintf("the head is over %d bytes", maxHead)}
@@ -131,21 +132,21 @@
 	return n, err
 }
 
-// Await waits until a message begins. The error is the connection's.
+// Await waits until a message begins. An error is the connection's.
 func (r *Reader) Await() error {
 	r.lim.n = maxHead + ahead
 	_, err := r.br.Peek(1)
 	return err
 }
 
-// More waits until more has come than is read ahead. bufio.ErrBufferFull says that so much is as may be.
+// More waits until more is received than is buffered. The error is bufio.ErrBufferFull when the buffer is full.
 func (r *Reader) More() error {
 	r.lim.n = ahead
 	_, err := r.br.Peek(r.br.Buffered() + 1)
 	return err
 }
 
-// Request reads one request. Errors of type *Error are the peer's doing and can be answered.
+// Request reads one request. Errors of type *Error are the peer's fault and can be answered.
 func (r *Reader) Request() (*Request, error) {
 	r.lim.n = maxHead + ahead
 	line, err := r.tp.ReadLine()
@@ -179,7 +180,7 @@
 	return q, nil
 }
 
-// Response reads one answer.
+// Response reads one response.
 func (r *Reader) Response() (*Response, error) {
 	r.lim.n = maxHead + ahead
 	line, err := r.tp.ReadLine()
@@ -201,7 +202,7 @@
 	case status == 204 || status == 304:
 	case len(p.Header["Content-Length"])+len(p.Header["Transfer-Encoding"]) == 0:
 		p.Close = true
-		p.Body, err = r.toEnd()
+		p.Body, err = r.bodyToEOF()
 	default:
 		p.buf, p.Body, err = r.body(p.Header)
 	}
@@ -222,21 +223,21 @@
 	return strings.Contains(c, "close") || proto == "HTTP/1.0" && !strings.Contains(c, "keep-alive")
 }
 
-// toEnd reads a body that ends with its connection. Only the peer's end is one: a connection that breaks may have
-// brought a part.
-func (r *Reader) toEnd() ([]byte, error) {
-	r.lim.n = r.most() + ahead
-	body, err := io.ReadAll(io.LimitReader(r.br, int64(r.most())+1))
+// bodyToEOF reads a body that ends with its connection. Only the peer's close ends it: a connection that breaks may have
+// delivered a part of it.
+func (r *Reader) bodyToEOF() ([]byte, error) {
+	r.lim.n = r.maxBody() + ahead
+	body, err := io.ReadAll(io.LimitReader(r.br, int64(r.maxBody())+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > r.most():
+	case len(body) > r.maxBody():
 		return nil, errTooLarge
 	}
 	return body, nil
 }
 
-// body reads a body of a stated length or in chunks into one pooled buffer.
+// body reads a body with a Content-Length or in chunks into a pooled buffer.
 func (r *Reader) body(h textproto.MIMEHeader) (buf *[mem.BufferSize]byte, body []byte, err error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	switch {
@@ -249,7 +250,7 @@
 	}
 	n := 0
 	if len(codings) == 0 {
-		if n, err = length(lengths, r.most()); err != nil {
+		if n, err = length(lengths, r.maxBody()); err != nil {
 			return nil, nil, err
 		}
 		if n > MaxBody {
@@ -258,7 +259,7 @@
 			_, err := io.CopyN(&b, r.br, int64(n))
 			return nil, b.Bytes(), err
 		}
-		// Hundreds that state a body and send none must not hold a buffer each.
+		// Hundreds of clients that announce a body and send none must not hold a buffer each.
 		r.lim.n = n + ahead
 		if _, err := r.br.Peek(min(n, ahead)); err != nil {
 			return nil, nil, err
@@ -279,7 +280,7 @@
 		}
 	}()
 	if len(codings) == 1 {
-		body, err = r.chunks(buf[:0])
+		body, err = r.chunkedBody(buf[:0])
 		return buf, body, err
 	}
 	body = buf[:n]
@@ -287,10 +288,11 @@
 	return buf, body, err
 }
 
-// most is the longest body taken.
-func (r *Reader) most() int { return max(r.MaxBody, MaxBody) }
+// maxBody is the longest body accepted, in bytes.
+func (r *Reader) maxBody() int { return max(r.MaxBody, MaxBody) }
 
-func length(values []string, most int) (int, error) {
+// length parses a Content-Length.
+func length(values []string, limit int) (int, error) {
 	for _, v := range values {
 		if v != values[0] {
 			return 0, bad("Content-Length is given twice")
@@ -301,14 +303,14 @@
 		return 0, bad("Content-Length is not a number")
 	}
 	n, err := strconv.Atoi(v)
-	if err != nil || n > most {
+	if err != nil || n > limit {
 		return 0, errTooLarge
 	}
 	return n, nil
 }
 
-// chunks reads a chunked body and its trailer, which is dropped.
-func (r *Reader) chunks(body []byte) ([]byte, error) {
+// chunkedBody reads a chunked body and drops its trailer.
+func (r *Reader) chunkedBody(body []byte) ([]byte, error) {
 	for {
 		r.lim.n = maxHead + ahead
 		line, err := r.tp.ReadLine()
@@ -322,14 +324,14 @@
 			return nil, errTooLarge
 		case err != nil:
 			return nil, bad("a chunk's size is malformed")
-		case int(n) > r.most()-len(body):
+		case int(n) > r.maxBody()-len(body):
 			return nil, errTooLarge
 		case n == 0:
 			_, err := r.header()
 			return body, err
 		}
 		r.lim.n = int(n) + 2 + ahead
-		for left := int(n); left > 0; { // in pieces, as the size may be a lie
+		for left := int(n); left > 0; { // in pieces, as the stated size may be wrong
 			at, piece := len(body), min(left, MaxBody)
 			body = slices.Grow(body, piece)[:at+piece]
 			if _, err := io.ReadFull(r.br, body[at:]); err != nil {
@@ -351,20 +353,21 @@
 	return s != "" && strings.Trim(s, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") == ""
 }
 
-// IsName says whether s is an id that every wire can carry as it is.
+// IsName reports whether s is an id that every protocol can carry unchanged.
 func IsName(s string) bool {
 	return s != "" && len(s) <= 128 && !strings.ContainsFunc(s, func(c rune) bool {
-		return !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '-' || c == '_')
+		letter := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z'
+		return !letter && (c < '0' || c > '9') && c != '-' && c != '_'
 	})
 }
 
-// reasons are the phrases of the statuses used here; any other goes without.
+// reasons are the reason phrases of the statuses used here; others have none.
 var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// AppendResponse appends the answer as it goes on the wire.
+// AppendResponse appends the encoded response.
 func AppendResponse(b []byte, p *Response) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", p.Status, reasons[p.Status])
 	b = appendHeader(b, p.Header, p.Close)
@@ -372,7 +375,7 @@
 	return append(b, p.Body...)
 }
 
-// AppendRequest appends a request as it goes on the wire.
+// AppendRequest appends an encoded request.
 func AppendRequest(b []byte, method, target, host string, h textproto.MIMEHeader, body []byte) []byte {
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	b = appendHeader(b, h, false)
--- a/internal/gatherer/net/http1/serve.go
+++ b/internal/gatherer/net/http1/serve.go
@@ -12,29 +12,31 @@
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 )
 
+// incoming is a request as read, or why it is invalid.
 type incoming struct {
 	r   *Request
 	err error
 }
 
+// serve answers the requests of a connection until it ends.
 func (s *Server) serve(c *conn) {
-	// One request may be ahead of the one in hand.
+	// One request may be queued behind the one being answered.
 	requests, gone, over := make(chan incoming, 1), make(chan struct{}), make(chan struct{})
 	go s.read(c, requests, gone, over)
 	for more := true; more; {
 		select {
 		case in := <-requests:
-			s.inHand(c)
+			s.requestDequeued(c)
 			more = s.answer(c, in, gone)
 		case <-gone:
 			more = false
 		}
 	}
 	close(over)
-	if !s.ended(c) { // the client has left, or there is no answering it
+	if !s.isHalfClosed(c) { // the client has disconnected, or cannot be answered
 		c.nc.Close()
 	}
-	<-gone // what crossed our end is read off
+	<-gone // the reader has discarded the rest
 	c.nc.Close()
 	select {
 	case in := <-requests:
@@ -51,41 +53,33 @@
 	s.done.Done()
 }
 
-// read hands over one request after another, and waits for the next while one is being answered: that is
-// how it notices that the client goes away.
+// read passes one request after another to serve. It waits for the next while one is being answered, and so notices that
+// the client disconnects.
 func (s *Server) read(c *conn, requests chan<- incoming, gone, over chan struct{}) {
 	defer close(gone)
 	r := NewReader(c.nc)
 	r.Bodies = s.Bodies
-	r.Continue = func() { // no answer is under way: a client sends one request at a time
-		c.nc.SetWriteDeadline(time.Now().Add(writeFor))
-		io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n")
+	r.Continue = func() { // no response is being written: a client sends one request at a time
+		c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, _ = io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n") // reading the body fails if the connection is broken
 	}
 	var client netip.Addr
 	if a, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
 		client = a.AddrPort().Addr().Unmap()
 	}
-	s.first(c)
+	s.awaitFirst(c)
 	for {
-		for s.lookout(c) {
-			switch err := r.More(); {
-			case errors.Is(err, bufio.ErrBufferFull):
-				if s.tooFar(c) {
-					s.readOff(c, over)
-					return
-				}
-			case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-				return
-			}
+		if !s.awaitTurn(c, r, over) {
+			return
 		}
 		if err := r.Await(); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && s.rested(c) {
-				s.discard(c)
+			if errors.Is(err, os.ErrDeadlineExceeded) && s.endIdle(c) {
+				_ = s.discard(c) // the connection is closed next, whatever came
 			}
 			return
 		}
-		if !s.begun(c) {
-			s.discard(c)
+		if !s.requestStarted(c) {
+			_ = s.discard(c)
 			return
 		}
 		q, err := r.Request()
@@ -98,39 +92,56 @@
 		if q != nil {
 			q.Client = client
 		}
-		if !s.taken(c, err != nil) {
+		if !s.requestReceived(c, err != nil) {
 			q.Release()
 			return
 		}
 		requests <- incoming{q, err}
 		if err != nil {
-			s.readOff(c, over)
+			s.discardRest(c, over)
 			return
 		}
 	}
 }
 
-// readOff drops what comes behind the last request that is taken, and returns when the client has left or the
+// awaitTurn waits until no request is queued behind the one being answered. It returns false if the client has disconnected
+// or has sent too much ahead.
+func (s *Server) awaitTurn(c *conn, r *Reader, over <-chan struct{}) bool {
+	for s.mustPeek(c) {
+		switch err := r.More(); {
+		case errors.Is(err, bufio.ErrBufferFull):
+			if s.refuseMore(c) {
+				s.discardRest(c, over)
+				return false
+			}
+		case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
+			return false
+		}
+	}
+	return true
+}
+
+// discardRest discards what follows the last accepted request, and returns when the client has disconnected or the
 // connection is over.
-func (s *Server) readOff(c *conn, over <-chan struct{}) {
+func (s *Server) discardRest(c *conn, over <-chan struct{}) {
 	err := s.discard(c)
 	s.mu.Lock()
-	only := c.busy == 1
+	only := c.pending == 1
 	s.mu.Unlock()
-	// One that has sent nothing but what cannot be read, and has ended its side, is still told why.
+	// A client that sent only an invalid request and closed its side is still answered.
 	if err == nil || only {
 		<-over
-		s.discard(c)
+		_ = s.discard(c) // the connection is closed next, whatever came
 	}
 }
 
-// discard reads off and drops what comes, within bounds.
+// discard reads and drops what is received, within bounds.
 func (s *Server) discard(c *conn) error {
 	_, err := io.CopyN(io.Discard, c.nc, 4*MaxBody)
 	return err
 }
 
-// answer answers one request and says whether another may follow.
+// answer answers one request and reports whether another may follow.
 func (s *Server) answer(c *conn, in incoming, gone <-chan struct{}) bool {
 	var p *Response
 	if e := (*Error)(nil); errors.As(in.err, &e) {
@@ -138,24 +149,24 @@
 		p.Close = true
 	} else {
 		defer in.r.Release()
-		if s.full() {
+		if s.atCapacity() {
 			p = Text(503, "too many connections")
 			p.Header.Set("Retry-After", "0.5")
 			p.Close = true
 		} else if p = s.handle(in.r, gone); p == nil {
-			return false // the client has left
+			return false // the client has disconnected
 		}
 		p.Close = p.Close || in.r.Close || s.closing(c)
 	}
 	buf := mem.GetBuffer()
 	defer mem.PutBuffer(buf)
-	c.nc.SetWriteDeadline(time.Now().Add(writeFor))
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.nc.Write(AppendResponse(buf[:0], p)); err != nil {
 		return false
 	}
-	linger := partFor
+	linger := closeLinger
 	if in.err != nil {
-		linger = lingerFor
+		linger = errorLinger
 	}
-	return s.answered(c, p.Close, linger)
+	return s.responseSent(c, p.Close, linger)
 }
--- a/internal/gatherer/net/http1/server.go
+++ b/internal/gatherer/net/http1/server.go
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// Handler answers a request. gone is closed when the client goes away meanwhile. The body is valid only
-// until it returns.
+// Handler answers a request. Gone is closed when the client disconnects meanwhile; the handler may return nil then. The body
+// is valid only until it returns.
 type Handler func(r *Request, gone <-chan struct{}) *Response
 
-// Times of a connection; what a request itself may take is its deadline's affair.
+// Time-outs of a connection. Each request has its own deadline besides.
 const (
-	takeFor   = 2 * time.Second        // from a connection's start, or a later request's, to that request's last byte
-	idleFor   = 2 * time.Second        // between requests
-	restFor   = 500 * time.Millisecond // so long an answered connection is left in peace where there are many
-	settleFor = 100 * time.Millisecond // so long a new connection is not closed to make room: its request may wait unread
-	writeFor  = 5 * time.Second
-	lingerFor = time.Second            // behind an answer to what could not be read, for the rest of that
-	partFor   = 250 * time.Millisecond // behind any other end of ours, for what crosses it
-	awayFor   = 700 * time.Millisecond // so long new connections may come after clients were sent away
-	firstFor  = 300 * time.Millisecond // while draining: for a new connection's first byte
-	lastLook  = 20 * time.Millisecond  // a drain ends when so long nothing waits to be accepted
-	moreFor   = time.Second            // and after so much longer than was said, at the latest
-	spare     = 16                     // connections past MaxConns that are told so
+	requestTimeout   = 2 * time.Second        // from the start of a connection or of a later request to the last byte of the request
+	idleTimeout      = 2 * time.Second        // of a keep-alive connection between requests
+	minIdle          = 500 * time.Millisecond // that a served connection is left open where there are many
+	minNewAge        = 100 * time.Millisecond // that a new connection is left open for capacity: its request may not have been read
+	writeTimeout     = 5 * time.Second
+	errorLinger      = time.Second            // after the response to an invalid request, to discard the rest of it
+	closeLinger      = 250 * time.Millisecond // after any other close of ours, to discard what is still received
+	closeIdleDelay   = 700 * time.Millisecond // after SetConnectionClose, before idle connections are closed
+	firstByteTimeout = 300 * time.Millisecond // of a new connection while draining
+	drainPoll        = 20 * time.Millisecond  // a drain ends when nothing has been accepted for so long
+	drainExtra       = time.Second            // at most that a drain accepts beyond its given time
+	spareConns       = 16                     // connections beyond MaxConns, which are answered with 503
 )
 
-// Server serves one listener.
+// Server serves one listener. Create it with New, then call Serve.
 type Server struct {
-	Handle   Handler
-	MaxConns int
-	Keep     int           // past so many connections, each new one closes one that rests; 0 for no such bound
-	Bodies   chan struct{} // bounds the bodies held at once, of all servers that share it; nil for no bound
-	Log      *slog.Logger
-
-	mu             sync.Mutex
-	conns          map[*conn]struct{}
-	draining       bool
-	listenerClosed bool // draining, with a successor on the same socket
-	lame           int  // odd while sent away: goes up by one with each change
-	listener       *net.TCPListener
-	last           time.Time // when accepting ends, while draining
-	freed          chan struct{}
-	done           sync.WaitGroup
+	Handle       Handler
+	MaxConns     int
+	SoftMaxConns int           // beyond so many connections each new one closes an idle one; 0 for no bound
+	Bodies       chan struct{} // one slot for each body held in memory, of all servers that share it; nil for no bound
+	Log          *slog.Logger
+
+	mu              sync.Mutex
+	conns           map[*conn]struct{}
+	draining        bool
+	listenerClosed  bool // draining, while a successor accepts on the same socket
+	closeGeneration int  // odd while connections are to be closed; incremented with each change
+	listener        *net.TCPListener
+	acceptUntil     time.Time // while draining
+	freed           chan struct{}
+	done            sync.WaitGroup
 }
 
-// New makes a server on a listener; Serve must follow.
+// New returns a server on a listener.
 func New(l *net.TCPListener, h Handler, maxConns int, logger *slog.Logger) *Server {
 	return &Server{Handle: h, MaxConns: maxConns, Log: logger, listener: l,
 		conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1)}
@@ -64,13 +64,13 @@
 	for {
 		nc, err := s.listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			// The drain's time is over. Closing now would reset what waits in the backlog, whose requests
-			// count as taken: accepting goes on until a whole look finds nothing, or too long.
-			if s.listenerClosed || quiet || time.Now().After(s.until()) {
+			// The time of the drain is over. Closing now would reset connections in the backlog, whose requests have
+			// been sent: accepting continues until nothing has come for drainPoll, or for too long.
+			if s.listenerClosed || quiet || time.Now().After(s.acceptDeadline()) {
 				return
 			}
 			quiet = true
-			s.listener.SetDeadline(time.Now().Add(lastLook))
+			_ = s.listener.SetDeadline(time.Now().Add(drainPoll)) // if the listener is closed, Accept says so
 			continue
 		}
 		quiet = false
@@ -78,103 +78,104 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Out of descriptors, most likely: free one, and try again when something has closed.
+			// Probably out of descriptors: free one, and retry when a connection has closed.
 			s.Log.Warn("accept failed", "reason", err)
 			s.mu.Lock()
-			s.shutLongest(func(c *conn) bool { return c.busy == 0 && c.used })
+			s.closeLongestIdle(func(c *conn) bool { return c.pending == 0 && c.served })
 			s.mu.Unlock()
-			s.awaitFree(100 * time.Millisecond)
+			s.awaitClosed(100 * time.Millisecond)
 			continue
 		}
 		s.mu.Lock()
-		c := &conn{nc: nc, since: time.Now()}
-		if s.makeRoom(s.MaxConns) && s.Keep > 0 && len(s.conns) >= s.Keep {
-			// Clients have places, too: one that asked once and keeps its connection takes one from the others.
-			s.shutLongest(func(c *conn) bool { return c.used && c.busy == 0 && time.Since(c.since) > restFor })
+		c := &conn{nc: nc, activeAt: time.Now()}
+		if s.ensureCapacity(s.MaxConns) && s.SoftMaxConns > 0 && len(s.conns) >= s.SoftMaxConns {
+			// A client that was served once and keeps its connection takes one from the others.
+			s.closeLongestIdle(func(c *conn) bool { return c.served && c.pending == 0 && time.Since(c.activeAt) > minIdle })
 		}
 		s.conns[c] = struct{}{}
 		s.done.Add(1)
 		s.mu.Unlock()
 		go s.serve(c)
-		for s.crowded() { // the backlog waits; nothing in it is lost
-			s.awaitFree(settleFor)
+		for s.overloaded() { // the backlog waits; it is not lost
+			s.awaitClosed(minNewAge)
 		}
 	}
 }
 
-// SetLimits gives other bounds, and closes the longest resting connections that have no room any more.
+// SetLimits changes the bounds, and closes the longest idle connections beyond them.
 func (s *Server) SetLimits(maxConns, keep int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.MaxConns, s.Keep = maxConns, keep
+	s.MaxConns, s.SoftMaxConns = maxConns, keep
 	for len(s.conns) > maxConns {
-		if !s.shutLongest(func(c *conn) bool { return c.busy == 0 && time.Since(c.since) > settleFor }) {
+		if !s.closeLongestIdle(func(c *conn) bool { return c.pending == 0 && time.Since(c.activeAt) > minNewAge }) {
 			return
 		}
 	}
 }
 
-// Drain closes keep-alive connections between requests, from now on and as answers go out. New connections
-// are still accepted and served for a time.
+// Drain closes keep-alive connections between requests, from now on and after responses. New connections are accepted and
+// served for the given time.
 func (s *Server) Drain(acceptFor time.Duration) {
 	s.mu.Lock()
-	s.draining, s.last = true, time.Now().Add(acceptFor+moreFor)
-	s.listener.SetDeadline(time.Now().Add(acceptFor))
+	s.draining, s.acceptUntil = true, time.Now().Add(acceptFor+drainExtra)
+	_ = s.listener.SetDeadline(time.Now().Add(acceptFor)) // if the listener is closed, Accept says so
 	for c := range s.conns {
-		if c.busy == 0 && !c.used {
-			c.nc.SetReadDeadline(time.Now().Add(firstFor)) // its first request may be on the way
+		if c.pending == 0 && !c.served {
+			c.nc.SetReadDeadline(time.Now().Add(firstByteTimeout)) // its first request may be in flight
 		}
 	}
 	s.closeIdle()
 	s.mu.Unlock()
 }
 
-// HandOff stops accepting at once, as a successor has the same socket and takes its backlog. The connections
-// accepted are served; those that rest are left open for a request on the way until their time is up.
+// CloseListener stops accepting at once, as a successor has the same socket and accepts its backlog. Accepted connections
+// are served; idle ones stay open until their time-out, for a request in flight.
 func (s *Server) CloseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining, s.listenerClosed = true, true
-	s.listener.SetDeadline(time.Now())
+	_ = s.listener.SetDeadline(time.Now()) // if the listener is closed, Accept says so
 }
 
-// SendAway has each connection close behind its next answer, and those that rest when new ones have stopped
-// coming. The listener stays open.
+// SetConnectionClose makes each connection close after its next response, and idle ones after closeIdleDelay, when new ones
+// have stopped coming. The listener stays open.
 func (s *Server) SetConnectionClose(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on == (s.lame%2 == 1) {
+	if on == (s.closeGeneration%2 == 1) {
 		return
 	}
-	s.lame++
-	if now := s.lame; on {
-		time.AfterFunc(awayFor, func() {
+	s.closeGeneration++
+	if now := s.closeGeneration; on {
+		time.AfterFunc(closeIdleDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.lame == now {
+			if s.closeGeneration == now {
 				s.closeIdle()
 			}
 		})
 	}
 }
 
-// Wait returns when every connection has ended; call it when Serve has returned.
+// Wait returns when every connection has ended. Call it after Serve has returned.
 func (s *Server) Wait() { s.done.Wait() }
 
-func (s *Server) until() time.Time {
+// acceptDeadline is when a drain stops accepting at the latest.
+func (s *Server) acceptDeadline() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last
+	return s.acceptUntil
 }
 
-// closing says whether the connection is to close behind the answer to the request in hand.
+// closing reports whether the connection is to close after the response to the current request.
 func (s *Server) closing(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.ahead == 0 && (s.draining || s.lame%2 == 1 || c.last)
+	return c.queued == 0 && (s.draining || s.closeGeneration%2 == 1 || c.noMore)
 }
 
-// handle calls the handler. A fault in it fails its own request, and must not take down all others.
+// handle calls the handler. A panic in it fails its own request and no other.
 func (s *Server) handle(r *Request, gone <-chan struct{}) (p *Response) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -186,7 +187,7 @@
 	return s.Handle(r, gone)
 }
 
-// Text makes a plain answer.
+// Text returns a plain-text response.
 func Text(status int, text string) *Response {
 	return &Response{Status: status, Header: textproto.MIMEHeader{"Content-Type": {"text/plain"}},
 		Body: []byte(strings.TrimSuffix(text, "\n") + "\n")}
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -6,6 +6,7 @@
 	"net/netip"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/audit"
@@ -78,7 +79,7 @@
 
 // In a surge of one greedy route the others keep their service, which they lose without limits.
 func TestGreedyRoute(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		kept, _ := surge(t, true)
 		lost, _ := surge(t, false)
 		if kept < 0.97 || lost > 0.8 {
@@ -89,7 +90,7 @@
 
 // Repeats pile on as lot stores err: the whole's budget holds, and none is sent past it.
 func TestRepeatsBudget(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		r.limit(t, limits.RetryBudget{Ratio: 0.05, Minimum: 2, Span: 10 * time.Second}, &limits.Route{Name: "all"})
@@ -114,7 +115,7 @@
 // leave; deadlines of a microsecond and of an hour, pages too deep and bodies too long are checked on arrival; new limits
 // keep the queue.
 func TestRouteLimits(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		one := limits.Limits{Timeout: time.Second, MaxDepth: 50, MaxBody: 120, Concurrency: limits.Concurrency{Max: 1, Queue: 2, Wait: 400 * time.Millisecond}}
@@ -215,7 +216,7 @@
 // The record of a rough half minute under limits that a reload narrows proves that every one of them held: lot stores err,
 // hang and come back, clients leave, and more is asked than is let in.
 func TestRecordProvesLimits(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		a, entries := audit.New(), 0
 		o := usual
 		o.record = func(e record.Entry) { entries++; a.Add(e) }
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -18,7 +18,7 @@
 
 // A copy that dies between the phases: its listings come from another one.
 func TestCopyDiesBetweenPhases(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		want, _ := r.truth(tractors, 0, 10)
@@ -52,7 +52,7 @@
 // under the floor it is refused or failed in time.
 func TestSlowListings(t *testing.T) {
 	for _, size := range []int{40, 2} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			r := newRig(usual)
 			defer r.stop()
 			for range 3 {
@@ -60,7 +60,7 @@
 			}
 			ids, _ := r.truth(tractors, 0, size)
 			shard, lost := 0, 0
-			fmt.Sscanf(ids[0], "lot-%d-", &shard)
+			_, _ = fmt.Sscanf(ids[0], "lot-%d-", &shard)
 			for _, id := range ids {
 				if strings.HasPrefix(id, fmt.Sprintf("lot-%d-", shard)) {
 					lost++
@@ -100,7 +100,7 @@
 // time either way.
 func TestScoresMissing(t *testing.T) {
 	for _, silent := range []int{1, 2} { // cells of four ranges, of six
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			r := newRig(usual)
 			defer r.stop()
 			for range 3 {
@@ -132,14 +132,14 @@
 // A lot that changes between the phases so that its rank is not its own is left out and told; one that was bid on
 // but keeps its rank stays.
 func TestLotsChangeBetweenPhases(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.refresh = 0 // copies show writes at once
 		r := newRig(o)
 		defer r.stop()
 		ids, _ := r.truth(tractors, 0, 10)
 		done := false
-		rangeOf := func(id string) (n int) { fmt.Sscanf(id, "lot-%d-", &n); return n }
+		rangeOf := func(id string) (n int) { _, _ = fmt.Sscanf(id, "lot-%d-", &n); return n }
 		change := func() {
 			done = true
 			r.corpus.Delete(rangeOf(ids[0]), ids[0])
@@ -166,14 +166,14 @@
 // title finds a lot's title.
 func (r *rig) title(id string) string {
 	var shard int
-	fmt.Sscanf(id, "lot-%d-", &shard)
+	_, _ = fmt.Sscanf(id, "lot-%d-", &shard)
 	item := r.corpus.NewCopy("t", 0).Search(shard, gjson.Parse(`{"query":{"ids":{"values":["`+id+`"]}}}`))
 	return gjson.Get(item, "hits.hits.0._source.title").Str
 }
 
 // A client that leaves between the phases: all that is out is called off, and nothing stays in the tables.
 func TestClientLeavesBetweenPhases(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		gone, asked := make(chan struct{}), make(chan struct{})
@@ -213,7 +213,7 @@
 // Classes that are reloaded, and copies that drain, between the phases: the query ends under the rules that it came
 // under, and nothing is asked of a copy that drains.
 func TestReloadAndDrainBetweenPhases(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		want, _ := r.truth(tractors, 0, 10)
@@ -265,7 +265,7 @@
 		"total too small": func(s string) string { return strings.Replace(s, `"value":`, `"value":0,"was":`, 1) },
 		"without ids":     func(s string) string { return strings.ReplaceAll(s, `"_id"`, `"_no"`) },
 	} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			r := newRig(usual)
 			defer r.stop()
 			want, _ := r.truth(tractors, 0, 20)
--- a/internal/gatherer/net/opensearch/phases_test.go
+++ b/internal/gatherer/net/opensearch/phases_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -37,7 +38,7 @@
 // In one phase or two, with bounds known or not, by score or by a field, an answer marked whole is the full one.
 func TestPagesAreTheFullOnes(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			o := usual
 			o.phases = phases
 			r := newRig(o)
@@ -64,7 +65,7 @@
 
 // A write that no copy shows yet and one that they show by now: neither is lost by a bound that was learnt before.
 func TestBoundsAgainstWrites(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		rng := rand.New(rand.NewPCG(4, 4))
@@ -83,7 +84,7 @@
 
 // Where lot stores answer within a millisecond, the second phase still has the core's own steps to go through.
 func TestQuickLotStores(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.unit = 0.0001
 		r := newRig(o)
@@ -100,7 +101,7 @@
 
 // Deep pages are served to 10,000 and refused beyond, naming the limit; pages past the end are empty.
 func TestDeepPages(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.ranges, o.each = 4, 3000
 		r := newRig(o)
@@ -117,7 +118,7 @@
 
 // A size of 0 counts, and a page that is larger than all there is ends with it.
 func TestSizeZeroAndFew(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		for range 2 {
@@ -134,7 +135,7 @@
 // taken for failing by any number of such.
 func TestUnanswerable(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			o := usual
 			o.phases = phases
 			r := newRig(o)
@@ -160,7 +161,7 @@
 
 // Answers that are in hand are bounded: what has no room counts as a failed attempt, and the search ends.
 func TestAnswersBounded(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.bytes = 40 << 10 // 10 KiB for one search
 		r := newRig(o)
@@ -177,7 +178,7 @@
 // Listings are asked of the copy that ranked the lots, and attempts of a range count over both phases: a range whose
 // copies fail gets four at the most.
 func TestListingsFromTheCopyThatRanked(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		for range 20 {
@@ -193,7 +194,7 @@
 		time.Sleep(usual.refresh) // all is asked again
 		ids, _ := r.truth(tractors, 0, 10)
 		shard, failed := 0, 0
-		fmt.Sscanf(ids[0], "lot-%d-", &shard)
+		_, _ = fmt.Sscanf(ids[0], "lot-%d-", &shard)
 		for _, s := range r.holders(shard) {
 			s.trouble = func(n int, p lots.Phase) (standin.End, time.Duration) {
 				if n == shard && (p == lots.Listings || failed < 2) {
@@ -217,7 +218,7 @@
 
 // The choice by measurement goes with the load, and the front says which way a search went.
 func TestChoiceOfPhases(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.phases = 0
 		r := newRig(o)
@@ -240,7 +241,7 @@
 // Aggregations come from every range, in one phase or two; with ranges missing they say what their figures are.
 func TestAggregations(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			o := usual
 			o.phases = phases
 			r := newRig(o)
--- a/internal/gatherer/net/opensearch/points_test.go
+++ b/internal/gatherer/net/opensearch/points_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -72,7 +73,7 @@
 func TestPagesHoldStill(t *testing.T) {
 	body := `{"query":{"match":{"title":"tractor"}},"sort":[{"year":"desc"}]}`
 	for _, keep := range []int{50, 0} {
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			r := newRig(usual)
 			defer r.stop()
 			for _, s := range r.stores {
@@ -100,7 +101,7 @@
 			}
 			for _, id := range want {
 				var shard int
-				fmt.Sscanf(id, "lot-%d-", &shard)
+				_, _ = fmt.Sscanf(id, "lot-%d-", &shard)
 				if !seen[id] && !moved[shard] {
 					t.Fatalf("lot %s is on no page, and its range is not named: %s", id, last.Get("coverage").Raw)
 				}
@@ -115,7 +116,7 @@
 // A range that was missing when the point in time was opened stays out of its pages and is named, though it is back;
 // a copy that lags behind is passed over; a token whose ranges have all changed, or whose time is over, says so.
 func TestPointInTimeOfSomeRanges(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		for range 3 {
@@ -158,7 +159,7 @@
 
 // A copy that lags behind what is pinned is passed over for one that has it: pages are whole, and no lot is on two.
 func TestLaggingCopies(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
 		for i, s := range r.holders(3) { // two see range 3 as it is now for an hour, one as it is at each second
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -27,7 +28,7 @@
 		phases := rapid.SampledFrom([]search.Phases{0, search.One, search.Two}).Draw(rt, "phases")
 		asks := rapid.SliceOfN(rapid.Custom(draw), 1, 6).Draw(rt, "searches")
 		var wrong error
-		bubble(t, func(*testing.T) { wrong = playRandom(phases, asks) })
+		synctest.Test(t, func(*testing.T) { wrong = playRandom(phases, asks) })
 		if wrong != nil {
 			rt.Fatal(wrong)
 		}
@@ -138,7 +139,7 @@
 		writes := rapid.SliceOfN(rapid.Custom(drawWrite), 0, 12).Draw(rt, "writes")
 		sort := rapid.SampledFrom([]string{``, `,"sort":[{"year":"desc"}]`, `,"sort":["make",{"price":"desc"}]`}).Draw(rt, "sort")
 		var wrong error
-		bubble(t, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
 			r := newRig(usual)
 			defer r.stop()
 			for id, s := range r.stores {
@@ -166,7 +167,7 @@
 			unsaid := 0
 			for _, id := range want {
 				shard := 0
-				fmt.Sscanf(id, "lot-%d-", &shard)
+				_, _ = fmt.Sscanf(id, "lot-%d-", &shard)
 				if !seen[id] && named[shard] == 0 {
 					unsaid++
 				}
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -6,8 +6,6 @@
 	"math/rand/v2"
 	"slices"
 	"sync"
-	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -64,9 +62,6 @@
 	record       func(record.Entry)
 }
 
-// bubble runs f on a false clock.
-func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
-
 func newRig(o rigOptions) *rig {
 	r := &rig{ranges: o.ranges, corpus: lots.New(7, o.ranges, o.each), stores: map[decision.ServerID]*memStore{}, ended: make(chan struct{}),
 		out: map[*gather.Attempt]*memJob{}, most: map[string]int{}, live: map[string]int{}, tries: map[string]int{}}
--- a/internal/gatherer/net/opensearch/stores_test.go
+++ b/internal/gatherer/net/opensearch/stores_test.go
@@ -38,6 +38,7 @@
 }
 
 func listen(t *testing.T) net.Listener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,6 +49,7 @@
 
 // stores starts a transport with one lot store that answers as handle does.
 func stores(t *testing.T, handle http1.Handler) (*Stores, reports) {
+	t.Helper()
 	l := listen(t)
 	go http1.New(l.(*net.TCPListener), handle, 10, slog.New(slog.DiscardHandler)).Serve()
 	return storesAt(l.Addr().String())
--- a/internal/gatherer/net/opensearch/twophase_bench_test.go
+++ b/internal/gatherer/net/opensearch/twophase_bench_test.go
@@ -15,6 +15,7 @@
 
 // inBubble runs f on a false clock within a benchmark; synctest wants a test.
 func inBubble(b *testing.B, f func()) {
+	b.Helper()
 	all := func(string, string) (bool, error) { return true, nil }
 	if !testing.RunTests(all, []testing.InternalTest{{Name: "bubble", F: func(t *testing.T) {
 		synctest.Test(t, func(*testing.T) { f() })
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -31,7 +31,7 @@
 }
 
 // longest bounds the time that a client may ask for.
-const longest = time.Minute
+const maxDeadline = time.Minute
 
 // rounding is how far from 1 the shares of a query's parts may add up.
 const rounding = 0.01
@@ -116,7 +116,7 @@
 	if unit == 0 || err != nil || n <= 0 || strings.Trim(s, "0123456789.") != "" { // it takes inf, 0x1p3 and 1e3
 		return 0, false
 	}
-	return time.Duration(min(n*float64(unit), float64(longest))), true
+	return time.Duration(min(n*float64(unit), float64(maxDeadline))), true
 }
 
 // parseBody reads the parts and the text. Nothing in the result refers to the body.
--- a/internal/gatherer/net/platform/platform_test.go
+++ b/internal/gatherer/net/platform/platform_test.go
@@ -149,7 +149,7 @@
 	proptest.CheckParser(t, false, func(b []byte) error {
 		if d, ok := parseWait(string(b)); !ok {
 			return errors.New("refused")
-		} else if d < 0 || d > longest || strings.ContainsAny(string(b), "-+exInN_") {
+		} else if d < 0 || d > maxDeadline || strings.ContainsAny(string(b), "-+exInN_") {
 			t.Errorf("%q gives %v", b, d)
 		}
 		return nil
--- a/internal/gatherer/proptest/proptest.go
+++ b/internal/gatherer/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest is the test helper for property tests: fixed seeds, and for parsers random cuts of valid messages and
-// random garbage.
+// Package proptest helps with property tests: fixed seeds, and for parsers random truncations of valid messages and random
+// garbage.
 package proptest
 
 import (
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// Seed has rapid draw the same so many cases each time, and leave no files behind.
-func Seed(t testing.TB, checks int) {
-	t.Helper()
+// Seed makes rapid draw the same cases, as many as checks, each time, and write no files.
+func Seed(tb testing.TB, checks int) {
+	tb.Helper()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": strconv.Itoa(checks), "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 }
 
-// CheckParser feeds parse each valid message, cuts and mutations of them, and garbage. Valid ones must be taken;
-// nothing may panic; and where every byte of a message is needed, no strict prefix may be taken.
+// CheckParser feeds parse each valid message, truncations and mutations of them, and garbage. Valid ones must be accepted;
+// nothing may panic; and where every byte of a message is needed, no strict prefix may be accepted.
 func CheckParser(t *testing.T, allNeeded bool, parse func([]byte) error, valid ...string) {
 	t.Helper()
 	Seed(t, 300)
@@ -37,7 +37,7 @@
 			t.Fatalf("took the prefix %q", cut)
 		}
 		garbage := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "garbage")
-		parse(append([]byte(cut), garbage...))
-		parse(garbage)
+		_ = parse(append([]byte(cut), garbage...)) // it must not panic, whatever it returns
+		_ = parse(garbage)
 	})
 }
--- a/internal/gatherer/settings/settings_test.go
+++ b/internal/gatherer/settings/settings_test.go
@@ -40,6 +40,7 @@
 const bid = `{"name":"place-bid","onTimeUs":1500000,"deadlineUs":4000000,"effect":"keyed","memorySpanUs":4000000,"worth":2}`
 
 func parse(t *testing.T, text string) Settings {
+	t.Helper()
 	s, err := ParseDaemon([]byte(text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/store/store_test.go
+++ b/internal/gatherer/store/store_test.go
@@ -16,6 +16,7 @@
 }
 
 func open(t *testing.T, c Config) *member {
+	t.Helper()
 	m := &member{Config: c, changes: make(chan map[string]string, 100)}
 	m.Changed = func(v map[string]string) { m.changes <- v }
 	var err error
--- a/internal/gatherer/wire/wire_test.go
+++ b/internal/gatherer/wire/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -47,7 +48,7 @@
 	if ev, err := decode(unhex(t, "00000000000000000000000000805c5a")); err != nil || len(ev) != 0 {
 		t.Errorf("empty batch: %v, %v", ev, err)
 	}
-	if _, err := decode(nil); err != io.EOF {
+	if _, err := decode(nil); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v, want io.EOF", err)
 	}
 }
