--- a/internal/gatherer/net/admin/admin.go
+++ b/internal/gatherer/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators' calls: a connection carries one line, and one line comes back that
-// starts with 200 or 400.
+// Package admin serves operators' calls: a connection carries one line, and one line is returned that starts with 200 or
+// 400.
 package admin
 
 import (
@@ -15,10 +15,10 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 )
 
-// Verb is what an operator calls for.
+// Verb is the kind of a call.
 type Verb string
 
-// The verbs. Detach and Attach go with the name of a lot store.
+// The verbs. Detach and Attach take the name of a lot store.
 const (
 	Ping     Verb = "PING"
 	Detach   Verb = "DETACH"
@@ -27,27 +27,26 @@
 	Rejoin   Verb = "REJOIN"
 )
 
-// Call is one call.
+// Call is one call of an operator.
 type Call struct {
 	Verb Verb
 	Name string // of the lot store, where the verb takes one
 }
 
-// Handler carries a call out and says what came of it. An error is a no. It must not take longer than an
-// answer may.
+// Handler carries out a call and returns the text of the answer, or an error, which is answered with 400. It must be quick.
 type Handler func(Call) (string, error)
 
-// Bounds of what callers may hold.
+// Bounds of a caller.
 const (
 	maxLine      = 256
-	maxConns     = 12              // of callers at once; one more closes the one that has waited longest
-	readTimeout  = 5 * time.Second // for the whole line
+	maxConns     = 12              // callers at once; one more closes the one that has waited longest
+	readTimeout  = 5 * time.Second // for the complete line
 	writeTimeout = time.Second
 )
 
 var errNoNewline = errors.New("the line does not end")
 
-// readLine reads a call's line. Without its newline there is none.
+// readLine reads the line of a call. Without a newline it is an error.
 func readLine(r io.Reader) (string, error) {
 	line, err := bufio.NewReaderSize(r, maxLine).ReadSlice('\n')
 	if err != nil {
@@ -56,7 +55,7 @@
 	return strings.TrimSuffix(string(line[:len(line)-1]), "\r"), nil
 }
 
-// Parse reads a call.
+// Parse parses a call.
 func Parse(line string) (Call, error) {
 	words := strings.Split(line, " ")
 	c := Call{Verb: Verb(words[0])}
@@ -76,26 +75,26 @@
 	return c, fmt.Errorf("unknown call %.40q", words[0])
 }
 
-// Server answers calls on one listener.
+// Server serves calls on one listener.
 type Server struct {
 	listener net.Listener
 	handle   Handler
 
 	mu    sync.Mutex
-	conns []net.Conn // whose line has not come, the longest waiting first
+	conns []net.Conn // whose line has not been received, the longest waiting first
 }
 
-// New makes a server on a listener; Serve must follow.
+// New returns a server on a listener.
 func New(l net.Listener, h Handler) *Server { return &Server{listener: l, handle: h} }
 
-// Serve answers until the listener is closed.
+// Serve serves until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		nc, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors: callers that say nothing hold some
+		if err != nil { // out of descriptors: callers that send nothing hold some
 			s.closeOldest(0)
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -108,16 +107,18 @@
 	}
 }
 
-// shed closes the longest waiting callers until so many are left: the silent hold up nobody.
-func (s *Server) closeOldest(left int) {
+// closeOldest closes the longest waiting callers until so many remain: those that send nothing must block nobody.
+func (s *Server) closeOldest(remain int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.conns) > left {
+	for len(s.conns) > remain {
 		s.conns[0].Close()
 		s.conns = s.conns[1:]
 	}
 }
 
+// serve serves one caller.
+// serve serves one caller.
 func (s *Server) serve(nc net.Conn) {
 	defer nc.Close()
 	nc.SetReadDeadline(time.Now().Add(readTimeout))
@@ -131,21 +132,24 @@
 	}
 	s.mu.Unlock()
 	if errors.Is(err, errNoNewline) && !errors.Is(err, bufio.ErrBufferFull) {
-		return // half a call does nothing
+		return // a partial call does nothing
 	}
 	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err != nil {
-		fmt.Fprintf(nc, "400 the line is over %d bytes\n", maxLine)
+		reply(nc, "400 the line is over %d bytes\n", maxLine)
 		return
 	}
 	c, err := Parse(line)
-	said := ""
+	text := ""
 	if err == nil {
-		said, err = s.handle(c)
+		text, err = s.handle(c)
 	}
 	if err != nil {
-		fmt.Fprintf(nc, "400 %s\n", err)
+		reply(nc, "400 %s\n", err)
 		return
 	}
-	fmt.Fprintf(nc, "200 %s\n", said)
+	reply(nc, "200 %s\n", text)
 }
+
+// reply writes the answer to a call. A caller that has gone does not read it, and the connection is closed anyway.
+func reply(nc net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(nc, format, args...) }
--- a/internal/gatherer/net/admin/admin_test.go
+++ b/internal/gatherer/net/admin/admin_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Each call gets one line, and the connection ends with it. Callers that say nothing, or only half a call, do
-// nothing and hold up nobody, however many.
+// Each call gets one line, and the connection ends with it. Callers that send nothing, or a partial call, do nothing and
+// block nobody, however many.
 func TestServe(t *testing.T) {
 	calls := make(chan Call, 10)
 	call := serve(t, func(c Call) (string, error) {
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery follows the lot-store list that the agent on this machine serves.
+// Package discovery watches the list of lot stores that the agent on this machine serves, by long polling.
 package discovery
 
 import (
@@ -20,49 +20,49 @@
 )
 
 const (
-	watchTimeout = 2 * time.Second // of one watch: an agent that went silent is noticed soon after, and asking is free
-	watchGrace   = time.Second     // past that, the agent is taken for silent
+	watchTimeout = 2 * time.Second // of one long poll: an unresponsive agent is noticed soon after, and asking is cheap
+	watchGrace   = time.Second     // beyond that, the agent counts as unresponsive
 	dialTimeout  = time.Second
-	backoffFirst = 20 * time.Millisecond // back-off of reconnects, doubled up to backMost
+	backoffFirst = 20 * time.Millisecond // back-off of reconnects, doubled up to backoffMax
 	backoffMax   = time.Second
 
-	// Where it must be asked, discovery takes up so many watches in a time and has calls past that wait, and fail.
-	// One that goes on costs it nothing. Many gatherers that begin or fail at once must not all come at once, nor soon again: so much
-	// time is left for each.
+	// Where the list is polled, discovery accepts so many new watches in a time; calls beyond that wait, and fail. A
+	// watch that continues costs it nothing. Many gatherers that start or fail at once must not all call at once, nor
+	// soon again: turnTime is left for each.
 	maxUnspread = 4
 	turnTime    = 50 * time.Millisecond
-	maxTurns    = 4 // failures in a row double the time up to so much
+	maxTurns    = 4 // failures in a row double the time up to this factor
 
-	// A watch that has fallen silent is broken, and what it misses counts as told 2 s after its wait: less graceFor and
-	// the dial, this much is left to spread the new watches over.
+	// A watch that has timed out is broken, and updates that it misses count as received 2 s after its time-out: less
+	// watchGrace and the dial, this much is left to spread the new watches over.
 	reopenSpread = 300 * time.Millisecond
 )
 
-// Watcher follows the list.
+// Watcher watches the list.
 type Watcher struct {
 	Addr  string
 	Zones []string
 	Log   *slog.Logger
-	// Siblings is how many gatherers there are, this one included.
+	// Instances is how many gatherers there are, this one included.
 	Instances func() int
-	// Asked says whether a call is work for discovery itself. Where it is not, the agent answers with what it was
-	// sent anyhow, which counts as told from then on: there is nothing to spare and much to miss.
+	// Polling reports whether a call is work for discovery itself. Where it is not, the agent answers from what is pushed
+	// to it, which counts as received from then on: calls need not be spread, and delay would miss updates.
 	Polling func() bool
-	// Tell takes the news, in order.
+	// OnList receives the updates, in order.
 	OnList func(gather.List)
 }
 
-// ParseList reads a list in the format of discovery and the configuration.
+// ParseList parses a list in the format of discovery and the configuration.
 func ParseList(text []byte, zones []string) (seq int64, l gather.List, err error) {
 	if !gjson.ValidBytes(text) { // gjson's getters take garbage
 		return 0, l, errors.New("the list is not JSON")
 	}
 	root := gjson.ParseBytes(text)
-	version, whole, hosts := root.Get("seq"), root.Get("whole"), root.Get("hosts")
-	if version.Type != gjson.Number || !whole.IsBool() || !hosts.IsArray() {
+	version, full, hosts := root.Get("seq"), root.Get("whole"), root.Get("hosts")
+	if version.Type != gjson.Number || !full.IsBool() || !hosts.IsArray() {
 		return 0, l, errors.New("the list lacks seq, whole or hosts")
 	}
-	if whole.Bool() {
+	if full.Bool() {
 		l.Kind = decision.FullList
 	}
 	hosts.ForEach(func(_, h gjson.Result) bool {
@@ -75,16 +75,16 @@
 	return version.Int(), l, err
 }
 
-// AppendList formats a list as ParseList reads it.
+// AppendList appends a list in the format of ParseList.
 func AppendList(b []byte, seq int64, list []mem.Server, zones []string) []byte {
 	b = fmt.Appendf(b, `{"seq":%d,"whole":true,"hosts":[`, seq)
 	for i, s := range list {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		born := int64(0)
+		started := int64(0)
 		if !s.Started.IsZero() {
-			born = s.Started.UnixMilli()
+			started = s.Started.UnixMilli()
 		}
 		b = append(b, `{"host":`...)
 		b = gjson.AppendJSONString(b, s.Name)
@@ -92,11 +92,11 @@
 		b = gjson.AppendJSONString(b, s.Addr)
 		b = append(b, `,"site":`...)
 		site := ""
-		if s.Zone >= 0 && s.Zone < len(zones) { // of one that is gone it may not be known
+		if s.Zone >= 0 && s.Zone < len(zones) { // of a deregistered one it may be unknown
 			site = zones[s.Zone]
 		}
 		b = gjson.AppendJSONString(b, site)
-		b = fmt.Appendf(b, `,"block":%d,"health":%q,"share":%v,"born_ms":%d}`, s.Cell, stateNames[s.State], s.Weight, born)
+		b = fmt.Appendf(b, `,"block":%d,"health":%q,"share":%v,"born_ms":%d}`, s.Cell, stateNames[s.State], s.Weight, started)
 	}
 	return append(b, "]}"...)
 }
@@ -105,6 +105,8 @@
 
 var states = map[string]decision.ServerState{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Deregistered}
 
+// parseHost parses one entry of a list.
+// parseHost parses one entry of a list.
 func parseHost(h gjson.Result, zones []string) (mem.Server, error) {
 	s := mem.Server{Name: h.Get("host").String(), Addr: h.Get("dial").String(), Cell: int(h.Get("block").Int()),
 		Weight: h.Get("share").Float(), Zone: -1}
@@ -123,20 +125,20 @@
 	case state != decision.Deregistered && (s.Addr == "" || s.Zone < 0):
 		return s, fmt.Errorf("the list has no dial or an unknown site for host %.80q", s.Name)
 	}
-	if born := h.Get("born_ms").Int(); born > 0 {
-		s.Started = time.UnixMilli(born)
+	if started := h.Get("born_ms").Int(); started > 0 {
+		s.Started = time.UnixMilli(started)
 	}
 	return s, nil
 }
 
-// Fresh is the version to Run from where none is had of this address: the whole list is asked for first.
+// Fresh is the version to Run from where none is known of this address: the full list is requested first.
 const Fresh = -1
 
-// Run follows the list from a version on until the context ends. Nothing is told after it has returned.
+// Run watches the list from a version on until the context ends. OnList is not called after it has returned.
 func (w *Watcher) Run(ctx context.Context, seq int64) {
 	c := &http1.Client{Addr: w.Addr}
 	back, turns, failing := backoffFirst, time.Duration(1), false
-	if d := w.startSpread(); d > 0 { // the list from the configuration serves until then
+	if d := w.startSpread(); d > 0 { // the list of the configuration is used until then
 		w.sleep(ctx, rand.N(d))
 	}
 	for ctx.Err() == nil {
@@ -146,7 +148,7 @@
 				w.Log.Info("discovery follows again", "seq", next)
 			}
 			seq, back, turns, failing = next, backoffFirst, 1, false
-			continue // at once: a watch goes on only if the next call comes within 200 ms
+			continue // at once: a watch continues only if the next call is made within 200 ms
 		}
 		c.Close()
 		if ctx.Err() != nil {
@@ -162,18 +164,18 @@
 	c.Close()
 }
 
-// pause is how long to leave discovery alone after a failure, more or less: the first after a watch that went on, or one
-// of several in a row.
+// backoff is how long to wait after a failure, before jitter: the first after a successful watch, or one of several in a
+// row.
 func (w *Watcher) backoff(err error, first bool, back, turns time.Duration) time.Duration {
 	d := max(back, turns*w.startSpread())
-	if first && errors.Is(err, os.ErrDeadlineExceeded) { // it is silent, and has refused nothing
+	if first && errors.Is(err, os.ErrDeadlineExceeded) { // it timed out, and has rejected nothing
 		d = min(d, reopenSpread)
 	}
 	return d
 }
 
-// round is the time in which all gatherers have had their turn to begin a watch; none where they are few, or where
-// asking costs nothing.
+// startSpread is the time over which all gatherers spread their new watches; 0 where they are few, or where a call costs
+// nothing.
 func (w *Watcher) startSpread() time.Duration {
 	if n := w.Instances(); n > maxUnspread && w.Polling() {
 		return time.Duration(n) * turnTime
@@ -181,7 +183,7 @@
 	return 0
 }
 
-// rest waits for a time, more or less.
+// sleep waits for a time with jitter, or until the context ends.
 func (w *Watcher) sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -194,12 +196,13 @@
 	}
 }
 
-// watch makes one call and tells what it brings.
+// watch watches an agent from version 3 on, as one of so many gatherers, until the test ends, and returns its
+// updates.
 func (w *Watcher) watch(ctx context.Context, c *http1.Client, seq int64) (int64, error) {
 	if err := c.Dial(ctx, dialTimeout); err != nil {
 		return 0, err
 	}
-	defer context.AfterFunc(ctx, c.Aborter())() // a watch that is dropped must not go on waiting, nor tell news
+	defer context.AfterFunc(ctx, c.Aborter())() // a stopped watch must neither wait nor report
 	now, wait := time.Now(), max(watchTimeout, w.startSpread())
 	target := "/api/targets?since=" + strconv.FormatInt(seq, 10) + "&timeout_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	if seq == Fresh {
@@ -223,7 +226,7 @@
 	if seq == Fresh && l.Kind != decision.FullList {
 		return 0, errors.New("the list is not whole")
 	}
-	if seq != Fresh && next < seq { // an answer that was long on its way, or an agent that has fallen behind
+	if seq != Fresh && next < seq { // a delayed answer, or an agent that is behind
 		return 0, fmt.Errorf("the list went back from version %d to %d", seq, next)
 	}
 	if ctx.Err() == nil && (l.Kind == decision.FullList || len(l.Servers) > 0) {
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -43,30 +43,31 @@
 		delta, standin.List(1, standin.Host("s", "1:2", "a", 0, "ready")))
 }
 
-// watch follows an agent from version 3 on, as one of so many gatherers, until the test ends; what it tells comes.
-func watch(t *testing.T, agent http1.Handler, siblings int, asked bool) (told chan gather.List) {
+// watchAgent watches an agent from version 3 on, as one of so many gatherers, until the test ends, and returns its
+// updates.
+func watchAgent(t *testing.T, agent http1.Handler, instances int, polling bool) (updates chan gather.List) {
 	t.Helper()
 	l := standin.Listen(t)
 	go http1.New(l.(*net.TCPListener), agent, 10, slog.New(slog.DiscardHandler)).Serve()
-	told, _ = follow(t, l.Addr().String(), siblings, asked)
-	return told
+	updates, _ = watchAddr(t, l.Addr().String(), instances, polling)
+	return updates
 }
 
-// follow is watch at an address; stop ends it and returns when it has ended.
-func follow(t *testing.T, addr string, siblings int, asked bool) (told chan gather.List, stop func()) {
+// watchAddr is watchAgent at an address; stop ends it and returns when it has ended.
+func watchAddr(t *testing.T, addr string, instances int, polling bool) (updates chan gather.List, stop func()) {
 	t.Helper()
-	told = make(chan gather.List, 100)
-	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.List) { told <- l },
-		Instances: func() int { return siblings }, Polling: func() bool { return asked }}
+	updates = make(chan gather.List, 100)
+	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.List) { updates <- l },
+		Instances: func() int { return instances }, Polling: func() bool { return polling }}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx, 3); close(ended) }()
 	stop = func() { cancel(); <-ended }
 	t.Cleanup(stop)
-	return told, stop
+	return updates, stop
 }
 
-// A watch that fails is made again, from the version last had; nothing told twice.
+// A watch that fails is repeated from the last version; nothing is reported twice.
 func TestWatchReconnects(t *testing.T) {
 	targets := make(chan string, 10)
 	var n atomic.Int32
@@ -83,21 +84,21 @@
 		<-gone
 		return nil
 	}
-	told := watch(t, h, 2, true)
+	updates := watchAgent(t, h, 2, true)
 	for _, since := range []string{"3", "7", "7", "7"} {
 		if got, want := <-targets, "since="+since+"&timeout_ms=2000"; got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
-	if len(told) != 1 || (<-told).Kind != decision.FullList {
-		t.Error("told otherwise than once, whole")
+	if len(updates) != 1 || (<-updates).Kind != decision.FullList {
+		t.Error("updates otherwise than once, whole")
 	}
 }
 
-// A watch that has fallen silent is broken, and opened anew on a connection of its own, whatever the old one still
-// brings. It comes in time for what it missed to count as told, however many gatherers there are and whether the list
-// is pushed or asked for; a refusal, or a second silence, is left in turn.
-func TestSilentWatch(t *testing.T) {
+// A watch that times out is broken, and repeated on a new connection, whatever the old one still brings: in time for
+// missed updates, however many gatherers there are and whether the list is pushed or polled. After a rejection, or a
+// second time-out, it backs off.
+func TestUnresponsiveWatch(t *testing.T) {
 	var n atomic.Int32
 	h := func(r *http1.Request, gone <-chan struct{}) *http1.Response {
 		if n.Add(1) == 2 {
@@ -107,44 +108,44 @@
 		return nil
 	}
 	const many = 300
-	if got := <-watch(t, h, many, false); len(got.Servers) != 1 || got.Servers[0].State != decision.Draining {
-		t.Errorf("told %+v", got)
+	if got := <-watchAgent(t, h, many, false); len(got.Servers) != 1 || got.Servers[0].State != decision.Draining {
+		t.Errorf("got %+v", got)
 	}
-	for _, asked := range []bool{false, true} {
-		w := &Watcher{Instances: func() int { return many }, Polling: func() bool { return asked }}
+	for _, polling := range []bool{false, true} {
+		w := &Watcher{Instances: func() int { return many }, Polling: func() bool { return polling }}
 		silent := fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
 		longest := 3 * w.backoff(silent, true, backoffFirst, 1) / 2
 		if late := watchGrace + longest; late > 2*time.Second-dialTimeout/2 {
-			t.Errorf("asked %v: a new watch comes %v after the wait of a silent one is over", asked, late)
+			t.Errorf("polling %v: a new watch comes %v after the wait of a silent one is over", polling, late)
 		}
 		refused := errors.New("status 503")
 		if d := w.backoff(refused, true, backoffFirst, 1); d < w.startSpread() {
-			t.Errorf("asked %v: refused, it comes back after %v of a round of %v", asked, d, w.startSpread())
+			t.Errorf("polling %v: refused, it comes back after %v of a round of %v", polling, d, w.startSpread())
 		}
 		if d := w.backoff(silent, false, backoffFirst, maxTurns); d < maxTurns*w.startSpread() {
-			t.Errorf("asked %v: silent again, it comes back after %v", asked, d)
+			t.Errorf("polling %v: silent again, it comes back after %v", polling, d)
 		}
 	}
 }
 
-// Among many, gatherers begin their watches spread out over a time that grows with their number, and hold them
-// for as long; what fails is left for longer each time. Few begin at once.
-func TestManyWatchInTurn(t *testing.T) {
+// Many gatherers start their watches spread over a time that grows with their number, and watch for as long; failures
+// back off longer each time. Few start at once.
+func TestManyWatchesAreSpread(t *testing.T) {
 	n := 2
-	asked := true
-	w := &Watcher{Instances: func() int { return n }, Polling: func() bool { return asked }}
+	polling := true
+	w := &Watcher{Instances: func() int { return n }, Polling: func() bool { return polling }}
 	if w.startSpread() != 0 {
 		t.Errorf("%d gatherers wait %v", n, w.startSpread())
 	}
 	n = 8
 	eight := w.startSpread()
 	if n = 48; w.startSpread() != 6*eight || eight <= 0 {
-		t.Errorf("8 take %v and 48 take %v: together they would ask more", eight, w.startSpread())
+		t.Errorf("8 take %v and 48 take %v: together they would nextCall more", eight, w.startSpread())
 	}
-	if asked = false; w.startSpread() != 0 {
-		t.Errorf("an agent that is sent the list is asked in a round of %v: what it holds counts as told meanwhile", w.startSpread())
+	if polling = false; w.startSpread() != 0 {
+		t.Errorf("an agent that is sent the list is asked in a round of %v: what it holds counts as received meanwhile", w.startSpread())
 	}
-	asked = true
+	polling = true
 	if n = 80; 3*w.startSpread()/2 > 10*time.Second { // the longest rest; settings let 10 s pass between calls
 		t.Errorf("one of 80 may go without news for %v after its start", 3*w.startSpread()/2)
 	}
@@ -153,7 +154,7 @@
 		targets <- r.Query
 		return standin.JSON(200, `{"seq":3,"whole":false,"hosts":[]}`)
 	}
-	watch(t, h, 5, true)
+	watchAgent(t, h, 5, true)
 	for range 2 {
 		if got := <-targets; got != "since=3&timeout_ms=2000" {
 			t.Errorf("asked %q", got)
--- a/internal/gatherer/net/frames/codec.go
+++ b/internal/gatherer/net/frames/codec.go
@@ -30,7 +30,7 @@
 
 const (
 	headerSize = 5
-	maxFrame   = mem.BufferSize // of an answer: a value of 64 KiB and its line
+	maxFrame   = mem.BufferSize // bytes of an outcome: a value of 64 KiB and its header line
 )
 
 // errMalformed is a message that cannot be parsed. Its connection cannot be used any further.
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -17,25 +17,25 @@
 	"pulleygw.example/pulleygw/internal/shared/peek"
 )
 
-// linked parks a connection that leads to a listener, and gives its other side. The test does what its reader and its
-// writer would.
-func linked(t *testing.T, tr *Transport, l net.Listener) (*conn, *net.TCPConn) {
+// connect queues nothing on a connection to a listener, whose reader and writer the test replaces, and returns the other
+// side of it.
+func connect(t *testing.T, tr *Transport, l net.Listener) (*conn, *net.TCPConn) {
 	t.Helper()
 	here, there := standin.Pair(t, l)
 	tr.connCount++
 	return parked(tr, here), there
 }
 
-// hungUp waits until the end of a connection's other side has come, which nobody has read yet.
-func hungUp(c *conn) {
+// awaitPeerClose waits until the close of the other side has arrived, which nobody has read yet.
+func awaitPeerClose(c *conn) {
 	for ended := false; !ended; {
 		_, ended = peek.Look(c.nc)
 	}
 }
 
-// A lot store closes a resting connection as a call is about to be written to it: the call goes on another connection,
-// whoever sees the end first, and what its client gave up meanwhile does not. On one that has served nothing the call ends
-// as not connected, or a lot store that closes each connection at once would be dialled for ever.
+// A lot store closes an idle connection as a call is about to be written to it: the call is sent on another connection,
+// whoever sees the close first, and what its client cancelled meanwhile is not. On a connection that has served nothing
+// the call ends as not connected, or a lot store that closes each connection at once would be dialled for ever.
 func TestIdleCloseCrossesCall(t *testing.T) {
 	for name, x := range map[string]struct {
 		reset, served, reader bool
@@ -47,13 +47,13 @@
 	} {
 		l := standin.Listen(t)
 		tr, r := transport(l.Addr().String(), time.Minute)
-		c, there := linked(t, tr, l)
+		c, there := connect(t, tr, l)
 		c.served = x.served
 		if x.reset {
 			there.SetLinger(0)
 		}
 		there.Close()
-		hungUp(c)
+		awaitPeerClose(c)
 		script := &standin.Script{}
 		go standin.Frames(l, script)
 		list := attempts(2)
@@ -78,18 +78,18 @@
 	}
 }
 
-// A lot store that is replaced at the same address, or starts over there, ends nothing if its machine vanished: what is
-// open to it looks sound and leads nowhere. Once the list tells of the new start, no part goes there; one that is open
-// since stays, and what is out on an old one is waited for.
+// A lot store that is replaced or restarts at the same address closes nothing if its machine vanished: connections to it
+// look healthy and lead nowhere. Once the list has the new start, no subquery goes there; a connection opened since
+// stays, and what is in flight on an old one is waited for.
 func TestReplacedAtTheSameAddress(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), time.Minute)
-	idle, _ := linked(t, tr, l)
-	busy, _ := linked(t, tr, l)
+	idle, _ := connect(t, tr, l)
+	busy, _ := connect(t, tr, l)
 	list := attempts(2)
 	busy.inFlight["q.0"], busy.load, tr.byAttempt[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
 	started := mem.Server{ID: 1, Addr: l.Addr().String(), State: decision.Ready, Started: time.Now()}
-	young, _ := linked(t, tr, l)
+	young, _ := connect(t, tr, l)
 	young.connectedAt = started.Started.Add(time.Microsecond)
 	tr.Servers([]mem.Server{started})
 	if !idle.removed || busy.removed || busy.Ready() != 0 || young.removed || young.Ready() == 0 {
@@ -106,9 +106,9 @@
 	r.want(t, 1, decision.OK)
 }
 
-// A write to a lot store that does not read cannot be called off when that is told to drain, or when a client leaves, and
-// must not end past the window of a repeat: it is given up in time for each of these, and its frame never came whole.
-func TestBlockedWriteIsGivenUp(t *testing.T) {
+// A write to a lot store that does not read cannot be cancelled when the store drains or a client disconnects, and must
+// not end past a deduplication window: it times out in time for each of these, and its frame was never complete.
+func TestBlockedWriteTimesOut(t *testing.T) {
 	now := time.Now()
 	for name, x := range map[string]struct {
 		writeFor      time.Duration
@@ -120,7 +120,7 @@
 		l := standin.Listen(t)
 		tr, r := transport(l.Addr().String(), time.Minute)
 		tr.ConnectTimeout, tr.WriteFor = time.Hour, x.writeFor
-		c, there := linked(t, tr, l)
+		c, there := connect(t, tr, l)
 		c.nc.(*net.TCPConn).SetWriteBuffer(4 << 10)
 		if err := there.SetReadBuffer(4 << 10); err != nil {
 			t.Fatal(err)
@@ -155,9 +155,9 @@
 	}
 }
 
-// What an answer breaks off with decides how its parts end: the store's end or a reset may have run and are the way's doing;
-// one that has begun and goes on for ever, or is larger than any, is the store's fault. A part answered before it is in.
-func TestAnswerBreaksOff(t *testing.T) {
+// How an answer is truncated decides how its attempts end: after a close or a reset they may have run, and the network is
+// at fault; an answer that never ends, or is too large, is the store's fault. A subquery answered before it is done.
+func TestTruncatedAnswer(t *testing.T) {
 	whole := string(standin.Frame('E', "q.0 hit 7 -\nv"))
 	half := string(standin.Frame('E', "q.1 hit 7 -\nvalue"))
 	half = half[:len(half)-3]
@@ -191,13 +191,13 @@
 	}
 }
 
-// A connection that breaks while a frame is written never had its last byte: its parts did not run, while those written
-// whole before may have, however long ago.
-func TestResetWithinAWrite(t *testing.T) {
+// A connection that breaks while a frame is written never sent its last byte: its attempts did not run, while those
+// written completely before may have, however long ago.
+func TestResetWithinWrite(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), time.Minute)
 	tr.WriteFor = time.Hour
-	c, there := linked(t, tr, l)
+	c, there := connect(t, tr, l)
 	c.nc.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	if err := there.SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -227,9 +227,9 @@
 	}
 }
 
-// A connection may come up after its part has ended, as its client left or its store went: nothing of that part is written
-// then, the connection serves the next part, and one whose store is gone is closed.
-func TestDialAfterItsPart(t *testing.T) {
+// A connection may be established after its attempt has ended, as its client disconnected or its store was deregistered:
+// nothing of that attempt is written then, the connection serves the next one, and one to a deregistered store is closed.
+func TestDialCompletesAfterCancel(t *testing.T) {
 	l := standin.Listen(t)
 	for _, gone := range []bool{false, true} {
 		tr, r := transport(l.Addr().String(), time.Minute)
@@ -269,9 +269,9 @@
 	}
 }
 
-// A dial that nobody answers ends when its store is told gone and nothing waits for it: it holds a descriptor, which the
-// books have given to another connection by then.
-func TestGoneEndsADial(t *testing.T) {
+// A dial that nobody answers is cancelled when its store is deregistered and nothing waits for it: it holds a descriptor,
+// which is counted as free by then.
+func TestDeregistrationCancelsDial(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -31,7 +31,7 @@
 	}, "Chit", "Ea.3 hit 7 -\nvalue")
 }
 
-// A call is worded as the protocol has it, also where it is larger than a buffer.
+// A call is encoded as the protocol says, also where it is larger than a buffer.
 func TestWriteCall(t *testing.T) {
 	a := &gather.Attempt{Query: "9b1f03aa5c7e2d41", Shard: 3, Key: "5c0f", Text: []byte("c41e77d0")}
 	big := &gather.Attempt{Query: "b", Shard: 4, Text: bytes.Repeat([]byte("x"), 60<<10)}
@@ -51,9 +51,9 @@
 	}
 }
 
-// A part of a second step has a name of its own, and tells of the first step. Its answer cannot be taken for that of the
-// first step's part of the shard, and one that comes twice is dropped.
-func TestLoad(t *testing.T) {
+// A subquery of a second step has its own id, and describes the first step. Its answer cannot be taken for that of the
+// first step, and a duplicate is ignored.
+func TestSecondStep(t *testing.T) {
 	list := attempts(2)
 	first, load := list[0], list[1]
 	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
@@ -87,7 +87,7 @@
 	}
 }
 
-// A score is a number or there is none; the answer is good all the same.
+// A score is a finite number or missing; the answer is good all the same.
 func TestScore(t *testing.T) {
 	for text, want := range map[string]float64{"1840277719": 1840277719, "-3": -3, "0": 0, "-": -1, "": -1, "nan": -1, "inf": -1, "1e999": -1, "7x": -1} {
 		e, err := parseOutcome([]byte("q.1 hit " + text + " -\nv"))
@@ -102,8 +102,8 @@
 	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err }, "9b1f03aa5c7e2d41.3.load hit 1840277719 inflight=7\nvalue")
 }
 
-// What breaks before its frame's last byte never ran; what breaks after that may have, all parts of it.
-func TestBroken(t *testing.T) {
+// What breaks before the last byte of its frame never ran; what breaks after it may have, all subqueries of it.
+func TestBrokenConnection(t *testing.T) {
 	l := standin.Listen(t)
 	script := &standin.Script{}
 	script.Set(map[int][]standin.End{2: {standin.Reset}, 0: {standin.Silent}, 1: {standin.Silent}})
@@ -125,8 +125,8 @@
 	r.want(t, 1, decision.Error)
 }
 
-// A malformed frame closes its connection at once, and its parts may have run; they are not counted as if the
-// lot store had died, but for its own word that it closes. An id that nobody waits for leaves somebody waiting.
+// A malformed frame closes its connection at once, and its attempts may have run. They do not count as if the lot store
+// had crashed, unless it says itself that it closes. An unknown id is malformed, as somebody waits in vain.
 func TestMalformedFrame(t *testing.T) {
 	for frame, want := range map[string]decision.Status{
 		string(standin.Frame('Z', "?")): decision.Error, string(standin.Frame('E', "no line")): decision.Error,
@@ -135,7 +135,7 @@
 		"\x40\x00\x00\x00Eq.0 hit 0 -\nv": decision.Error, string(standin.Frame('F', "what?")): decision.Reset,
 	} {
 		l := standin.Listen(t)
-		closed := make(chan error, 1)
+		closed := make(chan struct{})
 		go func() {
 			c, err := l.Accept()
 			if err != nil {
@@ -143,8 +143,8 @@
 			}
 			io.ReadFull(c, make([]byte, 5))
 			io.WriteString(c, frame)
-			_, err = io.Copy(io.Discard, c)
-			closed <- err
+			io.Copy(io.Discard, c) // to the close or the reset
+			close(closed)
 		}()
 		tr, r := transport(l.Addr().String(), time.Minute)
 		tr.Call(1, attempts(2))
@@ -153,8 +153,8 @@
 	}
 }
 
-// A second copy or noise behind a good answer, and a report that cannot be read, harm nothing.
-func TestMoreThanAnswer(t *testing.T) {
+// A duplicate or noise behind a good answer, and an unreadable report, do no harm.
+func TestNoiseBehindAnswer(t *testing.T) {
 	good := string(standin.Frame('E', "q.0 hit 0 %%\nv"))
 	for _, more := range []string{good, "noise\r\n\r\n", "\x00\x00\x00\x00"} {
 		l := standin.Listen(t)
@@ -173,8 +173,8 @@
 	}
 }
 
-// A server that has moved gets nothing more on connections to where it was.
-func TestMoved(t *testing.T) {
+// A server that has moved gets nothing more on connections to its old address.
+func TestMovedServer(t *testing.T) {
 	tr, _ := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
 	tr.Call(1, attempts(1))
@@ -185,8 +185,8 @@
 	}
 }
 
-// A call gets a connection of its own, as one answer that cannot be read ends all that is out on it; where
-// a server has its part of all connections calls share them, and at most so many parts are on one at once.
+// Each call gets its own connection, as a malformed answer ends all that is in flight on it. Where a server has its share
+// of all connections calls share them, with a bounded number of subqueries on each.
 func TestConnections(t *testing.T) {
 	l := standin.Listen(t)
 	tr, _ := transport(l.Addr().String(), time.Minute)
@@ -202,7 +202,7 @@
 	}
 }
 
-// Nothing queued may go to a server since told draining or gone: the rule allows 250 ms after that.
+// Nothing queued is sent to a server once it drains or is deregistered: the rule allows 250 ms after that.
 func TestDrainDropsQueue(t *testing.T) {
 	for _, state := range []decision.ServerState{decision.Draining, decision.Deregistered} {
 		tr, r := transport("127.0.0.1:1", time.Minute)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A repeat of a keyed part that waited past its window is not written: the lot stores would no longer
-// drop it. Nor is a part whose time is up.
+// A retry of a deduplicated subquery that has waited past its window is not written: the lot stores would no longer drop
+// it. Nor is an attempt past its time-out.
 func TestStaleNotWritten(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
@@ -235,7 +235,7 @@
 	r.want(t, 2, decision.NotSent)
 }
 
-// A cancelled part gives its place up, and an answer that crosses that is dropped.
+// A cancelled attempt frees its capacity, and an answer that crosses the cancellation is ignored.
 func TestCancel(t *testing.T) {
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
@@ -254,9 +254,9 @@
 	}
 }
 
-// A cancel is reported only when the lot store has been told, by a frame or by the close of the connection: a
-// part sent elsewhere before that would be out twice.
-func TestCancelTold(t *testing.T) {
+// A cancellation is reported only when the lot store has been told, by a frame or by the close of the connection: a
+// subquery sent elsewhere before that would be in flight twice.
+func TestCancelReportedOnceWritten(t *testing.T) {
 	here, there := net.Pipe()
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, here)
@@ -283,9 +283,9 @@
 	r.want(t, 1, decision.Cancelled)
 }
 
-// A connection that was silent for long under a part that is given up takes no further part, and is closed
-// once nothing is out on it; one that was heard on since stays.
-func TestSilentConnection(t *testing.T) {
+// A connection that received nothing for long under an attempt that is cancelled takes no further calls, and is closed
+// once nothing is in flight on it. One that has received something since stays.
+func TestUnresponsiveConnection(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		tr, _ := transport("127.0.0.1:1", time.Minute)
 		c := parked(tr, nil)
@@ -303,7 +303,7 @@
 	}
 }
 
-// An idle connection is closed from this side, before the lot store would.
+// An idle connection is closed from this side, before the lot store would close it.
 func TestIdleCloses(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), 60*time.Millisecond)
@@ -320,8 +320,8 @@
 	}
 }
 
-// What is kept of a server goes with it: its idle connections at once, and the record with the last of them.
-func TestGoneIsForgotten(t *testing.T) {
+// A deregistered server is removed: its idle connections at once, and its record with the last of them.
+func TestDeregisteredServerIsRemoved(t *testing.T) {
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	parked(tr, nil)
 	busy := parked(tr, nil)
@@ -339,9 +339,9 @@
 	}
 }
 
-// An answer that cannot be read may come before the call is booked as written: its parts end as faulty all the
-// same, not as if the lot store had died.
-func TestMalformedBeforeBooked(t *testing.T) {
+// A malformed answer may arrive before the call is recorded as written: its attempts end as errors all the same, not as
+// if the lot store had crashed.
+func TestMalformedBeforeWriteIsRecorded(t *testing.T) {
 	here, there := net.Pipe()
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, here)
--- a/internal/gatherer/net/frames/rig_test.go
+++ b/internal/gatherer/net/frames/rig_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// reports collects what the transport tells.
+// reports collects what the transport reports.
 type reports struct{ ch chan report }
 
 type report struct {
@@ -58,7 +58,7 @@
 	}
 }
 
-// parked puts in a connection that nobody writes to, so that what is called stays queued.
+// parked adds a connection without a writer, so that calls stay queued.
 func parked(tr *Transport, nc net.Conn) *conn {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/gatherer/net/handover/handover_test.go
+++ b/internal/gatherer/net/handover/handover_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// pair links two sides over a socket in a folder of its own.
+// pair links two sides over a socket in its own folder.
 func pair(t *testing.T, do func(Message)) (successor *Link, s *State, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "s")
@@ -54,7 +54,7 @@
 	return successor, s, path
 }
 
-// The successor gets the state, and a call is in force at the other before Tell returns.
+// The successor gets the state, and a call is in force at the other side before Call returns.
 func TestLink(t *testing.T) {
 	heard := make(chan Message, 1)
 	x, s, path := pair(t, func(m Message) { heard <- m })
@@ -86,8 +86,8 @@
 	}
 }
 
-// One that ends in the middle of a call is no one to wait for.
-func TestOtherDies(t *testing.T) {
+// A peer that fails within a call is not waited for.
+func TestPeerFails(t *testing.T) {
 	var x *Link
 	ready := make(chan struct{})
 	x, _, _ = pair(t, func(Message) { <-ready; x.nc.Close() })
@@ -98,8 +98,8 @@
 	}
 }
 
-// What is torn, stale or no socket at all is an error, not a wait.
-func TestGreetBad(t *testing.T) {
+// A socket with a truncated or stale state, or no socket at all, is an error at once.
+func TestConnectInvalid(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	if _, _, err := Connect(path); err == nil {
 		t.Error("greeted nobody")
--- a/internal/gatherer/net/handover/link.go
+++ b/internal/gatherer/net/handover/link.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Times of a link. An operator's answer is due within 1 s.
+// Time-outs of a link. An operator's call must be answered within 1 s.
 const (
 	startTimeout = time.Second            // for hello, and for the state
-	callTimeout  = 500 * time.Millisecond // for the other to carry out a call
+	callTimeout  = 500 * time.Millisecond // for the other side to carry out a call
 	writeTimeout = 300 * time.Millisecond
 )
 
-// Link is the way to the other process.
+// Link is the connection to the other process.
 type Link struct {
 	nc net.Conn
 	r  *bufio.Reader
 
-	wmu sync.Mutex // one message at a time; the state goes before any call
+	wmu sync.Mutex // one message at a time; the state is sent before any call
 
 	mu      sync.Mutex
 	lastID  int64
@@ -34,27 +34,27 @@
 	return &Link{nc: nc, r: bufio.NewReaderSize(nc, 64<<10), pending: map[int64]chan struct{}{}, closed: make(chan struct{})}
 }
 
-// Listen opens the socket under its name, which from then on leads here and no longer to a process that had it.
+// Listen listens on the socket at the path, and replaces that of another process.
 func Listen(path string) (net.Listener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own) // of a process of the same number that was killed
+	_ = os.Remove(own) // left by a killed process with the same id, if any
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // the name may be a successor's by then
+	l.SetUnlinkOnClose(false) // the path may be a successor's by then
 	if err = os.Chmod(own, 0o600); err == nil {
 		err = os.Rename(own, path)
 	}
 	if err != nil {
-		l.Close()
-		os.Remove(own)
+		_ = l.Close() // the error of the rename is returned
+		_ = os.Remove(own)
 		return nil, err
 	}
 	return l, nil
 }
 
-// Greet is the successor's side: it says hello to the process that has the name, and returns its state.
+// Connect is the successor's side: it sends hello to the process that listens at the path, and returns its state.
 func Connect(path string) (*Link, *State, error) {
 	nc, err := net.DialTimeout("unix", path, startTimeout)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return x, m.State, nil
 }
 
-// Welcome is the old process's side of a connection: it awaits hello, has the link taken up, so that every call
-// from then on goes over it, and answers with the state as it is then.
+// Accept is the old process's side of a connection: it waits for hello, passes the link to up, so that every call from then
+// on is sent over it, and sends the state as it is then.
 func Accept(nc net.Conn, up func(*Link), state func() State) (*Link, error) {
 	x := newLink(nc)
 	nc.SetReadDeadline(time.Now().Add(startTimeout))
@@ -103,6 +103,8 @@
 	return x, nil
 }
 
+// read reads the next message.
+// read reads the next message.
 func (x *Link) read() (Message, error) {
 	var line []byte
 	for {
@@ -120,6 +122,8 @@
 	}
 }
 
+// write writes a message.
+// write writes a message.
 func (x *Link) write(m Message) error {
 	x.wmu.Lock()
 	defer x.wmu.Unlock()
@@ -128,7 +132,7 @@
 	return err
 }
 
-// Serve carries out the other's calls until the link ends, and returns why it did.
+// Serve carries out the other side's calls until the link ends, and returns why it did.
 func (x *Link) Serve(do func(Message)) error {
 	defer x.Close()
 	for {
@@ -155,7 +159,7 @@
 	}
 }
 
-// Tell has the other carry out a call, and returns when it has. One that does not in time is given up as dead.
+// Call makes the other side carry out a call, and returns when it has. If it does not in time, the link is closed.
 func (x *Link) Call(m Message) error {
 	done := make(chan struct{})
 	x.mu.Lock()
@@ -180,7 +184,7 @@
 	return err
 }
 
-// Close ends the link.
+// Close closes the link.
 func (x *Link) Close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/gatherer/net/handover/message.go
+++ b/internal/gatherer/net/handover/message.go
@@ -1,5 +1,7 @@
-// Package handover is spoken between a process and its successor, over a Unix socket: a JSON object a line. The
-// successor says hello and gets the state; from then on either tells the other of operators' calls.
+// Package handover is the protocol between a process and its successor, over a Unix socket: one JSON object per line. The
+// successor sends hello and receives the state; from then on each side passes operators' calls to the other.
+//
+// The old process uses Listen and Accept, the successor Connect; both then call Link.Serve, and Link.Call for each call.
 package handover
 
 import (
@@ -11,66 +13,68 @@
 	"github.com/tidwall/gjson"
 )
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind string
 
-// The kinds.
+// The kinds of messages.
 const (
 	Hello     Kind = "hello"
 	StateSent Kind = "state"
 	CallMade  Kind = "call"
-	CallDone  Kind = "done" // that call is in force here, too
+	CallDone  Kind = "done" // the call is in force here as well
 )
 
 // Message is one line.
 type Message struct {
 	Kind  Kind   `json:"kind"`
-	ID    int64  `json:"id,omitempty"`    // of a call and its done
+	ID    int64  `json:"id,omitempty"`    // of a call and its confirmation
 	Verb  string `json:"verb,omitempty"`  // of a call
 	Name  string `json:"name,omitempty"`  // of a call
 	AtMs  int64  `json:"at_ms,omitempty"` // of a call: when it was made
 	State *State `json:"state,omitempty"` // of a state
 }
 
-// State is what a successor begins with.
+// State is what a successor starts with.
 type State struct {
 	Hosts    json.RawMessage  `json:"hosts"`    // the list, in discovery's format
-	Banned   []string         `json:"banned"`   // lot stores that are out
-	Attached map[string]int64 `json:"attached"` // lot stores put back: cold from then, in Unix time in ms
+	Banned   []string         `json:"banned"`   // detached lot stores
+	Attached map[string]int64 `json:"attached"` // lot stores attached again: when, in Unix time in ms
 	Drain    bool             `json:"drain"`
 	Records  []Record         `json:"records"`
-	// PerSecond is how many parts a second all lot stores together answered; 0 for not told.
+	// PerSecond is how many subqueries per second all lot stores together answered; 0 for unknown.
 	PerSecond float64 `json:"per_second,omitempty"`
 }
 
-// Record is what is known of a lot store.
+// Record is what has been learned of a lot store.
 type Record struct {
 	Name        string    `json:"name"`
-	Answers     []float64 `json:"answers"` // answer times, by bucket
+	Answers     []float64 `json:"answers"` // latencies, by bucket of the histogram
 	Latency     float64   `json:"latency"` // seconds
-	Failing     float64   `json:"failing"` // share
+	Failing     float64   `json:"failing"` // failure rate, 0 to 1
 	Cap         float64   `json:"cap"`
-	SlowStartMs int64     `json:"cold_ms"` // how long ago it was seen to start over, -1 for never
+	SlowStartMs int64     `json:"cold_ms"` // how long ago it was seen to restart, -1 for never
 }
 
-// perSecondMost is more parts a second than one gatherer can have answered.
+// maxPerSecond is more subqueries per second than one gatherer can get answered.
 const maxPerSecond = 1e6
 
-// maxLine bounds a line: a state of some hundred lot stores.
+// maxMessage bounds the bytes of a message: a state of some hundred lot stores.
 const maxMessage = 4 << 20
 
-// Append appends the message as it goes on the wire.
+// Append appends the encoded message.
 func (m Message) Append(b []byte) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // nothing in a message can fail but Hosts, which its maker worded
+		panic(err) // only Hosts could fail, and its maker encoded it
 	}
 	return append(append(b, text...), '\n')
 }
 
+// bad returns an error about a malformed message.
+// bad returns an error about a malformed message.
 func bad(format string, args ...any) error { return fmt.Errorf("malformed message: "+format, args...) }
 
-// Parse reads a line.
+// Parse parses a line.
 func Parse(line []byte) (m Message, err error) {
 	if !gjson.ValidBytes(line) { // gjson's getters take garbage
 		return m, bad("not JSON")
@@ -92,6 +96,8 @@
 	return m, err
 }
 
+// parseState parses and checks a state.
+// parseState parses and checks a state.
 func parseState(root gjson.Result) (*State, error) {
 	hosts, banned, attached, drain, records := root.Get("hosts"), root.Get("banned"), root.Get("attached"), root.Get("drain"), root.Get("records")
 	if !hosts.IsObject() || !drain.IsBool() || !banned.IsArray() || !attached.IsObject() || !records.IsArray() {
--- a/internal/gatherer/net/http1/crossings_test.go
+++ b/internal/gatherer/net/http1/crossings_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// tapped tells when bytes of the client are in the reader's hands.
+// tapped reports when the reader has read bytes of the client.
 type tapped struct {
 	*net.TCPConn
 	read  chan struct{}
@@ -27,7 +27,7 @@
 	return n, err
 }
 
-// SetReadDeadline lets no time of a connection come, so that nothing is brought on by one.
+// SetReadDeadline ignores the time-outs of a connection, so that nothing depends on them.
 func (c *tapped) SetReadDeadline(t time.Time) error {
 	if t.After(time.Now()) {
 		t = time.Time{}
@@ -35,7 +35,7 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// tap serves one connection over loopback, whose reads are told.
+// tap serves one connection over loopback, whose reads the test observes.
 func tap(t *testing.T, h Handler) (s *Server, client net.Conn, c *tapped) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,6 +57,7 @@
 	return s, client, c
 }
 
+// await receives from a channel, within a time-out.
 func await[T any](t *testing.T, ch <-chan T, what string) (x T) {
 	t.Helper()
 	select {
@@ -67,9 +68,9 @@
 	return x
 }
 
-// awaitResting returns when the server's one connection rests: its answers are noted, and its reader waits in another read
-// than those before. A client has its answer before that.
-func awaitResting(t *testing.T, s *Server, c *tapped, reads int32) {
+// awaitIdle returns when the server's one connection is idle: its responses are recorded, and its reader waits in a new
+// read. A client has its response before that.
+func awaitIdle(t *testing.T, s *Server, c *tapped, reads int32) {
 	t.Helper()
 	resting := func() bool {
 		s.mu.Lock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// wantEnd reads what the client still gets: the connection's end, and no reset, as that could take an answer with it.
+// wantEnd reads the end of the connection, which must be no reset, as that could lose a response.
 func wantEnd(t *testing.T, client net.Conn) {
 	t.Helper()
 	if rest, err := io.ReadAll(client); len(rest) > 0 || err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// A request whose bytes the reader has in its hands in the moment in which its resting connection is ended is not
-// taken: the client sees the end with no answer and sends it again elsewhere, so that it must not be sent on here.
+// A request that is read in the moment in which its idle connection is ended is not accepted: the client sees the close
+// without a response and retries elsewhere, so that it must not be forwarded here.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	for name, end := range map[string]func(s *Server){
 		"idle close": func(s *Server) { s.closeIdle() },
@@ -113,7 +114,7 @@
 			t.Fatalf("%s: %+v %v", name, p, err)
 		}
 		await(t, taken, "the first request is taken")
-		awaitResting(t, s, c, 1)
+		awaitIdle(t, s, c, 1)
 		s.mu.Lock()
 		io.WriteString(client, post)
 		await(t, c.read, "the second request is read")
@@ -130,8 +131,8 @@
 	}
 }
 
-// An answer with which a connection ends is not followed by a reset, though the client has sent more than was read;
-// nor is the end of a resting connection that bytes cross.
+// The last response of a connection is not followed by a reset, though the client has sent more than was read; nor is the
+// close of an idle connection that bytes cross.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	more := strings.Repeat("x", 60<<10)
 	for name, end := range map[string]func(s *Server, client net.Conn, finish chan struct{}) string{
@@ -168,9 +169,9 @@
 	}
 }
 
-// A client that ends its connection has gone, whatever it sent before: what it pipelined does not hide its end from
-// the request in hand, be it one request more, some, or more than are read ahead.
-func TestPipelinedRequestsHideNoEnd(t *testing.T) {
+// A client that closes its connection has disconnected, whatever it sent before: pipelined requests do not hide that from
+// the request being answered, be it one, some, or more than are buffered.
+func TestPipelinedRequestsHideNoDisconnect(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 500} {
 		addr, _, began, finish, closed := serve(t)
 		c, _ := dial(t, addr)
@@ -185,7 +186,8 @@
 	}
 }
 
-// Pipelined requests are answered in turn. Of more than are read ahead the rest is dropped, and the last answer says so.
+// Pipelined requests are answered in order. Of more than are buffered the rest is discarded, and the last response says
+// so.
 func TestPipelined(t *testing.T) {
 	for _, n := range []int{2, 5, 500} {
 		taken := 0
@@ -211,7 +213,7 @@
 	}
 }
 
-// Requests too far ahead of the one in hand are dropped, and the answer behind which they were says that it is the last.
+// Requests pipelined too far ahead are discarded, and the response before them says that it is the last.
 func TestPipelinedTooFar(t *testing.T) {
 	began, finish := make(chan struct{}, 1000), make(chan struct{}, 1000)
 	s, client, c := tap(t, func(*Request, <-chan struct{}) *Response { began <- struct{}{}; <-finish; return Text(200, "done") })
@@ -243,8 +245,8 @@
 	s.Wait()
 }
 
-// Half a request at a shutdown is waited for and answered; what follows it is not taken.
-func TestDrainAgainstHalfARequest(t *testing.T) {
+// A partial request at a shutdown is waited for and answered; what follows it is not accepted.
+func TestDrainWithinRequest(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		taken := make(chan struct{}, 10)
 		s, client, c := tap(t, func(*Request, <-chan struct{}) *Response { taken <- struct{}{}; return Text(200, "done") })
@@ -286,9 +288,9 @@
 	}
 }
 
-// A connection accepted in the moment in which a drain begins, and not on the books then, is served; one that says
-// nothing is ended in a drain's time.
-func TestDrainAgainstAccept(t *testing.T) {
+// A connection accepted in the moment in which a drain begins is served; one that sends nothing is ended within the time
+// of the drain.
+func TestDrainWithinAccept(t *testing.T) {
 	s, client, _ := tap(t, func(*Request, <-chan struct{}) *Response { return Text(200, "done") })
 	s.mu.Lock()
 	s.draining = true // its reader may or may not have set its time
@@ -305,9 +307,9 @@
 	s.Wait()
 }
 
-// What cannot be read is answered though the client has ended its side; pipelined behind a request in hand, it hides
-// no end.
-func TestUnreadableThenEnd(t *testing.T) {
+// An invalid request is answered though the client has closed its side; pipelined behind a request, it does not hide a
+// disconnection.
+func TestInvalidThenClose(t *testing.T) {
 	addr, _, began, finish, closed := serve(t)
 	c, r := dial(t, addr)
 	io.WriteString(c, "nonsense\r\n\r\n")
@@ -324,9 +326,8 @@
 	closed()
 }
 
-// An answer of a peer that states no length ends with the connection. A reset is no end, and one without bound is
-// given up.
-func TestAnswerWithoutLength(t *testing.T) {
+// A response without a length ends with its connection. A reset is no end, and one without bound is an error.
+func TestResponseWithoutLength(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n"
 	for name, x := range map[string]struct {
 		send string
@@ -376,7 +377,7 @@
 	}
 }
 
-// counted tells when so many bytes have been read.
+// counted reports when so many bytes have been read.
 type counted struct {
 	net.Conn
 	left int
@@ -392,8 +393,9 @@
 	return n, err
 }
 
-// Floods of bytes that are no request, of halves of one and of requests pipelined without end, by clients that go at once,
-// are answered or dropped within bounds, and all their goroutines end; a sound client is served meanwhile and after.
+// Floods of bytes that are no request, of partial requests and of requests pipelined without end, by clients that
+// disconnect at once, are answered or discarded within bounds, and all their goroutines end. A good client is served
+// meanwhile and after.
 func TestFloods(t *testing.T) {
 	for name, flood := range map[string]string{
 		"bytes that are no request": strings.Repeat("\x00\xff{}\r\n", 40<<10),
--- a/internal/gatherer/net/http1/http1_test.go
+++ b/internal/gatherer/net/http1/http1_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// serve starts a server whose requests wait for a word on the channel.
+// serve starts a server whose requests wait for the test on a channel.
 func serve(t *testing.T) (addr string, s *Server, began, finish chan struct{}, closed func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +100,7 @@
 	return c, NewReader(c)
 }
 
-// A drain answers what was taken, says that the connection closes, and closes idle ones.
+// A drain answers the accepted requests, says that the connection closes, and closes idle ones.
 func TestDrain(t *testing.T) {
 	addr, s, began, finish, closed := serve(t)
 	idle, idleReader := dial(t, addr)
@@ -131,8 +131,8 @@
 	closed()
 }
 
-// What waits in the backlog when a drain's time is over is still served: closing the listener would reset it,
-// and its requests count as taken.
+// Connections in the backlog when a drain's time is over are still served: closing the listener would reset them, and
+// their requests have been sent.
 func TestDrainServesBacklog(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// A client that waits with its body is told to send it.
+// A client that expects 100 Continue gets it.
 func TestExpectContinue(t *testing.T) {
 	addr, _, began, finish, closed := serve(t)
 	c, r := dial(t, addr)
@@ -187,8 +187,8 @@
 	closed()
 }
 
-// A client that goes away while its request is in hand is noticed.
-func TestGone(t *testing.T) {
+// A client that disconnects while its request is being answered is noticed.
+func TestClientDisconnects(t *testing.T) {
 	addr, _, began, finish, closed := serve(t)
 	c, _ := dial(t, addr)
 	io.WriteString(c, post)
@@ -211,7 +211,7 @@
 	closed()
 }
 
-// Connections past the most are told so, and with a time to come back.
+// Connections beyond the bound are answered with 503 and a time to retry after.
 func TestTooManyConnections(t *testing.T) {
 	addr, s, began, finish, closed := serve(t)
 	var held []net.Conn
@@ -235,8 +235,8 @@
 	closed()
 }
 
-// One that says nothing, one that stops in the middle of its head and one that asked once and stays do not
-// keep their connections: the first is closed, the second told why, the third closed.
+// A client that sends nothing, one that stops within its header and one that was served once and stays do not keep their
+// connections: the first is closed, the second answered with a reason, the third closed.
 func TestSilentClients(t *testing.T) {
 	addr, _, began, finish, closed := serve(t)
 	_, silent := dial(t, addr)
@@ -262,7 +262,7 @@
 	closed()
 }
 
-// Hundreds that connect and say nothing do not keep out one that asks, nor one whose request is in hand.
+// Hundreds that connect and send nothing keep out neither a new request nor one being answered.
 func TestFloodOfSilentClients(t *testing.T) {
 	addr, s, began, finish, closed := serve(t)
 	first, firstReader := dial(t, addr)
@@ -284,7 +284,7 @@
 	closed()
 }
 
-// A body that is stated and does not come holds no buffer; one past the bound is refused.
+// A body that is announced and not sent holds no buffer; one beyond the bound is rejected.
 func TestBodies(t *testing.T) {
 	r := NewReader(strings.NewReader(post + post))
 	r.Bodies = make(chan struct{}, 1)
@@ -308,8 +308,8 @@
 	}
 }
 
-// Clients that ask once and stay hold places that other clients want, long before ours run out: past a number,
-// each new connection closes the one that has rested longest, and none that asks.
+// Clients that were served once and stay hold connections that others need, long before ours run out: beyond a number,
+// each new connection closes the one that has been idle longest, and none with a request.
 func TestStayingClients(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/gatherer/net/http1/serve.go
+++ b/internal/gatherer/net/http1/serve.go
@@ -18,7 +18,7 @@
 	err error
 }
 
-// serve answers the requests of a connection until it ends.
+// serve starts a server whose requests wait for the test on a channel.
 func (s *Server) serve(c *conn) {
 	// One request may be queued behind the one being answered.
 	requests, gone, over := make(chan incoming, 1), make(chan struct{}), make(chan struct{})
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is the thin front for the platform's own protocol.
+// Package platform is the front for the platform's own protocol.
 package platform
 
 import (
@@ -17,23 +17,23 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// Core is what a front needs of the gatherer's core.
+// Core is the part of gather.Core that the front uses.
 type Core interface {
 	Submit(*gather.Request)
 	ClientGone(*gather.Request)
 }
 
-// Front answers queries and the platform's questions after the daemon's state.
+// Front serves queries and the platform's health checks.
 type Front struct {
 	Core     Core
 	Settings *settings.Current
 	Ready    func() bool
 }
 
-// longest bounds the time that a client may ask for.
+// maxDeadline bounds the deadline of a client.
 const maxDeadline = time.Minute
 
-// rounding is how far from 1 the shares of a query's parts may add up.
+// rounding is how far from 1 the weights of a query's shards may add up.
 const rounding = 0.01
 
 // Handle is the front's http1.Handler.
@@ -48,7 +48,7 @@
 		return http1.Text(200, "healthy")
 	}
 	q, err := f.parse(r)
-	r.Release() // nothing of the body is needed any more, and the answer may take seconds
+	r.Release() // the body is parsed, and the answer may take seconds
 	if err != nil {
 		return http1.Text(err.Status, err.Reason)
 	}
@@ -62,11 +62,13 @@
 	}
 }
 
+// bad returns an error that is answered with 400.
+// bad returns an error that is answered with 400.
 func bad(format string, args ...any) *http1.Error {
 	return &http1.Error{Status: 400, Reason: fmt.Sprintf(format, args...)}
 }
 
-// parse turns a query as sent into the core's form.
+// parse converts a query to a request of the core.
 func (f *Front) parse(r *http1.Request) (*gather.Request, *http1.Error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	set := f.Settings.Load()
@@ -88,7 +90,7 @@
 	if !http1.IsName(q.Name) {
 		return nil, bad("Req-Id is missing, too long or has characters other than letters, digits, - and _")
 	}
-	if k.Effect == decision.Deduplicated && q.Key == "" { // one that may not be repeated at all has none to be known by
+	if k.Effect == decision.Deduplicated && q.Key == "" { // a class that must not be repeated needs none
 		return nil, bad("Idempotency-Key is missing")
 	}
 	if q.Key != "" && !http1.IsName(q.Key) {
@@ -105,7 +107,7 @@
 	return q, err
 }
 
-// parseWait reads a time such as 480m (milliseconds) or 480000u (microseconds).
+// parseWait parses a duration such as 480m (milliseconds) or 480000u (microseconds).
 func parseWait(s string) (time.Duration, bool) {
 	if s == "" {
 		return 0, false
@@ -113,13 +115,13 @@
 	unit := map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}[s[len(s)-1]]
 	s = s[:len(s)-1]
 	n, err := strconv.ParseFloat(s, 64)
-	if unit == 0 || err != nil || n <= 0 || strings.Trim(s, "0123456789.") != "" { // it takes inf, 0x1p3 and 1e3
+	if unit == 0 || err != nil || n <= 0 || strings.Trim(s, "0123456789.") != "" { // ParseFloat accepts inf, 0x1p3 and 1e3
 		return 0, false
 	}
 	return time.Duration(min(n*float64(unit), float64(maxDeadline))), true
 }
 
-// parseBody reads the parts and the text. Nothing in the result refers to the body.
+// parseBody parses the shards and the text. Nothing in the result refers to the body.
 func (f *Front) parseBody(body []byte) ([]gather.Shard, []byte, *http1.Error) {
 	if !gjson.ValidBytes(body) { // gjson's getters take garbage
 		return nil, nil, bad("the body is not JSON")
@@ -155,13 +157,13 @@
 	case err != nil:
 	case len(shards) == 0:
 		err = bad("buckets is empty")
-	case math.Abs(sum-1) > rounding: // shares of something else: no floor could be told by them
+	case math.Abs(sum-1) > rounding: // weights of something else: no floor could be checked by them
 		err = bad("buckets: the parts add up to %.4g, not 1", sum)
 	}
 	return shards, []byte(text.String()), err
 }
 
-// render formats a final answer.
+// render returns the response for a final answer.
 func render(res gather.Result) *http1.Response {
 	switch res.Kind {
 	case gather.Answered:
--- a/internal/gatherer/net/platform/platform_test.go
+++ b/internal/gatherer/net/platform/platform_test.go
@@ -63,16 +63,16 @@
 	}
 }
 
-// Only a keyed class's queries carry a key: one of a class that may not be repeated at all is served without.
-func TestUnsafeCarriesNoKey(t *testing.T) {
+// Only a deduplicated class's queries need a key: one of a class that must not be repeated is served without.
+func TestNotIdempotentNeedsNoKey(t *testing.T) {
 	f, c := front(gather.Result{})
 	if p := f.Handle(post("/close-lot", good, "Idempotency-Key", ""), nil); p.Status != 200 || c.asked == nil || c.asked.Key != "" {
 		t.Errorf("%d %s, asked %+v", p.Status, p.Body, c.asked)
 	}
 }
 
-// A refusal tells at once when to come back; a failure promises nothing.
-func TestRefusedAndFailed(t *testing.T) {
+// A rejection says at once when to retry; a failure guarantees nothing.
+func TestRejectedAndFailed(t *testing.T) {
 	for _, x := range []struct {
 		res    gather.Result
 		status int
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	f, c := front(gather.Result{Kind: none})
 	gone := make(chan struct{})
 	close(gone)
