--- a/internal/gatherer/lifecycle/reload.go
+++ b/internal/gatherer/lifecycle/reload.go
@@ -6,22 +6,22 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/discovery"
 )
 
-// reloadKeys reads the keys of points in time again: a new first one signs, and tokens of the others stay good.
+// reloadKeys reads the keys of points in time again: the first one signs, and tokens of the others stay valid.
 func (d *Daemon) reloadKeys() {
-	if d.second == nil || d.front.KeyFile == "" {
+	if d.openSearch == nil || d.front.KeyFile == "" {
 		return
 	}
 	if err := d.front.loadKeys(); err != nil {
 		d.log.Warn("reload keys stay", "reason", err)
 		return
 	}
-	d.second.SetKeys(d.front.Keys)
+	d.openSearch.SetKeys(d.front.Keys)
 	d.log.Info("reload keys", "file", d.front.KeyFile)
 }
 
-// Reload reads the configuration file again and puts its settings and its address of discovery in force. The file
-// counts alone, as the environment still says what held at the start. A file that cannot be used in any part
-// changes nothing. It may be called beside Drain, as what is in hand then needs a true list for seconds, but not beside itself.
+// Reload reads the configuration file again and applies its settings and its address of discovery. The environment is
+// ignored, as it still says what held at the start. An unusable file changes nothing. Reload may run beside Drain, as
+// requests in flight need the true server list for seconds, but not beside itself.
 func (d *Daemon) Reload(path string) {
 	d.reloadKeys()
 	c, err := LoadConfig(path, func(string) string { return "" })
@@ -44,9 +44,9 @@
 	for _, name := range kept {
 		d.log.Warn("reload waits for the next start", "field", name)
 	}
-	// The core hears first, so that it knows each class by the time that a request names it.
+	// The core first, so that it knows each class by the time that a request names it.
 	d.limits = d.reloadLimits(&set)
-	set = d.limited(set, d.limits)
+	set = d.applyLimits(set, d.limits)
 	d.settings.Store(&set)
 	var classes []string
 	for i, name := range set.Classes {
@@ -55,15 +55,15 @@
 		}
 	}
 	d.log.Info("reload settings in force", "classes", strings.Join(classes, " "))
-	d.watching.Lock()
-	defer d.watching.Unlock()
-	if c.Discovery == d.config.Discovery || d.unwatch == nil {
-		return // the watch goes on: a new one would not be told again what this one was; or nothing is in hand any more
+	d.watchMu.Lock()
+	defer d.watchMu.Unlock()
+	if c.Discovery == d.config.Discovery || d.stopWatch == nil {
+		return // the watch continues: a new one would not be sent again what this one was; or the drain is over
 	}
-	// The old watch ends first, so that none of its news can follow the new list. Versions of one address
-	// mean nothing at another: the new one is followed from its whole list on.
-	d.unwatch()
+	// The old watch ends first, so that none of its updates can follow the new list. Versions of one address mean
+	// nothing at another: the new one is asked for its full list.
+	d.stopWatch()
 	d.config.Discovery = c.Discovery
-	d.follow(discovery.Fresh)
+	d.watch(discovery.Fresh)
 	d.log.Info("reload discovery", "addr", c.Discovery)
 }
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -21,17 +21,17 @@
 	proptest.CheckParser(t, true, func(b []byte) error {
 		return readFrame(bufio.NewReader(bytes.NewReader(b)), func(byte, []byte) error { return nil })
 	}, string(standin.Frame('E', "a.3 hit 7 -\n"+strings.Repeat("v", 9000))), string(standin.Frame('E', "a.3 hit 7 -\nvalue")), string(standin.Frame('C', "hit")))
-	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseEnd(b); return err },
+	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err },
 		"9b1f03aa5c7e2d41.3 hit 1840277719 inflight=7,util=0.61\nvalue", "a.1 overload 0 -\n", "a.1 hit 0 %% =, nan\nvalue", "a.1 hit 0 \n")
 	proptest.CheckParser(t, false, func(b []byte) error {
 		if len(b) == 0 {
 			return nil
 		}
-		return (&conn{t: New(Config{}), s: &server{}, past: []string{"a.3"}}).receive(b[0], b[1:])
+		return (&conn{t: New(Config{}), s: &server{}, recent: []string{"a.3"}}).receive(b[0], b[1:])
 	}, "Chit", "Ea.3 hit 7 -\nvalue")
 }
 
-// A call is worded as the protocol has it, also where it is larger than a buffer.
+// A call is encoded as the protocol says, also where it is larger than a buffer.
 func TestWriteCall(t *testing.T) {
 	a := &gather.Attempt{Query: "9b1f03aa5c7e2d41", Shard: 3, Key: "5c0f", Text: []byte("c41e77d0")}
 	big := &gather.Attempt{Query: "b", Shard: 4, Text: bytes.Repeat([]byte("x"), 60<<10)}
@@ -39,7 +39,7 @@
 	var lines []string
 	want := ""
 	for _, a := range all {
-		lines = append(lines, partLine(a, 240))
+		lines = append(lines, subqueryHeader(a, 240))
 		want += lines[len(lines)-1] + string(a.Text)
 	}
 	if lines[0] != "9b1f03aa5c7e2d41.3 3 d=240,k=5c0f 8\n" || lines[1] != "b.4 4 d=240 61440\n" {
@@ -51,22 +51,22 @@
 	}
 }
 
-// A part of a second step has a name of its own, and tells of the first step. Its answer cannot be taken for that of the
-// first step's part of the shard, and one that comes twice is dropped.
-func TestLoad(t *testing.T) {
+// A subquery of a second step has its own id, and describes the first step. Its answer cannot be taken for that of the
+// first step, and a duplicate is ignored.
+func TestSecondStep(t *testing.T) {
 	list := attempts(2)
 	first, load := list[0], list[1]
 	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
-	if l := partLine(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
+	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
 	load.Key, load.Load.FirstComplete = "5c0f", false
-	if l := partLine(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
+	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
-	c.out["q.0"], c.out["q.0.load"] = &entry{a: first}, &entry{a: load}
+	c.inFlight["q.0"], c.inFlight["q.0.load"] = &entry{a: first}, &entry{a: load}
 	for _, x := range []struct {
 		id   string
 		want *gather.Attempt
@@ -87,10 +87,10 @@
 	}
 }
 
-// A score is a number or there is none; the answer is good all the same.
+// A score is a finite number or missing; the answer is good all the same.
 func TestScore(t *testing.T) {
 	for text, want := range map[string]float64{"1840277719": 1840277719, "-3": -3, "0": 0, "-": -1, "": -1, "nan": -1, "inf": -1, "1e999": -1, "7x": -1} {
-		e, err := parseEnd([]byte("q.1 hit " + text + " -\nv"))
+		e, err := parseOutcome([]byte("q.1 hit " + text + " -\nv"))
 		got := -1.0
 		if e.score != nil {
 			got = *e.score
@@ -99,11 +99,11 @@
 			t.Errorf("%q: score %v, value %q, error %v", text, got, e.value, err)
 		}
 	}
-	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseEnd(b); return err }, "9b1f03aa5c7e2d41.3.load hit 1840277719 inflight=7\nvalue")
+	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err }, "9b1f03aa5c7e2d41.3.load hit 1840277719 inflight=7\nvalue")
 }
 
-// What breaks before its frame's last byte never ran; what breaks after that may have, all parts of it.
-func TestBroken(t *testing.T) {
+// What breaks before the last byte of its frame never ran; what breaks after it may have, all subqueries of it.
+func TestBrokenConnection(t *testing.T) {
 	l := standin.Listen(t)
 	script := &standin.Script{}
 	script.Set(map[int][]standin.End{2: {standin.Reset}, 0: {standin.Silent}, 1: {standin.Silent}})
@@ -125,8 +125,8 @@
 	r.want(t, 1, decision.Error)
 }
 
-// A malformed frame closes its connection at once, and its parts may have run; they are not counted as if the
-// lot store had died, but for its own word that it closes. An id that nobody waits for leaves somebody waiting.
+// A malformed frame closes its connection at once, and its attempts may have run. They do not count as if the lot store
+// had crashed, unless it says itself that it closes. An unknown id is malformed, as somebody waits in vain.
 func TestMalformedFrame(t *testing.T) {
 	for frame, want := range map[string]decision.Status{
 		string(standin.Frame('Z', "?")): decision.Error, string(standin.Frame('E', "no line")): decision.Error,
@@ -135,7 +135,7 @@
 		"\x40\x00\x00\x00Eq.0 hit 0 -\nv": decision.Error, string(standin.Frame('F', "what?")): decision.Reset,
 	} {
 		l := standin.Listen(t)
-		closed := make(chan error, 1)
+		closed := make(chan struct{})
 		go func() {
 			c, err := l.Accept()
 			if err != nil {
@@ -143,8 +143,8 @@
 			}
 			io.ReadFull(c, make([]byte, 5))
 			io.WriteString(c, frame)
-			_, err = io.Copy(io.Discard, c)
-			closed <- err
+			io.Copy(io.Discard, c) // to the close or the reset
+			close(closed)
 		}()
 		tr, r := transport(l.Addr().String(), time.Minute)
 		tr.Call(1, attempts(2))
@@ -153,8 +153,8 @@
 	}
 }
 
-// A second copy or noise behind a good answer, and a report that cannot be read, harm nothing.
-func TestMoreThanAnswer(t *testing.T) {
+// A duplicate or noise behind a good answer, and an unreadable report, do no harm.
+func TestNoiseBehindAnswer(t *testing.T) {
 	good := string(standin.Frame('E', "q.0 hit 0 %%\nv"))
 	for _, more := range []string{good, "noise\r\n\r\n", "\x00\x00\x00\x00"} {
 		l := standin.Listen(t)
@@ -173,8 +173,8 @@
 	}
 }
 
-// A server that has moved gets nothing more on connections to where it was.
-func TestMoved(t *testing.T) {
+// A server that has moved gets nothing more on connections to its old address.
+func TestMovedServer(t *testing.T) {
 	tr, _ := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
 	tr.Call(1, attempts(1))
@@ -185,8 +185,8 @@
 	}
 }
 
-// A call gets a connection of its own, as one answer that cannot be read ends all that is out on it; where
-// a server has its part of all connections calls share them, and at most so many parts are on one at once.
+// Each call gets its own connection, as a malformed answer ends all that is in flight on it. Where a server has its share
+// of all connections calls share them, with a bounded number of subqueries on each.
 func TestConnections(t *testing.T) {
 	l := standin.Listen(t)
 	tr, _ := transport(l.Addr().String(), time.Minute)
@@ -202,7 +202,7 @@
 	}
 }
 
-// Nothing queued may go to a server since told draining or gone: the rule allows 250 ms after that.
+// Nothing queued is sent to a server once it drains or is deregistered: the rule allows 250 ms after that.
 func TestDrainDropsQueue(t *testing.T) {
 	for _, state := range []decision.ServerState{decision.Draining, decision.Deregistered} {
 		tr, r := transport("127.0.0.1:1", time.Minute)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A repeat of a keyed part that waited past its window is not written: the lot stores would no longer
-// drop it. Nor is a part whose time is up.
+// A retry of a deduplicated subquery that has waited past its window is not written: the lot stores would no longer drop
+// it. Nor is an attempt past its time-out.
 func TestStaleNotWritten(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
@@ -235,7 +235,7 @@
 	r.want(t, 2, decision.NotSent)
 }
 
-// A cancelled part gives its place up, and an answer that crosses that is dropped.
+// A cancelled attempt frees its capacity, and an answer that crosses the cancellation is ignored.
 func TestCancel(t *testing.T) {
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
@@ -244,25 +244,25 @@
 	tr.Call(1, list)
 	tr.Cancel(queued)
 	r.want(t, 1, decision.Cancelled)
-	c.out["q.1"], c.queue = &entry{a: out, written: time.Now()}, nil
+	c.inFlight["q.1"], c.queue = &entry{a: out, written: time.Now()}, nil
 	tr.Cancel(out)
-	if c.load != 0 || len(c.out) != 0 || len(c.give) != 1 || c.give[0] != out {
-		t.Errorf("load %d, out %v, give up %v", c.load, c.out, c.give)
+	if c.load != 0 || len(c.inFlight) != 0 || len(c.cancels) != 1 || c.cancels[0] != out {
+		t.Errorf("load %d, out %v, give up %v", c.load, c.inFlight, c.cancels)
 	}
 	if err := c.receive('E', []byte("q.1 hit 0 -\nv")); err != nil || len(r.ch) != 0 {
 		t.Errorf("error %v, %d reports", err, len(r.ch))
 	}
 }
 
-// A cancel is reported only when the lot store has been told, by a frame or by the close of the connection: a
-// part sent elsewhere before that would be out twice.
-func TestCancelTold(t *testing.T) {
+// A cancellation is reported only when the lot store has been told, by a frame or by the close of the connection: a
+// subquery sent elsewhere before that would be in flight twice.
+func TestCancelReportedOnceWritten(t *testing.T) {
 	here, there := net.Pipe()
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, here)
 	list := attempts(2)
-	c.out["q.0"], c.out["q.1"], c.load = &entry{a: list[0], written: time.Now()}, &entry{a: list[1], written: time.Now()}, 2
-	tr.where[list[0]], tr.where[list[1]] = c, c
+	c.inFlight["q.0"], c.inFlight["q.1"], c.load = &entry{a: list[0], written: time.Now()}, &entry{a: list[1], written: time.Now()}, 2
+	tr.byAttempt[list[0]], tr.byAttempt[list[1]] = c, c
 	tr.Cancel(list[0])
 	if len(r.ch) > 0 {
 		t.Error("reported before it was told")
@@ -283,27 +283,27 @@
 	r.want(t, 1, decision.Cancelled)
 }
 
-// A connection that was silent for long under a part that is given up takes no further part, and is closed
-// once nothing is out on it; one that was heard on since stays.
-func TestSilentConnection(t *testing.T) {
+// A connection that received nothing for long under an attempt that is cancelled takes no further calls, and is closed
+// once nothing is in flight on it. One that has received something since stays.
+func TestUnresponsiveConnection(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		tr, _ := transport("127.0.0.1:1", time.Minute)
 		c := parked(tr, nil)
 		list := attempts(1)
 		tr.Call(1, list)
-		long := time.Now().Add(-tr.silentFor() - time.Millisecond)
-		c.out["q.0"], c.queue = &entry{a: list[0], written: long}, nil
+		long := time.Now().Add(-tr.unresponsiveAfter() - time.Millisecond)
+		c.inFlight["q.0"], c.queue = &entry{a: list[0], written: long}, nil
 		if heard {
-			c.heard = time.Now()
+			c.receivedAt = time.Now()
 		}
 		tr.Cancel(list[0])
-		if c.silent == heard || (c.Ready() > 0) != heard {
-			t.Errorf("heard %v: silent %v, ready %d", heard, c.silent, c.Ready())
+		if c.unresponsive == heard || (c.Ready() > 0) != heard {
+			t.Errorf("heard %v: silent %v, ready %d", heard, c.unresponsive, c.Ready())
 		}
 	}
 }
 
-// An idle connection is closed from this side, before the lot store would.
+// An idle connection is closed from this side, before the lot store would close it.
 func TestIdleCloses(t *testing.T) {
 	l := standin.Listen(t)
 	tr, r := transport(l.Addr().String(), 60*time.Millisecond)
@@ -315,42 +315,42 @@
 	io.ReadFull(c, make([]byte, 5))
 	c.Write(standin.Frame('C', "fault"))
 	r.want(t, 1, decision.Error)
-	if n, err := c.Read(make([]byte, 1)); err != io.EOF {
+	if n, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
 
-// What is kept of a server goes with it: its idle connections at once, and the record with the last of them.
-func TestGoneIsForgotten(t *testing.T) {
+// A deregistered server is removed: its idle connections at once, and its record with the last of them.
+func TestDeregisteredServerIsRemoved(t *testing.T) {
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	parked(tr, nil)
 	busy := parked(tr, nil)
 	list := attempts(1)
-	busy.out["q.0"], busy.load, tr.where[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
-	tr.conns = 2
+	busy.inFlight["q.0"], busy.load, tr.byAttempt[list[0]] = &entry{a: list[0], written: time.Now()}, 1, busy
+	tr.connCount = 2
 	tr.Servers([]mem.Server{{ID: 1, Addr: "127.0.0.1:1", State: decision.Deregistered}})
-	if tr.conns != 1 || len(tr.servers) != 1 {
-		t.Errorf("%d connections, %d servers while one part is out", tr.conns, len(tr.servers))
+	if tr.connCount != 1 || len(tr.servers) != 1 {
+		t.Errorf("%d connections, %d servers while one part is out", tr.connCount, len(tr.servers))
 	}
 	busy.fail(io.EOF)
 	r.want(t, 1, decision.Reset)
-	if tr.conns != 0 || len(tr.servers) != 0 || len(tr.where) != 0 {
-		t.Errorf("%d connections, %d servers, %d attempts are kept", tr.conns, len(tr.servers), len(tr.where))
+	if tr.connCount != 0 || len(tr.servers) != 0 || len(tr.byAttempt) != 0 {
+		t.Errorf("%d connections, %d servers, %d attempts are kept", tr.connCount, len(tr.servers), len(tr.byAttempt))
 	}
 }
 
-// An answer that cannot be read may come before the call is booked as written: its parts end as faulty all the
-// same, not as if the lot store had died.
-func TestMalformedBeforeBooked(t *testing.T) {
+// A malformed answer may arrive before the call is recorded as written: its attempts end as errors all the same, not as
+// if the lot store had crashed.
+func TestMalformedBeforeWriteIsRecorded(t *testing.T) {
 	here, there := net.Pipe()
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, here)
 	tr.Call(1, attempts(1))
 	go func() { // the frame is read but for its last byte, which the pipe hands over once the connection has failed
-		frame := len(standin.Frame('A', partLine(attempts(1)[0], 59999)))
+		frame := len(standin.Frame('A', subqueryHeader(attempts(1)[0], 59999)))
 		io.ReadFull(there, make([]byte, frame-1))
 		c.t.mu.Lock()
-		c.dead, c.ran = true, decision.Error // as fail leaves it
+		c.removed, c.endStatus = true, decision.Error // as fail leaves it
 		c.t.mu.Unlock()
 		io.ReadFull(there, make([]byte, 1))
 	}()
--- a/internal/gatherer/net/frames/rig_test.go
+++ b/internal/gatherer/net/frames/rig_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// reports collects what the transport tells.
+// reports collects what the transport reports.
 type reports struct{ ch chan report }
 
 type report struct {
@@ -58,12 +58,12 @@
 	}
 }
 
-// parked puts in a connection that nobody writes to, so that what is called stays queued.
+// parked adds a connection without a writer, so that calls stay queued.
 func parked(tr *Transport, nc net.Conn) *conn {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	c := &conn{t: tr, s: tr.servers[1], addr: tr.servers[1].Addr, nc: nc, up: true, out: map[string]*entry{}, wake: make(chan struct{}, 1)}
-	c.ctx, c.end = context.WithCancel(context.Background())
+	c := &conn{t: tr, s: tr.servers[1], addr: tr.servers[1].Addr, nc: nc, connected: true, inFlight: map[string]*entry{}, wake: make(chan struct{}, 1)}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.s.pool.Add(c)
 	return c
 }
--- a/internal/gatherer/net/handover/handover_test.go
+++ b/internal/gatherer/net/handover/handover_test.go
@@ -11,13 +11,13 @@
 )
 
 var state = State{Hosts: []byte(`{"seq":0,"whole":true,"hosts":[]}`), Banned: []string{"s-1"}, Attached: map[string]int64{"s-2": 1764600000000},
-	Drain: true, PerSecond: 12.5, Records: []Record{{Name: "s-1", Answers: []float64{0, 1.5}, Latency: 0.04, Failing: 0.1, Cap: 4, ColdMs: -1}}}
+	Drain: true, PerSecond: 12.5, Records: []Record{{Name: "s-1", Answers: []float64{0, 1.5}, Latency: 0.04, Failing: 0.1, Cap: 4, SlowStartMs: -1}}}
 
 func line(m Message) string { return strings.TrimSuffix(string(m.Append(nil)), "\n") }
 
 func TestParse(t *testing.T) {
 	valid := []string{line(Message{Kind: Hello}), line(Message{Kind: CallMade, ID: 1, Verb: "DETACH", Name: "s-1", AtMs: 1}),
-		line(Message{Kind: CallHeard, ID: 1}), line(Message{Kind: StateIs, State: &state})}
+		line(Message{Kind: CallDone, ID: 1}), line(Message{Kind: StateSent, State: &state})}
 	proptest.CheckParser(t, true, func(b []byte) error { _, err := Parse(b); return err }, valid...)
 	for _, text := range []string{`{}`, `[]`, `{"kind":"call"}`, `{"kind":"state"}`, `{"kind":"call","verb":"DETACH","at_ms":-1}`,
 		strings.Replace(valid[3], `"failing":0.1`, `"failing":2`, 1), strings.Replace(valid[3], `1.5`, `-1.5`, 1),
@@ -28,8 +28,9 @@
 	}
 }
 
-// pair links two sides over a socket in a folder of its own.
+// pair links two sides over a socket in its own folder.
 func pair(t *testing.T, do func(Message)) (successor *Link, s *State, path string) {
+	t.Helper()
 	path = filepath.Join(t.TempDir(), "s")
 	l, err := Listen(path)
 	if err != nil {
@@ -41,11 +42,11 @@
 		if err != nil {
 			return
 		}
-		if x, err := Welcome(nc, func(*Link) {}, func() State { return state }); err == nil {
+		if x, err := Accept(nc, func(*Link) {}, func() State { return state }); err == nil {
 			x.Serve(do)
 		}
 	}()
-	successor, s, err = Greet(path)
+	successor, s, err = Connect(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +54,7 @@
 	return successor, s, path
 }
 
-// The successor gets the state, and a call is in force at the other before Tell returns.
+// The successor gets the state, and a call is in force at the other side before Call returns.
 func TestLink(t *testing.T) {
 	heard := make(chan Message, 1)
 	x, s, path := pair(t, func(m Message) { heard <- m })
@@ -61,7 +62,7 @@
 		t.Errorf("%+v", s)
 	}
 	go x.Serve(func(Message) {})
-	if err := x.Tell(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err != nil {
+	if err := x.Call(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err != nil {
 		t.Fatal(err)
 	}
 	if m := <-heard; m.Name != "s-3" || m.AtMs != 5 {
@@ -85,28 +86,28 @@
 	}
 }
 
-// One that ends in the middle of a call is no one to wait for.
-func TestOtherDies(t *testing.T) {
+// A peer that fails within a call is not waited for.
+func TestPeerFails(t *testing.T) {
 	var x *Link
 	ready := make(chan struct{})
 	x, _, _ = pair(t, func(Message) { <-ready; x.nc.Close() })
 	go x.Serve(func(Message) {})
 	close(ready)
-	if err := x.Tell(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err == nil {
+	if err := x.Call(Message{Verb: "DETACH", Name: "s-3", AtMs: 5}); err == nil {
 		t.Error("a call that nobody confirmed counts as heard")
 	}
 }
 
-// What is torn, stale or no socket at all is an error, not a wait.
-func TestGreetBad(t *testing.T) {
+// A socket with a truncated or stale state, or no socket at all, is an error at once.
+func TestConnectInvalid(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("greeted nobody")
 	}
 	if err := os.WriteFile(path, []byte("stale"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("greeted a file")
 	}
 	l, err := Listen(path) // takes the name, whatever has it
@@ -120,11 +121,11 @@
 			if err != nil {
 				return
 			}
-			nc.Write([]byte(line(Message{Kind: StateIs, State: &state})[:40] + "\n"))
+			nc.Write([]byte(line(Message{Kind: StateSent, State: &state})[:40] + "\n"))
 			nc.Close()
 		}
 	}()
-	if _, _, err := Greet(path); err == nil {
+	if _, _, err := Connect(path); err == nil {
 		t.Error("took a torn state")
 	}
 }
