--- a/internal/tier/coordinator/fencing_test.go
+++ b/internal/tier/coordinator/fencing_test.go
@@ -22,20 +22,20 @@
 	stop func(failpoint.Point) bool
 }
 
-func (s *failpointHook) pass(point failpoint.Point) bool {
-	s.mu.Lock()
-	stop := s.stop
-	s.mu.Unlock()
+func (h *failpointHook) pass(point failpoint.Point) bool {
+	h.mu.Lock()
+	stop := h.stop
+	h.mu.Unlock()
 	return stop != nil && stop(point)
 }
 
-func (s *failpointHook) set(stop func(failpoint.Point) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stop = stop
+func (h *failpointHook) set(stop func(failpoint.Point) bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stop = stop
 }
 
-// frozenMachine is a machine whose placement is held up at a point, partitioned from all others, until it is woken.
+// frozenMachine is a machine whose placement is held up at a point, partitioned from all others, until thaw.
 type frozenMachine struct {
 	cluster *cluster
 	name    string
@@ -106,7 +106,7 @@
 }
 
 // candidacy is a machine's part in the competition for the lease.
-func (c *cluster) candidacy(name string, holder *lease.Candidate) func(context.Context) {
+func (c *cluster) candidacy(name string, candidate *lease.Candidate) func(context.Context) {
 	leader, free := c.leader, c.free
 	return func(ctx context.Context) {
 		if leader != "" && leader != name {
@@ -115,7 +115,7 @@
 			case <-ctx.Done():
 			}
 		}
-		holder.Run(ctx)
+		candidate.Run(ctx)
 	}
 }
 
--- a/internal/tier/coordinator/partition_test.go
+++ b/internal/tier/coordinator/partition_test.go
@@ -32,8 +32,8 @@
 
 var directions = []direction{{"both", true, true}, {"not_heard", true, false}, {"hears_nothing", false, true}}
 
-// partitionRun is a run in which two operators race, stores drain, agents start anew, machines are emptied and one of the isolated coordinators restarts while
-// coordinators are isolated, with what came of it.
+// partitionRun is a run in which two operators race, instances drain, agents start anew, machines are emptied and one of the
+// isolated coordinators restarts while coordinators are isolated, with what came of it.
 type partitionRun struct {
 	*cluster
 	names    []string // of the coordinators
@@ -45,7 +45,7 @@
 	ended     bool
 	changes   []sentChange
 	drained   map[string]time.Time // acknowledged
-	emptied   map[string]bool      // machines said to be
+	emptied   map[string]bool      // machines that a coordinator called empty
 	problems  []string
 	edges     []*edge
 	startedAt []time.Time
--- a/internal/tier/coordinator/random_changes_test.go
+++ b/internal/tier/coordinator/random_changes_test.go
@@ -52,9 +52,9 @@
 	tally   map[string]int
 }
 
-// TestRandomConfigurationChangesUnderFaults has operators send changes under few numbers with few bodies, new and old ones, to any coordinator,
-// among kills, losses of disks, partitions both ways and one way, and changes of voters that follow from them. No change is
-// ever both acknowledged and rejected, and no two on top of one version are acknowledged.
+// TestRandomConfigurationChangesUnderFaults has operators send changes of few generations with few bodies, new and old ones,
+// to any coordinator, among kills, losses of disks, partitions both ways and one way, and changes of voters that follow from
+// them. No change is ever both acknowledged and rejected, and no two of one base generation are acknowledged.
 func TestRandomConfigurationChangesUnderFaults(t *testing.T) {
 	schedules := *seedCount
 	if testing.Short() {
@@ -100,7 +100,7 @@
 	d.verifyAll()
 }
 
-// slowDown gives the disks and the links of a schedule some of four and three speeds.
+// slowDown gives the disks one of four speeds and the links one of three, by the seed.
 func (d *changeSchedule) slowDown(seed uint64) {
 	for _, m := range d.machines {
 		m.hardware.Disk.SetFault(simulation.DiskFault{SyncDelay: time.Duration(seed%4) * syncDelayStep})
--- a/internal/tier/coordinator/random_placement_faults_test.go
+++ b/internal/tier/coordinator/random_placement_faults_test.go
@@ -76,10 +76,10 @@
 }
 
 // placementTally counts what the schedules held.
-type placementTally struct{ Wipes, Sleeps, Stops int }
+type placementTally struct{ Wipes, Freezes, Stops int }
 
-// TestRandomFaultsDuringPlacement kills, stops, cuts off and wipes coordinators and freezes lease holders at the
-// points of a change, one disk at a time and none while a voter is missing. At rest three voters run and take changes, no
+// TestRandomFaultsDuringPlacement kills, stops, isolates and wipes coordinators and freezes lease holders at the
+// points of a change, one disk at a time and none while a voter is missing. At rest three voters run and commit changes, no
 // two values shared a version, and what raised the term did nothing else.
 func TestRandomFaultsDuringPlacement(t *testing.T) {
 	tally := &placementTally{}
@@ -97,7 +97,7 @@
 		})
 	}
 	t.Logf("%d schedules: %+v", placementSchedules, *tally)
-	assert.Assert(t, tally.Wipes >= placementSchedules && tally.Sleeps >= placementSchedules, "hardly anything happened")
+	assert.Assert(t, tally.Wipes >= placementSchedules && tally.Freezes >= placementSchedules, "hardly anything happened")
 }
 
 func (s *placementSchedule) play() {
@@ -185,7 +185,7 @@
 	}
 	delete(s.frozen, name)
 	if machine.isFrozen() {
-		s.tally.Sleeps++
+		s.tally.Freezes++
 	}
 	s.at(name).points.set(nil)
 	machine.thaw()
