--- a/internal/tier/turnstore/doc.go
+++ b/internal/tier/turnstore/doc.go
@@ -54,4 +54,13 @@
 // A record expires a grace period after its own retention; saving a turn extends the retention of the turns that it
 // continues, so that a conversation is kept as long as its last turn. A program's claims expire budgetRetention after the
 // last one. Compaction drops expired entries from the disk.
+//
+// # Log lines for operators
+//
+//	data folder recovered          at the start; another identity than before, or 0 records, means an empty disk
+//	disk lost synced data: ...     synced files are damaged or missing; the store is a new member from here on
+//	membership changed             the store has learned a newer epoch; rebalance follows if it is a previous member
+//	rebalance complete             its keys are durable on the current members
+//	cannot save membership         the rebalance of that epoch does not start before the disk accepts writes
+//	compaction failed              the disk does not accept writes; the store rejects them with STORE_FULL
 package turnstore
