--- a/internal/tier/replica/call_quorum.go
+++ b/internal/tier/replica/call_quorum.go
@@ -36,7 +36,7 @@
 	SingleMembership bool
 }
 
-// Outcome tells which quorum an operation has reached.
+// Outcome describes which quorum an operation has reached.
 type Outcome struct {
 	// TopRanked is true if the key had a single replica set throughout and its members of the highest rank are in the
 	// quorum. All callers that get true have the same quorum.
--- a/internal/tier/replica/quorum.go
+++ b/internal/tier/replica/quorum.go
@@ -18,7 +18,7 @@
 // identities is a set of members, by identity.
 type identities map[uint64]bool
 
-// quorumTracker tells which replica sets of a key have a quorum. There are two sets while the membership changes, and none
+// quorumTracker computes which replica sets of a key have a quorum. There are two sets while the membership changes, and none
 // while no membership is known. It does no I/O.
 type quorumTracker struct {
 	sets      [][]*tierpb.Node
--- a/internal/tier/turnstore/doc.go
+++ b/internal/tier/turnstore/doc.go
@@ -63,4 +63,7 @@
 //	rebalance complete             its keys are durable on the current members
 //	cannot save membership         the rebalance of that epoch does not start before the disk accepts writes
 //	compaction failed              the disk does not accept writes; the store rejects them with STORE_FULL
+//
+// The lease holder among the coordinators logs "turn store members changed" when it replaces a store that has a new
+// identity, and "redundancy restored" when the rebalance has ended.
 package turnstore
