--- a/internal/tier/turnstore/simulation_failures_test.go
+++ b/internal/tier/turnstore/simulation_failures_test.go
@@ -19,87 +19,87 @@
 )
 
 // failMachine fails a random machine, unless as many have failed as are tolerated.
-func (w *simulation) failMachine(kind failureKind) {
+func (s *simulation) failMachine(kind failureKind) {
 	var running []*machine
-	for _, m := range w.sortedMachines() {
-		if _, hasFailed := w.failed[m]; !hasFailed && m.store != nil {
+	for _, m := range s.sortedMachines() {
+		if _, hasFailed := s.failed[m]; !hasFailed && m.store != nil {
 			running = append(running, m)
 		}
 	}
-	if len(w.failed) >= w.tolerated || len(running) == 0 {
+	if len(s.failed) >= s.tolerated || len(running) == 0 {
 		return
 	}
-	w.failures++
-	m := running[w.random.IntN(len(running))]
-	w.logEvent("%s fails, kind %d", m.address, kind)
-	w.failed[m] = time.Now().Add(time.Duration(w.random.Int64N(int64(3 * time.Second))))
+	s.failures++
+	m := running[s.random.IntN(len(running))]
+	s.logEvent("%s fails, kind %d", m.address, kind)
+	s.failed[m] = time.Now().Add(time.Duration(s.random.Int64N(int64(3 * time.Second))))
 	switch kind {
 	case failureCrash:
-		w.halt(m)
+		s.halt(m)
 	case failurePowerLoss:
-		w.halt(m)
-		m.disk.losePower(w.random)
+		s.halt(m)
+		m.disk.losePower(s.random)
 	case failureDiskLoss:
-		w.halt(m)
-		w.wipeDisk(m)
+		s.halt(m)
+		s.wipeDisk(m)
 	case failurePartition:
-		w.setPartitioned(m, true)
+		s.setPartitioned(m, true)
 	case failureReplacement:
-		w.replaceMachine(m)
+		s.replaceMachine(m)
 	}
 }
 
-func (w *simulation) wipeDisk(m *machine) {
-	w.wipe(m)
-	m.disk.setSyncTime(w.syncTime(m))
+func (s *simulation) wipeDisk(m *machine) {
+	s.wipe(m)
+	m.disk.setSyncTime(s.syncTime(m))
 }
 
 // replaceMachine replaces a machine by an empty one at another address.
-func (w *simulation) replaceMachine(m *machine) {
-	w.halt(m)
-	w.wipeDisk(m)
-	w.cluster.mu.Lock()
-	delete(w.machines, m.address)
-	w.nextName++
-	m.address = w.newAddress(w.nextName)
-	w.machines[m.address] = m
-	w.cluster.mu.Unlock()
+func (s *simulation) replaceMachine(m *machine) {
+	s.halt(m)
+	s.wipeDisk(m)
+	s.cluster.mu.Lock()
+	delete(s.machines, m.address)
+	s.nextName++
+	m.address = s.newAddress(s.nextName)
+	s.machines[m.address] = m
+	s.cluster.mu.Unlock()
 }
 
-func (w *simulation) restart(m *machine) {
-	w.setPartitioned(m, false)
+func (s *simulation) restart(m *machine) {
+	s.setPartitioned(m, false)
 	if m.store == nil {
-		w.run(m)
+		s.run(m)
 	}
 }
 
-func (w *simulation) losePowerEverywhere() {
-	for _, m := range w.sortedMachines() {
+func (s *simulation) losePowerEverywhere() {
+	for _, m := range s.sortedMachines() {
 		if m.store == nil {
 			continue
 		}
-		w.halt(m)
-		m.disk.losePower(w.random)
+		s.halt(m)
+		m.disk.losePower(s.random)
 	}
-	for _, m := range w.sortedMachines() {
-		if _, hasFailed := w.failed[m]; !hasFailed {
-			w.run(m)
+	for _, m := range s.sortedMachines() {
+		if _, hasFailed := s.failed[m]; !hasFailed {
+			s.run(m)
 		}
 	}
 }
 
 // slowOneDisk makes one disk slow and all others fast.
-func (w *simulation) slowOneDisk() {
-	all := w.sortedMachines()
-	chosen := w.random.IntN(len(all))
+func (s *simulation) slowOneDisk() {
+	all := s.sortedMachines()
+	chosen := s.random.IntN(len(all))
 	for i, m := range all {
 		m.slow.Store(i == chosen)
 	}
 }
 
-func (w *simulation) compactSome() {
-	for _, m := range w.sortedMachines() {
-		if m.store != nil && w.random.IntN(2) == 0 {
+func (s *simulation) compactSome() {
+	for _, m := range s.sortedMachines() {
+		if m.store != nil && s.random.IntN(2) == 0 {
 			_ = m.store.Compact(context.Background())
 		}
 	}
--- a/internal/tier/turnstore/simulation_test.go
+++ b/internal/tier/turnstore/simulation_test.go
@@ -37,7 +37,7 @@
 
 const (
 	simulationEvents     = 260
-	catchUp              = 4 * time.Second
+	catchUpTimeout       = 4 * time.Second
 	simulationRetention  = 10 * time.Minute
 	maxUpdateLag         = 300 * time.Millisecond
 	partitionedUpdateLag = 3 * time.Second // of clients that receive updates late
@@ -47,8 +47,8 @@
 
 func TestReplicasSurviveFailuresRightAfterRebalances(t *testing.T) {
 	for seed := range uint64(simulationSeeds()) {
-		for _, of := range []deployment{{1, 3}, {1, 4}, {2, 5}, {2, 7}} {
-			synctest.Test(t, func(t *testing.T) { runSimulation(t, seed, of) })
+		for _, size := range []deployment{{1, 3}, {1, 4}, {2, 5}, {2, 7}} {
+			synctest.Test(t, func(t *testing.T) { runSimulation(t, seed, size) })
 		}
 	}
 }
@@ -57,60 +57,60 @@
 // others continue to serve and accept writes again.
 func TestSecondDiskLossDuringARebalanceDoesNotStopTheTier(t *testing.T) {
 	for seed := range uint64(simulationSeeds()) {
-		for _, of := range []deployment{{1, 3}, {1, 4}, {2, 5}} {
+		for _, size := range []deployment{{1, 3}, {1, 4}, {2, 5}} {
 			synctest.Test(t, func(t *testing.T) {
-				t.Logf("seed %d, %d members of which %d may be lost", seed, of.members, of.tolerance)
-				w := newSimulation(t, seed, of)
-				defer w.end()
+				t.Logf("seed %d, %d members of which %d may be lost", seed, size.members, size.tolerance)
+				s := newSimulation(t, seed, size)
+				defer s.end()
 				for range 20 {
-					w.save()
-					w.spend()
-					w.advanceTime(50 * time.Millisecond)
+					s.save()
+					s.spend()
+					s.advanceTime(50 * time.Millisecond)
 				}
-				for range of.tolerance {
-					w.failMachine(failureDiskLoss)
+				for range size.tolerance {
+					s.failMachine(failureDiskLoss)
 				}
-				w.waitFor(func() bool { return len(w.control.Stores.Previous) > 0 })
-				w.toleranceExceeded = true
-				w.tolerated++
-				w.failMachine(failureDiskLoss)
-				w.waitFor(func() bool { return len(w.failed) == 0 && len(w.control.Stores.Previous) == 0 })
-				w.clients.Wait()
-				assert.NilError(t, turns.NewClient(w.currentOptions()).Save(context.Background(), w.record("last", "")))
+				s.waitFor(func() bool { return len(s.control.Stores.Previous) > 0 })
+				s.toleranceExceeded = true
+				s.tolerated++
+				s.failMachine(failureDiskLoss)
+				s.waitFor(func() bool { return len(s.failed) == 0 && len(s.control.Stores.Previous) == 0 })
+				s.clients.Wait()
+				assert.NilError(t, turns.NewClient(s.currentOptions()).Save(context.Background(), s.record("last", "")))
 			})
 		}
 	}
 }
 
 // runSimulation plays one schedule, and then lets all failures recover.
-func runSimulation(t *testing.T, seed uint64, of deployment) {
+func runSimulation(t *testing.T, seed uint64, size deployment) {
 	t.Helper()
-	t.Logf("seed %d, %d members of which %d may be lost", seed, of.members, of.tolerance)
-	w := newSimulation(t, seed, of)
-	defer w.end()
+	t.Logf("seed %d, %d members of which %d may be lost", seed, size.members, size.tolerance)
+	s := newSimulation(t, seed, size)
+	defer s.end()
 	for range simulationEvents {
-		w.event()
+		s.event()
 		if t.Failed() {
 			return
 		}
 	}
-	for _, m := range w.machines {
+	for _, m := range s.machines {
 		m.slow.Store(false)
 	}
-	for range of.tolerance { // for machines that were retired while others had failed
-		w.addMachine()
+	for range size.tolerance { // for machines that were retired while others had failed
+		s.addMachine()
 	}
-	for m := range w.failed {
-		w.failed[m] = time.Time{}
+	for m := range s.failed {
+		s.failed[m] = time.Time{}
 	}
-	w.waitFor(func() bool { return len(w.failed) == 0 && len(w.control.Stores.Previous) == 0 })
-	w.clients.Wait()
-	for _, retirement := range w.control.Retirements {
+	s.waitFor(func() bool { return len(s.failed) == 0 && len(s.control.Stores.Previous) == 0 })
+	s.clients.Wait()
+	for _, retirement := range s.control.Retirements {
 		assert.Check(t, retirement.Completed, "%s", retirement.Node)
 	}
-	w.checkReads()
-	t.Logf("epoch %d, %d losses, %d turns, %d claims, %d machines emptied", w.control.Stores.Epoch, w.failures,
-		len(w.oracle.turns), len(w.oracle.claims), len(w.control.Retirements))
+	s.checkReads()
+	t.Logf("epoch %d, %d failures, %d turns, %d claims, %d machines retired", s.control.Stores.Epoch, s.failures,
+		len(s.oracle.turns), len(s.oracle.claims), len(s.control.Retirements))
 }
 
 // simulation is a cluster whose stores run their rebalancers, whose membership is decided by package placement, and in
@@ -120,7 +120,7 @@
 	*cluster
 	control           *tierpb.ControlState
 	receivedJoins     [2]map[uint64]placement.Join // by two coordinators; either may be the lease holder
-	moveSeen          time.Time
+	membershipSeen    time.Time
 	began             time.Time
 	history           []published
 	rebalancers       map[*machine]*runningRebalancer
@@ -133,11 +133,11 @@
 	programs          []*spending
 	log               []string
 
-	copiers    sync.WaitGroup
-	clients    sync.WaitGroup
-	mu         sync.Mutex
-	oracle     oracle
-	violations string // of guarantees, found by clients
+	rebalancerLoops sync.WaitGroup
+	clients         sync.WaitGroup
+	mu              sync.Mutex
+	oracle          oracle
+	violations      string // of guarantees, found by clients
 }
 
 // published is a membership and when it was published.
@@ -146,7 +146,7 @@
 	membership *tierpb.StoreMembership
 }
 
-// runningRebalancer is a store's running Mover.
+// runningRebalancer is the Rebalancer of a running store.
 type runningRebalancer struct {
 	rebalancer    *Rebalancer
 	cancel        context.CancelFunc
@@ -154,93 +154,93 @@
 	lastJoin      time.Time
 }
 
-func newSimulation(t *testing.T, seed uint64, of deployment) *simulation {
+func newSimulation(t *testing.T, seed uint64, size deployment) *simulation {
 	t.Helper()
-	w := &simulation{
+	s := &simulation{
 		cluster:     newCluster(t, seed),
 		control:     &tierpb.ControlState{Stores: &tierpb.StoreMembership{Epoch: 1}},
 		rebalancers: make(map[*machine]*runningRebalancer),
 		failed:      make(map[*machine]time.Time),
-		maxMachines: of.members + 2,
+		maxMachines: size.members + 2,
 		began:       time.Now(),
 
-		tolerated: of.tolerance,
+		tolerated: size.tolerance,
 	}
-	w.oracle.disks = make(map[uint64]*memoryDisk)
-	w.tolerance, w.after, w.delayedUpdates = of.tolerance, time.After, true
-	w.clock.now = time.Now()
-	w.latency = randomLatency(seed, 6*time.Millisecond)
-	for i := range w.receivedJoins {
-		w.receivedJoins[i] = make(map[uint64]placement.Join)
+	s.oracle.disks = make(map[uint64]*memoryDisk)
+	s.tolerance, s.after, s.delayedUpdates = size.tolerance, time.After, true
+	s.clock.now = time.Now()
+	s.latency = randomLatency(seed, 6*time.Millisecond)
+	for i := range s.receivedJoins {
+		s.receivedJoins[i] = make(map[uint64]placement.Join)
 	}
-	for range of.members {
-		w.addMachine()
+	for range size.members {
+		s.addMachine()
 	}
-	w.waitFor(func() bool { return len(w.control.Stores.Current) == of.members })
-	return w
+	s.waitFor(func() bool { return len(s.control.Stores.Current) == size.members })
+	return s
 }
 
 // run starts the store and the rebalancer of a machine.
-func (w *simulation) run(m *machine) {
-	w.start(m)
-	w.logEvent("%s runs as %d", m.address, m.store.Identity())
-	w.oracle.disks[m.store.Identity()] = m.disk
+func (s *simulation) run(m *machine) {
+	s.start(m)
+	s.logEvent("%s runs as %d", m.address, m.store.Identity())
+	s.oracle.disks[m.store.Identity()] = m.disk
 	ctx, cancel := context.WithCancel(context.Background())
-	running := &runningRebalancer{rebalancer: NewRebalancer(m.store, w.cluster, w.tolerance), cancel: cancel}
-	w.rebalancers[m] = running
-	w.copiers.Go(func() { running.rebalancer.Run(ctx) })
+	running := &runningRebalancer{rebalancer: NewRebalancer(m.store, s.cluster, s.tolerance), cancel: cancel}
+	s.rebalancers[m] = running
+	s.rebalancerLoops.Go(func() { running.rebalancer.Run(ctx) })
 }
 
 // halt ends the process of a machine.
-func (w *simulation) halt(m *machine) {
-	if running := w.rebalancers[m]; running != nil {
+func (s *simulation) halt(m *machine) {
+	if running := s.rebalancers[m]; running != nil {
 		running.cancel()
-		delete(w.rebalancers, m)
+		delete(s.rebalancers, m)
 	}
-	w.kill(m)
+	s.kill(m)
 }
 
-func (w *simulation) end() {
-	w.clients.Wait()
-	for _, m := range w.machines {
-		w.halt(m)
+func (s *simulation) end() {
+	s.clients.Wait()
+	for _, m := range s.machines {
+		s.halt(m)
 	}
-	w.copiers.Wait()
+	s.rebalancerLoops.Wait()
 }
 
 // node returns how a store describes itself.
-func (w *simulation) node(m *machine) *tierpb.Node {
+func (s *simulation) node(m *machine) *tierpb.Node {
 	return &tierpb.Node{
 		Name: m.address, Address: m.address, Zone: m.zone, Identity: m.store.Identity(), Role: tierpb.Role_ROLE_TURN_STORE,
 	}
 }
 
-func (w *simulation) addMachine() {
-	w.nextName++
+func (s *simulation) addMachine() {
+	s.nextName++
 	zones := []string{"a", "b", "c", "d", "e"}
-	m := &machine{address: w.newAddress(w.nextName), zone: zones[w.nextName%len(zones)], disk: newMemoryDisk()}
-	m.disk.setSyncTime(w.syncTime(m))
+	m := &machine{address: s.newAddress(s.nextName), zone: zones[s.nextName%len(zones)], disk: newMemoryDisk()}
+	m.disk.setSyncTime(s.syncTime(m))
 	m.disarmCrash()
-	w.cluster.mu.Lock()
-	w.machines[m.address] = m
-	w.cluster.mu.Unlock()
-	w.run(m)
+	s.cluster.mu.Lock()
+	s.machines[m.address] = m
+	s.cluster.mu.Unlock()
+	s.run(m)
 }
 
 // syncTime returns the duration of syncs of a machine's disk; some disks are slow for a while.
-func (w *simulation) syncTime(m *machine) func() time.Duration {
+func (s *simulation) syncTime(m *machine) func() time.Duration {
 	return func() time.Duration {
 		if m.slow.Load() {
-			return w.latency() + slowSync
+			return s.latency() + slowSync
 		}
-		return w.latency()
+		return s.latency()
 	}
 }
 
 // sortedMachines lists the machines by address, so that a seed always gives the same schedule.
-func (w *simulation) sortedMachines() []*machine {
+func (s *simulation) sortedMachines() []*machine {
 	var all []*machine
-	for _, m := range w.machines {
+	for _, m := range s.machines {
 		all = append(all, m)
 	}
 	slices.SortFunc(all, func(a, b *machine) int {
@@ -253,115 +253,115 @@
 }
 
 // advanceTime lets time pass: stores send join requests and learn control states, and one coordinator runs the placement.
-func (w *simulation) advanceTime(duration time.Duration) {
+func (s *simulation) advanceTime(duration time.Duration) {
 	time.Sleep(duration)
-	w.clock.advance(time.Since(w.clock.time()))
+	s.clock.advance(time.Since(s.clock.time()))
 	now := time.Now()
-	for _, m := range w.sortedMachines() {
-		restartAt, hasFailed := w.failed[m]
+	for _, m := range s.sortedMachines() {
+		restartAt, hasFailed := s.failed[m]
 		if hasFailed && now.After(restartAt) {
-			w.restart(m)
+			s.restart(m)
 		}
-		if m.store != nil && !w.partitioned[m.address] {
-			w.sendJoin(m)
-			if w.random.IntN(3) == 0 {
-				w.sendControl(m.store)
+		if m.store != nil && !s.partitioned[m.address] {
+			s.sendJoin(m)
+			if s.random.IntN(3) == 0 {
+				s.sendControl(m.store)
 			}
 		}
 	}
-	w.runPlacement(w.receivedJoins[w.random.IntN(len(w.receivedJoins))])
-	w.endRecoveredFailures()
-	if w.toleranceExceeded {
+	s.runPlacement(s.receivedJoins[s.random.IntN(len(s.receivedJoins))])
+	s.endRecoveredFailures()
+	if s.toleranceExceeded {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	assert.Equal(w.t, w.violations, "")
-	w.oracle.addNewClaims(w.machines)
-	assert.Equal(w.t, w.oracle.findUnderReplicated(w.control.Stores, w.tolerance, w.machines), "", "%s", w.describe())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	assert.Equal(s.t, s.violations, "")
+	s.oracle.addNewClaims(s.machines)
+	assert.Equal(s.t, s.oracle.findUnderReplicated(s.control.Stores, s.tolerance, s.machines), "", "%s", s.describe())
 }
 
 // waitFor lets time pass until a condition holds.
-func (w *simulation) waitFor(reached func() bool) {
+func (s *simulation) waitFor(reached func() bool) {
 	limit := time.Now().Add(convergenceTimeout)
 	for !reached() {
-		w.advanceTime(100 * time.Millisecond)
-		if w.t.Failed() {
+		s.advanceTime(100 * time.Millisecond)
+		if s.t.Failed() {
 			return
 		}
-		assert.Assert(w.t, time.Now().Before(limit), "%s", w.describe())
+		assert.Assert(s.t, time.Now().Before(limit), "%s", s.describe())
 	}
 }
 
-func (w *simulation) checkReads() {
-	for _, id := range w.oracle.turns {
-		chain, err := turns.NewClient(w.currentOptions()).Chain(context.Background(), id)
-		assert.NilError(w.t, err, "%s\n%s", id, w.describe())
-		assert.Equal(w.t, string(chain[0].Input), "in of "+id)
+func (s *simulation) checkReads() {
+	for _, id := range s.oracle.turns {
+		chain, err := turns.NewClient(s.currentOptions()).Chain(context.Background(), id)
+		assert.NilError(s.t, err, "%s\n%s", id, s.describe())
+		assert.Equal(s.t, string(chain[0].Input), "in of "+id)
 	}
-	for _, m := range w.machines {
-		w.sendControl(m.store)
+	for _, m := range s.machines {
+		s.sendControl(m.store)
 	}
-	assert.NilError(w.t, turns.NewClient(w.currentOptions()).Save(context.Background(), w.record("last", "")))
+	assert.NilError(s.t, turns.NewClient(s.currentOptions()).Save(context.Background(), s.record("last", "")))
 }
 
 // event plays one random event and lets some time pass.
-func (w *simulation) event() {
-	rebalancing := len(w.control.Stores.Previous) > 0
-	switch number := w.random.IntN(100); {
+func (s *simulation) event() {
+	rebalancing := len(s.control.Stores.Previous) > 0
+	switch number := s.random.IntN(100); {
 	case number < 30:
-		w.save()
+		s.save()
 	case number < 45:
-		w.spend()
+		s.spend()
 	case number < 60:
-		w.read()
+		s.read()
 		if rebalancing { // replies from before and after the end of a rebalance meet
-			w.read()
-			w.read()
+			s.read()
+			s.read()
 		}
 	case number < 68:
-		w.failMachine(failureKind(w.random.IntN(failureKinds)))
-	case number < 71 && len(w.machines) < w.maxMachines:
-		w.addMachine()
+		s.failMachine(failureKind(s.random.IntN(failureKinds)))
+	case number < 71 && len(s.machines) < s.maxMachines:
+		s.addMachine()
 	case number < 74:
-		w.retire()
+		s.retire()
 	case number < 77:
-		w.losePowerEverywhere()
+		s.losePowerEverywhere()
 	case number < 79:
-		w.compactSome()
+		s.compactSome()
 	case number < 83:
-		w.slowOneDisk()
+		s.slowOneDisk()
 	}
-	pause := time.Duration(w.random.Int64N(int64(10 * time.Millisecond)))
-	if w.random.IntN(2) == 0 {
-		pause = time.Duration(w.random.Int64N(int64(300 * time.Millisecond)))
+	pause := time.Duration(s.random.Int64N(int64(10 * time.Millisecond)))
+	if s.random.IntN(2) == 0 {
+		pause = time.Duration(s.random.Int64N(int64(300 * time.Millisecond)))
 	}
-	w.advanceTime(pause)
-	if rebalancing && len(w.control.Stores.Previous) == 0 && w.random.IntN(2) == 0 {
-		w.advanceTime(5 * time.Millisecond) // right after a rebalance
-		w.failMachine(failureDiskLoss)
+	s.advanceTime(pause)
+	if rebalancing && len(s.control.Stores.Previous) == 0 && s.random.IntN(2) == 0 {
+		s.advanceTime(5 * time.Millisecond) // right after a rebalance
+		s.failMachine(failureDiskLoss)
 	}
 }
 
 // logEvent adds a line to the log that a failed schedule prints.
-func (w *simulation) logEvent(format string, values ...any) {
-	w.log = append(w.log, time.Since(w.began).Truncate(time.Millisecond).String()+" "+fmt.Sprintf(format, values...))
+func (s *simulation) logEvent(format string, values ...any) {
+	s.log = append(s.log, time.Since(s.began).Truncate(time.Millisecond).String()+" "+fmt.Sprintf(format, values...))
 }
 
 // describe returns the log, the membership and the state of the machines.
-func (w *simulation) describe() string {
-	stores := w.control.Stores
-	text := strings.Join(w.log, "\n") + "\n"
+func (s *simulation) describe() string {
+	stores := s.control.Stores
+	text := strings.Join(s.log, "\n") + "\n"
 	text += fmt.Sprintf("epoch %d, current %v, previous %v", stores.Epoch, identitiesOf(stores.Current), identitiesOf(stores.Previous))
-	for _, m := range w.sortedMachines() {
-		_, hasFailed := w.failed[m]
+	for _, m := range s.sortedMachines() {
+		_, hasFailed := s.failed[m]
 		if m.store == nil {
 			text += fmt.Sprintf("\n%s is down", m.address)
 			continue
 		}
 		known, _ := m.store.Membership()
 		text += fmt.Sprintf("\n%s identity %d epoch %d completed %d failed %v partitioned %v", m.address, m.store.Identity(),
-			known.GetEpoch(), w.rebalancers[m].rebalancer.CompletedEpoch(), hasFailed, w.partitioned[m.address])
+			known.GetEpoch(), s.rebalancers[m].rebalancer.CompletedEpoch(), hasFailed, s.partitioned[m.address])
 	}
 	return text
 }
