--- a/internal/tier/changelog/changelog.go
+++ b/internal/tier/changelog/changelog.go
@@ -1,129 +1,99 @@
-// Package changelog remembers which configuration changes were taken, so that one that is sent again is known. Orders are
-// taken one on top of the other: each one's If-Match is the generation of the one before. So at most one order was ever
-// taken on top of a generation, and an order is known never to have been taken where another one was taken on top of its
-// If-Match, or none at all.
-//
-// The control state holds the newest orders and the names of runs of older ones. A run never changes and is named by its
-// digest; coordinators keep the runs beside the register and get them from each other.
 package changelog
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"slices"
 	"sort"
 
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of what is remembered.
+// Bounds of the log.
 const (
-	MaxRecentChanges = 512 // orders that the control state holds itself
-	SegmentLength    = 256 // orders of a run
-	MaxSegments      = 256 // runs that are named; orders before those are forgotten
-	DigestSize       = 16
+	MaxRecentChanges = 512 // changes in the control state itself
+	SegmentLength    = 256 // changes of a segment
+	MaxSegments      = 256 // segments that the control state references; changes of older ones are compacted
 )
 
-// Change is a configuration change that was sent.
+// Change is a configuration change that an operator sent.
 type Change struct {
-	IfMatch    uint64
-	Generation uint64
-	Digest     []byte // of the body, DigestBytes long
+	IfMatch    uint64 // generation on which it is based
+	Generation uint64 // its own generation
+	Digest     []byte // of the body, DigestSize bytes long
 }
 
-// NewChange makes the order of a body.
+// NewChange returns the change of a configuration body.
 func NewChange(ifMatch, generation uint64, body []byte) Change {
 	return Change{IfMatch: ifMatch, Generation: generation, Digest: digestOf(body)}
 }
 
-func digestOf(body []byte) []byte {
-	sum := sha256.Sum256(body)
-	return sum[:DigestSize]
-}
-
-// Outcome says what is known of an order.
+// Outcome is what is known of a change.
 type Outcome uint8
 
-// The verdicts. Only the first three are certain.
+// The outcomes. The first three are certain, the others unknown.
 const (
-	Applicable     Outcome = iota // it builds on the current generation
-	Committed                     // it was taken
-	Rejected                      // it was not taken and cannot be
-	SegmentMissing                // the run that tells is not here at present
-	Compacted                     // it builds on a generation from before all that is remembered
+	Applicable     Outcome = iota // it is based on the current generation and may be committed
+	Committed                     // it was committed
+	Rejected                      // it was not committed and cannot be any more
+	SegmentMissing                // it is in a segment that is not available here at present
+	Compacted                     // it is based on a generation from before the log begins
 )
 
-// Segments finds a run by its digest, nil where it is not at hand.
+// Segments finds segments of older changes.
 type Segments interface {
+	// Segment returns the segment with this digest, nil if it is not available.
 	Segment(digest []byte) *tierpb.ChangeSegment
 }
 
-// Classify says what a control state and the runs that it names tell of an order.
-func Classify(state *tierpb.ControlState, runs Segments, sent Change) Outcome {
+// Classify returns what a control state and the segments that it references tell of a change.
+func Classify(state *tierpb.ControlState, segments Segments, change Change) Outcome {
 	generation := state.GetConfiguration().GetGeneration()
 	switch {
-	case sent.IfMatch == generation:
+	case change.IfMatch == generation:
 		return Applicable
-	case sent.IfMatch > generation:
+	case change.IfMatch > generation:
 		return Rejected
 	}
-	if newest := state.GetCommittedChanges(); len(newest) > 0 && sent.IfMatch >= newest[0].IfMatch {
-		return judgeNewest(newest, sent)
+	if recent := state.GetCommittedChanges(); len(recent) > 0 && change.IfMatch >= recent[0].IfMatch {
+		return classifyRecent(recent, change)
 	}
-	name := nameOf(state.GetOlderChanges(), sent.IfMatch)
-	if name == nil {
+	ref := findSegment(state.GetOlderChanges(), change.IfMatch)
+	if ref == nil {
 		return Compacted
 	}
-	run := runs.Segment(name.Digest)
-	if run == nil {
+	segment := segments.Segment(ref.Digest)
+	if segment == nil {
 		return SegmentMissing
 	}
-	return judgeRun(run, sent)
+	return classifyInSegment(segment, change)
 }
 
-func judgeNewest(newest []*tierpb.CommittedChange, sent Change) Outcome {
-	place := sort.Search(len(newest), func(i int) bool { return newest[i].IfMatch >= sent.IfMatch })
-	if place == len(newest) || newest[place].IfMatch != sent.IfMatch {
+func classifyRecent(recent []*tierpb.CommittedChange, change Change) Outcome {
+	index := sort.Search(len(recent), func(i int) bool { return recent[i].IfMatch >= change.IfMatch })
+	if index == len(recent) || recent[index].IfMatch != change.IfMatch {
 		return Rejected
 	}
-	return compare(sent, newest[place].Generation, newest[place].Digest)
-}
-
-// nameOf finds the run that an order with this If-Match would be in, nil where it is older than all.
-func nameOf(names []*tierpb.ChangeSegmentRef, ifMatch uint64) *tierpb.ChangeSegmentRef {
-	after := sort.Search(len(names), func(i int) bool { return names[i].First > ifMatch })
-	if after == 0 {
-		return nil
-	}
-	return names[after-1]
-}
-
-func judgeRun(run *tierpb.ChangeSegment, sent Change) Outcome {
-	ifMatch := run.First
-	for place, step := range run.Steps {
-		if ifMatch == sent.IfMatch {
-			return compare(sent, ifMatch+step, run.Digests[place*DigestSize:(place+1)*DigestSize])
-		}
-		ifMatch += step
-	}
-	return Rejected
+	return compare(change, recent[index].Generation, recent[index].Digest)
 }
 
-func compare(sent Change, generation uint64, digest []byte) Outcome {
-	if sent.Generation == generation && bytes.Equal(sent.Digest, digest) {
+// compare returns the outcome of a change, given the one that was committed on top of its If-Match.
+func compare(change Change, generation uint64, digest []byte) Outcome {
+	if change.Generation == generation && bytes.Equal(change.Digest, digest) {
 		return Committed
 	}
 	return Rejected
 }
 
-// Append notes an order that a control state takes. The oldest of the newest orders become a run where they are many.
-func Append(state *tierpb.ControlState, taken Change) {
+// Append adds a change that a control state commits. The oldest of the recent changes become a segment when there are too
+// many of them.
+func Append(state *tierpb.ControlState, committed Change) {
 	state.CommittedChanges = append(state.CommittedChanges, &tierpb.CommittedChange{
-		IfMatch: taken.IfMatch, Generation: taken.Generation, Digest: taken.Digest,
+		IfMatch: committed.IfMatch, Generation: committed.Generation, Digest: committed.Digest,
 	})
 	for len(state.CommittedChanges) > MaxRecentChanges {
-		run := runOf(state.CommittedChanges[:SegmentLength])
-		state.OlderChanges = append(state.OlderChanges, &tierpb.ChangeSegmentRef{First: run.First, Digest: nameFor(run)})
+		segment := newSegment(state.CommittedChanges[:SegmentLength])
+		ref := &tierpb.ChangeSegmentRef{First: segment.First, Digest: segmentDigest(segment)}
+		state.OlderChanges = append(state.OlderChanges, ref)
 		state.CommittedChanges = slices.Clone(state.CommittedChanges[SegmentLength:])
 	}
 	if excess := len(state.OlderChanges) - MaxSegments; excess > 0 {
@@ -131,34 +101,11 @@
 	}
 }
 
-// NextSegment is the run that the oldest of the newest orders will make, nil while they are too few. It is known long
-// before the control state drops them, so that all coordinators have it by then.
+// NextSegment returns the segment that the oldest of the recent changes will become, nil while there are too few. It is
+// known long before the control state drops these changes, so that all coordinators have it by then.
 func NextSegment(state *tierpb.ControlState) *tierpb.ChangeSegment {
 	if len(state.GetCommittedChanges()) < SegmentLength {
 		return nil
 	}
-	return runOf(state.CommittedChanges[:SegmentLength])
-}
-
-func runOf(taken []*tierpb.CommittedChange) *tierpb.ChangeSegment {
-	run := &tierpb.ChangeSegment{First: taken[0].IfMatch}
-	for _, order := range taken {
-		run.Steps = append(run.Steps, order.Generation-order.IfMatch)
-		run.Digests = append(run.Digests, order.Digest...)
-	}
-	return run
-}
-
-// nameFor is the digest by which a run is named.
-func nameFor(run *tierpb.ChangeSegment) []byte {
-	encoded := make([]byte, run.SizeVT())
-	if _, err := run.MarshalToSizedBufferVT(encoded); err != nil {
-		return nil
-	}
-	return digestOf(encoded)
-}
-
-// isWhole says that each order of a run has its digest.
-func isWhole(run *tierpb.ChangeSegment) bool {
-	return len(run.GetDigests()) == len(run.GetSteps())*DigestSize
+	return newSegment(state.CommittedChanges[:SegmentLength])
 }
