--- a/internal/tier/failpoint/failpoint.go
+++ b/internal/tier/failpoint/failpoint.go
@@ -1,48 +1,58 @@
-// Package failpoint numbers the points at which tests stop a process. Outside tests no Points exist, and At on a nil
-// Points does nothing.
+// Package failpoint lets tests stop a process at numbered points of its code, in the manner of FreeBSD's fail(9) and of
+// etcd's gofail.
+//
+// Code under test holds a *Points and passes each point explicitly:
+//
+//	if err := failpoints.At(failpoint.PrepareUnsaved); err != nil {
+//		return err
+//	}
+//
+// Outside tests the *Points is nil, and At on a nil *Points does nothing. A process that At stops must not write, send or
+// acknowledge anything afterwards; the error reaches its caller as a failure with an unknown outcome. Other packages number
+// failpoints of their own from 200 on.
 package failpoint
 
 import "github.com/rotisserie/eris"
 
-// Point numbers one place in the code.
+// Point numbers one failpoint.
 type Point int
 
-// The points, in the order in which a change passes them.
+// The failpoints of a change of the register, in the order in which a change passes them, except the last two.
 const (
-	PrepareSending      Point = iota + 1 // proposer: before the first prepare leaves
-	PrepareUnsaved                       // acceptor: a promise was granted, nothing is written
-	PrepareSaved                         // acceptor: the promise is on disk, the answer is not sent
-	PrepareDone                          // proposer: a quorum has promised, no accept has left
-	AcceptSending                        // proposer: before each single accept leaves
-	AcceptUnsaved                        // acceptor: nothing of an acceptance is written
-	AcceptSaved                          // acceptor: the value is on disk, the answer is not sent
-	AcceptDone                           // proposer: the value is chosen, the caller does not know yet
-	VersionCreated                       // storage: the file exists aside, empty
-	VersionWritten                       // storage: written, not synced
-	VersionSynced                        // storage: synced, still under the name aside
-	VersionRenamed                       // storage: renamed, the folder is not synced
-	VersionFolderSynced                  // storage: durable, the old version is still there
-	VersionRemoved                       // storage: the old version is removed, which is not synced
+	PrepareSending      Point = iota + 1 // proposer: before the first prepare is sent
+	PrepareUnsaved                       // acceptor: a prepare is granted, nothing is written
+	PrepareSaved                         // acceptor: the prepare is on disk, the reply is not sent
+	PrepareDone                          // proposer: a quorum has prepared the proposal, no accept is sent
+	AcceptSending                        // proposer: before each single accept is sent
+	AcceptUnsaved                        // acceptor: nothing of an accept is written
+	AcceptSaved                          // acceptor: the value is on disk, the reply is not sent
+	AcceptDone                           // proposer: the value is chosen, the caller has no result yet
+	VersionCreated                       // storage: the temporary file exists, empty
+	VersionWritten                       // storage: the temporary file is written, not synced
+	VersionSynced                        // storage: the temporary file is synced, not renamed
+	VersionRenamed                       // storage: the file is renamed, the folder is not synced
+	VersionFolderSynced                  // storage: the new version is durable, the old one still exists
+	VersionRemoved                       // storage: the old version is removed, the folder is not synced
 	VotersJoint                          // proposer: the joint voters are chosen, the final ones not proposed
 	IdentityUnsaved                      // acceptor: the first start has written the initial value only
-	LastPoint           = IdentityUnsaved
+	LastRegisterPoint   = IdentityUnsaved
 )
 
-// The points of a change by placement, which passes those of the register's change as well.
+// The failpoints of a change by placement, which passes those of the register as well.
 const (
-	PlacementDecided Point = LastPoint + 1 + iota // holder of the lease: a change is computed, nothing of it has left
+	PlacementDecided Point = LastRegisterPoint + 1 + iota // lease holder: a change is computed, nothing of it is sent
 )
 
-// ErrStopped is returned by the code that was stopped at a point; its process counts as dead.
-var ErrStopped = eris.New("stopped at a fault point")
+// ErrStopped is returned by code that was stopped at a failpoint. Its process counts as dead.
+var ErrStopped = eris.New("stopped at a failpoint")
 
-// Points decides at each point whether the process stops there.
+// Points decides at each failpoint whether the process stops there.
 type Points struct {
-	// ShouldStop is asked at each point that is passed; true stops the process.
+	// ShouldStop is called at each failpoint that is passed, from any goroutine; true stops the process. Nil never stops.
 	ShouldStop func(Point) bool
 }
 
-// At returns ErrStopped where a test stops the process, otherwise nil.
+// At returns ErrStopped if the process is to stop at this point, otherwise nil. A nil receiver is valid and never stops.
 func (p *Points) At(point Point) error {
 	if p == nil || p.ShouldStop == nil || !p.ShouldStop(point) {
 		return nil
--- a/internal/tier/register/failpoints_test.go
+++ b/internal/tier/register/failpoints_test.go
@@ -59,7 +59,7 @@
 // TestFaultAtEveryFailpoint stops a process, the proposer's or a voter's, at each failpoint with each kind of fault. What
 // was acknowledged before or then is kept, and a retry of the same change is acknowledged.
 func TestFaultAtEveryFailpoint(t *testing.T) {
-	for point := failpoint.PrepareSending; point <= failpoint.LastPoint; point++ {
+	for point := failpoint.PrepareSending; point <= failpoint.LastRegisterPoint; point++ {
 		for _, fault := range faults {
 			for victim := range 2 {
 				t.Run(fmt.Sprintf("%d %s at member %d", point, fault.name, victim), func(t *testing.T) {
