--- a/internal/tier/proxy/abort.go
+++ b/internal/tier/proxy/abort.go
@@ -6,15 +6,16 @@
 	"net/http"
 )
 
-// connectionKey is the key of a client's connection in the contexts of its requests.
+// connectionKey is the context key of the client connection that a request arrived on.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// abort ends an answer that has begun so that it does not look complete. Length and chunks show that by themselves; an
-// answer to HTTP/1.0 ends with its connection, which is therefore reset.
+// abort ends a response that has begun so that the client cannot take it for complete. A Content-Length or chunked
+// framing shows the truncation by itself; a response to HTTP/1.0 is delimited by the end of its connection, which is
+// therefore reset.
 func (x *exchange) abort() {
 	if !x.r.ProtoAtLeast(1, 1) {
 		if connection, ok := x.r.Context().Value(connectionKey{}).(*clientConnection); ok {
@@ -24,7 +25,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// setResetOnClose has the connection end with a reset.
+// setResetOnClose makes the connection end with a TCP reset.
 func (c *clientConnection) setResetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/tier/upstream"
 )
 
-// admissionRequest describes the request for admission.
+// admissionRequest describes the request to admission.
 func (x *exchange) admissionRequest() admission.Request {
 	request := admission.Request{
 		Service: x.service.Name, Arrival: x.arrival, LatencyTarget: x.route.TargetLatency,
@@ -27,8 +27,8 @@
 	return request
 }
 
-// affinityKey is what requests share that are served faster by the same store: turns find parts of their prompts kept there,
-// other requests the object that they are about.
+// affinityKey hashes what requests have in common that the same store serves faster: for turns the program or session,
+// whose prompt prefix is in that store's KV cache; for other requests the object they concern. 0 means no affinity.
 func (x *exchange) affinityKey() uint64 {
 	names := [...]string{headerAffinityKey, headerProgram, headerSession}
 	if x.route.Kind == configuration.Streaming {
@@ -42,14 +42,15 @@
 	return 0
 }
 
-// grantedStore is the store that a grant names.
-func grantedStore(granted *admission.Grant) upstream.Store {
-	store := granted.Store()
+// grantedStore is the store that admission chose.
+func grantedStore(grant *admission.Grant) upstream.Store {
+	store := grant.Store()
 	return upstream.Store{Instance: store.Instance, Address: store.Address}
 }
 
-// reportLoad hands on what a store says of its load in X-Server-Load: requests running and waiting, and its slots.
-func reportLoad(granted *admission.Grant, header http.Header) {
+// reportLoad passes on to admission the load that a store reports in X-Server-Load: requests running, requests waiting
+// and the number of slots.
+func reportLoad(grant *admission.Grant, header http.Header) {
 	values := header[headerServerLoad]
 	if len(values) == 0 {
 		return
@@ -66,10 +67,10 @@
 		}
 		numbers[i] = number
 	}
-	granted.ReportLoad(numbers[0], numbers[1], numbers[2])
+	grant.ReportLoad(numbers[0], numbers[1], numbers[2])
 }
 
-// parseTokenUsage reads X-Token-Usage: tokens of the prompt, and the most to come out.
+// parseTokenUsage reads X-Token-Usage: the tokens of the prompt, and the upper limit of tokens to generate.
 func parseTokenUsage(header http.Header) (prompt, most uint64) {
 	first, second, _ := strings.Cut(header.Get(headerTokenUsage), ",")
 	prompt, _ = strconv.ParseUint(strings.TrimSpace(first), 10, 32)
--- a/internal/tier/proxy/body.go
+++ b/internal/tier/proxy/body.go
@@ -14,7 +14,7 @@
 	"pulleygw.example/pulleygw/internal/tier/configuration"
 )
 
-// Sizes of pooled buffers.
+// Sizes of pooled buffers, in bytes. Buffers that grew beyond maxPooledBytes are left to the garbage collector.
 const (
 	bodyBufferBytes = 4 << 10
 	maxPooledBytes  = 128 << 10
@@ -30,8 +30,9 @@
 	}
 }
 
-// readBody reads the whole body of a request within the limits and until a time; nil where it has none.
-func readBody(w http.ResponseWriter, r *http.Request, limits configuration.Limits, until time.Time) (*bytes.Buffer, error) {
+// readBody reads the complete request body, within the size limit and until the deadline. It returns nil if the
+// request has no body.
+func readBody(w http.ResponseWriter, r *http.Request, limits configuration.Limits, deadline time.Time) (*bytes.Buffer, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
@@ -39,7 +40,7 @@
 		return nil, errBodyTooLarge
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(until)
+	_ = control.SetReadDeadline(deadline)
 	buffer := bodyBuffers.Get().(*bytes.Buffer)
 	buffer.Reset()
 	_, err := buffer.ReadFrom(io.LimitReader(r.Body, limits.MaxBodyBytes+1))
@@ -56,17 +57,19 @@
 	return buffer, nil
 }
 
-// bodyReadDeadline is until when a client may send its body: a request is answered when its own time is up, whole or not.
-func (v *snapshot) bodyReadDeadline(r *http.Request, limits configuration.Limits, arrival time.Time) time.Time {
-	const times = 2 // the limit is for the head; a body may take longer
-	allowed := times * limits.HeaderTimeout
-	if route := v.route(r); route != nil {
+// bodyReadDeadline is the time until which the client may send its body: a request is answered when its own time-out
+// passes, whether its body is complete or not.
+func (s *snapshot) bodyReadDeadline(r *http.Request, limits configuration.Limits, arrival time.Time) time.Time {
+	const headerTimeouts = 2 // the configured limit is for the header; a body may take longer
+	allowed := headerTimeouts * limits.HeaderTimeout
+	if route := s.route(r); route != nil {
 		allowed = min(allowed, requestTimeout(r.Header, route.Timeout))
 	}
 	return arrival.Add(allowed)
 }
 
-// statusOfBodyError is the status for a body that could not be read. Nothing of the request was sent to any store.
+// statusOfBodyError is the HTTP status for a body that could not be read. No part of such a request was sent to a
+// store.
 func statusOfBodyError(err error) int {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
@@ -77,7 +80,7 @@
 	return http.StatusBadRequest
 }
 
-// headerBytes is about how long the head of a request was.
+// headerBytes is the approximate size of the request's header in bytes.
 func headerBytes(r *http.Request) int {
 	const perField, perLine = 4, 16
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + perLine
--- a/internal/tier/proxy/connection.go
+++ b/internal/tier/proxy/connection.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// clientConnection knows whether any byte of a request was read since the last answer, so that a connection is ended
-// only where none was.
+// clientConnection is a client's connection that knows whether any byte of a request has been read since the last
+// response, so that only idle connections are closed during a graceful shutdown.
 type clientConnection struct {
 	net.Conn
 	mu        sync.Mutex
 	idle      bool
-	idleSince time.Time // it rests
+	idleSince time.Time // only valid while idle
 }
 
-// Read reads from the client.
+// Read reads from the client and marks the connection as active.
 func (c *clientConnection) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	if n > 0 {
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// CloseWrite ends the proxy's side only, so that the client still reads what was written.
+// CloseWrite closes the sending side only, so that the client can still read what was written.
 func (c *clientConnection) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -34,14 +34,15 @@
 	return c.Conn.Close()
 }
 
+// markIdle records that the last response is complete.
 func (c *clientConnection) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle, c.idleSince = true, now
 }
 
-// closeIfIdle has the server close the connection where it has rested for a while. A read that has just taken bytes lifts the
-// deadline again: net/http sets it anew after them.
+// closeIfIdle makes the server close the connection if it has been idle for minIdleBeforeClose. It does so by a read
+// deadline in the past: if a read has just received bytes, net/http sets the deadline anew and the request is served.
 func (c *clientConnection) closeIfIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/proxy/endpoints.go
+++ b/internal/tier/proxy/endpoints.go
@@ -10,22 +10,22 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// endpointList is the list of stores by service, as far as it was taken from the state. It has one user at a time.
+// endpointList holds the stores of each service, as taken from the watched state. It is used by one goroutine only.
 type endpointList struct {
 	version    uint64
 	byService  map[string]map[string]*tierpb.Instance
 	byInstance map[string]*tierpb.Instance
 }
 
-// update brings the listing up to date and returns the services whose stores changed.
+// update takes in what changed in the state and returns the names of the services whose stores changed.
 func (l *endpointList) update(state *watch.State) map[string]struct{} {
 	changed, version := state.ChangedSince(l.version)
 	l.version = version
-	touched := make(map[string]struct{})
+	changedServices := make(map[string]struct{})
 	for _, instance := range changed {
-		touched[instance.Backend] = struct{}{}
+		changedServices[instance.Backend] = struct{}{}
 		if before := l.byInstance[instance.Id]; before != nil && before.Backend != instance.Backend {
-			touched[before.Backend] = struct{}{}
+			changedServices[before.Backend] = struct{}{}
 			delete(l.byService[before.Backend], instance.Id)
 		}
 		stores := l.byService[instance.Backend]
@@ -41,28 +41,30 @@
 		stores[instance.Id] = instance
 		l.byInstance[instance.Id] = instance
 	}
-	return touched
+	return changedServices
 }
 
-func (l *endpointList) any() bool { return len(l.byService) > 0 }
+// hasStores reports whether a store of any service was ever known.
+func (l *endpointList) hasStores() bool { return len(l.byService) > 0 }
 
-// servicesOf names all services of two views, as after a change of the configuration.
-func (l *endpointList) servicesOf(current *snapshot, before *configuration.Configuration) map[string]struct{} {
-	touched := make(map[string]struct{})
-	for i := range current.configuration.Services {
-		touched[current.configuration.Services[i].Name] = struct{}{}
+// servicesOf returns the names of all services of both configurations: after a change of the configuration the
+// settings of each may differ.
+func servicesOf(current, before *configuration.Configuration) map[string]struct{} {
+	changedServices := make(map[string]struct{})
+	for i := range current.Services {
+		changedServices[current.Services[i].Name] = struct{}{}
 	}
 	if before != nil {
 		for i := range before.Services {
-			touched[before.Services[i].Name] = struct{}{}
+			changedServices[before.Services[i].Name] = struct{}{}
 		}
 	}
-	return touched
+	return changedServices
 }
 
-// stores are those of a service as admission takes them.
+// stores lists the stores of a service in the form that admission takes.
 func (l *endpointList) stores(service string, now time.Time) []admission.Store {
-	listed := make([]admission.Store, 0, len(l.byService[service]))
+	stores := make([]admission.Store, 0, len(l.byService[service]))
 	for _, instance := range l.byService[service] {
 		store := admission.Store{
 			Instance: instance.Id, Address: instance.Address, Zone: instance.Zone,
@@ -71,12 +73,12 @@
 		if instance.SlowStartRemainingMs > 0 {
 			store.SlowStartUntil = now.Add(time.Duration(instance.SlowStartRemainingMs) * time.Millisecond)
 		}
-		listed = append(listed, store)
+		stores = append(stores, store)
 	}
-	return listed
+	return stores
 }
 
-// inUse says whether connections to a store are worth keeping.
+// inUse reports whether idle connections to a store are kept: it is known and not draining.
 func (l *endpointList) inUse(store upstream.Store) bool {
 	instance := l.byInstance[store.Instance]
 	return instance != nil && instance.State < tierpb.InstanceState_INSTANCE_DRAINING
--- a/internal/tier/proxy/events.go
+++ b/internal/tier/proxy/events.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// event is one event of a stream.
+// event is one server-sent event of a stream.
 type event struct {
-	raw     []byte // with its blank line
+	raw     []byte // including the blank line at its end
 	id      []byte
 	hasID   bool
 	data    []byte // lines joined by line feeds; aliases raw where it is one line
-	hasData bool   // it has data
+	hasData bool   // at least one data field was seen, which may be empty
 
-	version []byte // of the weights from here on, where it changes
+	version []byte // of the model weights from this event on, if it changes here
 }
 
-// nextEvent cuts the first whole event off the bytes; false where it has not come whole.
-func nextEvent(from []byte) (event, bool) {
+// nextEvent parses the first complete event of the bytes; ok is false if it is not complete yet.
+func nextEvent(from []byte) (next event, ok bool) {
 	end := eventEnd(from)
 	if end == 0 {
 		return event{}, false
@@ -24,16 +24,16 @@
 	return parsed, true
 }
 
-// eventEnd is the length of the first event with its blank line, 0 where that has not come.
+// eventEnd is the length of the first event including its blank line, or 0 if it is not complete yet.
 func eventEnd(from []byte) int {
 	start := 0
 	for {
-		feed := bytes.IndexByte(from[start:], '\n')
-		if feed < 0 {
+		newline := bytes.IndexByte(from[start:], '\n')
+		if newline < 0 {
 			return 0
 		}
-		line := from[start : start+feed]
-		start += feed + 1
+		line := from[start : start+newline]
+		start += newline + 1
 		if len(line) == 0 || len(line) == 1 && line[0] == '\r' {
 			return start
 		}
@@ -43,9 +43,9 @@
 func (e *event) parse() {
 	rest := e.raw
 	for len(rest) > 0 {
-		feed := bytes.IndexByte(rest, '\n')
-		line := bytes.TrimSuffix(rest[:feed], []byte{'\r'})
-		rest = rest[feed+1:]
+		newline := bytes.IndexByte(rest, '\n')
+		line := bytes.TrimSuffix(rest[:newline], []byte{'\r'})
+		rest = rest[newline+1:]
 		name, value, _ := bytes.Cut(line, []byte{':'})
 		value = bytes.TrimPrefix(value, []byte{' '})
 		switch string(name) {
--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -15,7 +15,7 @@
 	"pulleygw.example/pulleygw/internal/tier/upstream"
 )
 
-// Headers of stores' answers, in canonical form.
+// Headers of stores' responses, in canonical form.
 const (
 	headerNotExecuted = "X-Not-Executed"
 	headerSignature   = "X-Response-Signature"
@@ -23,25 +23,25 @@
 	headerVersions    = "Versions"
 )
 
-// maxDeclines is how many stores may decline a request before it is refused.
+// maxDeclines is how many stores may decline a request before it is rejected.
 const maxDeclines = 6
 
-// Causes of sends without use, beside the errors of package upstream.
+// Reasons why an attempt gave no usable response, besides the errors of package upstream.
 var (
-	errDeclined        = eris.New("the store did not run it")
-	errInvalidResponse = eris.New("the answer was none of the store's: without its stamp, encoded, or a promise without its header")
+	errDeclined        = eris.New("store did not execute the request")
+	errInvalidResponse = eris.New("invalid response: unsigned, encoded, or a status of the not-executed guarantee without its header")
 )
 
-// attemptOutcome says what comes after a send.
+// attemptOutcome says how the exchange goes on after an attempt.
 type attemptOutcome uint8
 
 const (
-	attemptAnswered attemptOutcome = iota // the client has its answer
-	attemptRetry                          // another store may be tried
-	attemptAborted                        // part of an answer was passed on, and the rest will not come
+	attemptAnswered attemptOutcome = iota // the client has its complete answer
+	attemptRetry                          // another store may be asked
+	attemptAborted                        // part of a response was passed on, and the rest will not follow
 )
 
-// run sends the request until there is an answer or none will come.
+// run sends the request to one store after another until the client has its answer or no further attempt is allowed.
 func (x *exchange) run(ctx context.Context) {
 	if !x.beginTurn(ctx) {
 		return
@@ -49,15 +49,15 @@
 	defer x.withdrawReservation()
 	for {
 		changed := x.proxy.updates.changed()
-		granted, refused := x.acquire(ctx)
-		if refused != nil && refused.Reason == admission.NoStore && x.awaitStores(ctx, changed) {
+		grant, rejection := x.acquire(ctx)
+		if rejection != nil && rejection.Reason == admission.NoStore && x.awaitStores(ctx, changed) {
 			continue
 		}
-		if refused != nil {
-			x.respondFailure(ctx, refused)
+		if rejection != nil {
+			x.respondFailure(ctx, rejection)
 			return
 		}
-		switch x.attempt(ctx, granted) {
+		switch x.attempt(ctx, grant) {
 		case attemptAnswered:
 			return
 		case attemptAborted:
@@ -70,7 +70,8 @@
 	}
 }
 
-// retryable says whether the request may be sent once more.
+// retryable reports whether the request may be sent to another store. A request that certainly has not been executed
+// may; one that may have been executed only if it is idempotent and its route allows a further attempt.
 func (x *exchange) retryable(ctx context.Context) bool {
 	if x.isDone(ctx) || x.declined > maxDeclines {
 		return false
@@ -84,100 +85,101 @@
 	return x.idempotent() && x.executions < max(1, x.route.MaxAttempts)
 }
 
-// isDone says whether the client has left or the request's time is up.
+// isDone reports whether the client has disconnected or the request's deadline has passed.
 func (x *exchange) isDone(ctx context.Context) bool {
 	return ctx.Err() != nil || !time.Now().Before(x.deadline)
 }
 
-// attempt sends the request to one store.
-func (x *exchange) attempt(ctx context.Context, granted *admission.Grant) attemptOutcome {
+// attempt sends the request to one store and forwards its response.
+func (x *exchange) attempt(ctx context.Context, grant *admission.Grant) attemptOutcome {
 	if !x.sendAllowed() {
-		granted.Finish(admission.Cancelled)
+		grant.Finish(admission.Cancelled)
 		x.declined = maxDeclines + 1
 		return attemptRetry
 	}
-	store := grantedStore(granted)
+	store := grantedStore(grant)
 	x.triedInstances = append(x.triedInstances, store.Instance)
 	x.outbound.ReadIdleTimeout = x.attemptTimeout()
 	x.outbound.LastAttempt = x.isLastAttempt()
-	answer, err := x.proxy.pools.Send(ctx, store, x.connectionLimit(), &x.outbound)
+	response, err := x.proxy.pools.Send(ctx, store, x.connectionLimit(), &x.outbound)
 	if err != nil {
 		x.proxy.mismatches.logFirst(x.proxy.log, store, err)
 		x.lastErr = err
-		return x.handleSendError(ctx, granted, err)
+		return x.handleSendError(ctx, grant, err)
 	}
-	reportLoad(granted, answer.Header)
-	if isNotExecuted(answer) {
+	reportLoad(grant, response.Header)
+	if isNotExecuted(response) {
 		x.lastErr = errDeclined
-		return x.handleDeclined(granted, answer)
+		return x.handleDeclined(grant, response)
 	}
 	x.executions++
-	if !isAcceptable(answer) {
+	if !isAcceptable(response) {
 		x.lastErr = errInvalidResponse
-		answer.Abort()
-		granted.Finish(admission.ResponseLost)
+		response.Abort()
+		grant.Finish(admission.ResponseLost)
 		return x.retryOrAbort()
 	}
 	switch {
 	case x.stream.headWritten:
-		return x.resume(ctx, granted, answer)
-	case x.isStream(answer):
-		return x.forwardStream(ctx, granted, answer)
+		return x.resume(ctx, grant, response)
+	case x.isStream(response):
+		return x.forwardStream(ctx, grant, response)
 	}
-	return x.forwardResponse(ctx, granted, answer)
+	return x.forwardResponse(ctx, grant, response)
 }
 
-// isLastAttempt says whether no other store may be sent the request after this one.
+// isLastAttempt reports whether the request may be sent to no other store after this one.
 func (x *exchange) isLastAttempt() bool {
 	return !x.idempotent() || x.executions+1 >= x.route.MaxAttempts
 }
 
-// sendAllowed says whether the promises allow that a store is sent the request now. They always do, unless the code above is
-// wrong.
+// sendAllowed checks the invariants that must hold before the request is sent to a store. They always hold unless the
+// code above is wrong.
 func (x *exchange) sendAllowed() bool {
-	once := invariant.Check(x.executions == 0 || x.idempotent(), invariant.SentOnce, x.executions, 0)
+	sentOnce := invariant.Check(x.executions == 0 || x.idempotent(), invariant.SentOnce, x.executions, 0)
 	attempts := max(1, x.route.MaxAttempts)
-	within := invariant.Check(x.executions < attempts, invariant.SentWithinAttempts, x.executions, attempts)
-	reserved := invariant.Check(!x.turn.budgeted || x.turn.reserved, invariant.ReservedBeforeSent, "no claim", x.turn.maxTokens)
-	return once && within && reserved
+	withinAttempts := invariant.Check(x.executions < attempts, invariant.SentWithinAttempts, x.executions, attempts)
+	reserved := invariant.Check(!x.turn.budgeted || x.turn.reserved, invariant.ReservedBeforeSent, "not reserved", x.turn.maxTokens)
+	return sentOnce && withinAttempts && reserved
 }
 
-// attemptTimeout is how long a store may be silent before another one is tried: only a request that may be sent
-// again is worth that, and only while there is time for another store. Zero where the deadline alone counts.
+// attemptTimeout is how long a store may send nothing before the request is retried elsewhere. It only applies if a
+// further attempt is allowed, and leaves time for it. 0 means that only the request's deadline applies.
 func (x *exchange) attemptTimeout() time.Duration {
 	const (
-		aims      = 6    // times the aim, or the pause between events that is still in time
-		leastLeft = 0.45 // of the time that is left
+		targets         = 6    // multiples of the target latency, or of the target gap between events
+		shareOfTimeLeft = 0.45 // of the time to the deadline
 	)
 	if x.isLastAttempt() {
 		return 0
 	}
-	usual := max(x.route.TargetLatency, x.route.TargetEventGap)
+	expected := max(x.route.TargetLatency, x.route.TargetEventGap)
 	left := time.Until(x.deadline)
-	return max(time.Millisecond, min(aims*usual, time.Duration(leastLeft*float64(left))))
+	return max(time.Millisecond, min(targets*expected, time.Duration(shareOfTimeLeft*float64(left))))
 }
 
-// connectionLimit is how many connections this proxy may open to one store of the service: all callers share its limit.
+// connectionLimit is how many connections this proxy may open to one store of the service, or 0 for no limit: all
+// callers share the service's maxConnections.
 func (x *exchange) connectionLimit() int {
-	const share, fewest = 3, 4
+	const share, minimum = 3, 4
 	if x.service.MaxConnections == 0 {
 		return 0
 	}
-	return max(fewest, x.service.MaxConnections/share)
+	return max(minimum, x.service.MaxConnections/share)
 }
 
-func (x *exchange) handleSendError(ctx context.Context, granted *admission.Grant, err error) attemptOutcome {
+func (x *exchange) handleSendError(ctx context.Context, grant *admission.Grant, err error) attemptOutcome {
 	var failure *upstream.SendError
 	started := errors.As(err, &failure) && failure.Sent
 	switch {
 	case ctx.Err() != nil:
-		granted.Finish(admission.Cancelled)
+		grant.Finish(admission.Cancelled)
 	case !started:
-		granted.Finish(admission.ConnectFailed)
+		grant.Finish(admission.ConnectFailed)
 	case errors.Is(err, upstream.ErrDeadlineExceeded):
-		granted.Finish(admission.Cancelled)
+		grant.Finish(admission.Cancelled)
 	default:
-		granted.Finish(admission.ResponseLost)
+		grant.Finish(admission.ResponseLost)
 	}
 	if !started {
 		x.declined++
@@ -187,7 +189,7 @@
 	return x.retryOrAbort()
 }
 
-// retryOrAbort is the verdict where an answer did not come or broke off.
+// retryOrAbort decides what follows a response that did not arrive or was truncated.
 func (x *exchange) retryOrAbort() attemptOutcome {
 	if x.stream.headWritten && !(x.idempotent() && x.executions < x.route.MaxAttempts) {
 		return attemptAborted
@@ -195,66 +197,67 @@
 	return attemptRetry
 }
 
-// handleDeclined takes in that the store did not execute the request.
-func (x *exchange) handleDeclined(granted *admission.Grant, answer *upstream.Response) attemptOutcome {
-	if !answer.CloseDelimited {
-		discardBody(answer)
+// handleDeclined handles the response of a store that did not execute the request.
+func (x *exchange) handleDeclined(grant *admission.Grant, response *upstream.Response) attemptOutcome {
+	if !response.CloseDelimited {
+		discardBody(response)
 	}
-	answer.Finish()
+	response.Finish()
 	switch {
-	case answer.StatusCode == http.StatusServiceUnavailable, answer.StatusCode == http.StatusTooManyRequests:
-		granted.Finish(admission.Saturated)
+	case response.StatusCode == http.StatusServiceUnavailable, response.StatusCode == http.StatusTooManyRequests:
+		grant.Finish(admission.Saturated)
 	case x.expectsVersion():
-		granted.Finish(admission.Cancelled) // the store is well: its weights may be others
+		grant.Finish(admission.Cancelled) // the store is healthy: its weights may have another version
 	default:
-		granted.Finish(admission.NotExecuted)
+		grant.Finish(admission.NotExecuted)
 	}
 	x.declined++
 	return attemptRetry
 }
 
-// expectsVersion says whether a store turns the request away where its weights have another version.
+// expectsVersion reports whether a store declines the request if its model weights have another version.
 func (x *exchange) expectsVersion() bool {
 	return x.outbound.ExpectVersion != "" || x.r.Header[upstream.HeaderExpectVersion] != nil
 }
 
-// isNotExecuted says whether the store promises that it did not run the request.
-func isNotExecuted(answer *upstream.Response) bool {
-	return answer.StatusCode == http.StatusMisdirectedRequest || answer.Header[headerNotExecuted] != nil
+// isNotExecuted reports whether the store guarantees that it did not execute the request.
+func isNotExecuted(response *upstream.Response) bool {
+	return response.StatusCode == http.StatusMisdirectedRequest || response.Header[headerNotExecuted] != nil
 }
 
-// isAcceptable says whether an answer may be passed on as the store's: a success bears its stamp and is not encoded, and
-// a status that promises that nothing ran has been dealt with before.
-func isAcceptable(answer *upstream.Response) bool {
-	switch answer.StatusCode {
+// isAcceptable reports whether a response may be passed on as the store's own. A success must bear the store's
+// signature and must not be encoded; a status that carries the not-executed guarantee must have been recognized as
+// such before.
+func isAcceptable(response *upstream.Response) bool {
+	switch response.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
 	}
-	if answer.StatusCode >= 300 {
+	if response.StatusCode >= 300 {
 		return true
 	}
-	encoding := answer.Header.Get("Content-Encoding")
-	return answer.Header[headerSignature] != nil && (encoding == "" || strings.EqualFold(encoding, "identity"))
+	encoding := response.Header.Get("Content-Encoding")
+	return response.Header[headerSignature] != nil && (encoding == "" || strings.EqualFold(encoding, "identity"))
 }
 
-// discardBody reads the little that an answer without use has as its body, so that its connection can be kept.
-func discardBody(answer *upstream.Response) {
-	var scrap [512]byte
+// discardBody reads the short body of a response that is not used, so that its connection can be reused.
+func discardBody(response *upstream.Response) {
+	var buffer [512]byte
 	for range 16 {
-		if _, err := answer.Read(scrap[:]); err != nil {
+		if _, err := response.Read(buffer[:]); err != nil {
 			return
 		}
 	}
 }
 
 // respondFailure answers a request that no store will answer.
-func (x *exchange) respondFailure(ctx context.Context, refused *admission.RejectedError) {
+func (x *exchange) respondFailure(ctx context.Context, rejection *admission.RejectedError) {
 	switch {
 	case x.stream.headWritten, x.clientDisconnected():
-		x.abort() // or nobody is there any more
+		x.abort()
 	case x.executions == 0:
-		x.result = resultOfRejection(refused)
-		x.respondRetryLater(retryAfter(refused))
+		x.result = resultOfRejection(rejection)
+		x.respondRetryLater(retryAfter(rejection))
 	case x.isDone(ctx):
 		x.result = resultTimeout
 		x.proxy.respond(x.w, x.id, http.StatusGatewayTimeout)
@@ -264,16 +267,16 @@
 	}
 }
 
-// clientDisconnected says whether the client closed its connection.
+// clientDisconnected reports whether the client closed its connection.
 func (x *exchange) clientDisconnected() bool {
 	ctx := x.r.Context()
 	return ctx.Err() != nil && !isShutdown(ctx)
 }
 
-// retryAfter is when the client is told to come again.
-func retryAfter(refused *admission.RejectedError) time.Duration {
-	if refused == nil {
+// retryAfter is the delay after which a rejected client should retry.
+func retryAfter(rejection *admission.RejectedError) time.Duration {
+	if rejection == nil {
 		return retryAfterNotExecuted
 	}
-	return refused.RetryAfter
+	return rejection.RetryAfter
 }
--- a/internal/tier/proxy/handler.go
+++ b/internal/tier/proxy/handler.go
@@ -23,7 +23,7 @@
 	headerTokenUsage  = "X-Token-Usage"
 )
 
-// exchange is one request of a client on its way through the proxy.
+// exchange is one request of a client on its way through the proxy, with the attempts made to serve it.
 type exchange struct {
 	proxy          *Proxy
 	w              http.ResponseWriter
@@ -34,20 +34,21 @@
 	id             string
 	arrival        time.Time
 	deadline       time.Time
-	body           *bytes.Buffer // nil where the request has none
+	body           *bytes.Buffer // nil if the request has none
 	outbound       upstream.Request
 	turn           turn
 	triedInstances []string // instances that the request was sent to
-	executions     int      // sends that may have run
-	declined       int      // sends that did not run
+	executions     int      // attempts that may have been executed
+	declined       int      // attempts that certainly were not executed
 	stream         streamState
 	control        *http.ResponseController
-	result         result        // what became of it
-	lastErr        error         // of the last send without use
-	queueTime      time.Duration // by admission
+	result         result        // for log and metrics
+	lastErr        error         // of the last attempt without a usable response
+	queueTime      time.Duration // time spent in admission's queue
 }
 
-// ServeHTTP serves one request of a client.
+// ServeHTTP serves one request of a client: it reads the whole body, finds the route, and forwards the request to a
+// store that admission chooses. Every request ends with a response or an aborted connection by its deadline.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrival := time.Now()
 	current := p.snapshots.load()
@@ -55,7 +56,7 @@
 	limits := p.limits(current)
 	x := &exchange{
 		proxy: p, w: w, r: r, snapshot: current, id: id, arrival: arrival, control: http.NewResponseController(w),
-		result: resultAborted, // until an answer is told
+		result: resultAborted, // unless the exchange ends otherwise
 	}
 	defer x.recordResult()
 	x.setWriteDeadline(current)
@@ -73,10 +74,10 @@
 	}
 	defer putBody(body)
 	x.body = body
-	p.serve(w, r, x)
+	x.serve()
 }
 
-// setWriteDeadline has writes to a client that doesn't read fail soon after its request's time is up.
+// setWriteDeadline makes writes to a client that does not read fail soon after the request's deadline.
 func (x *exchange) setWriteDeadline(current *snapshot) {
 	const slack = 250 * time.Millisecond
 	allowed := defaultRequestTimeout
@@ -86,7 +87,9 @@
 	_ = x.control.SetWriteDeadline(x.arrival.Add(allowed + slack))
 }
 
-func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, x *exchange) {
+// serve finds the route and service of a request that was read completely, and runs it until its deadline.
+func (x *exchange) serve() {
+	p, r := x.proxy, x.r
 	if x.snapshot.configuration == nil {
 		x.snapshot = p.awaitConfiguration(r.Context(), requestTimeout(r.Header, defaultRequestTimeout))
 		x.setWriteDeadline(x.snapshot)
@@ -98,17 +101,17 @@
 	}
 	if x.id == "" {
 		x.result = resultBadRequest
-		p.respond(w, x.id, http.StatusBadRequest)
+		p.respond(x.w, x.id, http.StatusBadRequest)
 		return
 	}
 	x.route = x.snapshot.route(r)
 	if x.route == nil {
 		x.result = resultNoRoute
-		p.respond(w, x.id, http.StatusNotFound)
+		p.respond(x.w, x.id, http.StatusNotFound)
 		return
 	}
 	x.service = x.snapshot.configuration.Service(x.pickService())
-	if x.service == nil { // no configuration that was checked is like this
+	if x.service == nil { // cannot happen: Parse checks that each backend exists
 		x.result = resultNoConfiguration
 		x.respondRetryLater(retryAfterUncertain)
 		return
@@ -120,7 +123,7 @@
 	x.run(ctx)
 }
 
-// requestPath is the path of the request target, byte for byte.
+// requestPath is the path of the request target as the client sent it, neither decoded nor cleaned.
 func requestPath(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if strings.HasPrefix(path, "/") {
@@ -129,7 +132,8 @@
 	return r.URL.EscapedPath()
 }
 
-// requestTimeout is how long the request may take: the client's requestTimeout or the route's timeout, whichever is shorter.
+// requestTimeout is how long the request may take: the client's X-Deadline-Ms or the route's timeout, whichever is
+// shorter.
 func requestTimeout(header http.Header, timeout time.Duration) time.Duration {
 	milliseconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get(upstream.HeaderDeadline)), 64)
 	if err != nil || !(milliseconds > 0) || milliseconds >= float64(timeout)/float64(time.Millisecond) {
@@ -138,7 +142,8 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// pickService draws the service by weight. All requests of a program on one route draw the same.
+// pickService chooses the service by weight. All requests of a program on a route with session affinity choose the
+// same.
 func (x *exchange) pickService() string {
 	backends := x.route.Backends
 	if len(backends) == 1 {
@@ -172,7 +177,8 @@
 	return chosen
 }
 
-// hashOf hashes a key so that all its bits count.
+// hashOf hashes a key with FNV-1a and the finalizer of MurmurHash3, so that every bit of the key affects every bit of
+// the hash.
 func hashOf(key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key))
@@ -183,7 +189,7 @@
 	return mixed
 }
 
-// prepareOutbound fills in what is the same for all sends of the request.
+// prepareOutbound fills in what is the same for all attempts.
 func (x *exchange) prepareOutbound() {
 	x.outbound = upstream.Request{
 		Service: x.service.Name,
@@ -200,7 +206,7 @@
 	}
 }
 
-// idempotent says whether the request may run more than once.
+// idempotent reports whether the request may be executed more than once.
 func (x *exchange) idempotent() bool {
 	return x.route.Kind == configuration.Idempotent || x.route.Kind == configuration.Streaming && x.route.Resumable
 }
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -1,5 +1,16 @@
-// Package proxy is the data plane of the serving tier: it takes clients' requests, has admission decide when and to which
-// store each one leaves, and passes the stores' answers on.
+// Package proxy is the data plane of the serving tier: it accepts clients' requests, has admission decide when and to
+// which store each is sent, and forwards the store's response.
+//
+// A request passes through these files: server.go accepts the connection, handler.go reads the request and finds its
+// route, turn.go fetches the previous turns and reserves budget, exchange.go sends it to stores until one answers,
+// response.go or stream.go forwards the answer, and result.go counts and logs how it ended. Configuration and endpoint
+// list come from the agent on the same machine (snapshot.go, endpoints.go); a request keeps the configuration that it
+// began with.
+//
+// The proxy guarantees that a request on a route that is not idempotent is executed at most once, that a response is
+// never mixed with another request's, that a truncated response never looks complete, and that the statuses 402, 408,
+// 429 and 503 are only sent if the request has not been executed and never will be (package invariant checks these at
+// run time).
 package proxy
 
 import (
@@ -25,13 +36,13 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// Shares of limits.memoryMb.
+// The cache of turns takes a share of the settings' limits.memoryMb.
 const (
 	turnCacheDivisor = 24
 	bytesPerMb       = 1 << 20
 )
 
-// Proxy serves clients. It is safe for concurrent use.
+// Proxy serves clients' requests. It is safe for concurrent use.
 type Proxy struct {
 	log            hclog.Logger
 	state          *watch.State
@@ -49,7 +60,8 @@
 	started        time.Time
 }
 
-// New makes a proxy that follows a state. What keeps turns and budgets is set by the caller.
+// New makes a proxy that follows a watched state. Requests on routes that retain turns or have budgets need clients of
+// the turn stores, which Run sets.
 func New(log hclog.Logger, zone string, state *watch.State) *Proxy {
 	p := &Proxy{
 		log: log, state: state, pools: upstream.NewTransport(),
@@ -62,7 +74,8 @@
 	return p
 }
 
-// Run serves until ctx ends and all requests that were read are answered, or the time for that is over.
+// Run serves until ctx ends, and then until all requests that were read are answered or the grace period of the
+// settings (bounds.graceS, default 8 s) is over.
 func Run(ctx context.Context, live *settings.Live, log hclog.Logger) error {
 	current := live.Current()
 	caller := rpc.NewClient()
@@ -72,33 +85,34 @@
 	defer p.pools.Close()
 	p.connectTurnStores(caller, current)
 
-	front, err := net.Listen("tcp4", current.Listen.Front)
+	clientListener, err := net.Listen("tcp4", current.Listen.Front)
 	if err != nil {
 		return eris.Wrap(err, "listen for clients")
 	}
-	readiness, err := net.Listen("tcp4", current.Listen.Readiness)
+	readinessListener, err := net.Listen("tcp4", current.Listen.Readiness)
 	if err != nil {
-		_ = front.Close()
+		_ = clientListener.Close()
 		return eris.Wrap(err, "listen for readiness")
 	}
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go watch.Run(inner, watchOptions(caller, state, current))
-	clients := newClientServer(p, front.(*net.TCPListener))
-	go p.followState(inner, clients)
+	go watch.Run(serving, watchOptions(caller, state, current))
+	clients := newClientServer(p, clientListener.(*net.TCPListener))
+	go p.followState(serving, clients)
 	go clients.serve()
-	probes := &http.Server{Handler: p.readinessRouter(), ReadHeaderTimeout: readinessHeaderTimeout, ErrorLog: discardLogger}
-	go func() { _ = probes.Serve(readiness) }()
+	readinessServer := &http.Server{Handler: p.readinessRouter(), ReadHeaderTimeout: readinessHeaderTimeout, ErrorLog: discardLogger}
+	go func() { _ = readinessServer.Serve(readinessListener) }()
 
 	<-ctx.Done()
 	clients.drain(settings.Seconds(live.Current().Bounds.GraceS, defaultGracePeriod))
 	p.awaitSettlement(settlementTimeout)
-	_ = probes.Close()
+	_ = readinessServer.Close()
 	return nil
 }
 
-// awaitSettlement waits for claims that are being settled: one that is left unsettled counts at its most for good.
-func (p *Proxy) awaitSettlement(most time.Duration) {
+// awaitSettlement waits for budget settlements that are in flight: a claim that is not settled stays charged with its
+// full reservation.
+func (p *Proxy) awaitSettlement(timeout time.Duration) {
 	settled := make(chan struct{})
 	go func() {
 		p.budgets.Wait()
@@ -106,7 +120,7 @@
 	}()
 	select {
 	case <-settled:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
@@ -122,7 +136,7 @@
 	p.turns, p.budgets = turns.NewClient(options), budget.NewClient(options)
 }
 
-// watchOptions has the proxy follow the agent on its own machine.
+// watchOptions makes the proxy follow the agent on its own machine.
 func watchOptions(caller rpc.Caller, state *watch.State, current *settings.Settings) watch.Options {
 	agent := watch.Endpoint{Address: current.AgentAddress(), Zone: current.Zone}
 	return watch.Options{
@@ -134,7 +148,7 @@
 	}
 }
 
-// followState folds what the agent tells into what requests are served by.
+// followState applies every change of the watched state until ctx ends.
 func (p *Proxy) followState(ctx context.Context, clients *clientServer) {
 	for {
 		changed := p.state.Changed()
@@ -151,7 +165,7 @@
 	}
 }
 
-// applyState takes in the newest control state and list.
+// applyState takes in the newest control state and endpoint list.
 func (p *Proxy) applyState() {
 	known := p.snapshots.load()
 	before := known.configuration
@@ -160,26 +174,26 @@
 	if known.membership == nil && current.membership != nil {
 		p.updates.notify()
 	}
-	touched := p.endpoints.update(p.state)
-	if p.endpoints.any() {
+	changedServices := p.endpoints.update(p.state)
+	if p.endpoints.hasStores() {
 		p.endpointsKnown.Store(true)
 	}
 	if current.configuration == nil {
 		return
 	}
 	if current.configuration != before {
-		touched = p.endpoints.servicesOf(current, before)
+		changedServices = servicesOf(current.configuration, before)
 	}
-	for name := range touched {
+	for name := range changedServices {
 		p.updateAdmission(current, name)
 	}
-	if len(touched) > 0 {
+	if len(changedServices) > 0 {
 		p.pools.Retain(p.endpoints.inUse)
 		p.updates.notify()
 	}
 }
 
-// updateAdmission tells admission the stores of a service.
+// updateAdmission gives admission the current stores of a service.
 func (p *Proxy) updateAdmission(current *snapshot, name string) {
 	service := current.configuration.Service(name)
 	if service == nil {
@@ -193,7 +207,7 @@
 	p.admit.SetStores(name, service.Engine != nil, slots, p.endpoints.stores(name, time.Now()))
 }
 
-// limits are those of the configuration, or defaults before the first.
+// limits are those of the configuration, or defaults before the first one.
 func (p *Proxy) limits(current *snapshot) configuration.Limits {
 	if current.configuration == nil {
 		return configuration.Limits{
@@ -213,7 +227,7 @@
 	return router
 }
 
-// ready says whether new clients are welcome.
+// ready reports whether the proxy accepts new clients.
 func (p *Proxy) ready() bool {
 	return !p.draining.Load() && p.snapshots.load().configuration != nil && p.endpointsKnown.Load()
 }
--- a/internal/tier/proxy/respond.go
+++ b/internal/tier/proxy/respond.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/internal/tier/invariant"
 )
 
-// Times told to clients that are to come again.
+// Delays told to clients in Retry-After, by the reason of the rejection.
 const (
 	retryAfterUnconfigured = 500 * time.Millisecond
 	retryAfterUncertain    = 200 * time.Millisecond
@@ -16,7 +16,7 @@
 	minRetryAfter          = 10 * time.Millisecond
 )
 
-// respond writes an answer of the proxy's own.
+// respond writes a response of the proxy's own, without a body.
 func (p *Proxy) respond(w http.ResponseWriter, id string, status int) {
 	header := w.Header()
 	if id != "" {
@@ -28,26 +28,26 @@
 	w.WriteHeader(status)
 }
 
-// respondNotExecuted answers that the request has not run and will not.
+// respondNotExecuted answers with a status that guarantees that the request was not executed and never will be.
 func (x *exchange) respondNotExecuted(status int) {
 	invariant.Check(x.executions == 0, invariant.NotExecutedGuarantee, x.executions, 0)
 	x.proxy.respond(x.w, x.id, status)
 }
 
-// respondRetryLater is promise, and tells when to come again.
+// respondRetryLater rejects the request with a 503 and a Retry-After. The request was not executed and never will be.
 func (x *exchange) respondRetryLater(after time.Duration) {
 	invariant.Check(x.executions == 0, invariant.NotExecutedGuarantee, x.executions, 0)
 	x.proxy.respondUnavailable(x.w, x.id, after)
 }
 
-// respondUnavailable writes a 503 that tells when to come again: the request has not run and will not.
+// respondUnavailable writes a 503 with a Retry-After in seconds, with millisecond precision.
 func (p *Proxy) respondUnavailable(w http.ResponseWriter, id string, after time.Duration) {
 	seconds := max(after, minRetryAfter).Seconds()
 	w.Header()["Retry-After"] = []string{strconv.FormatFloat(seconds, 'f', 3, 64)}
 	p.respond(w, id, http.StatusServiceUnavailable)
 }
 
-// setConnectionClose asks the client to close its connection while the process shuts down.
+// setConnectionClose asks the client to close its connection while the process drains.
 func (p *Proxy) setConnectionClose(header http.Header) {
 	if p.draining.Load() {
 		header["Connection"] = []string{"close"}
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -12,11 +12,11 @@
 	"pulleygw.example/pulleygw/internal/tier/upstream"
 )
 
-// responseBufferBytes is how much of a plain answer is read before any of it is passed on, so that one that breaks off can
-// be had from another store.
+// responseBufferBytes is how much of a response that is not a stream is read before any of it is passed on: a response
+// that is truncated within it can be fetched from another store.
 const responseBufferBytes = 64 << 10
 
-// responseBuffers holds buffers for answers. They grow as needed.
+// responseBuffers pools buffers for responses. They grow as needed.
 var responseBuffers = sync.Pool{New: func() any { buffer := make([]byte, 4<<10); return &buffer }}
 
 func putResponseBuffer(buffer *[]byte) {
@@ -25,43 +25,43 @@
 	}
 }
 
-// forwardResponse passes an answer on that is no stream.
-func (x *exchange) forwardResponse(ctx context.Context, granted *admission.Grant, answer *upstream.Response) attemptOutcome {
+// forwardResponse passes on a response that is not a stream.
+func (x *exchange) forwardResponse(ctx context.Context, grant *admission.Grant, response *upstream.Response) attemptOutcome {
 	buffer := responseBuffers.Get().(*[]byte)
 	defer putResponseBuffer(buffer)
-	read, err := readUpTo(answer, buffer, responseBufferBytes)
+	read, err := readUpTo(response, buffer, responseBufferBytes)
 	if err != nil && !errors.Is(err, io.EOF) {
 		x.lastErr = err
-		answer.Abort()
-		granted.Finish(outcomeOfBreak(ctx))
+		response.Abort()
+		grant.Finish(outcomeOfBreak(ctx))
 		return x.retryOrAbort()
 	}
-	if answer.StatusCode >= 500 && err != nil && x.failureRetryable(ctx) {
-		answer.Finish()
-		granted.Finish(admission.StoreError)
+	if response.StatusCode >= 500 && err != nil && x.failureRetryable(ctx) {
+		response.Finish()
+		grant.Finish(admission.StoreError)
 		return attemptRetry
 	}
 	header := x.w.Header()
-	x.copyHeader(header, answer.Header)
-	if length := x.contentLength(answer, read, err); length >= 0 {
+	x.copyHeader(header, response.Header)
+	if length := x.contentLength(response, read, err); length >= 0 {
 		header["Content-Length"] = []string{strconv.FormatInt(length, 10)}
 	}
-	x.w.WriteHeader(answer.StatusCode)
+	x.w.WriteHeader(response.StatusCode)
 	_, _ = x.w.Write((*buffer)[:read])
 	if err == nil {
-		return x.forwardRemainder(ctx, granted, answer, buffer)
+		return x.forwardRemainder(ctx, grant, response, buffer)
 	}
-	answer.Finish()
-	granted.Finish(outcomeOfStatus(answer.StatusCode))
-	x.turn.responseForwarded(answer.StatusCode)
-	x.result = resultOfStatus(answer.StatusCode)
+	response.Finish()
+	grant.Finish(outcomeOfStatus(response.StatusCode))
+	x.turn.responseForwarded(response.StatusCode)
+	x.result = resultOfStatus(response.StatusCode)
 	return attemptAnswered
 }
 
-// contentLength is the length to announce; -1 where it is not known.
-func (x *exchange) contentLength(answer *upstream.Response, read int, err error) int64 {
-	if answer.ContentLength >= 0 {
-		return answer.ContentLength
+// contentLength is the Content-Length to send to the client, or -1 if it is not known.
+func (x *exchange) contentLength(response *upstream.Response, read int, err error) int64 {
+	if response.ContentLength >= 0 {
+		return response.ContentLength
 	}
 	if err != nil && x.r.Method != http.MethodHead {
 		return int64(read)
@@ -69,10 +69,10 @@
 	return -1
 }
 
-// forwardRemainder passes on what is too long to be read first.
-func (x *exchange) forwardRemainder(ctx context.Context, granted *admission.Grant, answer *upstream.Response, buffer *[]byte) attemptOutcome {
+// forwardRemainder passes on the part of a response that is beyond the buffer.
+func (x *exchange) forwardRemainder(ctx context.Context, grant *admission.Grant, response *upstream.Response, buffer *[]byte) attemptOutcome {
 	for {
-		read, err := answer.Read(*buffer)
+		read, err := response.Read(*buffer)
 		if read > 0 {
 			if _, failure := x.w.Write((*buffer)[:read]); failure != nil {
 				err = failure
@@ -81,27 +81,28 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF):
-			answer.Finish()
-			granted.Finish(outcomeOfStatus(answer.StatusCode))
-			x.result = resultOfStatus(answer.StatusCode)
+			response.Finish()
+			grant.Finish(outcomeOfStatus(response.StatusCode))
+			x.result = resultOfStatus(response.StatusCode)
 			return attemptAnswered
 		default:
 			x.lastErr = err
-			answer.Abort()
-			granted.Finish(outcomeOfBreak(ctx))
+			response.Abort()
+			grant.Finish(outcomeOfBreak(ctx))
 			return attemptAborted
 		}
 	}
 }
 
-// readUpTo reads until the end of the answer or until most bytes are there; without an error there is more.
-func readUpTo(answer *upstream.Response, buffer *[]byte, most int) (int, error) {
+// readUpTo reads until the end of the response or until limit bytes were read. A nil error means that there may be
+// more.
+func readUpTo(response *upstream.Response, buffer *[]byte, limit int) (int, error) {
 	read := 0
-	for read < most {
+	for read < limit {
 		if read == len(*buffer) {
 			*buffer = append(*buffer, make([]byte, len(*buffer))...)
 		}
-		n, err := answer.Read((*buffer)[read:])
+		n, err := response.Read((*buffer)[read:])
 		read += n
 		if err != nil {
 			return read, err
@@ -110,12 +111,13 @@
 	return read, nil
 }
 
-// failureRetryable says whether a failure that the store itself answered may be had better from another store.
+// failureRetryable reports whether the request may be sent to another store after a store answered with a server
+// error.
 func (x *exchange) failureRetryable(ctx context.Context) bool {
 	return x.idempotent() && x.executions < x.route.MaxAttempts && ctx.Err() == nil
 }
 
-// copyHeader passes on the headers of a store's answer, except those of its connection.
+// copyHeader copies the end-to-end headers of a store's response.
 func (x *exchange) copyHeader(into, from http.Header) {
 	connection := from["Connection"]
 	for name, values := range from {
@@ -125,11 +127,12 @@
 		into[name] = values
 	}
 	if from["Content-Type"] == nil {
-		into["Content-Type"] = nil // net/http would guess one
+		into["Content-Type"] = nil // otherwise net/http would detect one
 	}
 	x.proxy.setConnectionClose(into)
 }
 
+// outcomeOfStatus is the outcome that a complete response is reported to admission with.
 func outcomeOfStatus(status int) admission.Outcome {
 	if status >= 500 {
 		return admission.StoreError
@@ -137,6 +140,7 @@
 	return admission.Success
 }
 
+// outcomeOfBreak is the outcome that a truncated response is reported to admission with.
 func outcomeOfBreak(ctx context.Context) admission.Outcome {
 	if ctx.Err() != nil {
 		return admission.Cancelled
--- a/internal/tier/proxy/result.go
+++ b/internal/tier/proxy/result.go
@@ -14,47 +14,47 @@
 	"pulleygw.example/pulleygw/internal/tier/metrics"
 )
 
-// Bounds of the log: a line costs processor time, and troubles bring many at once.
+// Limits of the log: a line costs processor time, and a fault makes many requests fail at once.
 const (
-	maxFailureLines      = 10 // lines of failed requests within failureSpan
+	maxFailureLines      = 10 // failed requests logged within failureLogWindow
 	failureLogWindow     = time.Second
-	rejectionLogInterval = time.Second // between two lines of refusals for one reason
+	rejectionLogInterval = time.Second // between two lines about one reason
 )
 
-var results = metrics.NewCounterVec("proxy_results_total", "Requests of clients by what became of them.", "result")
+var results = metrics.NewCounterVec("proxy_results_total", "Requests of clients by result.", "result")
 
-// result says what became of a request.
+// result says how a request ended. It is the label of proxy_results_total and a field of log lines.
 type result string
 
-// The results. The first three bear a store's answer.
+// The results. The first three are a store's own response.
 const (
 	resultServed           result = "served"
-	resultStoreError       result = "failure of the store's own"
-	resultStoreClientError result = "refusal of the store's own"
-
-	resultAborted    result = "broken off"
-	resultBadGateway result = "no store answered"
-	resultTimeout    result = "no answer in time"
-
-	resultClientDisconnected  result = "client left"
-	resultOverload            result = "refused: overload"
-	resultNoStore             result = "refused: no store"
-	resultDeadlineUnreachable result = "refused: hopeless"
-	resultDeclined            result = "refused: stores declined"
-	resultNoConfiguration     result = "refused: no configuration"
-	resultTurnStoresUncertain result = "refused: turn stores uncertain"
-	resultUnknownTurn         result = "turn unknown"
-	resultBudgetSpent         result = "budget spent"
-	resultNoRoute             result = "no route"
-	resultBadRequest          result = "request not readable"
+	resultStoreError       result = "store_error"
+	resultStoreClientError result = "store_client_error"
+
+	resultAborted    result = "aborted"
+	resultBadGateway result = "bad_gateway"
+	resultTimeout    result = "timeout"
+
+	resultClientDisconnected  result = "client_disconnected"
+	resultOverload            result = "rejected_overload"
+	resultNoStore             result = "rejected_no_store"
+	resultDeadlineUnreachable result = "rejected_deadline_unreachable"
+	resultDeclined            result = "rejected_by_stores"
+	resultNoConfiguration     result = "rejected_no_configuration"
+	resultTurnStoresUncertain result = "rejected_turn_stores_uncertain"
+	resultUnknownTurn         result = "unknown_turn"
+	resultBudgetSpent         result = "budget_exhausted"
+	resultNoRoute             result = "no_route"
+	resultBadRequest          result = "bad_request"
 )
 
-// failed says whether something was lost that the client may not have back.
+// failed reports whether a result was possibly lost: the client cannot know whether its request was executed.
 func (r result) failed() bool {
 	return r == resultAborted || r == resultBadGateway || r == resultTimeout
 }
 
-// resultOfStatus is the result of an answer that a store gave.
+// resultOfStatus is the result of a request that got a store's response.
 func resultOfStatus(status int) result {
 	switch {
 	case status >= http.StatusInternalServerError:
@@ -65,12 +65,12 @@
 	return resultServed
 }
 
-// resultOfRejection is the result of a request that no store ran.
-func resultOfRejection(refused *admission.RejectedError) result {
-	if refused == nil {
+// resultOfRejection is the result of a request that no store executed. A nil rejection means that stores declined it.
+func resultOfRejection(rejection *admission.RejectedError) result {
+	if rejection == nil {
 		return resultDeclined
 	}
-	switch refused.Reason {
+	switch rejection.Reason {
 	case admission.NoStore:
 		return resultNoStore
 	case admission.DeadlineUnreachable:
@@ -81,33 +81,33 @@
 	return resultOverload
 }
 
-var panics = metrics.NewCounter("proxy_panics_total", "Requests that ended by a mistake in the code.")
+var panics = metrics.NewCounter("proxy_panics_total", "Requests that ended by a panic in the handler.")
 
-// recordResult tells metrics and log what became of a request. A mistake in the code ends its request alone, and not without a
-// word: net/http would drop it.
+// recordResult counts and logs how the request ended. A panic in the handler ends this request only; it is logged with
+// its stack here because net/http's own log is discarded.
 func (x *exchange) recordResult() {
-	if mistake := recover(); mistake != nil {
-		if mistake != http.ErrAbortHandler {
+	if cause := recover(); cause != nil {
+		if cause != http.ErrAbortHandler {
 			panics.Inc()
-			x.proxy.log.Error("mistake in the code", "id", x.id, "panic", fmt.Sprint(mistake), "stack", string(debug.Stack()))
+			x.proxy.log.Error("panic in request handler", "id", x.id, "panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
 		}
 		defer panic(http.ErrAbortHandler)
 	}
-	became := x.result
-	if became == resultAborted && x.clientDisconnected() {
-		became = resultClientDisconnected
+	ended := x.result
+	if ended == resultAborted && x.clientDisconnected() {
+		ended = resultClientDisconnected
 	}
-	results.Inc(string(became))
+	results.Inc(string(ended))
 	switch {
-	case became.failed():
-		x.proxy.requestLog.logFailure(x.proxy.log, x.logFields(became))
-	case became != resultServed && became != resultClientDisconnected && became != resultStoreError && became != resultStoreClientError:
-		x.proxy.requestLog.logRejection(x.proxy.log, became, x.logFields(became))
+	case ended.failed():
+		x.proxy.requestLog.logFailure(x.proxy.log, x.logFields(ended))
+	case ended != resultServed && ended != resultClientDisconnected && ended != resultStoreError && ended != resultStoreClientError:
+		x.proxy.requestLog.logRejection(x.proxy.log, ended, x.logFields(ended))
 	}
 }
 
-// logFields lists what explains a request afterwards.
-func (x *exchange) logFields(became result) []any {
+// logFields are the fields by which a request that was not served can be explained.
+func (x *exchange) logFields(ended result) []any {
 	route := ""
 	if x.route != nil {
 		route = x.route.Name
@@ -117,36 +117,37 @@
 		cause = x.lastErr.Error()
 	}
 	return []any{
-		"result", string(became), "id", x.id, "route", route, "cause", cause, "stores", x.triedInstances, "ran", x.executions, "declined", x.declined,
-		"events", x.stream.events, "held_ms", x.queueTime.Milliseconds(), "took_ms", time.Since(x.arrival).Milliseconds(),
+		"result", string(ended), "id", x.id, "route", route, "cause", cause, "stores", x.triedInstances, "ran", x.executions, "declined", x.declined,
+		"events", x.stream.events, "queued_ms", x.queueTime.Milliseconds(), "duration_ms", time.Since(x.arrival).Milliseconds(),
 		"generation", x.snapshot.generation(), "epoch", x.snapshot.membership.GetEpoch(),
 	}
 }
 
-// acquire asks admission and notes how long the request was held.
+// acquire asks admission for a store and records the time spent waiting.
 func (x *exchange) acquire(ctx context.Context) (*admission.Grant, *admission.RejectedError) {
 	began := time.Now()
-	granted, refused := x.proxy.admit.Acquire(ctx, x.admissionRequest())
+	grant, rejection := x.proxy.admit.Acquire(ctx, x.admissionRequest())
 	x.queueTime += time.Since(began)
-	return granted, refused
+	return grant, rejection
 }
 
-// requestLog bounds the lines that requests cause.
+// requestLog limits the rate of log lines about requests.
 type requestLog struct {
 	mu          sync.Mutex
-	windowStart time.Time // start of the span in which lines are counted
+	windowStart time.Time // start of the window in which lines are counted
 	lines       int
 	suppressed  int
 	rejections  map[result]*rejectionCount
 }
 
-// rejectionCount are those for one reason since the last line of it.
+// rejectionCount counts rejections for one reason since the last log line about it.
 type rejectionCount struct {
 	count      int
-	lastLogged time.Time // of the last line
+	lastLogged time.Time
 }
 
-// logFailure logs a failed request, unless too many were within the span; those are counted.
+// logFailure logs a failed request. Beyond maxFailureLines in a window failures are counted only, and the count is
+// added to the next line.
 func (l *requestLog) logFailure(log hclog.Logger, fields []any) {
 	l.mu.Lock()
 	now := time.Now()
@@ -168,7 +169,8 @@
 	log.Warn("request failed", fields...)
 }
 
-// logRejection logs the first of the refused requests of a span, with how many there were since the last line.
+// logRejection logs one rejected request for each reason and interval, with the number of rejections since the last
+// line.
 func (l *requestLog) logRejection(log hclog.Logger, reason result, fields []any) {
 	l.mu.Lock()
 	known := l.rejections[reason]
@@ -188,5 +190,5 @@
 	count := known.count
 	known.count, known.lastLogged = 0, now
 	l.mu.Unlock()
-	log.Info("requests refused", append([]any{"count", count}, fields...)...)
+	log.Info("requests rejected", append([]any{"count", count}, fields...)...)
 }
--- a/internal/tier/proxy/result_test.go
+++ b/internal/tier/proxy/result_test.go
@@ -31,7 +31,7 @@
 	before := results.Value(string(resultBadGateway))
 	x.recordResult()
 	line := log.String()
-	for _, part := range []string{"request failed", "id=r-1", `cause="connection broke off"`, "stores=[\"i-1\"]", "ran=1", "held_ms=0", "epoch=0"} {
+	for _, part := range []string{"request failed", "id=r-1", `cause="connection broke off"`, "stores=[\"i-1\"]", "ran=1", "queued_ms=0", "epoch=0"} {
 		assert.Assert(t, strings.Contains(line, part), "%s is missing in %s", part, line)
 	}
 	assert.Equal(t, results.Value(string(resultBadGateway)), before+1)
@@ -55,7 +55,7 @@
 		x.result = became
 		x.recordResult()
 	}
-	assert.Equal(t, strings.Count(log.String(), "requests refused"), 2, "%s", log)
+	assert.Equal(t, strings.Count(log.String(), "requests rejected"), 2, "%s", log)
 	x.proxy.requestLog.rejections[resultOverload].lastLogged = time.Now().Add(-2 * rejectionLogInterval)
 	x.result = resultOverload
 	x.recordResult()
@@ -71,7 +71,7 @@
 	assert.Equal(t, log.Len(), 0, "%s", log)
 }
 
-// A mistake in the code ends its request and no more, and leaves its stack in the log.
+// A panic in request handler ends its request and no more, and leaves its stack in the log.
 func TestMistakeIsLoggedWithItsStack(t *testing.T) {
 	x, log := newRecordedExchange("r-9")
 	func() {
@@ -80,7 +80,7 @@
 		var none *admission.Grant
 		none.ReportFirstByte()
 	}()
-	assert.Assert(t, strings.Contains(log.String(), "mistake in the code") && strings.Contains(log.String(), "id=r-9"), "%s", log)
+	assert.Assert(t, strings.Contains(log.String(), "panic in request handler") && strings.Contains(log.String(), "id=r-9"), "%s", log)
 	assert.Assert(t, strings.Contains(log.String(), "result_test.go"), "%s", log)
 	assert.Assert(t, panics.Value() > 0)
 }
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -13,38 +13,40 @@
 	"time"
 )
 
-// Times of the clients' side.
+// Timing of the clients' listener and of the graceful shutdown.
 const (
 	defaultGracePeriod     = 8 * time.Second
 	readinessHeaderTimeout = 2 * time.Second
-	maxDrainDelay          = 2500 * time.Millisecond // the platform asks each second and goes by two misses
-	drainDelayDivisor      = 3                       // of the grace
-	shutdownMargin         = 500 * time.Millisecond  // of the grace, when what is still unanswered is given up
-	shutdownAnswerTimeout  = 200 * time.Millisecond  // within which answers to that go out
-	settlementTimeout      = 200 * time.Millisecond  // and then what programs spent is settled
+	maxDrainDelay          = 2500 * time.Millisecond // the platform checks readiness each second and acts on two failures
+	drainDelayDivisor      = 3                       // at most this fraction of the grace period
+	shutdownMargin         = 500 * time.Millisecond  // before the end of the grace period unanswered requests are cancelled
+	shutdownAnswerTimeout  = 200 * time.Millisecond  // for the responses to cancelled requests
+	settlementTimeout      = 200 * time.Millisecond  // for budgets to be settled after that
 	drainPollInterval      = 100 * time.Millisecond
-	minIdleBeforeClose     = 100 * time.Millisecond // a client may be about to send again; its answer will ask for the close
+	minIdleBeforeClose     = 100 * time.Millisecond // the client may be about to send again; that response asks for the close
 	headerTimeoutSlack     = time.Second
 	idleTimeoutSlack       = 5 * time.Second
-	headerBytesSlack       = 4 << 10  // the proxy itself judges heads near the limit
-	minHeaderBytesLimit    = 64 << 10 // of net/http's limit, as the configuration's may be raised while a connection is open
+	headerBytesSlack       = 4 << 10  // the handler itself checks headers near the limit
+	minHeaderBytesLimit    = 64 << 10 // the configured limit may be raised while a connection is open
 )
 
-// discardLogger takes what net/http would log of single connections.
+// discardLogger receives what net/http logs about single connections: clients cause it at will.
 var discardLogger = log.New(io.Discard, "", 0)
 
 var (
-	pastDeadline     = time.Unix(1, 0) // a deadline that has passed
+	pastDeadline     = time.Unix(1, 0) // makes a pending Read or Accept return at once
 	errLimitsChanged = errors.New("limits changed")
-	errShutdown      = errors.New("the process is about to end")
+	errShutdown      = errors.New("process is shutting down")
 )
 
-// clientServer accepts clients' connections and serves them. A change of limits concerns connections accepted after it.
+// clientServer accepts clients' connections and serves them. Limits of net/http are fixed for each http.Server; when
+// the configuration changes them a new one takes over the listener, and connections accepted before keep the old
+// limits.
 type clientServer struct {
 	proxy          *Proxy
 	listener       *net.TCPListener
 	stopped        atomic.Bool
-	baseContext    context.Context // that all requests' contexts descend from
+	baseContext    context.Context // parent of all requests' contexts
 	cancelRequests context.CancelCauseFunc
 	mu             sync.Mutex
 	servers        []*http.Server
@@ -52,108 +54,109 @@
 }
 
 func newClientServer(proxy *Proxy, listener *net.TCPListener) *clientServer {
-	f := &clientServer{proxy: proxy, listener: listener, connections: make(map[net.Conn]*clientConnection)}
-	f.baseContext, f.cancelRequests = context.WithCancelCause(context.Background())
-	return f
+	s := &clientServer{proxy: proxy, listener: listener, connections: make(map[net.Conn]*clientConnection)}
+	s.baseContext, s.cancelRequests = context.WithCancelCause(context.Background())
+	return s
 }
 
-// serve accepts until the listener is closed.
-func (f *clientServer) serve() {
-	for !f.stopped.Load() {
-		_ = f.listener.SetDeadline(time.Time{})
-		err := f.newServer().Serve(&serverListener{server: f})
+// serve accepts connections until the listener is closed.
+func (s *clientServer) serve() {
+	for !s.stopped.Load() {
+		_ = s.listener.SetDeadline(time.Time{})
+		err := s.newServer().Serve(&serverListener{server: s})
 		if !errors.Is(err, errLimitsChanged) {
 			return
 		}
 	}
 }
 
-func (f *clientServer) newServer() *http.Server {
-	limits := f.proxy.limits(f.proxy.snapshots.load())
+func (s *clientServer) newServer() *http.Server {
+	limits := s.proxy.limits(s.proxy.snapshots.load())
 	server := &http.Server{
-		Handler:                      f.proxy,
+		Handler:                      s.proxy,
 		MaxHeaderBytes:               max(limits.MaxHeaderBytes, minHeaderBytesLimit) + headerBytesSlack,
 		ReadHeaderTimeout:            limits.HeaderTimeout + headerTimeoutSlack,
 		IdleTimeout:                  limits.IdleTimeout + idleTimeoutSlack,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     discardLogger,
-		ConnState:                    f.stateChanged,
+		ConnState:                    s.stateChanged,
 		ConnContext:                  withConnection,
-		BaseContext:                  func(net.Listener) context.Context { return f.baseContext },
+		BaseContext:                  func(net.Listener) context.Context { return s.baseContext },
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servers = append(f.servers, server)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.servers = append(s.servers, server)
 	return server
 }
 
-// applyLimits has connections from now on served under the newest limits.
-func (f *clientServer) applyLimits() { _ = f.listener.SetDeadline(pastDeadline) }
+// applyLimits makes connections accepted from now on subject to the newest limits.
+func (s *clientServer) applyLimits() { _ = s.listener.SetDeadline(pastDeadline) }
 
-// drain lets the platform notice, answers what was read, and ends within the grace.
-func (f *clientServer) drain(grace time.Duration) {
-	f.proxy.draining.Store(true)
-	f.proxy.log.Info("draining")
+// drain shuts down gracefully: it reports not ready, waits until load balancers have noticed, stops accepting, and
+// ends when all requests that were read are answered, or at the end of the grace period.
+func (s *clientServer) drain(grace time.Duration) {
+	s.proxy.draining.Store(true)
+	s.proxy.log.Info("draining")
 	end := time.Now().Add(grace - shutdownMargin)
 	time.Sleep(min(maxDrainDelay, grace/drainDelayDivisor))
-	f.stopAccepting()
-	f.awaitConnectionsClosed(end)
-	f.cancelRequests(errShutdown)
-	f.awaitConnectionsClosed(end.Add(shutdownAnswerTimeout))
-	f.close()
+	s.stopAccepting()
+	s.awaitConnectionsClosed(end)
+	s.cancelRequests(errShutdown)
+	s.awaitConnectionsClosed(end.Add(shutdownAnswerTimeout))
+	s.close()
 }
 
 // stopAccepting closes the listener.
-func (f *clientServer) stopAccepting() {
-	f.stopped.Store(true)
-	_ = f.listener.Close()
+func (s *clientServer) stopAccepting() {
+	s.stopped.Store(true)
+	_ = s.listener.Close()
 }
 
-// awaitConnectionsClosed waits until no connection is open, or until a time.
-func (f *clientServer) awaitConnectionsClosed(until time.Time) {
+// awaitConnectionsClosed waits until no connection is open or the deadline passes.
+func (s *clientServer) awaitConnectionsClosed(deadline time.Time) {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for f.closeIdle(time.Now()) > 0 && time.Now().Before(until) {
+	for s.closeIdle(time.Now()) > 0 && time.Now().Before(deadline) {
 		<-ticker.C
 	}
 }
 
-// isShutdown says whether a request's context ended because the process does, while its client still waits.
+// isShutdown reports whether a request's context ended because the process stops, while its client still waits.
 func isShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
-// close ends the listener and all connections.
-func (f *clientServer) close() {
-	f.stopAccepting()
-	f.mu.Lock()
-	servers := f.servers
-	f.mu.Unlock()
+// close closes the listener and all connections.
+func (s *clientServer) close() {
+	s.stopAccepting()
+	s.mu.Lock()
+	servers := s.servers
+	s.mu.Unlock()
 	for _, server := range servers {
 		_ = server.Close()
 	}
 }
 
-// closeIdle ends connections on which no request has begun for a while and returns how many are open.
-func (f *clientServer) closeIdle(now time.Time) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, connection := range f.connections {
+// closeIdle closes connections that have been idle for a while and returns how many are open.
+func (s *clientServer) closeIdle(now time.Time) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, connection := range s.connections {
 		connection.closeIfIdle(now)
 	}
-	return len(f.connections)
+	return len(s.connections)
 }
 
-func (f *clientServer) stateChanged(connection net.Conn, state http.ConnState) {
+func (s *clientServer) stateChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
 		connection.(*clientConnection).markIdle(time.Now())
 	case http.StateClosed, http.StateHijacked:
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		delete(f.connections, connection)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.connections, connection)
 	}
 }
 
-// serverListener is the listener as one server sees it: it ends with a change of limits, while the socket stays open.
+// serverListener is the listener as one http.Server sees it: it ends when limits change, while the socket stays open.
 type serverListener struct{ server *clientServer }
 
 // Accept waits for the next connection.
@@ -175,5 +178,5 @@
 // Close does nothing: the socket outlives the server.
 func (g *serverListener) Close() error { return nil }
 
-// Addr is the socket's address.
+// Addr is the address of the socket.
 func (g *serverListener) Addr() net.Addr { return g.server.listener.Addr() }
--- a/internal/tier/proxy/snapshot.go
+++ b/internal/tier/proxy/snapshot.go
@@ -11,62 +11,63 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// snapshot is what requests are served by: a configuration and what else the control state names. It does not change.
+// snapshot is the state that a request is served by: a configuration and the membership of the turn stores. It is
+// immutable; a request keeps the snapshot that it began with.
 type snapshot struct {
 	version       uint64
-	configuration *configuration.Configuration // nil before the first
+	configuration *configuration.Configuration // nil before the first one
 	membership    *tierpb.StoreMembership
 }
 
-// snapshotHolder holds the newest view. It never goes back.
+// snapshotHolder holds the newest snapshot. Versions and generations never decrease.
 type snapshotHolder struct {
 	current atomic.Pointer[snapshot]
 	log     hclog.Logger
 }
 
-// load returns the newest view, which is empty before the first control state.
-func (v *snapshotHolder) load() *snapshot {
-	if current := v.current.Load(); current != nil {
+// load returns the newest snapshot, which is empty before the first control state.
+func (h *snapshotHolder) load() *snapshot {
+	if current := h.current.Load(); current != nil {
 		return current
 	}
 	return &snapshot{}
 }
 
-// apply folds a newer control state in and says whether the view changed. It has one caller at a time.
-func (v *snapshotHolder) apply(control *tierpb.ControlState) bool {
-	known := v.load()
+// apply takes in a newer control state and reports whether the snapshot changed. It must not be called concurrently.
+func (h *snapshotHolder) apply(control *tierpb.ControlState) bool {
+	known := h.load()
 	if control == nil || control.Version <= known.version {
 		return false
 	}
 	next := &snapshot{version: control.Version, configuration: known.configuration, membership: control.Stores}
-	sent := control.Configuration
-	if !invariant.Check(sent.GetGeneration() >= known.generation(), invariant.GenerationMonotonic, sent.GetGeneration(), known.generation()) {
-		sent = nil // what is in force stays
+	received := control.Configuration
+	if !invariant.Check(received.GetGeneration() >= known.generation(), invariant.GenerationMonotonic, received.GetGeneration(), known.generation()) {
+		received = nil // keep the configuration in force
 	}
-	if sent.GetGeneration() > 0 && next.generation() != sent.Generation {
-		parsed, err := configuration.Parse(sent.Body)
+	if received.GetGeneration() > 0 && next.generation() != received.Generation {
+		parsed, err := configuration.Parse(received.Body)
 		if err != nil {
-			v.log.Error("the chosen configuration cannot be read", "generation", sent.Generation, "error", err)
+			h.log.Error("configuration cannot be parsed", "generation", received.Generation, "error", err)
 		} else {
 			next.configuration = parsed
-			v.log.Info("configuration", "generation", parsed.Generation, "routes", len(parsed.Routes))
+			h.log.Info("configuration applied", "generation", parsed.Generation, "routes", len(parsed.Routes))
 		}
 	}
-	v.current.Store(next)
+	h.current.Store(next)
 	return true
 }
 
-// route finds the route of a request; nil where there is none, or no configuration yet.
-func (v *snapshot) route(r *http.Request) *configuration.Route {
-	if v.configuration == nil {
+// route finds the route of a request, or nil if there is none or no configuration yet.
+func (s *snapshot) route(r *http.Request) *configuration.Route {
+	if s.configuration == nil {
 		return nil
 	}
-	return v.configuration.Route(r.Host, requestPath(r))
+	return s.configuration.Route(r.Host, requestPath(r))
 }
 
-func (v *snapshot) generation() uint64 {
-	if v.configuration == nil {
+func (s *snapshot) generation() uint64 {
+	if s.configuration == nil {
 		return 0
 	}
-	return v.configuration.Generation
+	return s.configuration.Generation
 }
--- a/internal/tier/proxy/startup.go
+++ b/internal/tier/proxy/startup.go
@@ -8,36 +8,37 @@
 	"pulleygw.example/pulleygw/internal/tier/ablation"
 )
 
-// Requests that come just after the start wait a little for what the proxy does not know yet.
+// Requests that arrive just after the start wait a little for what the proxy has not received yet.
 const (
-	startupPeriod         = 4 * time.Second // after the start, what is missing may only not have been told yet
-	startupWaitShare      = 0.25            // of the time that a request has, which it may wait
-	defaultRequestTimeout = 5 * time.Second // time of a request that names none
+	startupPeriod         = 4 * time.Second // what is missing within it may just not have been received yet
+	startupWaitShare      = 0.25            // of a request's time-out that it may wait
+	defaultRequestTimeout = 5 * time.Second // of a request whose route is not known
 )
 
-// updates wakes all that wait for a change of the configuration or the list of stores.
+// updates wakes all goroutines that wait for a change of the configuration or the endpoint list.
 type updates struct {
 	mu      sync.Mutex
 	channel chan struct{}
 }
 
-// changed returns a channel that is closed at the changed change.
-func (n *updates) changed() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.channel
+// changed returns a channel that is closed at the next change.
+func (u *updates) changed() <-chan struct{} {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.channel
 }
 
-func (n *updates) notify() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	close(n.channel)
-	n.channel = make(chan struct{})
+// notify wakes all that wait.
+func (u *updates) notify() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	close(u.channel)
+	u.channel = make(chan struct{})
 }
 
-// awaitConfiguration waits for the first configuration, as long as a request with this time may.
-func (p *Proxy) awaitConfiguration(ctx context.Context, patience time.Duration) *snapshot {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(startupWaitShare*float64(patience)))
+// awaitConfiguration waits for the first configuration, for a share of the request's time-out.
+func (p *Proxy) awaitConfiguration(ctx context.Context, timeout time.Duration) *snapshot {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(startupWaitShare*float64(timeout)))
 	defer cancel()
 	for {
 		changed := p.updates.changed()
@@ -52,13 +53,13 @@
 	}
 }
 
-// startingUp says whether the proxy started so short a time ago that its list of stores may lack some.
+// startingUp reports whether the proxy started so recently that its endpoint list may be incomplete.
 func (p *Proxy) startingUp() bool { return time.Since(p.started) < startupPeriod }
 
-// awaitTurnStores waits, just after the start, until any turn store is known, and says whether one is.
+// awaitTurnStores waits, just after the start, until a turn store is known, and reports whether one is.
 func (x *exchange) awaitTurnStores(ctx context.Context) bool {
-	until := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
-	ctx, cancel := context.WithDeadline(ctx, until)
+	deadline := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for {
 		changed := x.proxy.updates.changed()
@@ -76,11 +77,11 @@
 	}
 }
 
-// awaitStores waits, just after the start, for news of a service that no store is known of. It says whether there is
-// reason to look again.
+// awaitStores waits, just after the start, for a change while the service has no known store. It reports whether
+// admission should be asked again.
 func (x *exchange) awaitStores(ctx context.Context, changed <-chan struct{}) bool {
-	until := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
-	wait := time.Until(until)
+	deadline := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
+	wait := time.Until(deadline)
 	if wait <= 0 || !x.proxy.startingUp() || ablation.Disabled(ablation.AwaitStores) {
 		return false
 	}
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -17,14 +17,14 @@
 	"pulleygw.example/pulleygw/internal/tier/upstream"
 )
 
-// maxEventBytes bounds what is held of an event that has not come whole.
+// maxEventBytes bounds the buffer for an event that is not complete yet.
 const maxEventBytes = 4 << 20
 
 var (
-	errEventTooLarge       = eris.New("event is too large")
-	errReservationExceeded = eris.New("more events than were reserved")
-	errSequenceGap         = eris.New("events do not go on where the last store broke off")
-	errTruncatedEvent      = eris.New("connection ended within an event or before the first")
+	errEventTooLarge       = eris.New("event exceeds the size limit")
+	errReservationExceeded = eris.New("stream exceeds its reservation")
+	errSequenceGap         = eris.New("resumed stream does not continue at the last event")
+	errTruncatedEvent      = eris.New("stream ended within an event or before the first one")
 )
 
 // streamState is what has been passed on of a stream.
@@ -32,52 +32,52 @@
 	headWritten bool
 	events      uint64
 	lastID      string // of the last event passed on
-	step        int64  // between ids, where two are known
+	step        int64  // between ids, once two are known
 	resumed     bool   // the next event is the first of another store
-	version     string // of the weights that made the last event, where the stores tell it
+	version     string // of the weights that generated the last event, if the stores report it
 }
 
-// isStream says whether an answer is to be passed on event by event.
-func (x *exchange) isStream(answer *upstream.Response) bool {
-	if answer.StatusCode != http.StatusOK {
+// isStream reports whether a response is to be passed on event by event.
+func (x *exchange) isStream(response *upstream.Response) bool {
+	if response.StatusCode != http.StatusOK {
 		return false
 	}
-	return x.route.Kind == configuration.Streaming || strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
+	return x.route.Kind == configuration.Streaming || strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// resume goes on with a stream at another store, inside the answer that has begun.
-func (x *exchange) resume(ctx context.Context, granted *admission.Grant, answer *upstream.Response) attemptOutcome {
-	if !x.isStream(answer) {
+// resume continues a stream with another store's response, within the response to the client that has begun.
+func (x *exchange) resume(ctx context.Context, grant *admission.Grant, response *upstream.Response) attemptOutcome {
+	if !x.isStream(response) {
 		x.lastErr = errInvalidResponse
-		answer.Abort()
-		granted.Finish(outcomeOfStatus(answer.StatusCode))
+		response.Abort()
+		grant.Finish(outcomeOfStatus(response.StatusCode))
 		return x.retryOrAbort()
 	}
 	x.stream.resumed = true
-	return x.forwardStream(ctx, granted, answer)
+	return x.forwardStream(ctx, grant, response)
 }
 
-// forwardStream passes the events of an answer on as they come.
-func (x *exchange) forwardStream(ctx context.Context, granted *admission.Grant, answer *upstream.Response) attemptOutcome {
-	x.recordVersion(answer)
-	err := x.forwardEvents(granted, answer)
+// forwardStream passes on the events of a response as they arrive.
+func (x *exchange) forwardStream(ctx context.Context, grant *admission.Grant, response *upstream.Response) attemptOutcome {
+	x.recordVersion(response)
+	err := x.forwardEvents(grant, response)
 	if err == nil {
 		err = x.completeTurn(ctx)
 	}
 	if err == nil {
 		invariant.Check(!x.turn.retained || x.turn.saved, invariant.PersistedBeforeEnd, "not saved", x.id)
-		x.writeHead(answer)
-		answer.Finish()
-		granted.Finish(admission.Success)
+		x.writeHead(response)
+		response.Finish()
+		grant.Finish(admission.Success)
 		x.result = resultServed
 		return attemptAnswered
 	}
 	x.lastErr = err
-	answer.Abort()
-	granted.Finish(outcomeOfBreak(ctx))
+	response.Abort()
+	grant.Finish(outcomeOfBreak(ctx))
 	if !x.mayResume(ctx, err) {
 		if !x.stream.headWritten {
-			return attemptRetry // nothing was passed on
+			return attemptRetry // nothing was passed on yet
 		}
 		return attemptAborted
 	}
@@ -88,7 +88,7 @@
 	return attemptRetry
 }
 
-// mayResume says whether another store may take the stream up after this error.
+// mayResume reports whether another store may continue the stream after this error.
 func (x *exchange) mayResume(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || errors.Is(err, errReservationExceeded) || errors.Is(err, errTurnNotSaved) || ablation.Disabled(ablation.StreamResumption) {
 		return false
@@ -99,39 +99,39 @@
 	return x.idempotent() && x.executions < x.route.MaxAttempts
 }
 
-// forwardEvents reads events until the end of the answer. Those that have come together go out together.
-func (x *exchange) forwardEvents(granted *admission.Grant, answer *upstream.Response) error {
+// forwardEvents passes on events until the end of the response. Events that arrived together are written together.
+func (x *exchange) forwardEvents(grant *admission.Grant, response *upstream.Response) error {
 	buffer := responseBuffers.Get().(*[]byte)
 	defer putResponseBuffer(buffer)
-	held, heard := 0, false
+	buffered, firstByteReported := 0, false
 	for {
-		if held == len(*buffer) {
-			if held >= maxEventBytes {
+		if buffered == len(*buffer) {
+			if buffered >= maxEventBytes {
 				return errEventTooLarge
 			}
 			*buffer = append(*buffer, make([]byte, len(*buffer))...)
 		}
-		read, err := answer.Read((*buffer)[held:])
-		held += read
-		passed, failure := x.recordEvents((*buffer)[:held])
+		read, err := response.Read((*buffer)[buffered:])
+		buffered += read
+		passed, failure := x.recordEvents((*buffer)[:buffered])
 		switch {
 		case failure != nil || !errors.Is(err, io.EOF):
-		case answer.CloseDelimited && (passed < held || x.stream.events == 0):
+		case response.CloseDelimited && (passed < buffered || x.stream.events == 0):
 			failure = errTruncatedEvent
 		default:
-			passed = held // the end of the body comes as the store sent it
+			passed = buffered // the last bytes go out as the store sent them
 		}
 		if passed > 0 {
-			if !heard {
-				heard = true
-				granted.ReportFirstByte()
+			if !firstByteReported {
+				firstByteReported = true
+				grant.ReportFirstByte()
 			}
-			x.forward(answer, (*buffer)[:passed])
+			x.forward(response, (*buffer)[:passed])
 		}
 		if failure != nil {
 			return failure
 		}
-		held = copy(*buffer, (*buffer)[passed:held])
+		buffered = copy(*buffer, (*buffer)[passed:buffered])
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
@@ -141,12 +141,13 @@
 	}
 }
 
-// recordEvents notes all whole events and returns their length; after an error, that of those before it.
+// recordEvents records all complete events and returns their length in bytes; with an error, that of the events before
+// the one at fault.
 func (x *exchange) recordEvents(from []byte) (int, error) {
 	length := 0
 	for {
-		next, whole := nextEvent(from[length:])
-		if !whole {
+		next, ok := nextEvent(from[length:])
+		if !ok {
 			return length, nil
 		}
 		if err := x.recordEvent(&next); err != nil {
@@ -156,7 +157,7 @@
 	}
 }
 
-// recordEvent counts an event that is about to be passed on.
+// recordEvent records an event that is about to be passed on.
 func (x *exchange) recordEvent(next *event) error {
 	if next.hasID {
 		if err := x.stream.advance(string(next.id)); err != nil {
@@ -181,15 +182,16 @@
 	return nil
 }
 
-// advance checks that the first event of another store goes on at the last one passed on.
+// advance checks that the first event of another store directly follows the last one passed on, and moves the position
+// to it.
 func (s *streamState) advance(id string) error {
 	last, lastErr := strconv.ParseInt(s.lastID, 10, 64)
 	next, nextErr := strconv.ParseInt(id, 10, 64)
-	numbered := lastErr == nil && nextErr == nil
-	if s.resumed && s.lastID != "" && (!numbered || next != last+max(1, s.step)) {
+	numeric := lastErr == nil && nextErr == nil
+	if s.resumed && s.lastID != "" && (!numeric || next != last+max(1, s.step)) {
 		return errSequenceGap
 	}
-	if numbered {
+	if numeric {
 		s.step = next - last
 	}
 	s.resumed = false
@@ -197,26 +199,26 @@
 	return nil
 }
 
-// writeHead writes the head of the first store, once.
-func (x *exchange) writeHead(answer *upstream.Response) {
+// writeHead writes the status and headers of the first store's response, once.
+func (x *exchange) writeHead(response *upstream.Response) {
 	if x.stream.headWritten {
 		return
 	}
 	x.stream.headWritten = true
-	x.copyHeader(x.w.Header(), answer.Header)
-	x.w.WriteHeader(answer.StatusCode)
+	x.copyHeader(x.w.Header(), response.Header)
+	x.w.WriteHeader(response.StatusCode)
 }
 
-// recordVersion notes the version that an answer begins with. A stream goes on with it, or with that of a later event: the
-// events of one answer come from the same weights, or say where these change.
-func (x *exchange) recordVersion(answer *upstream.Response) {
+// recordVersion records the weights version that a response begins with. A stream is resumed with that version, or
+// with that of a later event: all events of one response come from the same weights, or say where these change.
+func (x *exchange) recordVersion(response *upstream.Response) {
 	if x.stream.events == 0 {
-		x.stream.version = answer.Header.Get(headerVersions)
+		x.stream.version = response.Header.Get(headerVersions)
 	}
 }
 
-func (x *exchange) forward(answer *upstream.Response, events []byte) {
-	x.writeHead(answer)
+func (x *exchange) forward(response *upstream.Response, events []byte) {
+	x.writeHead(response)
 	_, _ = x.w.Write(events)
 	_ = x.control.Flush()
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -16,45 +16,48 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// turnStoreTimeShare is the part of a request's time that it waits for turn stores before any store is sent it: what is left
-// is for its client to come again, when they may answer.
+// turnStoreTimeShare is the share of a request's time-out that it waits for turn stores before any store is sent the
+// request. The rest is left for the client's retry, when the turn stores may answer.
 const turnStoreTimeShare = 0.4
 
-var errTurnNotSaved = eris.New("the turn could not be saved")
+var errTurnNotSaved = eris.New("turn could not be saved")
 
-// turnStoreClient keeps the records of turns. Chain returns turns.ErrNotFound where it is sure that there is no such turn.
+// turnStoreClient reads and writes the records of turns. Chain returns turns.ErrNotFound only if it is certain that
+// there is no such turn.
 type turnStoreClient interface {
-	Ready() bool // whether there is anything that could keep a turn
+	Ready() bool // whether any turn store is known
 	Chain(ctx context.Context, id string) ([]*tierpb.TurnRecord, error)
 	Save(ctx context.Context, record *tierpb.TurnRecord) error
 }
 
-// budgetClient keeps what programs may spend. Reserve returns budget.ErrExhausted where there is no room for this turn.
+// budgetClient reserves and settles what programs spend. Reserve returns budget.ErrExhausted if the claim does not fit
+// in the budget.
 type budgetClient interface {
-	Reserve(ctx context.Context, program string, budget uint64, request string, most uint64) error
+	Reserve(ctx context.Context, program string, budget uint64, request string, maxTokens uint64) error
 	Settle(program, request string, used uint64)
 	Withdraw(program, request string)
-	Wait() // for what Settle and Withdraw have begun
+	Wait() // for calls that Settle and Withdraw have started
 }
 
-// turn is what the system keeps of the request where it is a turn of a program.
+// turn is the state of a request that is a turn of a program: its record and its budget reservation. The zero value is
+// a request that is neither retained nor budgeted.
 type turn struct {
 	retained       bool
 	previous       string
 	output         []byte
-	budgeted       bool // it counts against a budget
+	budgeted       bool // the turn counts against the program's budget
 	program        string
 	maxTokens      uint64
 	tokensPerEvent uint64
-	maxEvents      uint64 // events that may be passed on
+	maxEvents      uint64 // limit of events to pass on
 	reserved       bool
 	settled        bool
 	saved          bool
-	forwarded      bool // a plain answer was passed on
+	forwarded      bool // a successful response that is not a stream was passed on
 }
 
-// beginTurn fetches what the turn goes on from and reserves what it may generate, both at the same time. Where that
-// fails, or nothing could keep the turn, the client has been answered and false is returned.
+// beginTurn fetches the chain of previous turns and reserves the budget for what the turn may generate, both
+// concurrently. If either fails, or no turn store is known, it answers the client and returns false.
 func (x *exchange) beginTurn(ctx context.Context) bool {
 	if x.route.Kind != configuration.Streaming {
 		return true
@@ -72,7 +75,7 @@
 	reserved := x.reserve(ctx)
 	chain, chainErr := x.fetchChain(ctx)
 	reserveErr := <-reserved
-	x.turn.reserved = x.turn.budgeted && reserveErr == nil // else it has been withdrawn
+	x.turn.reserved = x.turn.budgeted && reserveErr == nil // a failed reservation has withdrawn itself
 	err := errors.Join(chainErr, reserveErr)
 	if err == nil {
 		x.prependChain(chain)
@@ -134,7 +137,7 @@
 	return x.proxy.turns.Chain(ctx, x.turn.previous)
 }
 
-// prependChain puts the inputs and outputs of the turns before this one in front of its own input.
+// prependChain puts the inputs and outputs of the previous turns in front of the turn's own input.
 func (x *exchange) prependChain(chain []*tierpb.TurnRecord) {
 	if len(chain) == 0 {
 		return
@@ -164,7 +167,7 @@
 	}
 }
 
-// completeTurn makes the turn last before its answer ends.
+// completeTurn makes the turn durable before its response ends.
 func (x *exchange) completeTurn(ctx context.Context) error {
 	t := &x.turn
 	if t.retained {
@@ -186,13 +189,13 @@
 		EndedUnixMs: time.Now().UnixMilli(), RetentionMs: uint32(x.route.Retention / time.Millisecond),
 	}
 	if x.body != nil {
-		record.Input = bytes.Clone(x.body.Bytes()) // the buffer is used again
+		record.Input = bytes.Clone(x.body.Bytes()) // the buffer is pooled
 	}
 	return record
 }
 
-// withdrawReservation gives back what was reserved where nothing of an answer was handed to the client. What broke off stays
-// reserved at its most.
+// withdrawReservation returns the reservation if nothing of a response was passed on to the client. A turn that was
+// aborted halfway stays charged with its full reservation.
 func (x *exchange) withdrawReservation() {
 	t := &x.turn
 	if !t.reserved || t.settled || t.forwarded || x.stream.events > 0 {
@@ -202,5 +205,5 @@
 	x.proxy.budgets.Withdraw(t.program, x.id)
 }
 
-// responseForwarded notes that an answer was passed on which is no stream: only a success counts as spent.
+// responseForwarded records that a response which is not a stream was passed on: only a success is charged.
 func (t *turn) responseForwarded(status int) { t.forwarded = status < 300 }
