--- a/internal/tier/configuration/lookup.go
+++ b/internal/tier/configuration/lookup.go
@@ -2,64 +2,65 @@
 
 import "strings"
 
-// place holds the routes of one host by prefix.
-type place struct {
-	routes  map[string]*Route
-	longest int
-	open    bool // some prefix does not end with a slash
+// hostRoutes holds the routes of one host by path prefix.
+type hostRoutes struct {
+	byPrefix      map[string]*Route
+	longestPrefix int
+	hasUnslashed  bool // some prefix does not end with a slash
 }
 
-func (c *Configuration) place(host string) *place {
+// routesOf returns the routes of a host, and makes an empty set for a new one.
+func (c *Configuration) routesOf(host string) *hostRoutes {
 	host = strings.ToLower(host)
-	if c.places[host] == nil {
-		c.places[host] = &place{routes: make(map[string]*Route)}
+	if c.hosts[host] == nil {
+		c.hosts[host] = &hostRoutes{byPrefix: make(map[string]*Route)}
 	}
-	return c.places[host]
+	return c.hosts[host]
 }
 
-// add says whether the prefix was free.
-func (p *place) add(route *Route) bool {
-	if p.routes[route.PathPrefix] != nil {
+// add adds a route and reports whether its prefix was free.
+func (h *hostRoutes) add(route *Route) bool {
+	if h.byPrefix[route.PathPrefix] != nil {
 		return false
 	}
-	p.routes[route.PathPrefix] = route
-	p.longest = max(p.longest, len(route.PathPrefix))
-	p.open = p.open || !strings.HasSuffix(route.PathPrefix, "/")
+	h.byPrefix[route.PathPrefix] = route
+	h.longestPrefix = max(h.longestPrefix, len(route.PathPrefix))
+	h.hasUnslashed = h.hasUnslashed || !strings.HasSuffix(route.PathPrefix, "/")
 	return true
 }
 
-// Route finds the route of a request by its Host header and its path as the client sent it, without the query:
-// the longest prefix, on slash boundaries. It is nil where there is none.
+// Route finds the route of a request by its Host header and its path as the client sent it, without the query: that
+// with the longest matching prefix, on slash boundaries. It returns nil if there is none.
 func (c *Configuration) Route(host, path string) *Route {
-	found := c.places[bareHost(host)]
-	if found == nil {
+	routes := c.hosts[hostWithoutPort(host)]
+	if routes == nil {
 		return nil
 	}
-	if found.open {
-		if route := found.routes[path]; route != nil {
+	if routes.hasUnslashed {
+		if route := routes.byPrefix[path]; route != nil {
 			return route
 		}
 	}
-	end := min(len(path), found.longest+1)
+	end := min(len(path), routes.longestPrefix+1)
 	for end = strings.LastIndexByte(path[:end], '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if route := found.routes[path[:end+1]]; route != nil {
+		if route := routes.byPrefix[path[:end+1]]; route != nil {
 			return route
 		}
-		if !found.open {
+		if !routes.hasUnslashed {
 			continue
 		}
-		if route := found.routes[path[:end]]; route != nil {
+		if route := routes.byPrefix[path[:end]]; route != nil {
 			return route
 		}
 	}
 	return nil
 }
 
-// Service finds a service by name; nil where there is none.
+// Service finds a service by name, or returns nil if there is none.
 func (c *Configuration) Service(name string) *Service { return c.services[name] }
 
-// bareHost takes the port off and lowers the case.
-func bareHost(host string) string {
+// hostWithoutPort removes the port and converts to lower case.
+func hostWithoutPort(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.IndexByte(host[colon:], ']') < 0 {
 		host = host[:colon]
 	}
--- a/internal/tier/configuration/parse.go
+++ b/internal/tier/configuration/parse.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits of a configuration that names none.
+// Limits of a configuration that does not set them.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 4 << 20
@@ -10,114 +10,115 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Parse reads and checks the operator's configuration, whole. An error is a *FieldError that names the field. Keys
-// that are not known are read over.
+// Parse parses and validates the operator's configuration (JSON). An error is a *FieldError that names the field at
+// fault. Unknown keys are ignored, so that newer configurations can be read; a key that occurs twice in an object is
+// an error, also in ignored values.
 func Parse(body []byte) (*Configuration, error) {
 	parsed := &Configuration{Limits: Limits{
 		MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes,
 		HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
 	}}
-	r := &reader{text: body}
-	if r.next() == 0 && r.at == len(body) {
-		return nil, faultAt("", "the body is empty")
+	p := &parser{input: body}
+	if p.peek() == 0 && p.offset == len(body) {
+		return nil, fieldErrorf("", "the body is empty")
 	}
-	present := topLevel{}
-	err := r.object(func(key string) error { return present.read(r, key, parsed) })
+	required := requiredKeys{}
+	err := p.parseObject(func(key string) error { return required.parseMember(p, key, parsed) })
 	if err != nil {
 		return nil, err
 	}
-	if err := r.end(); err != nil {
+	if err := p.expectEnd(); err != nil {
 		return nil, err
 	}
-	if err := present.complete(); err != nil {
+	if err := required.check(); err != nil {
 		return nil, err
 	}
-	if err := parsed.check(); err != nil {
+	if err := parsed.validate(); err != nil {
 		return nil, err
 	}
 	return parsed, nil
 }
 
-// topLevel notes which of the keys that every configuration has were read.
-type topLevel struct{ generation, routes, services bool }
+// requiredKeys records which of the required top-level keys were present.
+type requiredKeys struct{ generation, routes, services bool }
 
-func (t *topLevel) complete() error {
+func (r *requiredKeys) check() error {
 	switch {
-	case !t.generation:
-		return faultAt("generation", "is missing")
-	case !t.routes:
-		return faultAt("routes", "is missing")
-	case !t.services:
-		return faultAt("services", "is missing")
+	case !r.generation:
+		return fieldErrorf("generation", "is missing")
+	case !r.routes:
+		return fieldErrorf("routes", "is missing")
+	case !r.services:
+		return fieldErrorf("services", "is missing")
 	}
 	return nil
 }
 
-func (t *topLevel) read(r *reader, key string, into *Configuration) error {
+func (r *requiredKeys) parseMember(p *parser, key string, into *Configuration) error {
 	switch key {
 	case "generation":
-		t.generation = true
-		return r.wholeInto(&into.Generation)
+		r.generation = true
+		return p.uintInto(&into.Generation)
 	case "routes":
-		t.routes = true
-		return r.array(func() error {
-			route, err := readRoute(r)
+		r.routes = true
+		return p.parseArray(func() error {
+			route, err := parseRoute(p)
 			into.Routes = append(into.Routes, route)
 			return err
 		})
 	case "services":
-		t.services = true
-		return r.array(func() error {
-			service, err := readService(r)
+		r.services = true
+		return p.parseArray(func() error {
+			service, err := parseService(p)
 			into.Services = append(into.Services, service)
 			return err
 		})
 	case "limits":
-		if r.null() {
+		if p.acceptNull() {
 			return nil
 		}
-		return readLimits(r, &into.Limits)
+		return parseLimits(p, &into.Limits)
 	}
-	return r.skip()
+	return p.skipValue()
 }
 
-func readRoute(r *reader) (Route, error) {
+func parseRoute(p *parser) (Route, error) {
 	route := Route{MaxAttempts: 1, Kind: NonIdempotent}
 	var single string
-	err := r.object(func(key string) error {
+	err := p.parseObject(func(key string) error {
 		switch key {
 		case "name":
-			return r.textInto(&route.Name)
+			return p.stringInto(&route.Name)
 		case "hostname":
-			return r.textInto(&route.Host)
+			return p.stringInto(&route.Host)
 		case "pathPrefix":
-			return r.textInto(&route.PathPrefix)
+			return p.stringInto(&route.PathPrefix)
 		case "kind":
-			return readKind(r, &route.Kind)
+			return parseKind(p, &route.Kind)
 		case "timeoutMs":
-			return r.durationInto(&route.Timeout, time.Millisecond)
+			return p.durationInto(&route.Timeout, time.Millisecond)
 		case "targetLatencyMs":
-			return r.durationInto(&route.TargetLatency, time.Millisecond)
+			return p.durationInto(&route.TargetLatency, time.Millisecond)
 		case "priority":
-			return r.intInto(&route.Priority)
+			return p.intInto(&route.Priority)
 		case "backend":
-			return r.textInto(&single)
+			return p.stringInto(&single)
 		case "weightedSplit":
-			return readSplit(r, &route.Backends)
+			return parseSplit(p, &route.Backends)
 		case "maxAttempts":
-			return r.intInto(&route.MaxAttempts)
+			return p.intInto(&route.MaxAttempts)
 		case "retained":
-			return r.booleanInto(&route.Retained)
+			return p.boolInto(&route.Retained)
 		case "retentionS":
-			return r.durationInto(&route.Retention, time.Second)
+			return p.durationInto(&route.Retention, time.Second)
 		case "sessionAffinity":
-			return r.booleanInto(&route.SessionAffinity)
+			return p.boolInto(&route.SessionAffinity)
 		case "resumable":
-			return r.booleanInto(&route.Resumable)
+			return p.boolInto(&route.Resumable)
 		case "gap_aim_ms":
-			return r.durationInto(&route.TargetEventGap, time.Millisecond)
+			return p.durationInto(&route.TargetEventGap, time.Millisecond)
 		}
-		return r.skip()
+		return p.skipValue()
 	})
 	if single != "" && len(route.Backends) == 0 {
 		route.Backends = []Backend{{Service: single, Weight: 1}}
@@ -126,10 +127,10 @@
 	return route, err
 }
 
-// readKind takes a kind; requests of one that is not known are sent once at most.
-func readKind(r *reader, into *Kind) error {
+// parseKind parses the kind of a route. A route of unknown kind is treated as not idempotent, which is always safe.
+func parseKind(p *parser, into *Kind) error {
 	var name string
-	if err := r.textInto(&name); err != nil {
+	if err := p.stringInto(&name); err != nil {
 		return err
 	}
 	switch name {
@@ -143,96 +144,96 @@
 	return nil
 }
 
-func readSplit(r *reader, into *[]Backend) error {
-	if r.null() {
+func parseSplit(p *parser, into *[]Backend) error {
+	if p.acceptNull() {
 		return nil
 	}
-	return r.array(func() error {
+	return p.parseArray(func() error {
 		var backend Backend
-		err := r.object(func(key string) error {
+		err := p.parseObject(func(key string) error {
 			switch key {
 			case "backend":
-				return r.textInto(&backend.Service)
+				return p.stringInto(&backend.Service)
 			case "weight":
-				return r.numberInto(&backend.Weight)
+				return p.floatInto(&backend.Weight)
 			}
-			return r.skip()
+			return p.skipValue()
 		})
 		*into = append(*into, backend)
 		return err
 	})
 }
 
-func readService(r *reader) (Service, error) {
+func parseService(p *parser) (Service, error) {
 	var service Service
-	err := r.object(func(key string) error {
+	err := p.parseObject(func(key string) error {
 		switch key {
 		case "name":
-			return r.textInto(&service.Name)
+			return p.stringInto(&service.Name)
 		case "healthPath":
-			return r.textInto(&service.HealthPath)
+			return p.stringInto(&service.HealthPath)
 		case "maxConnections":
-			return r.intInto(&service.MaxConnections)
+			return p.intInto(&service.MaxConnections)
 		case "engine":
-			if r.null() {
+			if p.acceptNull() {
 				return nil
 			}
 			service.Engine = &Engine{}
-			return readEngine(r, service.Engine)
+			return parseEngine(p, service.Engine)
 		}
-		return r.skip()
+		return p.skipValue()
 	})
 	return service, err
 }
 
-func readEngine(r *reader, into *Engine) error {
-	return r.object(func(key string) error {
+func parseEngine(p *parser, into *Engine) error {
+	return p.parseObject(func(key string) error {
 		switch key {
 		case "slots":
-			return r.intInto(&into.Slots)
+			return p.intInto(&into.Slots)
 		case "kvTokens":
-			return r.intInto(&into.KVTokens)
+			return p.intInto(&into.KVTokens)
 		case "stride":
-			return r.intInto(&into.Stride)
+			return p.intInto(&into.Stride)
 		case "models":
-			if r.null() {
+			if p.acceptNull() {
 				return nil
 			}
-			return r.array(func() error { return readModel(r, &into.Models) })
+			return p.parseArray(func() error { return parseModel(p, &into.Models) })
 		}
-		return r.skip()
+		return p.skipValue()
 	})
 }
 
-func readModel(r *reader, into *[]string) error {
+func parseModel(p *parser, into *[]string) error {
 	var name string
-	err := r.object(func(key string) error {
+	err := p.parseObject(func(key string) error {
 		if key == "name" {
-			return r.textInto(&name)
+			return p.stringInto(&name)
 		}
-		return r.skip()
+		return p.skipValue()
 	})
 	*into = append(*into, name)
 	return err
 }
 
-func readLimits(r *reader, into *Limits) error {
-	return r.object(func(key string) error {
+func parseLimits(p *parser, into *Limits) error {
+	return p.parseObject(func(key string) error {
 		switch key {
 		case "maxHeaderBytes":
-			return r.intInto(&into.MaxHeaderBytes)
+			return p.intInto(&into.MaxHeaderBytes)
 		case "maxBodyBytes":
 			var bytes uint64
-			err := r.wholeInto(&bytes)
+			err := p.uintInto(&bytes)
 			if bytes > 0 {
 				into.MaxBodyBytes = int64(min(bytes, 1<<62))
 			}
 			return err
 		case "headerTimeoutMs":
-			return r.durationInto(&into.HeaderTimeout, time.Millisecond)
+			return p.durationInto(&into.HeaderTimeout, time.Millisecond)
 		case "idleTimeoutMs":
-			return r.durationInto(&into.IdleTimeout, time.Millisecond)
+			return p.durationInto(&into.IdleTimeout, time.Millisecond)
 		}
-		return r.skip()
+		return p.skipValue()
 	})
 }
--- a/internal/tier/configuration/parse_test.go
+++ b/internal/tier/configuration/parse_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestParseTakesWhatIsNotForbidden(t *testing.T) {
+func TestParseAcceptsValidVariants(t *testing.T) {
 	cases := map[string][2]string{
 		"unknown key":         {`"generation":7`, `"later":{"a":[1,null,"x\u00e9\ud83d\ude00",true,-1.5e3]},"generation":7`},
 		"generation as float": {`"generation":7`, `"generation":7.0`},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestParseNamesTheFault(t *testing.T) {
+func TestParseErrorNamesTheField(t *testing.T) {
 	cases := map[string]struct{ from, to, field string }{
 		"unknown service":          {`"backend":"huvo11a"`, `"backend":"none"`, "routes[0]"},
 		"unknown in split":         {`"backend":"wuno96b"`, `"backend":"none"`, "routes[1]"},
@@ -98,26 +98,26 @@
 		t.Run(name, func(t *testing.T) {
 			assert.Assert(t, strings.Contains(example, test.from))
 			_, err := Parse([]byte(strings.Replace(example, test.from, test.to, 1)))
-			var fault *FieldError
-			assert.Assert(t, errors.As(err, &fault), "%v", err)
-			assert.Equal(t, fault.Field, test.field, fault.Error())
+			var invalid *FieldError
+			assert.Assert(t, errors.As(err, &invalid), "%v", err)
+			assert.Equal(t, invalid.Field, test.field, invalid.Error())
 		})
 	}
 }
 
-func TestParseRefusesEveryShorterBody(t *testing.T) {
+func TestParseRejectsEveryTruncatedBody(t *testing.T) {
 	for length := range len(example) {
 		_, err := Parse([]byte(example[:length]))
-		assert.Assert(t, err != nil, "taken when cut after %d bytes", length)
+		assert.Assert(t, err != nil, "accepted when truncated after %d bytes", length)
 	}
 }
 
-func TestParseRefusesDeepValues(t *testing.T) {
+func TestParseRejectsDeepNesting(t *testing.T) {
 	_, err := Parse([]byte(strings.Repeat(`{"a":`, 10000)))
 	assert.ErrorContains(t, err, "nested")
 }
 
-func TestRouteTakesTheLongestPrefix(t *testing.T) {
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	body := `{"generation":1,"services":[{"name":"s"}],"routes":[`
 	for i, prefix := range []string{"/", "/a/", "/a/b/", "/open"} {
 		if i > 0 {
