--- a/internal/tier/settings/live.go
+++ b/internal/tier/settings/live.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Live holds the newest settings of a process whose file may change while it runs.
+// Live holds the newest settings of a process whose file may change while it runs. It is safe for concurrent use.
 type Live struct {
 	path    string
 	mu      sync.Mutex
@@ -14,7 +14,7 @@
 	changed chan struct{}
 }
 
-// NewLive reads the file for the first time.
+// NewLive reads the file for the first time; an error means that the process cannot start.
 func NewLive(path string) (*Live, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return &Live{current: settings, changed: make(chan struct{})}
 }
 
-// Current returns the newest settings; they are not to be changed.
+// Current returns the newest settings, which callers must not change.
 func (l *Live) Current() *Settings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	return l.changed
 }
 
-// Reload reads the file again and says whether its content differs. A file that cannot be used changes nothing.
+// Reload reads the file again and reports whether its content changed. An invalid file leaves the settings as they are.
 func (l *Live) Reload() (bool, error) {
 	text, err := os.ReadFile(l.path)
 	if err != nil {
