--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks, in the code that runs, conditions that the tier's promises rest on. A violation is counted by
-// name and logged with both values; the process serves on, or refuses what it can't prove. In tests a violation ends the
-// test's process: each package that checks something calls FailTests from its tests.
+// Package invariant checks, in production code, conditions that the tier's guarantees rest on. A violation is counted
+// by name and logged with the value found and the value expected; the process continues, or rejects what it cannot
+// prove. In tests a violation panics: each package that checks an invariant calls FailTests from its tests.
 package invariant
 
 import (
@@ -13,42 +13,43 @@
 	"pulleygw.example/pulleygw/internal/tier/metrics"
 )
 
-// Message is the log line of a violation; soaks look for it.
+// Message is the log line of a violation. The soak test fails if it finds one.
 const Message = "invariant violated"
 
-// logEvery is the least time between two lines of one invariant.
-const logEvery = time.Second
+// logInterval is the shortest time between two log lines about one invariant.
+const logInterval = time.Second
 
-var violations = metrics.NewCounterVec("invariant_violations_total", "Violations of conditions that promises rest on, by name.", "invariant")
+var violations = metrics.NewCounterVec("invariant_violations_total", "Violations of invariants, by name.", "invariant")
 
 var state struct {
 	mu     sync.Mutex
 	log    hclog.Logger // of the process's role; nil before SetLogger
-	fail   bool
+	panics bool
 	logged map[string]time.Time
 }
 
-// SetLogger has violations logged.
+// SetLogger sets the logger that violations are written to. Without one they are only counted.
 func SetLogger(log hclog.Logger) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.log = log
 }
 
-// FailTests has a violation panic. Tests call it before anything else runs.
+// FailTests makes every violation panic. Tests call it before anything else runs.
 func FailTests() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.fail = true
+	state.panics = true
 }
 
-// Name names an invariant; docs/promises.md lists them.
+// Name identifies an invariant; docs/promises.md lists them.
 type Name string
 
-// Check records a violation of an invariant unless it holds, with what was found and what was to be expected.
+// Check records a violation of an invariant unless it holds, with the value found and the value expected, and returns
+// holds.
 func Check(holds bool, name Name, found, expected any) bool {
 	if !holds {
-		violated(name, found, expected)
+		recordViolation(name, found, expected)
 	}
 	return holds
 }
@@ -56,15 +57,15 @@
 // Violations is how often an invariant was violated in this process.
 func Violations(name Name) uint64 { return violations.Value(string(name)) }
 
-func violated(name Name, found, expected any) {
+func recordViolation(name Name, found, expected any) {
 	violations.Inc(string(name))
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	if state.fail {
+	if state.panics {
 		panic(fmt.Sprintf("%s: %s: found %v, want %v", Message, name, found, expected))
 	}
 	now := time.Now()
-	if state.log == nil || now.Sub(state.logged[string(name)]) < logEvery {
+	if state.log == nil || now.Sub(state.logged[string(name)]) < logInterval {
 		return
 	}
 	if state.logged == nil {
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -11,7 +11,7 @@
 
 const tested Name = "tested"
 
-func TestViolationIsCountedAndLoggedOnceASecond(t *testing.T) {
+func TestViolationIsCountedAndLoggedOncePerInterval(t *testing.T) {
 	log := &bytes.Buffer{}
 	SetLogger(hclog.New(&hclog.LoggerOptions{Output: log}))
 	defer SetLogger(nil)
@@ -25,11 +25,11 @@
 	assert.Assert(t, strings.Contains(log.String(), "found=1 expected=2"), "%s", log)
 }
 
-func TestViolationFailsTests(t *testing.T) {
+func TestViolationPanicsInTests(t *testing.T) {
 	FailTests()
 	defer func() {
 		state.mu.Lock()
-		state.fail = false
+		state.panics = false
 		state.mu.Unlock()
 	}()
 	defer func() { assert.Assert(t, recover() != nil) }()
--- a/internal/tier/invariant/names.go
+++ b/internal/tier/invariant/names.go
@@ -1,33 +1,34 @@
 package invariant
 
-// The invariants, by the promise that each guards.
+// The invariants. Each comment states the condition that is checked.
 const (
-	// NotExecutedGuarantee: 402, 408, 429 and 503 are told only of requests that no store can have run.
+	// NotExecutedGuarantee: 402, 408, 429 and 503 are sent only for requests that no store can have executed.
 	NotExecutedGuarantee Name = "not-executed-guarantee"
-	// SentOnce: a request that may not be repeated is sent to no store after one that may have run it.
+	// SentOnce: a request that is not idempotent is sent to no store after one that may have executed it.
 	SentOnce Name = "sent-once"
-	// SentWithinAttempts: one try runs on no more stores than its route allows.
+	// SentWithinAttempts: a request is executed by no more stores than its route's maxAttempts.
 	SentWithinAttempts Name = "sent-within-attempts"
-	// ReservedBeforeSent: a turn that counts against a budget is sent only with its most reserved.
+	// ReservedBeforeSent: a turn that counts against a budget is sent only after its maximum is reserved.
 	ReservedBeforeSent Name = "reserved-before-sent"
-	// WithinAllowance: no more events of a turn are passed on than were reserved.
+	// WithinAllowance: no more events of a turn are forwarded than were reserved.
 	WithinAllowance Name = "within-allowance"
-	// PersistedBeforeEnd: a turn that is kept is saved before its answer ends.
+	// PersistedBeforeEnd: a turn that is retained is saved before its response ends.
 	PersistedBeforeEnd Name = "persisted-before-end"
-	// WithinBudget: a claim that passes leaves the claims of its program within the budget.
+	// WithinBudget: a reservation that is granted leaves the reservations of its program within the budget.
 	WithinBudget Name = "within-budget"
-	// GenerationMonotonic: within one life a process's configuration has a generation that never falls.
+	// GenerationMonotonic: the generation of a process's configuration never decreases while the process runs.
 	GenerationMonotonic Name = "generation-monotonic"
-	// OneValuePerVersion: control states of one version hold the same configuration.
+	// OneValuePerVersion: control states of the same version hold the same configuration.
 	OneValuePerVersion Name = "one-value-per-version"
-	// ReadNotOlder: a configuration that is told is no older than one that was acknowledged by the same process before.
+	// ReadNotOlder: a process never returns a configuration older than one that it acknowledged before.
 	ReadNotOlder Name = "read-not-older"
-	// PreparedMonotonic: an acceptor's promised ballot never falls, and never lies below the accepted one.
+	// PreparedMonotonic: the highest proposal number that an acceptor has prepared never decreases, and is never below the
+	// accepted one.
 	PreparedMonotonic Name = "prepared-monotonic"
-	// RecordsImmutable: two records of one turn are the same.
+	// RecordsImmutable: two records of one turn are identical.
 	RecordsImmutable Name = "records-immutable"
-	// TerminalStateFinal: a store that is draining or gone stays so.
+	// TerminalStateFinal: a store that is draining or deregistered stays so.
 	TerminalStateFinal Name = "terminal-state-final"
-	// InFlightNotNegative: no more requests leave a store than were sent there.
+	// InFlightNotNegative: no more requests end at a store than were sent there.
 	InFlightNotNegative Name = "in-flight-not-negative"
 )
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,8 +1,11 @@
-// Package metrics counts what a process of the tier does and tells it as text, in the exposition format of Prometheus
-// (version 0.0.4). Counters belong to the process: they are made once, as variables of the packages that count.
+// Package metrics counts events of a process of the tier and serves them in the Prometheus text exposition format,
+// version 0.0.4 (https://prometheus.io/docs/instrumenting/exposition_formats/).
+//
+// Metrics are made once, as variables of the packages that count; they register themselves with the process.
 package metrics
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"slices"
@@ -11,19 +14,19 @@
 	"sync/atomic"
 )
 
-// prefix begins all names.
+// prefix is the namespace of all metrics.
 const prefix = "pulleytier_"
 
-// mostValues bounds the values of a label; further ones are counted together.
+// maxLabelValues bounds the cardinality of a label; events of further values are counted under otherValue.
 const (
-	mostValues = 128
-	otherValue = "other"
+	maxLabelValues = 128
+	otherValue     = "other"
 )
 
-// metric is what a registry tells of.
+// metric is what can be registered.
 type metric interface {
 	name() string
-	write(to io.Writer)
+	write(to *bytes.Buffer)
 }
 
 // registry holds the metrics of the process.
@@ -38,27 +41,30 @@
 	registry.metrics = append(registry.metrics, added)
 }
 
-// Write tells all metrics of the process, by name.
-func Write(to io.Writer) {
+// Write writes all metrics of the process, sorted by name.
+func Write(to io.Writer) error {
+	var text bytes.Buffer
 	registry.mu.Lock()
-	all := slices.Clone(registry.metrics)
+	metrics := slices.Clone(registry.metrics)
 	registry.mu.Unlock()
-	slices.SortFunc(all, func(a, b metric) int { return strings.Compare(a.name(), b.name()) })
-	for _, one := range all {
-		one.write(to)
+	slices.SortFunc(metrics, func(a, b metric) int { return strings.Compare(a.name(), b.name()) })
+	for _, registered := range metrics {
+		registered.write(&text)
 	}
+	_, err := text.WriteTo(to)
+	return err
 }
 
-// Counter counts events. It is safe for concurrent use.
+// Counter is a count that only increases. It is safe for concurrent use.
 type Counter struct {
-	called string
-	help   string
-	count  atomic.Uint64
+	fullName string
+	help     string
+	count    atomic.Uint64
 }
 
-// NewCounter makes a counter; its name is told behind the tier's prefix.
+// NewCounter makes and registers a counter. The name gets the tier's prefix.
 func NewCounter(name, help string) *Counter {
-	counter := &Counter{called: prefix + name, help: help}
+	counter := &Counter{fullName: prefix + name, help: help}
 	register(counter)
 	return counter
 }
@@ -72,48 +78,48 @@
 // Value is the number of events so far.
 func (c *Counter) Value() uint64 { return c.count.Load() }
 
-func (c *Counter) name() string { return c.called }
+func (c *Counter) name() string { return c.fullName }
 
-func (c *Counter) write(to io.Writer) {
-	writeHead(to, c.called, c.help, "counter")
-	fmt.Fprintf(to, "%s %d\n", c.called, c.Value())
+func (c *Counter) write(to *bytes.Buffer) {
+	writeHeader(to, c.fullName, c.help, "counter")
+	fmt.Fprintf(to, "%s %d\n", c.fullName, c.Value())
 }
 
-// CounterVec counts events by the value of a label. It is safe for concurrent use.
+// CounterVec is a set of counters, one for each value of a label. It is safe for concurrent use.
 type CounterVec struct {
-	called string
-	help   string
-	label  string
+	fullName string
+	help     string
+	label    string
 
 	mu     sync.Mutex
 	counts map[string]uint64
 }
 
-// NewCounterVec makes a vector of counters.
+// NewCounterVec makes and registers a counter vector. The name gets the tier's prefix.
 func NewCounterVec(name, help, label string) *CounterVec {
-	vector := &CounterVec{called: prefix + name, help: help, label: label, counts: make(map[string]uint64)}
+	vector := &CounterVec{fullName: prefix + name, help: help, label: label, counts: make(map[string]uint64)}
 	register(vector)
 	return vector
 }
 
-// Inc counts one event of a value.
+// Inc counts one event with this label value.
 func (v *CounterVec) Inc(value string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if _, known := v.counts[value]; !known && len(v.counts) >= mostValues {
+	if _, known := v.counts[value]; !known && len(v.counts) >= maxLabelValues {
 		value = otherValue
 	}
 	v.counts[value]++
 }
 
-// Value is the number of events of a value so far.
+// Value is the number of events with this label value so far.
 func (v *CounterVec) Value(value string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.counts[value]
 }
 
-// Total is the number of events of all values.
+// Total is the number of events of all label values.
 func (v *CounterVec) Total() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -124,9 +130,9 @@
 	return total
 }
 
-func (v *CounterVec) name() string { return v.called }
+func (v *CounterVec) name() string { return v.fullName }
 
-func (v *CounterVec) write(to io.Writer) {
+func (v *CounterVec) write(to *bytes.Buffer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	values := make([]string, 0, len(v.counts))
@@ -134,37 +140,38 @@
 		values = append(values, value)
 	}
 	slices.Sort(values)
-	writeHead(to, v.called, v.help, "counter")
+	writeHeader(to, v.fullName, v.help, "counter")
 	for _, value := range values {
-		fmt.Fprintf(to, "%s{%s=\"%s\"} %d\n", v.called, v.label, escape(value), v.counts[value])
+		fmt.Fprintf(to, "%s{%s=\"%s\"} %d\n", v.fullName, v.label, escape(value), v.counts[value])
 	}
 }
 
-// GaugeFunc tells a figure as it stands when it is asked for.
+// GaugeFunc is a gauge whose value is read from a function at each scrape.
 type GaugeFunc struct {
-	called string
-	help   string
-	read   func() float64
+	fullName string
+	help     string
+	read     func() float64
 }
 
-// NewGaugeFunc makes a gauge of a function that may be called at any time.
+// NewGaugeFunc makes and registers a gauge. The function must be safe to call at any time.
 func NewGaugeFunc(name, help string, read func() float64) *GaugeFunc {
-	gauge := &GaugeFunc{called: prefix + name, help: help, read: read}
+	gauge := &GaugeFunc{fullName: prefix + name, help: help, read: read}
 	register(gauge)
 	return gauge
 }
 
-func (g *GaugeFunc) name() string { return g.called }
+func (g *GaugeFunc) name() string { return g.fullName }
 
-func (g *GaugeFunc) write(to io.Writer) {
-	writeHead(to, g.called, g.help, "gauge")
-	fmt.Fprintf(to, "%s %g\n", g.called, g.read())
+func (g *GaugeFunc) write(to *bytes.Buffer) {
+	writeHeader(to, g.fullName, g.help, "gauge")
+	fmt.Fprintf(to, "%s %g\n", g.fullName, g.read())
 }
 
-func writeHead(to io.Writer, name, help, kind string) {
+func writeHeader(to *bytes.Buffer, name, help, kind string) {
 	fmt.Fprintf(to, "# HELP %s %s\n# TYPE %s %s\n", name, help, name, kind)
 }
 
+// escapes are the escape sequences of label values.
 var escapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 func escape(value string) string { return escapes.Replace(value) }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -12,47 +12,48 @@
 	"gotest.tools/v3/assert"
 )
 
-func text() string {
-	written := &strings.Builder{}
-	Write(written)
-	return written.String()
+func exposition(t *testing.T) string {
+	t.Helper()
+	text := &strings.Builder{}
+	assert.NilError(t, Write(text))
+	return text.String()
 }
 
-func TestMetricsAreToldByName(t *testing.T) {
+func TestMetricsAreWrittenSortedByName(t *testing.T) {
 	counter := NewCounter("test_events_total", "Events of the test.")
 	counter.Inc()
 	counter.Add(2)
 	NewGaugeFunc("test_a_gauge", "A gauge of the test.", func() float64 { return 1.5 })
-	told := text()
-	assert.Assert(t, strings.Contains(told, "# TYPE pulleytier_test_events_total counter\npulleytier_test_events_total 3\n"), told)
-	assert.Assert(t, strings.Index(told, "pulleytier_test_a_gauge 1.5") < strings.Index(told, "pulleytier_test_events_total 3"), told)
+	written := exposition(t)
+	assert.Assert(t, strings.Contains(written, "# TYPE pulleytier_test_events_total counter\npulleytier_test_events_total 3\n"), written)
+	assert.Assert(t, strings.Index(written, "pulleytier_test_a_gauge 1.5") < strings.Index(written, "pulleytier_test_events_total 3"), written)
 }
 
 func TestLabelsAreEscapedAndBounded(t *testing.T) {
 	vector := NewCounterVec("test_by_kind_total", "Events of the test by kind.", "kind")
 	vector.Inc("a \"b\"\n\\")
-	for number := range 2 * mostValues {
+	for number := range 2 * maxLabelValues {
 		vector.Inc(fmt.Sprint(number))
 	}
-	assert.Equal(t, vector.Total(), uint64(2*mostValues+1))
-	assert.Equal(t, vector.Value(otherValue), uint64(mostValues+1))
-	assert.Assert(t, strings.Contains(text(), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), text())
+	assert.Equal(t, vector.Total(), uint64(2*maxLabelValues+1))
+	assert.Equal(t, vector.Value(otherValue), uint64(maxLabelValues+1))
+	assert.Assert(t, strings.Contains(exposition(t), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), exposition(t))
 }
 
-func TestPlaceOfMetrics(t *testing.T) {
-	place, err := ParseEndpoint("9464/metrics")
+func TestParseEndpoint(t *testing.T) {
+	endpoint, err := ParseEndpoint("9464/metrics")
 	assert.NilError(t, err)
-	assert.Equal(t, place, Endpoint{Port: 9464, Path: "/metrics"})
-	place, err = ParseEndpoint("9464")
+	assert.Equal(t, endpoint, Endpoint{Port: 9464, Path: "/metrics"})
+	endpoint, err = ParseEndpoint("9464")
 	assert.NilError(t, err)
-	assert.Equal(t, place.Path, "/")
+	assert.Equal(t, endpoint.Path, "/")
 	for _, wrong := range []string{"", "/metrics", "metrics", "0/metrics", "65536/m", "-1/m"} {
 		_, err := ParseEndpoint(wrong)
 		assert.ErrorContains(t, err, "want PORT/PATH", wrong)
 	}
 }
 
-func TestMetricsAreServedUntilTheEnd(t *testing.T) {
+func TestMetricsAreServed(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -64,9 +65,9 @@
 	answer, err := http.Get(address + "/metrics")
 	assert.NilError(t, err)
 	defer answer.Body.Close()
-	told, err := io.ReadAll(answer.Body)
+	written, err := io.ReadAll(answer.Body)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(told), "pulleytier_goroutines "), "%s", told)
+	assert.Assert(t, strings.Contains(string(written), "pulleytier_goroutines "), "%s", written)
 	other, err := http.Get(address + "/")
 	assert.NilError(t, err)
 	defer other.Body.Close()
--- a/internal/tier/result/result.go
+++ b/internal/tier/result/result.go
@@ -1,5 +1,7 @@
-// Package result numbers what the control API may answer other than success. The numbers stand in the JSON bodies of
-// its errors and never change their meaning; docs/result-codes.md lists them.
+// Package result numbers the errors of the control API. The codes stand in the JSON bodies of its error responses and
+// never change their meaning; docs/result-codes.md lists them and is generated from the table here.
+//
+// A handler makes an Error with New or InField and sends it with Write; the HTTP status follows from the code.
 package result
 
 import (
@@ -8,7 +10,8 @@
 	"strconv"
 )
 
-// Code numbers one result. The thousands tell the group.
+// Code is the number of one result. The thousands tell the group: 1 malformed requests, 2 configurations, 3
+// registrations, 4 retirements, 5 states of the control plane in which a request gets no definite answer.
 type Code int
 
 // Malformed requests.
@@ -43,7 +46,7 @@
 	MachineKeepsNothing Code = 4006
 )
 
-// States of the control plane in which an order gets no clear answer; it is to be sent again.
+// States of the control plane in which a change gets no definite answer; the same request should be sent again.
 const (
 	NoQuorum         Code = 5001
 	Uncertain        Code = 5002
@@ -57,16 +60,16 @@
 	OrderLookedUp    Code = 5015
 )
 
-// Description tells what a code means.
+// Description explains a code.
 type Description struct {
 	Code    Code
 	Name    string
-	Status  int    // of the HTTP answer
-	Meaning string // what has happened
-	Action  string // what the caller does
+	Status  int    // HTTP status
+	Meaning string // what has happened, for operators
+	Action  string // what the caller should do
 }
 
-// String is the code's name.
+// String is the code's name as in JSON, or its number if the code is unknown.
 func (c Code) String() string {
 	described, ok := Describe(c)
 	if !ok {
@@ -75,7 +78,7 @@
 	return described.Name
 }
 
-// Status is the HTTP status that goes with the code.
+// Status is the HTTP status of the code; 500 for an unknown code.
 func (c Code) Status() int {
 	described, ok := Describe(c)
 	if !ok {
@@ -84,22 +87,22 @@
 	return described.Status
 }
 
-// Error is a result with what the caller should know besides.
+// Error is a result with details for the caller.
 type Error struct {
 	Code    Code
-	Field   string // of the body or header at fault, such as routes[3].backend; may be empty
+	Field   string // field of the body, or header, at fault, such as routes[3].backend; may be empty
 	Message string // may be empty
 }
 
-// New makes an Error.
+// New makes an Error; an empty message stands for the meaning of the code.
 func New(code Code, message string) *Error { return &Error{Code: code, Message: message} }
 
-// InField makes an Error about one field.
+// InField makes an Error about one field of the request.
 func InField(code Code, field, message string) *Error {
 	return &Error{Code: code, Field: field, Message: message}
 }
 
-// Error says what has happened in one line.
+// Error returns name, field and message in one line.
 func (e *Error) Error() string {
 	text := e.Code.String()
 	if e.Field != "" {
@@ -111,7 +114,7 @@
 	return text
 }
 
-// Body is the JSON body of an answer that is not a success.
+// Body is the JSON body of an error response.
 type Body struct {
 	Code    Code   `json:"code"`
 	Name    string `json:"name"`
@@ -119,7 +122,7 @@
 	Message string `json:"message"`
 }
 
-// Write answers with the error's status and body. Headers such as Retry-After are set before.
+// Write sends the status and the body of an error. Headers such as Retry-After must be set before.
 func Write(w http.ResponseWriter, e *Error) {
 	described, _ := Describe(e.Code)
 	body := Body{Code: e.Code, Name: e.Code.String(), Field: e.Field, Message: e.Message}
@@ -128,10 +131,10 @@
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		text = []byte("{}") // not reached: all members are strings and numbers
+		text = []byte("{}") // cannot happen: all members are strings and numbers
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(e.Code.Status())
-	_, _ = w.Write(text) // a caller that left needs no answer
+	_, _ = w.Write(text) // nothing can be told to a caller that disconnected
 }
--- a/internal/tier/result/result_test.go
+++ b/internal/tier/result/result_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, string(got), wantedPage())
 }
 
-func TestTableRisesAndNamesAreUnique(t *testing.T) {
+func TestCodesAscendAndNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
 	before := result.Code(0)
 	for _, row := range result.Table() {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestUncertainResultsAreNeverRefusals(t *testing.T) {
+func TestUncertainResultsAreServerErrors(t *testing.T) {
 	for _, row := range result.Table() {
 		if row.Code >= 5000 {
 			assert.Assert(t, row.Status >= 500, "%s must not look like a refusal: %d", row.Name, row.Status)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestWriteWithoutAMessageTellsTheMeaning(t *testing.T) {
+func TestWriteWithoutMessageSendsTheMeaning(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	result.Write(recorder, result.New(result.Uncertain, ""))
 	assert.Equal(t, recorder.Code, 503)
@@ -85,7 +85,7 @@
 	assert.Equal(t, body.Message, "The change was proposed and its end is not known; it may be in force.")
 }
 
-func TestUnknownCodeIsAMistakeOfOurs(t *testing.T) {
+func TestUnknownCodeIsInternalError(t *testing.T) {
 	assert.Equal(t, result.Code(9999).Status(), 500)
 	assert.Equal(t, result.Code(9999).String(), "9999")
 }
