--- a/examples/tier/main.go
+++ b/examples/tier/main.go
@@ -1,6 +1,6 @@
-// Command tier plays a whole serving tier on this machine: three coordinators, three turn stores and two edges on
-// loopback addresses, each role a process of its own, with toy stores and a toy operator that sends the first
-// configuration. It ends all of them at SIGINT or SIGTERM.
+// Command tier runs a complete serving tier on this machine: three coordinators, three turn stores and two edges on
+// loopback addresses, each role a process of its own, with fake stores and a fake operator that sends the first
+// configuration. SIGINT or SIGTERM ends all of them. It needs the built program (target/pulleytier).
 package main
 
 import (
@@ -20,10 +20,10 @@
 )
 
 const (
-	storesOfService = 3
-	slots           = 16
-	startPatience   = 30 * time.Second
-	askInterval     = 100 * time.Millisecond
+	storesPerService  = 3
+	slots             = 16
+	startTimeout      = 30 * time.Second
+	readinessInterval = 100 * time.Millisecond
 )
 
 type options struct {
@@ -33,25 +33,25 @@
 }
 
 func main() {
-	told := options{}
-	kong.Parse(&told, kong.Name("tier"), kong.Description("A whole serving tier on loopback, with toy stores and operator."))
+	flags := options{}
+	kong.Parse(&flags, kong.Name("tier"), kong.Description("A complete serving tier on loopback, with fake stores and operator."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := told.play(ctx); err != nil {
+	if err := flags.run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "tier:", err)
 		os.Exit(1)
 	}
 }
 
-func (o *options) play(ctx context.Context) error {
+func (o *options) run(ctx context.Context) error {
 	folder := o.Folder
 	if folder == "" {
-		made, err := os.MkdirTemp("", "tier-")
+		temporary, err := os.MkdirTemp("", "tier-")
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(made)
-		folder = made
+		defer func() { _ = os.RemoveAll(temporary) }()
+		folder = temporary
 	}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: folder, Subnet: o.Subnet, Zones: []string{"north", "south", "west"},
@@ -64,25 +64,26 @@
 	if err := tier.Start(); err != nil {
 		return err
 	}
-	if err := surround(ctx, tier); err != nil {
+	if err := prepare(ctx, tier); err != nil {
 		return err
 	}
-	tell(tier, folder)
+	printAddresses(tier, folder)
 	<-ctx.Done()
 	return nil
 }
 
+// launch is the command that runs a role.
 func (o *options) launch(role, settingsPath string) *exec.Cmd {
 	command := exec.Command(o.Program, role, "--settings", settingsPath)
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal comes from here only
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal must reach this process only
 	return command
 }
 
-// surround starts the toy stores, sends the configuration and waits until the edges take clients.
-func surround(ctx context.Context, tier *testbed.Tier) error {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+// prepare starts the fake stores, sends the configuration and waits until the edges are ready for clients.
+func prepare(ctx context.Context, tier *testbed.Tier) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for range storesOfService {
+	for range storesPerService {
 		for _, service := range []string{testbed.PlainService, testbed.EngineService} {
 			if _, err := tier.AddStore(ctx, service, slots); err != nil {
 				return err
@@ -90,25 +91,26 @@
 		}
 	}
 	operator := testbed.NewOperator(tier.Controls())
-	answer, err := operator.PutConfiguration(ctx, 0, testbed.ExampleConfiguration(1).Body())
+	response, err := operator.PutConfiguration(ctx, 0, testbed.ExampleConfiguration(1).Body())
 	if err != nil {
 		return err
 	}
-	if answer.Status != 200 {
-		return eris.Errorf("the configuration was refused: %d %s", answer.Status, answer.Body)
+	if response.Status != 200 {
+		return eris.Errorf("the configuration was rejected: %d %s", response.Status, response.Body)
 	}
 	for _, edge := range tier.Edges {
 		for tier.Ready(ctx, edge) != nil {
 			select {
 			case <-ctx.Done():
 				return eris.Errorf("%s did not become ready", edge.Settings.NodeName)
-			case <-time.After(askInterval):
+			case <-time.After(readinessInterval):
 			}
 		}
 	}
 	return nil
 }
 
+// terminate ends all roles in the order of a planned shutdown.
 func terminate(tier *testbed.Tier) {
 	for _, machine := range slices.Backward(tier.Machines()) { // edges first, coordinators last
 		if err := machine.Terminate(); err != nil {
@@ -117,7 +119,7 @@
 	}
 }
 
-func tell(tier *testbed.Tier, folder string) {
+func printAddresses(tier *testbed.Tier, folder string) {
 	fmt.Printf("clients:  %v, Host: %s\n", tier.Fronts(), testbed.Host)
 	fmt.Printf("routes:   %s %s %s %s\n", testbed.FetchPrefix, testbed.OrderPrefix, testbed.DraftPrefix, testbed.TalkPrefix)
 	fmt.Printf("operator: %v\n", tier.Controls())
--- a/internal/tier/command/check.go
+++ b/internal/tier/command/check.go
@@ -1,45 +1,46 @@
 package command
 
 import (
-	"fmt"
 	"os"
 
 	"pulleygw.example/pulleygw/internal/tier/configuration"
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
+// checkSettings is the command check-settings.
 type checkSettings struct {
 	File string `arg:"" help:"Settings file (TOML)."`
 }
 
-// Run checks a settings file as a role would at its start.
-func (c *checkSettings) Run(around *environment) error {
-	read, err := settings.Load(c.File)
+// Run validates a settings file as a role does at its start.
+func (c *checkSettings) Run(env *environment) error {
+	parsed, err := settings.Load(c.File)
 	if err != nil {
-		around.fail(ExitBadFile, err)
+		env.fail(ExitBadFile, err)
 		return nil
 	}
-	fmt.Fprintf(around.out, "%s: good: %s at %s, %d seeds\n", c.File, read.NodeName, read.IP, len(read.Seeds))
+	env.printf("%s: good: %s at %s, %d seeds\n", c.File, parsed.NodeName, parsed.IP, len(parsed.Seeds))
 	return nil
 }
 
+// checkConfig is the command check-config.
 type checkConfig struct {
 	File string `arg:"" help:"Configuration (JSON), as an operator would send it."`
 }
 
-// Run checks a configuration as a coordinator would before taking it, but for the version it builds on.
-func (c *checkConfig) Run(around *environment) error {
+// Run validates a configuration as a coordinator does before it proposes it, except for the version in If-Match.
+func (c *checkConfig) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
-		around.fail(ExitBadFile, err)
+		env.fail(ExitBadFile, err)
 		return nil
 	}
-	read, err := configuration.Parse(text)
+	parsed, err := configuration.Parse(text)
 	if err != nil {
-		around.fail(ExitBadFile, err)
+		env.fail(ExitBadFile, err)
 		return nil
 	}
-	fmt.Fprintf(around.out, "%s: good: generation %d, %d routes, %d services\n",
-		c.File, read.Generation, len(read.Routes), len(read.Services))
+	env.printf("%s: good: generation %d, %d routes, %d services\n",
+		c.File, parsed.Generation, len(parsed.Routes), len(parsed.Services))
 	return nil
 }
--- a/internal/tier/command/command.go
+++ b/internal/tier/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of the serving tier: it reads the settings, runs one role until the process is
-// told to stop, and checks files for operators.
+// Package command is the command line of pulleytier: it loads the settings, runs one role until the process is told to
+// stop, reloads changed settings meanwhile, and checks files for operators. The flags are parsed with kong.
 package command
 
 import (
@@ -13,16 +13,16 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-// ExitCode is the status that the program ends with.
+// ExitCode is the exit status of the process.
 type ExitCode int
 
 // The exit codes.
 const (
-	ExitOK          ExitCode = 0 // the role was told to stop and has shut down, or the file checked is good
-	ExitRoleFailed  ExitCode = 1 // the role could not start or broke down
-	ExitUsage       ExitCode = 2 // the command line is wrong
-	ExitBadSettings ExitCode = 3 // the settings file cannot be read or used
-	ExitBadFile     ExitCode = 4 // the file checked cannot be read or used
+	ExitOK          ExitCode = 0 // the role was told to stop and has shut down, or the checked file is valid
+	ExitRoleFailed  ExitCode = 1 // the role could not start or ended by an error
+	ExitUsage       ExitCode = 2 // the command line is invalid
+	ExitBadSettings ExitCode = 3 // the settings file cannot be read or is invalid
+	ExitBadFile     ExitCode = 4 // the checked file cannot be read or is invalid
 )
 
 const (
@@ -31,7 +31,7 @@
 		settings.EnvironmentVariable + " names."
 )
 
-// options are the flags of every command.
+// options are the flags and commands of the command line.
 type options struct {
 	LogLevel  string `enum:"trace,debug,info,warn,error" default:"info" help:"Least level that is logged: ${enum}."`
 	LogFormat string `enum:"text,json" default:"text" help:"Form of log lines: ${enum}."`
@@ -49,7 +49,7 @@
 	code    ExitCode
 }
 
-// logger makes the log of a role.
+// logger makes a role's logger.
 func (e *environment) logger(name string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:       name,
@@ -59,64 +59,70 @@
 	})
 }
 
+// printf prints the output of a command.
+func (e *environment) printf(format string, arguments ...any) {
+	_, _ = fmt.Fprintf(e.out, format, arguments...) // nothing can be done if standard output is closed
+}
+
 // fail prints an error and sets the exit code.
 func (e *environment) fail(code ExitCode, err error) {
-	fmt.Fprintf(e.err, "%s: %v\n", programName, err)
+	_, _ = fmt.Fprintf(e.err, "%s: %v\n", programName, err) // nothing can be done if standard error is closed
 	e.code = code
 }
 
-// Run carries out one command line and returns the exit code.
+// Run executes one command line and returns the exit code.
 func Run(arguments []string, out, err io.Writer) ExitCode {
 	return run(arguments, out, err, roles)
 }
 
-// leave carries an exit asked for by the command line's parser (--help) out of it.
-type leave struct{ code ExitCode }
+// exitRequest carries an exit requested by kong (--help) out of its parser as a panic value.
+type exitRequest struct{ code ExitCode }
 
-func run(arguments []string, out, errOut io.Writer, table []Role) (code ExitCode) {
+func run(arguments []string, out, errOut io.Writer, roles []Role) (code ExitCode) {
 	defer func() {
-		switch left := recover().(type) {
+		switch exit := recover().(type) {
 		case nil:
-		case leave:
-			code = left.code
+		case exitRequest:
+			code = exit.code
 		default:
-			panic(left)
+			panic(exit)
 		}
 	}()
-	flags := &options{}
-	settle := []kong.Option{
+	parsedOptions := &options{}
+	kongOptions := []kong.Option{
 		kong.Name(programName),
 		kong.Description(description),
 		kong.Writers(out, errOut),
-		kong.Exit(func(status int) { panic(leave{ExitCode(status)}) }),
+		kong.Exit(func(status int) { panic(exitRequest{ExitCode(status)}) }),
 	}
-	for _, role := range table {
-		settle = append(settle, kong.DynamicCommand(role.Name, role.Help, "roles", &runRole{role: role}))
+	for _, role := range roles {
+		kongOptions = append(kongOptions, kong.DynamicCommand(role.Name, role.Help, "roles", &runRole{role: role}))
 	}
-	parser, err := kong.New(flags, settle...)
+	env := &environment{options: parsedOptions, out: out, err: errOut}
+	parser, err := kong.New(parsedOptions, kongOptions...)
 	if err != nil {
-		panic(err) // the tags above are wrong
+		panic(err) // the struct tags above are wrong
 	}
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
-		fmt.Fprintf(errOut, "%s: %v\n", programName, err)
-		return ExitUsage
+		env.fail(ExitUsage, err)
+		return env.code
 	}
-	around := &environment{options: flags, out: out, err: errOut}
-	if err := parsed.Run(around); err != nil {
-		around.fail(ExitRoleFailed, err)
+	if err := parsed.Run(env); err != nil {
+		env.fail(ExitRoleFailed, err)
 	}
-	return around.code
+	return env.code
 }
 
+// version is the command version.
 type version struct{}
 
 // Run prints the module's version and the revision it was built from.
-func (version) Run(around *environment) error {
+func (version) Run(env *environment) error {
 	revision := "unknown revision"
 	built, ok := debug.ReadBuildInfo()
 	if !ok {
-		fmt.Fprintln(around.out, programName, revision)
+		env.printf("%s %s\n", programName, revision)
 		return nil
 	}
 	for _, setting := range built.Settings {
@@ -124,6 +130,6 @@
 			revision = setting.Value
 		}
 	}
-	fmt.Fprintln(around.out, programName, built.Main.Version, revision, built.GoVersion)
+	env.printf("%s %s %s %s\n", programName, built.Main.Version, revision, built.GoVersion)
 	return nil
 }
--- a/internal/tier/command/command_test.go
+++ b/internal/tier/command/command_test.go
@@ -32,103 +32,103 @@
  "services":[{"name":"s","healthPath":"/healthz","maxConnections":10,"protocol":"h1","tls":false}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// outcome is what a command line has left.
+// outcome is the exit code and the output of a command line.
 type outcome struct {
 	code     ExitCode
 	out, err string
 }
 
-func carryOut(table []Role, arguments ...string) outcome {
+func runCommand(table []Role, arguments ...string) outcome {
 	out, err := &bytes.Buffer{}, &bytes.Buffer{}
 	code := run(arguments, out, err, table)
 	return outcome{code, out.String(), err.String()}
 }
 
 func TestHelpNamesEveryRole(t *testing.T) {
-	got := carryOut(roles, "--help")
+	got := runCommand(roles, "--help")
 	assert.Equal(t, got.code, ExitOK)
 	for _, role := range []string{"proxy", "agent", "coordinator", "turn-store", "check-settings", "check-config"} {
 		assert.Assert(t, strings.Contains(got.out, role), "%s is missing in:\n%s", role, got.out)
 	}
 }
 
-func TestAWrongCommandLineIsUsage(t *testing.T) {
+func TestInvalidCommandLineExitsWithUsage(t *testing.T) {
 	for _, arguments := range [][]string{nil, {"bogus"}, {"proxy", "--bogus"}, {"--log-level=loud", "version"}} {
-		got := carryOut(roles, arguments...)
+		got := runCommand(roles, arguments...)
 		assert.Equal(t, got.code, ExitUsage, "%v", arguments)
 		assert.Assert(t, got.err != "", "%v", arguments)
 	}
 }
 
 func TestVersion(t *testing.T) {
-	got := carryOut(roles, "version")
+	got := runCommand(roles, "version")
 	assert.Equal(t, got.code, ExitOK)
 	assert.Assert(t, strings.HasPrefix(got.out, "pulleytier "), got.out)
 }
 
 func TestCheckSettings(t *testing.T) {
-	got := carryOut(roles, "check-settings", write(t, goodSettings))
+	got := runCommand(roles, "check-settings", writeFile(t, goodSettings))
 	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Assert(t, strings.Contains(got.out, "good: edge-a-1 at 127.0.0.1, 1 seeds"), got.out)
 
 	wrong := strings.Replace(goodSettings, "127.0.0.2:8000", "somewhere", 1)
-	got = carryOut(roles, "check-settings", write(t, wrong))
+	got = runCommand(roles, "check-settings", writeFile(t, wrong))
 	assert.Equal(t, got.code, ExitBadFile)
 	assert.Assert(t, strings.Contains(got.err, `seeds[0] "somewhere" is not ip:port`), got.err)
 
-	got = carryOut(roles, "check-settings", filepath.Join(t.TempDir(), "none"))
+	got = runCommand(roles, "check-settings", filepath.Join(t.TempDir(), "none"))
 	assert.Equal(t, got.code, ExitBadFile)
 }
 
 func TestCheckConfig(t *testing.T) {
-	got := carryOut(roles, "check-config", write(t, goodConfiguration))
+	got := runCommand(roles, "check-config", writeFile(t, goodConfiguration))
 	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Assert(t, strings.Contains(got.out, "good: generation 3, 1 routes, 1 services"), got.out)
 
-	got = carryOut(roles, "check-config", write(t, strings.Replace(goodConfiguration, `"backend":"s"`, `"backend":"x"`, 1)))
+	got = runCommand(roles, "check-config", writeFile(t, strings.Replace(goodConfiguration, `"backend":"s"`, `"backend":"x"`, 1)))
 	assert.Equal(t, got.code, ExitBadFile)
 	assert.Assert(t, strings.Contains(got.err, "routes[0]"), got.err)
 }
 
-func TestARoleWithoutUsableSettingsNamesTheKey(t *testing.T) {
+func TestInvalidSettingsAreReportedByKey(t *testing.T) {
 	never := []Role{{Name: "proxy", Help: "h", Run: func(context.Context, *settings.Live, hclog.Logger) error {
 		t.Error("the role was started")
 		return nil
 	}}}
-	got := carryOut(never, "proxy", "--settings", write(t, strings.Replace(goodSettings, `"127.0.0.1"`, `"nowhere"`, 1)))
+	got := runCommand(never, "proxy", "--settings", writeFile(t, strings.Replace(goodSettings, `"127.0.0.1"`, `"nowhere"`, 1)))
 	assert.Equal(t, got.code, ExitBadSettings)
 	assert.Assert(t, strings.Contains(got.err, "ip "), got.err)
 }
 
-func TestTheSettingsFileIsNamedByTheEnvironment(t *testing.T) {
-	t.Setenv(settings.EnvironmentVariable, write(t, goodSettings))
+func TestEnvironmentNamesTheSettingsFile(t *testing.T) {
+	t.Setenv(settings.EnvironmentVariable, writeFile(t, goodSettings))
 	node := ""
 	table := []Role{{Name: "agent", Help: "h", Run: func(_ context.Context, live *settings.Live, _ hclog.Logger) error {
 		node = live.Current().NodeName
 		return nil
 	}}}
-	got := carryOut(table, "agent")
+	got := runCommand(table, "agent")
 	assert.Equal(t, got.code, ExitOK, got.err)
 	assert.Equal(t, node, "edge-a-1")
 }
 
-func TestARoleThatBreaksDownIsToldByTheExitCode(t *testing.T) {
+func TestFailedRoleSetsTheExitCode(t *testing.T) {
 	table := []Role{{Name: "agent", Help: "h", Run: func(context.Context, *settings.Live, hclog.Logger) error {
 		return errors.New("port taken")
 	}}}
-	got := carryOut(table, "--log-format=json", "agent", "--settings", write(t, goodSettings))
+	got := runCommand(table, "--log-format=json", "agent", "--settings", writeFile(t, goodSettings))
 	assert.Equal(t, got.code, ExitRoleFailed)
 	assert.Assert(t, strings.Contains(got.err, `"error":"port taken"`), got.err)
 }
 
-func TestTerminationEndsTheRolesContext(t *testing.T) {
+func TestTerminationSignalCancelsTheRole(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		table := []Role{{Name: "agent", Help: "h", Run: func(ctx context.Context, _ *settings.Live, _ hclog.Logger) error {
 			if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -137,14 +137,14 @@
 			<-ctx.Done()
 			return nil
 		}}}
-		got := carryOut(table, "agent", "--settings", write(t, goodSettings))
+		got := runCommand(table, "agent", "--settings", writeFile(t, goodSettings))
 		assert.Equal(t, got.code, ExitOK)
 		assert.Assert(t, strings.Contains(got.err, "stopped"), got.err)
 	}
 }
 
-func TestHangUpReadsTheSettingsAgain(t *testing.T) {
-	path := write(t, goodSettings)
+func TestHangUpReloadsSettings(t *testing.T) {
+	path := writeFile(t, goodSettings)
 	table := []Role{{Name: "agent", Help: "h", Run: func(_ context.Context, live *settings.Live, _ hclog.Logger) error {
 		changed := live.Changed()
 		if err := os.WriteFile(path, []byte(strings.Replace(goodSettings, `zone = "a"`, `zone = "b"`, 1)), 0o600); err != nil {
@@ -157,17 +157,17 @@
 		assert.Equal(t, live.Current().Zone, "b")
 		return nil
 	}}}
-	got := carryOut(table, "agent", "--settings", path)
+	got := runCommand(table, "agent", "--settings", path)
 	assert.Equal(t, got.code, ExitOK, got.err)
 }
 
 // LOST, own ends: a hang-up that comes while the process starts does not end it.
-func TestHangUpWhileTheSettingsAreRead(t *testing.T) {
+func TestHangUpDuringStartDoesNotEndTheProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pipe")
 	assert.NilError(t, syscall.Mkfifo(path, 0o600))
 	written := make(chan error, 1)
 	go func() {
-		pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // comes back when the settings are being read
+		pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the settings are being read
 		if err == nil {
 			err = errors.Join(os.Remove(path), os.WriteFile(path, []byte(goodSettings), 0o600))
 		}
@@ -180,14 +180,14 @@
 		written <- errors.Join(err, pipe.Close())
 	}()
 	table := []Role{{Name: "agent", Help: "h", Run: func(context.Context, *settings.Live, hclog.Logger) error { return nil }}}
-	got := carryOut(table, "agent", "--settings", path)
+	got := runCommand(table, "agent", "--settings", path)
 	assert.NilError(t, <-written)
 	assert.Equal(t, got.code, ExitOK, got.err)
 }
 
-// TestAChangeWithoutASignalIsSeen drives the reloader by hand: a tick is taken only when the one before is dealt with.
-func TestAChangeWithoutASignalIsSeen(t *testing.T) {
-	path := write(t, goodSettings)
+// TestChangedFileIsReloadedWithoutSignal drives the reloader by hand: it receives a tick only after it has handled the one before.
+func TestChangedFileIsReloadedWithoutSignal(t *testing.T) {
+	path := writeFile(t, goodSettings)
 	live, err := settings.NewLive(path)
 	assert.NilError(t, err)
 	logged := &bytes.Buffer{}
@@ -217,5 +217,5 @@
 	cancel()
 	<-ended
 	assert.Equal(t, strings.Count(logged.String(), "ephemeralPorts"), 1, logged.String())
-	assert.Equal(t, strings.Count(logged.String(), "settings changed"), 1, logged.String())
+	assert.Equal(t, strings.Count(logged.String(), "settings reloaded"), 1, logged.String())
 }
