--- a/internal/tier/soak/log_watcher.go
+++ b/internal/tier/soak/log_watcher.go
@@ -13,8 +13,9 @@
 	invariant.Message,
 	"invariant violated",
 	"panic: ", "fatal error: ", "DATA RACE", "runtime error", // of the Go runtime
-	`"panic":`,            // key of the proxy's log line of a recovered panic
-	"mistake in the code", // older wording of that line
+	"panic in request handler", // the proxy recovered from a panic
+	`"panic":`,                 // the key of that line in JSON
+	"mistake in the code",      // older wording of that line
 }
 
 // logWatcher forwards the log lines of all processes and reports those that show a fault. Each Write is one complete line.
