--- a/internal/tier/proxy/admission.go
+++ b/internal/tier/proxy/admission.go
@@ -14,7 +14,7 @@
 func (x *exchange) admissionRequest() admission.Request {
 	request := admission.Request{
 		Service: x.service.Name, Arrival: x.arrival, LatencyTarget: x.route.TargetLatency,
-		Deadline: x.deadline, Priority: x.route.Priority, AttemptedInstances: x.triedInstances, ExecutedAttempts: x.executions,
+		Deadline: x.deadline, Priority: x.route.Priority, AttemptedInstances: x.attemptedInstances, ExecutedAttempts: x.executions,
 		Streaming: x.route.Kind == configuration.Streaming, Idempotent: x.idempotent(),
 		ResponseStarted: x.stream.headWritten,
 	}
--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -98,7 +98,7 @@
 		return attemptRetry
 	}
 	store := grantedStore(grant)
-	x.triedInstances = append(x.triedInstances, store.Instance)
+	x.attemptedInstances = append(x.attemptedInstances, store.Instance)
 	x.outbound.ReadIdleTimeout = x.attemptTimeout()
 	x.outbound.LastAttempt = x.isLastAttempt()
 	response, err := x.proxy.pools.Send(ctx, store, x.connectionLimit(), &x.outbound)
--- a/internal/tier/proxy/handler.go
+++ b/internal/tier/proxy/handler.go
@@ -25,26 +25,26 @@
 
 // exchange is one request of a client on its way through the proxy, with the attempts made to serve it.
 type exchange struct {
-	proxy          *Proxy
-	w              http.ResponseWriter
-	r              *http.Request
-	snapshot       *snapshot
-	route          *configuration.Route
-	service        *configuration.Service
-	id             string
-	arrival        time.Time
-	deadline       time.Time
-	body           *bytes.Buffer // nil if the request has none
-	outbound       upstream.Request
-	turn           turn
-	triedInstances []string // instances that the request was sent to
-	executions     int      // attempts that may have been executed
-	declined       int      // attempts that certainly were not executed
-	stream         streamState
-	control        *http.ResponseController
-	result         result        // for log and metrics
-	lastErr        error         // of the last attempt without a usable response
-	queueTime      time.Duration // time spent in admission's queue
+	proxy              *Proxy
+	w                  http.ResponseWriter
+	r                  *http.Request
+	snapshot           *snapshot
+	route              *configuration.Route
+	service            *configuration.Service
+	id                 string
+	arrival            time.Time
+	deadline           time.Time
+	body               *bytes.Buffer // nil if the request has none
+	outbound           upstream.Request
+	turn               turn
+	attemptedInstances []string // instances that the request was sent to
+	executions         int      // attempts that may have been executed
+	declined           int      // attempts that certainly were not executed
+	stream             streamState
+	control            *http.ResponseController
+	result             result        // for log and metrics
+	lastErr            error         // of the last attempt without a usable response
+	queueTime          time.Duration // time spent in admission's queue
 }
 
 // ServeHTTP serves one request of a client: it reads the whole body, finds the route, and forwards the request to a
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -46,7 +46,7 @@
 type Proxy struct {
 	log            hclog.Logger
 	state          *watch.State
-	snapshots      snapshotHolder
+	snapshots      latestSnapshot
 	endpoints      endpointList
 	pools          *upstream.Transport
 	admit          *admission.Dispatcher
--- a/internal/tier/proxy/result.go
+++ b/internal/tier/proxy/result.go
@@ -124,7 +124,7 @@
 		cause = x.lastErr.Error()
 	}
 	return []any{
-		"result", string(ended), "id", x.id, "route", route, "cause", cause, "stores", x.triedInstances, "ran", x.executions, "declined", x.declined,
+		"result", string(ended), "id", x.id, "route", route, "cause", cause, "stores", x.attemptedInstances, "ran", x.executions, "declined", x.declined,
 		"events", x.stream.events, "queued_ms", x.queueTime.Milliseconds(), "duration_ms", time.Since(x.arrival).Milliseconds(),
 		"generation", x.snapshot.generation(), "epoch", x.snapshot.membership.GetEpoch(),
 	}
--- a/internal/tier/proxy/result_test.go
+++ b/internal/tier/proxy/result_test.go
@@ -27,7 +27,7 @@
 // A failed request can be explained from its log line alone.
 func TestFailedRequestIsLoggedWithItsCause(t *testing.T) {
 	x, log := newRecordedExchange("r-1")
-	x.result, x.lastErr, x.executions, x.triedInstances = resultBadGateway, errors.New("connection broke off"), 1, []string{"i-1"}
+	x.result, x.lastErr, x.executions, x.attemptedInstances = resultBadGateway, errors.New("connection broke off"), 1, []string{"i-1"}
 	before := results.Value(string(resultBadGateway))
 	x.recordResult()
 	line := log.String()
--- a/internal/tier/proxy/snapshot.go
+++ b/internal/tier/proxy/snapshot.go
@@ -19,14 +19,14 @@
 	membership    *tierpb.StoreMembership
 }
 
-// snapshotHolder holds the newest snapshot. Versions and generations never decrease.
-type snapshotHolder struct {
+// latestSnapshot holds the newest snapshot. Versions and generations never decrease.
+type latestSnapshot struct {
 	current atomic.Pointer[snapshot]
 	log     hclog.Logger
 }
 
 // load returns the newest snapshot, which is empty before the first control state.
-func (h *snapshotHolder) load() *snapshot {
+func (h *latestSnapshot) load() *snapshot {
 	if current := h.current.Load(); current != nil {
 		return current
 	}
@@ -34,7 +34,7 @@
 }
 
 // apply takes in a newer control state. It must not be called concurrently.
-func (h *snapshotHolder) apply(control *tierpb.ControlState) {
+func (h *latestSnapshot) apply(control *tierpb.ControlState) {
 	known := h.load()
 	if control == nil || control.Version <= known.version {
 		return
--- a/internal/tier/proxy/startup.go
+++ b/internal/tier/proxy/startup.go
@@ -11,7 +11,7 @@
 // Requests that arrive just after the start wait a little for what the proxy has not received yet.
 const (
 	startupPeriod         = 4 * time.Second // what is missing within it may just not have been received yet
-	startupWaitShare      = 0.25            // of a request's time-out that it may wait
+	startupWaitFraction   = 0.25            // of a request's time-out that it may wait
 	defaultRequestTimeout = 5 * time.Second // of a request whose route is not known
 )
 
@@ -38,7 +38,7 @@
 
 // awaitConfiguration waits for the first configuration, for a share of the request's time-out.
 func (p *Proxy) awaitConfiguration(ctx context.Context, timeout time.Duration) *snapshot {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(startupWaitShare*float64(timeout)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(startupWaitFraction*float64(timeout)))
 	defer cancel()
 	for {
 		changed := p.updates.changed()
@@ -58,7 +58,7 @@
 
 // awaitTurnStores waits, just after the start, until a turn store is known, and reports whether one is.
 func (x *exchange) awaitTurnStores(ctx context.Context) bool {
-	deadline := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
+	deadline := x.arrival.Add(time.Duration(startupWaitFraction * float64(x.deadline.Sub(x.arrival))))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for {
@@ -80,7 +80,7 @@
 // awaitStores waits, just after the start, for a change while the service has no known store. It reports whether
 // admission should be asked again.
 func (x *exchange) awaitStores(ctx context.Context, changed <-chan struct{}) bool {
-	deadline := x.arrival.Add(time.Duration(startupWaitShare * float64(x.deadline.Sub(x.arrival))))
+	deadline := x.arrival.Add(time.Duration(startupWaitFraction * float64(x.deadline.Sub(x.arrival))))
 	wait := time.Until(deadline)
 	if wait <= 0 || !x.proxy.startingUp() || ablation.Disabled(ablation.AwaitStores) {
 		return false
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -16,9 +16,9 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// turnStoreTimeShare is the share of a request's time-out that it waits for turn stores before any store is sent the
+// turnStoreTimeFraction is the share of a request's time-out that it waits for turn stores before any store is sent the
 // request. The rest is left for the client's retry, when the turn stores may answer.
-const turnStoreTimeShare = 0.4
+const turnStoreTimeFraction = 0.4
 
 var errTurnNotSaved = eris.New("turn could not be saved")
 
@@ -70,7 +70,7 @@
 	if !x.turn.budgeted && x.turn.previous == "" {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(turnStoreTimeShare*float64(time.Until(x.deadline))))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(turnStoreTimeFraction*float64(time.Until(x.deadline))))
 	defer cancel()
 	reserved := x.reserve(ctx)
 	chain, chainErr := x.fetchChain(ctx)
