--- a/internal/tier/proxy/handler.go
+++ b/internal/tier/proxy/handler.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"hash/fnv"
 	"net/http"
 	"strconv"
 	"strings"
@@ -142,53 +141,6 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// pickService chooses the service by weight. All requests of a program on a route with session affinity choose the
-// same.
-func (x *exchange) pickService() string {
-	backends := x.route.Backends
-	if len(backends) == 1 {
-		return backends[0].Service
-	}
-	key := x.r.Header.Get(headerProgram)
-	if key == "" || !x.route.SessionAffinity {
-		key = x.id
-	}
-	return pickWeighted(backends, key)
-}
-
-func pickWeighted(backends []configuration.Backend, key string) string {
-	total := 0.0
-	for _, backend := range backends {
-		total += backend.Weight
-	}
-	const resolution = 1 << 20
-	point := float64(hashOf(key)%resolution) / resolution * total
-	chosen := ""
-	for _, backend := range backends {
-		if backend.Weight <= 0 {
-			continue
-		}
-		chosen = backend.Service
-		if point < backend.Weight {
-			break
-		}
-		point -= backend.Weight
-	}
-	return chosen
-}
-
-// hashOf hashes a key with FNV-1a and the finalizer of MurmurHash3, so that every bit of the key affects every bit of
-// the hash.
-func hashOf(key string) uint64 {
-	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(key))
-	mixed := hash.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	mixed ^= mixed >> 33
-	return mixed
-}
-
 // prepareOutbound fills in what is the same for all attempts.
 func (x *exchange) prepareOutbound() {
 	x.outbound = upstream.Request{
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -207,12 +207,15 @@
 	p.admit.SetStores(name, service.Engine != nil, slots, p.endpoints.stores(name, time.Now()))
 }
 
+// initialLimits apply until the first configuration arrives.
+var initialLimits = configuration.Limits{
+	MaxHeaderBytes: 64 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second,
+}
+
 // limits are those of the configuration, or defaults before the first one.
 func (p *Proxy) limits(current *snapshot) configuration.Limits {
 	if current.configuration == nil {
-		return configuration.Limits{
-			MaxHeaderBytes: 64 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second,
-		}
+		return initialLimits
 	}
 	return current.configuration.Limits
 }
