--- a/internal/tier/proxy/deadline_test.go
+++ b/internal/tier/proxy/deadline_test.go
@@ -22,9 +22,7 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-const shortTimeout = 200 * time.Millisecond
-
-// stalledBody is a body whose rest does not come before the read deadline.
+// stalledBody is a body whose remainder does not arrive before the read deadline.
 type stalledBody struct{ io.Reader }
 
 func (b stalledBody) Read(into []byte) (int, error) {
@@ -37,7 +35,7 @@
 
 func (stalledBody) Close() error { return nil }
 
-// deadlineRecorder notes the read deadlines that a handler sets.
+// deadlineRecorder records the read deadlines that a handler sets.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	deadlines []time.Time
@@ -48,8 +46,8 @@
 	return nil
 }
 
-// CONFIG: a body that does not come whole is waited for no longer than the route's timeout, or the client's patience.
-func TestBodyIsWaitedForUntilTheRoutesTimeout(t *testing.T) {
+// CONFIG: the proxy waits for an incomplete body no longer than the route's timeout or the client's deadline.
+func TestBodyReadEndsAtRequestTimeout(t *testing.T) {
 	for name, patience := range map[string]string{"route": "", "client": "150"} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore(t, "a", reply(200, ""))
@@ -72,8 +70,8 @@
 	}
 }
 
-// BUDGET: a store is told no more time than the client has, in whatever form the client tells it.
-func TestPatienceIsTheClientsOrTheRoutes(t *testing.T) {
+// BUDGET: a store is told no more time than the client has, however the client writes it.
+func TestRequestTimeoutIsMinimumOfClientAndRoute(t *testing.T) {
 	for told, expected := range map[string]time.Duration{
 		"":       time.Second,
 		"0":      time.Second,
@@ -90,25 +88,9 @@
 	}
 }
 
-// stall answers nothing until the test ends; after some events where it is a stream.
-func stall(t *testing.T, before ...string) script {
-	release := make(chan struct{})
-	t.Cleanup(func() { close(release) })
-	return func(connection net.Conn, got receivedRequest) bool {
-		if len(before) > 0 {
-			io.WriteString(connection, responseHead(got, 200, "Transfer-Encoding: chunked")+"\r\n")
-		}
-		for _, one := range before {
-			fmt.Fprintf(connection, "%x\r\n%s\r\n", len(one), one)
-		}
-		<-release
-		return false
-	}
-}
-
-// CONFIG: whatever a request waits for, it ends with an answer or is broken off when its time is up. Nothing is sent for
-// it afterwards.
-func TestEveryRequestEndsAtItsTime(t *testing.T) {
+// CONFIG: whatever a request waits for, it is answered or aborted by its deadline, and nothing is sent for it
+// afterwards.
+func TestEveryRequestEndsByItsDeadline(t *testing.T) {
 	untilTheEnd := func(ctx context.Context) { <-ctx.Done() }
 	for name, test := range map[string]struct {
 		path    string
@@ -120,8 +102,8 @@
 		"idempotent":       {path: "/i/x", status: 504},
 		"not idempotent":   {path: "/n/x", status: 504},
 		"before an event":  {path: "/s/x", status: 504},
-		"after an event":   {path: "/s/x", script: func(t *testing.T) script { return stall(t, numberedEvents(1, 2)...) }},
-		"resumable stream": {path: "/r/x", script: func(t *testing.T) script { return stall(t, numberedEvents(1, 2)...) }},
+		"after an event":   {path: "/s/x", script: stallAfterEvents},
+		"resumable stream": {path: "/r/x", script: stallAfterEvents},
 		"chain": {
 			path: "/t/x", fields: []string{"Previous: p"}, status: 503,
 			arrange: func(k *fakeTurnStores) { k.onChain, k.chainErr = untilTheEnd, turns.ErrUncertain },
@@ -160,8 +142,8 @@
 	}
 }
 
-// BUDGET: a request that is sent once more, or a stream that is resumed, carries what is left and not what it had.
-func TestSecondSendCarriesWhatIsLeft(t *testing.T) {
+// BUDGET: a retry, or the resumption of a stream, carries the time that is left, not the original time-out.
+func TestRetryCarriesRemainingDeadline(t *testing.T) {
 	for path, second := range map[string]script{"/i/x": reply(200, "ok"), "/r/x": streamEvents(true, numberedEvents(2, 3)...)} {
 		t.Run(path, func(t *testing.T) {
 			first := stall(t)
@@ -183,16 +165,16 @@
 				assert.NilError(t, err)
 				left = append(left, told)
 			}
-			// The first store was left only after more than a third of the time.
+			// The first store was given up only after more than a third of the time.
 			assert.Assert(t, max(left[0], left[1])-min(left[0], left[1]) >= 300, "%v", left)
 			assert.Assert(t, max(left[0], left[1]) <= 1000, "%v", left)
 		})
 	}
 }
 
-// CONFIG, GONE: a client that doesn't read its answer holds neither the request nor its store past the request's time, and
-// the next request on a connection has its own time.
-func TestClientThatDoesNotReadIsLetGoAtItsTime(t *testing.T) {
+// CONFIG, GONE: a client that does not read its response holds neither the request nor its store beyond the deadline,
+// and the next request on the same connection has a deadline of its own.
+func TestSlowReaderIsDisconnectedAtDeadline(t *testing.T) {
 	ended := make(chan struct{})
 	store := newFakeStore(t, "a", func(connection net.Conn, got receivedRequest) bool {
 		if got.uri != "/n/large" {
--- a/internal/tier/proxy/harness_test.go
+++ b/internal/tier/proxy/harness_test.go
@@ -8,23 +8,26 @@
 	"io"
 	"net"
 	"net/http"
+	"runtime"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
+	"pulleygw.example/pulleygw/internal/tier/rpc"
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 	"pulleygw.example/pulleygw/internal/tier/turns"
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// testTimeout bounds waits of tests, so that a mistake ends them; no test goes by it.
+// testTimeout bounds the waits of tests so that a fault ends them; no assertion depends on it.
 const testTimeout = 20 * time.Second
 
-// receivedRequest is one request as a stand-in store got it.
+// receivedRequest is one request as a fake store received it.
 type receivedRequest struct {
 	store   string
 	method  string
@@ -34,10 +37,10 @@
 	request *http.Request
 }
 
-// script answers a request on a raw connection and says whether the connection may be used again.
+// script answers a request on a raw connection and reports whether the connection may be reused.
 type script func(connection net.Conn, got receivedRequest) bool
 
-// fakeStore is a store on the loopback that answers by a script.
+// fakeStore is a store on loopback that responds by a script.
 type fakeStore struct {
 	t        *testing.T
 	id       string
@@ -49,6 +52,7 @@
 }
 
 func newFakeStore(t *testing.T, id string, answer script) *fakeStore {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &fakeStore{t: t, id: id, listener: listener, script: answer}
@@ -109,7 +113,7 @@
 	return &tierpb.Instance{Id: s.id, Backend: backend, Address: s.listener.Addr().String(), Slots: 8, Sequence: 1}
 }
 
-// responseHead begins an answer that carries the request's id.
+// responseHead is the head of a response that carries the request's id.
 func responseHead(got receivedRequest, status int, fields ...string) string {
 	lines := []string{fmt.Sprintf("HTTP/1.1 %d Any", status), "X-Request-Id: " + got.header.Get("X-Request-Id")}
 	if status < 300 {
@@ -118,7 +122,7 @@
 	return strings.Join(append(lines, fields...), "\r\n") + "\r\n"
 }
 
-// reply answers with a body and a length.
+// reply responds with a body and a Content-Length.
 func reply(status int, body string, fields ...string) script {
 	return func(connection net.Conn, got receivedRequest) bool {
 		fmt.Fprintf(connection, "%sContent-Length: %d\r\n\r\n%s", responseHead(got, status, fields...), len(body), body)
@@ -126,7 +130,8 @@
 	}
 }
 
-// closeAfter closes the connection after these bytes; HEAD is replaced by the head of a success without its end.
+// closeAfter closes the connection after these bytes; HEAD stands for the head of a success without the blank line at
+// its end.
 func closeAfter(bytes string) script {
 	return func(connection net.Conn, got receivedRequest) bool {
 		io.WriteString(connection, strings.ReplaceAll(bytes, "HEAD", responseHead(got, 200)))
@@ -134,7 +139,7 @@
 	}
 }
 
-// resetAfter is cut with a resetAfter of the connection in place of its orderly end.
+// resetAfter is closeAfter with a reset of the connection in place of its orderly end.
 func resetAfter(bytes string) script {
 	return func(connection net.Conn, got receivedRequest) bool {
 		closeAfter(bytes)(connection, got)
@@ -143,7 +148,7 @@
 	}
 }
 
-// streamEvents answers with a stream of these streamEvents in chunks, complete or broken off.
+// streamEvents responds with a stream of these events in chunks, complete or truncated.
 func streamEvents(complete bool, list ...string) script {
 	return func(connection net.Conn, got receivedRequest) bool {
 		io.WriteString(connection, responseHead(got, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
@@ -165,7 +170,7 @@
 	return list
 }
 
-// sequence runs one script after the other, and the last from then on.
+// sequence runs one script after the other, and the last one from then on.
 func sequence(scripts ...script) script {
 	var mu sync.Mutex
 	next := 0
@@ -178,7 +183,7 @@
 	}
 }
 
-// fakeTurnStores keeps turns and budgets in memory.
+// fakeTurnStores holds turns and budgets in memory.
 type fakeTurnStores struct {
 	mu       sync.Mutex
 	records  map[string]*tierpb.TurnRecord
@@ -269,7 +274,7 @@
 	k.withdrawn[request] = true
 }
 
-// testConfiguration has a route of each kind; all lead to the services plain and model.
+// testConfiguration has a route of each kind, to the services plain and model.
 const testConfiguration = `{"generation":%d,"routes":[
 {"name":"i","hostname":"h.example","pathPrefix":"/i/","kind":"idempotent","timeoutMs":%[2]d,"targetLatencyMs":200,"priority":0,"backend":"plain","maxAttempts":2},
 {"name":"n","hostname":"h.example","pathPrefix":"/n/","kind":"non_idempotent","timeoutMs":%[2]d,"targetLatencyMs":200,"priority":0,"backend":"plain","maxAttempts":2},
@@ -280,7 +285,7 @@
 {"name":"model","healthPath":"/healthz","maxConnections":96,"engine":{"slots":8,"kvTokens":1000,"stride":3,"models":[{"name":"m"}]}}],
 "limits":{"maxHeaderBytes":4096,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// testProxy is a proxy on the loopback.
+// testProxy is a proxy on loopback.
 type testProxy struct {
 	t          *testing.T
 	proxy      *Proxy
@@ -289,8 +294,10 @@
 	address    string
 }
 
-// newTestProxy makes a proxy that knows these stores of the services plain and model. Requests have this time at most.
+// newTestProxy makes a proxy that knows these stores of the services plain and model. The timeout is that of all
+// routes.
 func newTestProxy(t *testing.T, timeout time.Duration, plain, model []*fakeStore) *testProxy {
+	t.Helper()
 	b := &testProxy{t: t, turnStores: newFakeTurnStores()}
 	b.proxy = New(hclog.NewNullLogger(), "z", watch.NewState())
 	b.proxy.turns, b.proxy.budgets = b.turnStores, b.turnStores
@@ -321,7 +328,7 @@
 	b.proxy.applyState()
 }
 
-// clientResponse is what a client got.
+// clientResponse is what a client received.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -330,7 +337,7 @@
 	raw    *http.Response
 }
 
-// send sends a request on a connection of its own and reads the whole answer.
+// send sends a request on a connection of its own and reads the whole response.
 func (b *testProxy) send(method, path, id, body string, fields ...string) clientResponse {
 	connection, err := net.Dial("tcp4", b.address)
 	assert.NilError(b.t, err)
@@ -363,9 +370,135 @@
 	return clientResponse{status: response.StatusCode, header: response.Header, body: string(read), err: err, raw: response}
 }
 
-// openConnections is how many clients' connections are open.
+// openConnections is the number of clients' connections that are open.
 func (f *clientServer) openConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.connections)
 }
+
+// post sends a request without a body on a connection of its own.
+func (b *testProxy) post(path, id string, fields ...string) net.Conn {
+	connection, err := net.Dial("tcp4", b.address)
+	assert.NilError(b.t, err)
+	b.t.Cleanup(func() { connection.Close() })
+	assert.NilError(b.t, connection.SetDeadline(time.Now().Add(testTimeout)))
+	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n", path, id)
+	for _, field := range fields {
+		head += field + "\r\n"
+	}
+	_, err = io.WriteString(connection, head+"\r\n")
+	assert.NilError(b.t, err)
+	return connection
+}
+
+// awaitConnectionsEnd waits until all clients' connections are closed.
+func (b *testProxy) awaitConnectionsEnd() {
+	for b.server.closeIdle(time.Now().Add(time.Minute)) > 0 {
+		runtime.Gosched()
+	}
+}
+
+// sendHTTP10 sends a request by HTTP/1.0 and reads until the connection ends; complete reports whether it ended in an
+// orderly way.
+func (b *testProxy) sendHTTP10(path string) (got clientResponse, complete bool) {
+	connection, err := net.Dial("tcp4", b.address)
+	assert.NilError(b.t, err)
+	defer connection.Close()
+	assert.NilError(b.t, connection.SetDeadline(time.Now().Add(testTimeout)))
+	fmt.Fprintf(connection, "POST %s HTTP/1.0\r\nHost: h.example\r\nX-Request-Id: id\r\nContent-Length: 2\r\n\r\nin", path)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	if err != nil {
+		return clientResponse{err: err}, false
+	}
+	body, err := io.ReadAll(response.Body)
+	return clientResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err, raw: response}, err == nil
+}
+
+// newTestProxyFor makes a proxy whose only store serves a path.
+func newTestProxyFor(t *testing.T, path string, store *fakeStore) *testProxy {
+	t.Helper()
+	if strings.HasPrefix(path, "/n/") {
+		return newTestProxy(t, longTimeout, []*fakeStore{store}, nil)
+	}
+	return newTestProxy(t, longTimeout, nil, []*fakeStore{store})
+}
+
+// stall sends these events, if any, and then nothing until the test ends.
+func stall(t *testing.T, before ...string) script {
+	t.Helper()
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	return func(connection net.Conn, got receivedRequest) bool {
+		if len(before) > 0 {
+			io.WriteString(connection, responseHead(got, 200, "Transfer-Encoding: chunked")+"\r\n")
+		}
+		for _, one := range before {
+			fmt.Fprintf(connection, "%x\r\n%s\r\n", len(one), one)
+		}
+		<-release
+		return false
+	}
+}
+
+const shortTimeout = 200 * time.Millisecond
+
+const longTimeout = 10 * time.Second
+
+func eventText(first, last int) string { return strings.Join(numberedEvents(first, last), "") }
+
+var limited = []string{"Program: p", "Budget: 90", "X-Token-Usage: 100,9"}
+
+// unreadyTurnStores knows no turn store at first.
+type unreadyTurnStores struct {
+	*fakeTurnStores
+	ready atomic.Bool
+	asked chan struct{}
+}
+
+func (k *unreadyTurnStores) Ready() bool {
+	k.asked <- struct{}{}
+	return k.ready.Load()
+}
+
+// unreachableCaller reaches nobody: every call times out.
+type unreachableCaller struct{}
+
+func (unreachableCaller) Call(ctx context.Context, _ string, _ rpc.Method, _, _ rpc.Message) error {
+	<-ctx.Done()
+	return rpc.ErrTimeout
+}
+
+// withVersion responds with a stream that begins with a version of the weights, or 421 if another one is expected.
+func withVersion(version string, answer script) script {
+	return func(connection net.Conn, got receivedRequest) bool {
+		if expected := got.header.Get("Expect-Version"); expected != "" && expected != version {
+			return reply(421, "", "X-Not-Executed: 1", "Versions: "+version)(connection, got)
+		}
+		return answer(headerInjector{Conn: connection, field: "Versions: " + version + "\r\n"}, got)
+	}
+}
+
+// headerInjector adds a header field to the first head that is written.
+type headerInjector struct {
+	net.Conn
+	field string
+}
+
+func (w headerInjector) Write(text []byte) (int, error) {
+	const status = "HTTP/1.1 200 Any\r\n"
+	if len(text) < len(status) || string(text[:len(status)]) != status {
+		return w.Conn.Write(text)
+	}
+	if _, err := io.WriteString(w.Conn, status+w.field); err != nil {
+		return 0, err
+	}
+	written, err := w.Conn.Write(text[len(status):])
+	return written + len(status), err
+}
+
+// stallAfterEvents sends two events and then nothing until the test ends.
+func stallAfterEvents(t *testing.T) script {
+	t.Helper()
+	return stall(t, numberedEvents(1, 2)...)
+}
--- a/internal/tier/proxy/result_test.go
+++ b/internal/tier/proxy/result_test.go
@@ -24,20 +24,20 @@
 	return &exchange{proxy: p, r: request, snapshot: &snapshot{}, id: id, arrival: time.Now(), result: resultAborted}, log
 }
 
-// A failed request can be explained afterwards from its line alone.
+// A failed request can be explained from its log line alone.
 func TestFailedRequestIsLoggedWithItsCause(t *testing.T) {
 	x, log := newRecordedExchange("r-1")
-	x.result, x.lastErr, x.executions, x.triedInstances = resultBadGateway, errors.New("connection broke off"), 1, []string{"i-1"}
+	x.result, x.lastErr, x.executions, x.attemptedInstances = resultBadGateway, errors.New("connection broke off"), 1, []string{"i-1"}
 	before := results.Value(string(resultBadGateway))
 	x.recordResult()
 	line := log.String()
-	for _, part := range []string{"request failed", "id=r-1", `cause="connection broke off"`, "stores=[\"i-1\"]", "ran=1", "held_ms=0", "epoch=0"} {
+	for _, part := range []string{"request failed", "id=r-1", `cause="connection broke off"`, "stores=[\"i-1\"]", "ran=1", "queued_ms=0", "epoch=0"} {
 		assert.Assert(t, strings.Contains(line, part), "%s is missing in %s", part, line)
 	}
 	assert.Equal(t, results.Value(string(resultBadGateway)), before+1)
 }
 
-func TestLinesOfFailedRequestsAreBounded(t *testing.T) {
+func TestFailedRequestLogIsRateLimited(t *testing.T) {
 	x, log := newRecordedExchange("r")
 	x.result = resultTimeout
 	for range 5 * maxFailureLines {
@@ -49,20 +49,20 @@
 	assert.Assert(t, strings.Contains(log.String(), "suppressed=40"), "%s", log)
 }
 
-func TestRefusalsAreLoggedOnceASecondByReason(t *testing.T) {
+func TestRejectionsAreLoggedOncePerReasonAndInterval(t *testing.T) {
 	x, log := newRecordedExchange("r")
 	for _, became := range []result{resultOverload, resultOverload, resultNoStore, resultServed, resultClientDisconnected} {
 		x.result = became
 		x.recordResult()
 	}
-	assert.Equal(t, strings.Count(log.String(), "requests refused"), 2, "%s", log)
+	assert.Equal(t, strings.Count(log.String(), "requests rejected"), 2, "%s", log)
 	x.proxy.requestLog.rejections[resultOverload].lastLogged = time.Now().Add(-2 * rejectionLogInterval)
 	x.result = resultOverload
 	x.recordResult()
 	assert.Assert(t, strings.Contains(log.String(), "count=2"), "%s", log)
 }
 
-func TestClientThatLeftIsNoFailure(t *testing.T) {
+func TestClientDisconnectIsNotLoggedAsFailure(t *testing.T) {
 	x, log := newRecordedExchange("r")
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
@@ -71,8 +71,8 @@
 	assert.Equal(t, log.Len(), 0, "%s", log)
 }
 
-// A mistake in the code ends its request and no more, and leaves its stack in the log.
-func TestMistakeIsLoggedWithItsStack(t *testing.T) {
+// A panic in the handler ends its request only, and its stack is logged.
+func TestPanicIsLoggedWithItsStack(t *testing.T) {
 	x, log := newRecordedExchange("r-9")
 	func() {
 		defer func() { assert.Equal(t, recover(), any(http.ErrAbortHandler)) }()
@@ -80,7 +80,7 @@
 		var none *admission.Grant
 		none.ReportFirstByte()
 	}()
-	assert.Assert(t, strings.Contains(log.String(), "mistake in the code") && strings.Contains(log.String(), "id=r-9"), "%s", log)
+	assert.Assert(t, strings.Contains(log.String(), "panic in request handler") && strings.Contains(log.String(), "id=r-9"), "%s", log)
 	assert.Assert(t, strings.Contains(log.String(), "result_test.go"), "%s", log)
 	assert.Assert(t, panics.Value() > 0)
 }
--- a/internal/tier/proxy/server_test.go
+++ b/internal/tier/proxy/server_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReadiness(t *testing.T) {
+func TestDrainingProxyIsNotReady(t *testing.T) {
 	store := newFakeStore(t, "a", reply(200, ""))
 	b := newTestProxy(t, longTimeout, []*fakeStore{store}, nil)
 	ask := func() int {
@@ -26,8 +26,8 @@
 	assert.Equal(t, ask(), 503)
 }
 
-// LOST: while the process shuts down, answers ask for the connection to be closed.
-func TestAnswersOfADrainingProxyCloseTheConnection(t *testing.T) {
+// LOST: responses of a draining proxy ask for the connection to be closed.
+func TestDrainingProxyAsksClientsToCloseConnections(t *testing.T) {
 	store := newFakeStore(t, "a", reply(200, "x"))
 	b := newTestProxy(t, longTimeout, []*fakeStore{store}, nil)
 	connection, err := net.Dial("tcp4", b.address)
@@ -40,8 +40,8 @@
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// LOST: a connection on which a request has begun is not expired; one that rests is closed.
-func TestOnlyRestingConnectionsAreExpired(t *testing.T) {
+// LOST: a connection on which a request has begun is not closed; an idle one is.
+func TestOnlyIdleConnectionsAreClosed(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	store := newFakeStore(t, "a", func(connection net.Conn, got receivedRequest) bool {
 		close(arrived)
@@ -80,7 +80,7 @@
 	assert.Equal(t, got.body, "x")
 }
 
-func TestLimitsChangeForNewConnections(t *testing.T) {
+func TestNewConnectionsAreServedAfterLimitsChange(t *testing.T) {
 	store := newFakeStore(t, "a", reply(200, "x"))
 	b := newTestProxy(t, longTimeout, []*fakeStore{store}, nil)
 	before, err := net.Dial("tcp4", b.address)
@@ -92,8 +92,8 @@
 	assert.Equal(t, b.sendOn(before, "POST", "/n/x", "id3", "in").status, 200)
 }
 
-// DENIED: a limit that is raised holds on connections that were open before, too.
-func TestRaisedLimitHoldsOnOpenConnections(t *testing.T) {
+// DENIED: a raised limit also applies to connections that were open before.
+func TestRaisedHeaderLimitAppliesToOpenConnections(t *testing.T) {
 	store := newFakeStore(t, "a", reply(200, "x"))
 	b := newTestProxy(t, longTimeout, []*fakeStore{store}, nil)
 	connection, err := net.Dial("tcp4", b.address)
@@ -108,9 +108,9 @@
 	assert.Equal(t, b.send("GET", "/n/x", "id3", "", long).status, 200)
 }
 
-// LOST: a request in hand is served to its end by the configuration it came under, whatever of its route, its service,
-// the timeouts or the limits a later one changes or drops.
-func TestConfigurationChangeLeavesRequestsInHand(t *testing.T) {
+// LOST: a request in flight is served to its end by the configuration it began with, whatever a later one changes or
+// removes of its route, its service, the timeouts or the limits.
+func TestConfigurationChangeKeepsRequestsInFlight(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	store := newFakeStore(t, "a", func(connection net.Conn, got receivedRequest) bool {
 		arrived <- struct{}{}
@@ -135,8 +135,8 @@
 	assert.Equal(t, b.send("POST", "/i/x", "id3", "").status, 404)
 }
 
-// RECOVER: what comes just after the start waits for the first configuration and the first stores.
-func TestRequestWaitsForTheFirstConfigurationAndStores(t *testing.T) {
+// RECOVER: requests just after the start wait for the first configuration and the first stores.
+func TestRequestWaitsForFirstConfigurationAndStores(t *testing.T) {
 	store := newFakeStore(t, "a", reply(200, "ok"))
 	b := newTestProxy(t, longTimeout, nil, nil)
 	known := b.proxy.snapshots.load()
@@ -150,7 +150,7 @@
 	assert.Equal(t, (<-got).body, "ok")
 }
 
-func TestRequestIsRefusedWhereNoStoreCameForLong(t *testing.T) {
+func TestRequestIsRejectedWithoutStoresAfterStartup(t *testing.T) {
 	b := newTestProxy(t, longTimeout, nil, nil)
 	b.proxy.started = time.Now().Add(-startupPeriod)
 	got := b.send("POST", "/n/x", "id", "in")
