--- a/internal/tier/rules/promises_test.go
+++ b/internal/tier/rules/promises_test.go
@@ -11,6 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// promises lists the guarantees of the tier, what may break them, and what checks them.
 const promises = "../../../docs/promises.md"
 
 var (
@@ -19,7 +20,8 @@
 	alsoNamed         = regexp.MustCompile("`([a-z-]+)`; soak marks")
 )
 
-// TestPromisesNameTheInvariants wants each invariant to be checked somewhere and named on the page, and no other one there.
+// TestPromisesNameTheInvariants checks that each declared invariant is used in the code and named on the page, and that the
+// page names no other.
 func TestPromisesNameTheInvariants(t *testing.T) {
 	page, err := os.ReadFile(promises)
 	assert.NilError(t, err)
@@ -39,7 +41,7 @@
 	}
 }
 
-// TestPromisesNameTestsThatExist looks up the tests that the page names.
+// TestPromisesNameTestsThatExist checks that the tests that the page names exist.
 func TestPromisesNameTestsThatExist(t *testing.T) {
 	page, err := os.ReadFile(promises)
 	assert.NilError(t, err)
@@ -48,7 +50,7 @@
 	}
 }
 
-// sourcesBelow joins all sources below a folder, at any depth, but those of tests.
+// sourcesBelow concatenates all sources below a folder, except those of tests.
 func sourcesBelow(t *testing.T, folder string) string {
 	t.Helper()
 	all := strings.Builder{}
--- a/internal/tier/rules/rules_test.go
+++ b/internal/tier/rules/rules_test.go
@@ -10,6 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// page lists the rules with the tests and the code that keep them.
 const page = "../../../docs/rules-tests.md"
 
 var (
@@ -18,7 +19,7 @@
 	declared = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9]+)\(`)
 )
 
-// TestPageNamesTestsThatExist reads every row of the page.
+// TestPageNamesTestsThatExist checks that every row of the page names tests that exist.
 func TestPageNamesTestsThatExist(t *testing.T) {
 	text, err := os.ReadFile(page)
 	assert.NilError(t, err)
@@ -55,7 +56,7 @@
 	return names
 }
 
-// TestPageNamesCodeThatExists looks up every file and function that the page names.
+// TestPageNamesCodeThatExists checks that every file and function that the page names exists.
 func TestPageNamesCodeThatExists(t *testing.T) {
 	text, err := os.ReadFile(page)
 	assert.NilError(t, err)
