--- a/tools/cicheck/main.go
+++ b/tools/cicheck/main.go
@@ -1,7 +1,8 @@
-// Command cicheck prints what "go test -json" reports on its input and gives the verdict: every failure counts but
-// those of tests that a file lists as known to be red, which are printed.
+// Command cicheck reads the output of "go test -json" from standard input, prints it as text, and decides whether CI passes:
+// every failed test fails it, except those that a file lists as known to fail, which are printed.
 //
-// The file has one test a line: its package, a space and its name; text behind # is a remark. No file, no exceptions.
+// The file has one test per line: its package, a space and its name. A # begins a comment. A missing file lists no test.
+// Cicheck exits with 0 if CI passes, with 1 if not, and with 2 if its input or the file cannot be read.
 package main
 
 import (
@@ -16,7 +17,7 @@
 )
 
 func main() {
-	list := flag.String("known-red", "KNOWN-RED.txt", "file of tests that may fail")
+	list := flag.String("known-red", "KNOWN-RED.txt", "file of tests that are known to fail")
 	status := flag.Int("status", 0, "exit status of go test")
 	flag.Parse()
 	known, err := readKnownRed(*list)
@@ -24,16 +25,17 @@
 		fmt.Fprintln(os.Stderr, "cicheck:", err)
 		os.Exit(2)
 	}
-	verdict, err := read(os.Stdin, os.Stdout, known)
+	results, err := read(os.Stdin, os.Stdout, known)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cicheck:", err)
 		os.Exit(2)
 	}
-	if !verdict.print(os.Stdout, *status) {
+	if !results.print(os.Stdout, *status) {
 		os.Exit(1)
 	}
 }
 
+// readKnownRed reads the file of tests that are known to fail.
 func readKnownRed(path string) (map[testName]bool, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -42,8 +44,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
-	return parseKnownRed(file)
+	known, err := parseKnownRed(file)
+	return known, errors.Join(err, file.Close())
 }
 
 func parseKnownRed(text io.Reader) (map[testName]bool, error) {
--- a/tools/cicheck/verdict.go
+++ b/tools/cicheck/verdict.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// testName names a test, or a package where the test is empty.
+// testName names a test, or a package if the test is empty.
 type testName struct{ pkg, test string }
 
-// event is one line of "go test -json".
+// event is one line of "go test -json", see "go doc test2json".
 type event struct {
 	Action      string
 	Package     string
@@ -22,22 +22,23 @@
 	FailedBuild string
 }
 
-// verdict is what the events come to.
-type verdict struct {
-	red      []testName // failed and known
-	failed   []testName // failed and not known
-	passed   int
-	unparsed bool // lines that are no events: the go command itself failed
+// summary is the result of a test run.
+type summary struct {
+	knownRed []testName // failed, and known to
+	failed   []testName // failed, and not known to
+	passed   int        // tests
+	unparsed bool       // there were lines that are no events: the go command itself failed
 }
 
-const longestLine = 16 << 20
+// maxLineBytes is the size of the longest event that is read.
+const maxLineBytes = 16 << 20
 
 // read prints the tests' output and collects their results.
-func read(input io.Reader, out io.Writer, known map[testName]bool) (*verdict, error) {
-	collected := &verdict{}
-	blamed := make(map[string]bool) // packages with a failed test
+func read(input io.Reader, out io.Writer, known map[testName]bool) (*summary, error) {
+	results := &summary{}
+	failedPackages := make(map[string]bool) // packages with a failed test
 	lines := bufio.NewScanner(input)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		next := event{}
 		line := bytes.TrimSpace(lines.Bytes())
@@ -45,41 +46,42 @@
 			continue
 		}
 		if json.Unmarshal(line, &next) != nil {
-			fmt.Fprintf(out, "%s\n", line)
-			collected.unparsed = true
+			_, _ = fmt.Fprintf(out, "%s\n", line)
+			results.unparsed = true
 			continue
 		}
-		collected.take(next, out, known, blamed)
+		results.add(next, out, known, failedPackages)
 	}
-	return collected, lines.Err()
+	return results, lines.Err()
 }
 
-func (v *verdict) take(next event, out io.Writer, known map[testName]bool, blamed map[string]bool) {
+// add prints and counts one event.
+func (s *summary) add(next event, out io.Writer, known map[testName]bool, failedPackages map[string]bool) {
 	name := testName{next.Package, next.Test}
 	switch next.Action {
 	case "output", "build-output":
 		if !strings.HasPrefix(next.Output, "=== ") {
-			fmt.Fprint(out, next.Output)
+			_, _ = fmt.Fprint(out, next.Output)
 		}
 	case "pass":
 		if next.Test != "" {
-			v.passed++
+			s.passed++
 		}
 	case "fail":
 		switch {
-		case next.Test == "" && blamed[next.Package]:
-			// the package failed by the tests counted already
+		case next.Test == "" && failedPackages[next.Package]:
+			// the package failed because of tests that are counted already
 		case isKnown(known, name):
-			blamed[next.Package] = true
-			v.red = append(v.red, name)
+			failedPackages[next.Package] = true
+			s.knownRed = append(s.knownRed, name)
 		default:
-			blamed[next.Package] = true
-			v.failed = append(v.failed, name)
+			failedPackages[next.Package] = true
+			s.failed = append(s.failed, name)
 		}
 	}
 }
 
-// isKnown says whether a test or one that it is part of is listed.
+// isKnown reports whether a test, or a test that it is a subtest of, is listed.
 func isKnown(known map[testName]bool, name testName) bool {
 	if name.test == "" {
 		return false // a package that fails without a failed test did not build, or panicked
@@ -88,26 +90,26 @@
 		if known[name] {
 			return true
 		}
-		cut := strings.LastIndexByte(name.test, '/')
-		if cut < 0 {
+		separator := strings.LastIndexByte(name.test, '/')
+		if separator < 0 {
 			return false
 		}
-		name.test = name.test[:cut]
+		name.test = name.test[:separator]
 	}
 }
 
-// print tells the verdict and says whether it is good. status is the exit status of go test.
-func (v *verdict) print(out io.Writer, status int) bool {
-	fmt.Fprintf(out, "%d tests passed, %d failed, %d known red\n", v.passed, len(v.failed), len(v.red))
-	for _, name := range v.red {
-		fmt.Fprintf(out, "KNOWN RED %s %s\n", name.pkg, name.test)
+// print prints the summary and reports whether CI passes. Status is the exit status of go test.
+func (s *summary) print(out io.Writer, status int) bool {
+	_, _ = fmt.Fprintf(out, "%d tests passed, %d failed, %d known red\n", s.passed, len(s.failed), len(s.knownRed))
+	for _, name := range s.knownRed {
+		_, _ = fmt.Fprintf(out, "KNOWN RED %s %s\n", name.pkg, name.test)
 	}
-	for _, name := range v.failed {
-		fmt.Fprintf(out, "FAILED %s %s\n", name.pkg, name.test)
+	for _, name := range s.failed {
+		_, _ = fmt.Fprintf(out, "FAILED %s %s\n", name.pkg, name.test)
 	}
-	if status != 0 && len(v.red) == 0 && len(v.failed) == 0 {
-		fmt.Fprintf(out, "go test ended with %d and named no test\n", status)
+	if status != 0 && len(s.knownRed) == 0 && len(s.failed) == 0 {
+		_, _ = fmt.Fprintf(out, "go test ended with %d and named no test\n", status)
 		return false
 	}
-	return len(v.failed) == 0 && !v.unparsed
+	return len(s.failed) == 0 && !s.unparsed
 }
--- a/tools/modelcheck/main.go
+++ b/tools/modelcheck/main.go
@@ -1,10 +1,11 @@
-// Modelcheck explores internal/tier/modelcheck for as long as it is told, in several processes, and shows their
-// progress. It ends with status 1 when an invariant was broken; the lines before tell how to replay the run.
+// Command modelcheck runs the model checker, internal/tier/modelcheck, for a given time in several processes and prints
+// their progress. It exits with 1 if an invariant was violated; the lines before say how to replay the run.
 package main
 
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -19,23 +20,23 @@
 )
 
 const (
-	explored = "./internal/tier/modelcheck"
-	// seedsOfAJob keeps the walks of two jobs apart.
-	seedsOfAJob = 1 << 32
+	modelcheckPackage = "./internal/tier/modelcheck"
+	// seedsPerJob keeps the seeds of the jobs' walks disjoint.
+	seedsPerJob = 1 << 32
 )
 
-// options are those of the command line.
+// options are the options of the command line.
 type options struct {
-	Hours      float64 `help:"How long to explore." default:"1"`
-	Jobs       int     `help:"Processes, each with one processor." default:"2"`
-	Deviations int     `help:"Most deviations of a run in the search, 0 for walks alone." default:"2"`
-	Scenario   string  `help:"The one scenario to explore; all of them where empty."`
+	Hours      float64 `help:"Hours to explore." default:"1"`
+	Jobs       int     `help:"Processes, each with one CPU." default:"2"`
+	Deviations int     `help:"Limit of the deviations of a run in the search; 0 for walks only." default:"2"`
+	Scenario   string  `help:"The only scenario to explore; empty for all."`
 	FirstSeed  uint64  `help:"Seed of the first walk." default:"1"`
 }
 
 func main() {
 	given := options{}
-	kong.Parse(&given, kong.Description("Explores the control side's interleavings."))
+	kong.Parse(&given, kong.Description("Explores interleavings of the control plane."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if err := explore(ctx, given); err != nil {
@@ -44,15 +45,15 @@
 	}
 }
 
-// explore builds the explorer and runs its jobs. The first that fails ends the others.
-func explore(ctx context.Context, given options) error {
+// explore builds the test binary and runs the jobs. The first job that fails ends the others.
+func explore(ctx context.Context, given options) (err error) {
 	folder, err := os.MkdirTemp("", "modelcheck")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { err = errors.Join(err, os.RemoveAll(folder)) }()
 	binary := filepath.Join(folder, "modelcheck.test")
-	build := exec.CommandContext(ctx, "go", "test", "-c", "-o", binary, explored)
+	build := exec.CommandContext(ctx, "go", "test", "-c", "-o", binary, modelcheckPackage)
 	build.Stdout, build.Stderr = os.Stdout, os.Stderr
 	if err := build.Run(); err != nil {
 		return eris.Wrap(err, "build")
@@ -71,9 +72,9 @@
 	return context.Cause(ctx)
 }
 
-// job runs one process until its time is over.
+// job runs one process until its time is over or it fails.
 func (o options) job(ctx context.Context, binary string, number int) error {
-	seed := o.FirstSeed + uint64(number)*seedsOfAJob
+	seed := o.FirstSeed + uint64(number)*seedsPerJob
 	command := exec.CommandContext(ctx, binary,
 		"-test.run", "^TestExplore$", "-test.v", "-test.timeout", "0",
 		"-hours", strconv.FormatFloat(o.Hours, 'f', -1, 64), "-deviations", strconv.Itoa(o.Deviations),
@@ -93,7 +94,7 @@
 	return command.Wait()
 }
 
-// show copies lines with the number of their job before them.
+// show prints each line with the number of its job.
 func show(output io.Reader, number int) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, 1<<20)
--- a/tools/pairedtrials/main.go
+++ b/tools/pairedtrials/main.go
@@ -1,6 +1,7 @@
-// Command rounds plays the same days and seeds of the bench on several builds of the tier in turn, and tells by how much
-// each differs from the first one: the mean of the paired differences, its 95% interval by Student's t and how many pairs
-// went each way. A build is a folder that holds a checkout; see docs/experiments/README.md.
+// Command pairedtrials runs paired experiments: it runs the same workloads with the same seeds on several builds of the
+// tier, and prints by how much each build differs from the first one: the mean of the paired differences, its 95%
+// confidence interval by Student's t, and how many pairs went up and down. A build is a folder with a checkout; see
+// docs/experiments/README.md.
 //
 //	go run ./tools/pairedtrials --bench PROGRAM --build base=FOLDER --build trial=FOLDER --site FILE --day scale-1 --seeds 1,2,3
 package main
@@ -13,25 +14,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// options is the command line.
+// options are the options of the command line.
 type options struct {
-	Bench    string   `required:"" help:"The bench's program."`
-	Build    []string `required:"" help:"NAME=FOLDER of a checkout; the first one is what the others are held against."`
-	LeaveOut []string `help:"Mechanisms (package ablation); each is left out of a build made of the first one's last commit, and held against one that leaves out nothing."`
+	Bench    string   `required:"" help:"The benchmark program."`
+	Build    []string `required:"" help:"NAME=FOLDER of a checkout; the others are compared with the first one."`
+	LeaveOut []string `help:"Mechanisms (package ablation); for each a build of the first one's last commit without it is compared with one that has all."`
 	Site     []string `required:"" help:"Site files."`
-	Day      []string `required:"" help:"Days of the sites by name, or files with days of one's own."`
-	Seeds    []int64  `required:"" help:"Seeds; each build plays each site's days with each of them."`
-	Jobs     int      `default:"4" help:"Plays at a time."`
-	Charge   bool     `help:"Charge processor time. Without it a play mostly repeats."`
-	Why      string   `default:"paired round" help:"Note for the bench's journal."`
-	Out      string   `default:"bin/rounds" help:"Folder for what the bench prints."`
+	Day      []string `required:"" help:"Workloads of the sites by name, or files with own workloads."`
+	Seeds    []int64  `required:"" help:"Seeds; each build runs each workload with each of them."`
+	Jobs     int      `default:"4" help:"Runs at the same time."`
+	Charge   bool     `help:"Charge CPU time. Without it a run is mostly repeatable."`
+	Why      string   `default:"paired round" help:"Note for the benchmark's journal."`
+	Out      string   `default:"bin/rounds" help:"Folder for the output of the benchmark."`
 }
 
 func main() {
 	var chosen options
-	kong.Parse(&chosen, kong.Description("Plays builds of the tier against each other on the same days and seeds."))
+	kong.Parse(&chosen, kong.Description("Compares builds of the tier on the same workloads and seeds."))
 	if err := run(chosen); err != nil {
-		fmt.Fprintln(os.Stderr, "rounds:", err)
+		fmt.Fprintln(os.Stderr, "pairedtrials:", err)
 		os.Exit(1)
 	}
 }
@@ -44,14 +45,14 @@
 	if err := os.MkdirAll(chosen.Out, 0o755); err != nil {
 		return eris.Wrap(err, "folder for output")
 	}
-	ablated, err := withoutEach(builds[0], chosen.LeaveOut, chosen.Out)
+	ablated, err := ablatedBuilds(builds[0], chosen.LeaveOut, chosen.Out)
 	if err != nil {
 		return err
 	}
 	if len(ablated) > 0 {
-		builds = ablated // the first of them leaves out nothing
+		builds = ablated // the first one has all mechanisms
 	}
-	results, err := playAll(chosen, builds)
+	results, err := runAll(chosen, builds)
 	if err != nil {
 		return err
 	}
--- a/tools/pairedtrials/table.go
+++ b/tools/pairedtrials/table.go
@@ -12,16 +12,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
+// confidence is the level of the confidence interval.
 const confidence = 0.95
 
-// difference sums up paired differences of one figure.
+// difference summarizes the paired differences of one figure.
 type difference struct {
-	mean, margin float64 // margin is half the width of the interval; infinite for fewer than two pairs
+	mean, margin float64 // margin is half the width of the confidence interval; infinite for fewer than two pairs
 	up, down     int
 	pairs        int
 }
 
-// compare sums up what the later of each pair has more than the earlier.
+// compare summarizes by how much the second of each pair is greater than the first.
 func compare(earlier, later []float64) difference {
 	d := difference{pairs: len(earlier), margin: math.Inf(1)}
 	differences := make([]float64, len(earlier))
@@ -48,8 +49,8 @@
 	return d
 }
 
-// verdict says whether the interval leaves out zero.
-func (d difference) verdict() string {
+// significance says whether the confidence interval excludes zero, and on which side.
+func (d difference) significance() string {
 	switch {
 	case d.mean-d.margin > 0:
 		return "more"
@@ -59,19 +60,19 @@
 	return "within noise"
 }
 
-// figures are what the builds are compared by.
+// figures are the quantities by which builds are compared, under the names of the experiments' pages.
 var figures = []struct {
 	name string
 	of   func(result) float64
 }{
-	{"worth", func(r result) float64 { return r.Worth }},
+	{"worth", func(r result) float64 { return r.Value }},
 	{"served", func(r result) float64 { return r.Served }},
 	{"failed", func(r result) float64 { return r.Failed }},
-	{"late", result.lateShare},
+	{"late", result.lateRate},
 	{"prices", result.price},
 }
 
-// writeTable prints one line a build, site and figure.
+// writeTable writes one line for each build, site and figure, and the violations of rules.
 func writeTable(to io.Writer, builds []build, results map[string]map[pairKey]result) {
 	base := results[builds[0].name]
 	for _, site := range sites(base) {
@@ -84,26 +85,26 @@
 					after = append(after, figure.of(results[later.name][key]))
 				}
 				d := compare(before, after)
-				fmt.Fprintf(to, "%-24s %-22s %-7s %.4f -> %.4f  %+.4f ±%.4f  up %d down %d of %d  %s\n", site, later.name,
-					figure.name, stat.Mean(before, nil), stat.Mean(after, nil), d.mean, d.margin, d.up, d.down, d.pairs, d.verdict())
+				_, _ = fmt.Fprintf(to, "%-24s %-22s %-7s %.4f -> %.4f  %+.4f ±%.4f  up %d down %d of %d  %s\n", site, later.name,
+					figure.name, stat.Mean(before, nil), stat.Mean(after, nil), d.mean, d.margin, d.up, d.down, d.pairs, d.significance())
 			}
 		}
 	}
-	writeBroken(to, results)
+	writeViolations(to, results)
 }
 
-// writeBroken names the plays that broke a rule.
-func writeBroken(to io.Writer, results map[string]map[pairKey]result) {
+// writeViolations writes the trials that violated a rule.
+func writeViolations(to io.Writer, results map[string]map[pairKey]result) {
 	for _, name := range slices.Sorted(maps.Keys(results)) {
 		for key, got := range results[name] {
 			if len(got.Breaks) > 0 {
-				fmt.Fprintf(to, "BROKEN %s %s %s seed %d: %v\n", name, key.site, key.day, key.seed, got.Breaks)
+				_, _ = fmt.Fprintf(to, "BROKEN %s %s %s seed %d: %v\n", name, key.site, key.day, key.seed, got.Breaks)
 			}
 		}
 	}
 }
 
-// sites lists the sites played, in order of their names.
+// sites returns the sites of the trials, sorted by name.
 func sites(of map[pairKey]result) []string {
 	found := map[string]bool{}
 	for key := range of {
@@ -112,7 +113,7 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// pairs lists what both builds played of a site.
+// pairs returns the trials of a site that both builds have, sorted.
 func pairs(a, b map[pairKey]result, site string) []pairKey {
 	var keys []pairKey
 	for key := range a {
--- a/tools/pairedtrials/play.go
+++ b/tools/pairedtrials/trial.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// build is a checkout that is played.
+// build is a checkout that is measured.
 type build struct {
 	name   string
 	folder string
@@ -35,52 +35,53 @@
 	return builds, nil
 }
 
-// play is one day of a site with one seed on one build.
-type play struct {
+// trial is one run: a workload (day) of a site with one seed on one build.
+type trial struct {
 	build build
 	site  string
 	day   string
 	seed  int64
 }
 
-// pairKey names what all builds play alike.
+// pairKey identifies the trials of the builds that are compared with each other.
 type pairKey struct {
 	site string
 	day  string
 	seed int64
 }
 
-func (p play) key() pairKey {
-	return pairKey{site: siteName(p.site), day: siteName(p.day), seed: p.seed}
+func (t trial) key() pairKey {
+	return pairKey{site: siteName(t.site), day: siteName(t.day), seed: t.seed}
 }
 
-// label names a play in file names.
-func (p play) label() string {
-	return fmt.Sprintf("%s-%s-%d-%s", siteName(p.site), siteName(p.day), p.seed, p.build.name)
+// label names a trial in file names.
+func (t trial) label() string {
+	return fmt.Sprintf("%s-%s-%d-%s", siteName(t.site), siteName(t.day), t.seed, t.build.name)
 }
 
+// siteName returns the base name of a site or workload without its extension.
 func siteName(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 
-// result is what the bench reports of a play.
+// result is the benchmark's report of a trial. Its JSON keys are those of the benchmark.
 type result struct {
-	Worth  float64        `json:"G"`
+	Value  float64        `json:"G"` // value of the served work, as a share of all
 	Served float64        `json:"served"`
-	Failed float64        `json:"unserved"` // refused and failed, as a share of what was owed
+	Failed float64        `json:"unserved"` // rejected and failed, as a share of the work due
 	All    counts         `json:"all"`
-	Breaks map[string]any `json:"breaks"` // by rule
+	Breaks map[string]any `json:"breaks"` // violations by rule
 	Prices [][]any        `json:"prices"`
 }
 
-// counts are how many of a day's requests, or programs, there were and how many came late.
+// counts are the numbers of requests or programs, and of late ones among them.
 type counts struct {
 	Asked int `json:"n"`
 	Late  int `json:"late"`
 }
 
-// lateShare is the share that came late.
-func (r result) lateShare() float64 { return float64(r.All.Late) / float64(max(r.All.Asked, 1)) }
+// lateRate returns the share that was late.
+func (r result) lateRate() float64 { return float64(r.All.Late) / float64(max(r.All.Asked, 1)) }
 
-// price sums up all prices, in worth.
+// price returns the sum of all prices, in units of Value.
 func (r result) price() float64 {
 	total := 0.0
 	for _, entry := range r.Prices {
@@ -91,13 +92,13 @@
 	return total
 }
 
-// playAll plays everything, builds innermost, so that pairs share the machine's state.
-func playAll(chosen options, builds []build) (map[string]map[pairKey]result, error) {
+// runAll runs all trials, with the builds innermost, so that the trials of a pair run under similar machine load.
+func runAll(chosen options, builds []build) (map[string]map[pairKey]result, error) {
 	results := map[string]map[pairKey]result{}
 	for _, b := range builds {
 		results[b.name] = map[pairKey]result{}
 	}
-	plays := make(chan play)
+	trials := make(chan trial)
 	var mu sync.Mutex
 	var failures []string
 	var workers sync.WaitGroup
@@ -105,7 +106,7 @@
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for next := range plays {
+			for next := range trials {
 				got, err := next.run(chosen)
 				mu.Lock()
 				if err != nil {
@@ -121,48 +122,48 @@
 		for _, site := range chosen.Site {
 			for _, day := range chosen.Day {
 				for _, b := range builds {
-					plays <- play{build: b, site: site, day: day, seed: seed}
+					trials <- trial{build: b, site: site, day: day, seed: seed}
 				}
 			}
 		}
 	}
-	close(plays)
+	close(trials)
 	workers.Wait()
 	for _, failure := range failures {
-		fmt.Println("NOT PLAYED", failure)
+		fmt.Println("NOT RUN", failure)
 	}
 	if len(failures) > 0 && len(results[builds[0].name]) == 0 {
-		return nil, eris.New("nothing was played")
+		return nil, eris.New("no trial of the first build succeeded")
 	}
 	return results, nil
 }
 
-// run plays one day and reads the bench's report of it.
-func (p play) run(chosen options) (result, error) {
+// run runs a trial and reads the benchmark's report.
+func (t trial) run(chosen options) (result, error) {
 	out, err := filepath.Abs(chosen.Out)
 	if err != nil {
 		return result{}, eris.Wrap(err, "folder for output")
 	}
-	report := filepath.Join(out, p.label()+".json")
-	bench, site := absolute(chosen.Bench), absolute(p.site)
-	day := p.day
+	report := filepath.Join(out, t.label()+".json")
+	benchmark, site := absolute(chosen.Bench), absolute(t.site)
+	day := t.day
 	if strings.HasSuffix(day, ".toml") {
 		day = absolute(day)
 	}
-	arguments := []string{"run", site, day, "--seed", fmt.Sprint(p.seed), "--jobs", "1", "--report", report,
-		"--why", chosen.Why + ": " + p.build.name}
+	arguments := []string{"run", site, day, "--seed", fmt.Sprint(t.seed), "--jobs", "1", "--report", report,
+		"--why", chosen.Why + ": " + t.build.name}
 	if !chosen.Charge {
 		arguments = append(arguments, "--no-cpu")
 	}
-	command := exec.Command(bench, arguments...)
-	command.Dir = p.build.folder
+	command := exec.Command(benchmark, arguments...)
+	command.Dir = t.build.folder
 	printed, err := command.CombinedOutput()
-	if writeErr := os.WriteFile(filepath.Join(out, p.label()+".txt"), printed, 0o644); writeErr != nil {
+	if writeErr := os.WriteFile(filepath.Join(out, t.label()+".txt"), printed, 0o644); writeErr != nil {
 		return result{}, eris.Wrap(writeErr, "output")
 	}
 	content, readErr := os.ReadFile(report)
 	if readErr != nil {
-		return result{}, eris.Wrapf(readErr, "no report (bench: %v)", err)
+		return result{}, eris.Wrapf(readErr, "no report (benchmark: %v)", err)
 	}
 	var got result
 	if err := json.Unmarshal(content, &got); err != nil {
@@ -171,10 +172,10 @@
 	return got, nil
 }
 
-// absolute leaves a path as it is where it has no absolute form.
+// absolute returns the absolute form of a path, or the path itself if there is none.
 func absolute(path string) string {
-	if made, err := filepath.Abs(path); err == nil {
-		return made
+	if absolutePath, err := filepath.Abs(path); err == nil {
+		return absolutePath
 	}
 	return path
 }
