--- a/internal/tier/endtoend/lifecycle_test.go
+++ b/internal/tier/endtoend/lifecycle_test.go
@@ -11,104 +11,105 @@
 	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
-// untilPassedBy waits until requests sent to every edge, one after the other, no longer come to a store.
-func (w *world) untilPassedBy(leaving *testbed.Store) {
-	w.t.Helper()
-	w.until("the store is passed by", func() error {
-		before := len(leaving.Runs())
+// waitUntilAvoided waits until consecutive requests to every edge no longer reach a store.
+func (h *harness) waitUntilAvoided(departing *testbed.Store) {
+	h.t.Helper()
+	h.eventually("the store is avoided", func() error {
+		before := len(departing.Runs())
 		for number := range 8 {
-			for _, front := range w.Fronts() {
+			for _, front := range h.Fronts() {
 				call := draft(fmt.Sprint("passes it by ", number), 6)
-				if err := w.client.Do(w.ctx, front, call).CheckEvents(call, call.Body); err != nil {
+				if err := h.client.Do(h.ctx, front, call).CheckEvents(call, call.Body); err != nil {
 					return err
 				}
 			}
 		}
-		if more := len(leaving.Runs()) - before; more > 0 {
+		if more := len(departing.Runs()) - before; more > 0 {
 			return eris.Errorf("%d more ran there", more)
 		}
 		return nil
 	})
 }
 
-// DRAIN, LOST: a store that says nothing but DELETE, and serves on, finishes what it has and gets nothing more.
-func TestAStoreThatOnlyDeletesItselfFinishesWhatItHas(t *testing.T) {
-	w := newWorld(t)
-	releases := []func(){w.engines[0].BlockResponses(), w.engines[1].BlockResponses()}
-	call := talk("in hand", 12) // of a kind that is not sent to another store for this one's silence
+// Rules DRAIN and LOST: a store that deregisters without draining, and continues to serve, finishes its requests and gets
+// no more.
+func TestDeregisteredStoreFinishesRequests(t *testing.T) {
+	h := newHarness(t)
+	releases := []func(){h.engines[0].BlockResponses(), h.engines[1].BlockResponses()}
+	call := talk("in hand", 12) // of a kind that is not retried at another store when this one does not respond
 	call.Program, call.Session, call.Budget = "in-hand", "s", 1000
-	answered := make(chan error, 1)
-	go func() { answered <- w.client.Do(w.ctx, w.Fronts()[0], call).CheckEvents(call, call.Body) }()
-	leaving := w.untilRunning(w.engines, call.Body)
-	for number, store := range w.engines {
-		if store != leaving {
+	response := make(chan error, 1)
+	go func() { response <- h.client.Do(h.ctx, h.Fronts()[0], call).CheckEvents(call, call.Body) }()
+	departing := h.waitForRun(h.engines, call.Body)
+	for number, store := range h.engines {
+		if store != departing {
 			releases[number]()
 		}
 	}
-	assert.NilError(t, leaving.Deregister(w.ctx))
-	w.untilPassedBy(leaving)
-	assert.Equal(t, leaving.Running(), 1)
-	before := len(leaving.Runs())
+	assert.NilError(t, departing.Deregister(h.ctx))
+	h.waitUntilAvoided(departing)
+	assert.Equal(t, departing.Running(), 1)
+	before := len(departing.Runs())
 	for _, release := range releases {
 		release()
 	}
-	assert.NilError(t, <-answered)
-	w.untilPassedBy(leaving)
-	assert.Equal(t, len(leaving.Runs()), before)
+	assert.NilError(t, <-response)
+	h.waitUntilAvoided(departing)
+	assert.Equal(t, len(departing.Runs()), before)
 }
 
-// LOST, UNASKED: a line of turns comes in through another edge from turn to turn.
-func TestALineOfTurnsChangesItsEdgeFromTurnToTurn(t *testing.T) {
-	w := newWorld(t)
-	w.inParallel(4, func(line int) error {
+// Rules LOST and UNASKED: each turn of a program comes in through another edge than the one before.
+func TestProgramChangesEdgeEachTurn(t *testing.T) {
+	h := newHarness(t)
+	h.concurrently(4, func(line int) error {
 		var last *turn
 		for number := range 6 {
 			call := talk(fmt.Sprintf("line %d turn %d\n", line, number), 12)
 			call.Program, call.Session, call.Budget = fmt.Sprint("p", line), "s", 1000
-			taken, err := w.takeFrom(line+number, last, call)
+			completed, err := h.runTurnFrom(line+number, last, call)
 			if err != nil {
 				return eris.Wrapf(err, "turn %d", number)
 			}
-			last = taken
+			last = completed
 		}
 		return nil
 	})
 }
 
-// BUDGET, REFUSED: a program that was stopped comes again, through any edge, also after all processes were killed at
-// once: its budget stays spent, and its turns stay known.
-func TestAProgramThatWasStoppedStaysStopped(t *testing.T) {
-	const budget, most = 36, 12
-	w := newWorld(t)
+// Rules BUDGET and REFUSED: the spent budget of a program stays spent, at any edge and after all processes were killed at
+// the same time, and its turns stay stored.
+func TestSpentBudgetStaysSpent(t *testing.T) {
+	const budget, maxTokens = 36, 12
+	h := newHarness(t)
 	var last *turn
 	next := func(front int, text string) (*turn, testbed.Reply) {
-		call := talk(text, most)
+		call := talk(text, maxTokens)
 		call.Program, call.Session, call.Budget = "looping", "s", budget
 		if last != nil {
 			call.PreviousTurn = last.id
 		}
-		reply := w.client.Do(w.ctx, w.Fronts()[front%len(w.Edges)], call)
-		return &turn{id: reply.RequestID, prompt: last.next(call.Body), tokens: most}, reply
+		reply := h.client.Do(h.ctx, h.Fronts()[front%len(h.Edges)], call)
+		return &turn{id: reply.RequestID, prompt: last.next(call.Body), tokens: maxTokens}, reply
 	}
-	handed, counted := 0, 0 // counted: tries that broke off count at their most
-	w.until("the budget is spent", func() error {
-		taken, reply := next(handed/most, "on and on\n")
+	received, reserved := 0, 0 // reserved: interrupted attempts count with their limit of tokens
+	h.eventually("the budget is spent", func() error {
+		completed, reply := next(received/maxTokens, "on and on\n")
 		switch {
 		case reply.Err == nil && reply.Status == 200:
-			last = taken
-			handed += most
+			last = completed
+			received += maxTokens
 		case reply.Err != nil || reply.Status != 503 && reply.Status != 402:
-			counted += most
+			reserved += maxTokens
 		}
 		if reply.Status != 402 {
 			return eris.Errorf("status %d: %v", reply.Status, reply.Err)
 		}
 		return nil
 	})
-	assert.Assert(t, handed <= budget && handed+counted >= budget, "%d tokens handed, %d of tries that broke off", handed, counted)
-	comesAgain := func(when string) {
-		for front := range w.Edges {
-			w.until(when, func() error {
+	assert.Assert(t, received <= budget && received+reserved >= budget, "%d tokens received, %d reserved by interrupted attempts", received, reserved)
+	requireRejected := func(when string) {
+		for front := range h.Edges {
+			h.eventually(when, func() error {
 				if _, reply := next(front, "again\n"); reply.Status != 402 {
 					return eris.Errorf("status %d: %v", reply.Status, reply.Err)
 				}
@@ -116,17 +117,17 @@
 			})
 		}
 	}
-	comesAgain("stopped")
-	w.Kill()
-	assert.NilError(t, w.Start())
-	comesAgain("stopped after the restart")
-	for _, store := range w.engines {
+	requireRejected("stopped")
+	h.Kill()
+	assert.NilError(t, h.Start())
+	requireRejected("stopped after the restart")
+	for _, store := range h.engines {
 		for _, run := range store.Runs() {
 			assert.Assert(t, !bytes.HasSuffix(run.Body, []byte("again\n")), "a turn that got 402 ran")
 		}
 	}
-	call := talk("another program\n", most)
+	call := talk("another program\n", maxTokens)
 	call.Program, call.Session, call.Budget = "other", "s", budget
-	_, err := w.take(last, call)
+	_, err := h.runTurn(last, call)
 	assert.NilError(t, err)
 }
--- a/internal/tier/endtoend/main_test.go
+++ b/internal/tier/endtoend/main_test.go
@@ -1,5 +1,5 @@
-// Package endtoend plays a whole tier on loopback addresses: every role a process of its own, started from a written
-// settings file, with stand-in stores, an operator and clients around them.
+// Package endtoend tests a whole tier on loopback addresses: every role runs as a process of its own, started from a
+// settings file, with fake stores, a fake operator and test clients.
 package endtoend
 
 import (
@@ -21,11 +21,11 @@
 	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
-// roleVariable turns this test's binary into the tier's.
+// roleVariable is the environment variable that makes this test's binary run a role of the tier.
 const roleVariable = "PULLEYTIER_TEST_ROLE"
 
-// patience bounds every wait of these tests; nothing is judged by it but that something never happens.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests. It only detects that something never happens.
+const testTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
 	if os.Getenv(roleVariable) != "" {
@@ -34,14 +34,14 @@
 	os.Exit(m.Run())
 }
 
-// launch starts a role as a process of this binary.
+// launch returns the command that runs a role by this binary.
 func launch(role, settingsPath string) *exec.Cmd {
 	started := exec.Command(os.Args[0], role, "--settings", settingsPath)
 	started.Env = append(os.Environ(), roleVariable+"=1")
 	return started
 }
 
-// usedSubnets gives each test addresses of its own.
+// usedSubnets gives each test its own addresses.
 var usedSubnets atomic.Int32
 
 func subnet() string {
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("127.%d.%d", first+os.Getpid()%count, (os.Getpid()/count+int(usedSubnets.Add(1)))%250)
 }
 
-// world is a tier with all that surrounds it.
-type world struct {
+// harness is a running tier with its fake stores, operator and client.
+type harness struct {
 	*testbed.Tier
 	t        *testing.T
 	ctx      context.Context
@@ -60,112 +60,112 @@
 	plain    []*testbed.Store
 }
 
-// safeBuffer collects the logs of all processes.
-type safeBuffer struct {
+// syncBuffer collects the logs of all processes. It is safe for concurrent use.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *safeBuffer) Write(text []byte) (int, error) {
+func (b *syncBuffer) Write(text []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(text)
 }
 
-func (b *safeBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-var _ io.Writer = (*safeBuffer)(nil)
+var _ io.Writer = (*syncBuffer)(nil)
 
-// newWorld starts three coordinators, three turn stores, two edges and four stores, sends the first configuration, and
-// returns when every edge takes clients.
-func newWorld(t *testing.T) *world {
+// newHarness starts three coordinators, three turn stores, two edges and four fake stores, puts the first configuration,
+// and returns when every edge serves clients. Everything ends with the test.
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	log := &safeBuffer{}
+	log := &syncBuffer{}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: t.TempDir(), Subnet: subnet(), Zones: []string{"north", "south", "west"}, Edges: 2, Coordinators: 3,
 		TurnStores: 3, ToleratedFailures: 1, Launch: launch, Log: log,
 	})
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	w := &world{Tier: tier, t: t, ctx: ctx, operator: testbed.NewOperator(tier.Controls()), client: testbed.NewClient()}
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	h := &harness{Tier: tier, t: t, ctx: ctx, operator: testbed.NewOperator(tier.Controls()), client: testbed.NewClient()}
 	t.Cleanup(func() {
 		cancel()
-		w.client.Close()
-		for _, store := range append(w.engines, w.plain...) {
+		h.client.Close()
+		for _, store := range append(h.engines, h.plain...) {
 			store.Kill()
 		}
 		tier.Kill()
 		if t.Failed() {
-			t.Logf("what the processes logged:\n%s", log)
+			t.Logf("logs of the processes:\n%s", log)
 		}
 	})
 	assert.NilError(t, tier.Start())
 	for range 2 {
-		w.engines = append(w.engines, w.addStore(testbed.EngineService))
-		w.plain = append(w.plain, w.addStore(testbed.PlainService))
+		h.engines = append(h.engines, h.addStore(testbed.EngineService))
+		h.plain = append(h.plain, h.addStore(testbed.PlainService))
 	}
-	w.configure(0, testbed.ExampleConfiguration(1).Body())
+	h.configure(0, testbed.ExampleConfiguration(1).Body())
 	for _, edge := range tier.Edges {
-		w.until("an edge is ready", func() error { return tier.Ready(ctx, edge) })
-		w.untilServed(edge)
+		h.eventually("an edge is ready", func() error { return tier.Ready(ctx, edge) })
+		h.waitUntilServed(edge)
 	}
-	return w
+	return h
 }
 
 const slots = 32
 
-func (w *world) addStore(service string) *testbed.Store {
-	w.t.Helper()
-	store, err := w.AddStore(w.ctx, service, slots)
-	assert.NilError(w.t, err)
+func (h *harness) addStore(service string) *testbed.Store {
+	h.t.Helper()
+	store, err := h.AddStore(h.ctx, service, slots)
+	assert.NilError(h.t, err)
 	return store
 }
 
-// configure sends a configuration and wants it taken.
-func (w *world) configure(ifMatch uint64, body []byte) {
-	w.t.Helper()
-	answer, err := w.operator.PutConfiguration(w.ctx, ifMatch, body)
-	assert.NilError(w.t, err)
-	assert.Equal(w.t, answer.Status, 200, "%s", answer.Body)
+// configure puts a configuration, which must be acknowledged.
+func (h *harness) configure(ifMatch uint64, body []byte) {
+	h.t.Helper()
+	answer, err := h.operator.PutConfiguration(h.ctx, ifMatch, body)
+	assert.NilError(h.t, err)
+	assert.Equal(h.t, answer.Status, 200, "%s", answer.Body)
 }
 
-// readBack wants the newest configuration to be this one.
-func (w *world) readBack(want []byte) {
-	w.t.Helper()
-	answer, err := w.operator.Configuration(w.ctx)
-	assert.NilError(w.t, err)
-	assert.Equal(w.t, answer.Status, 200, "%s", answer.Body)
-	assert.Equal(w.t, string(answer.Body), string(want))
+// requireConfiguration checks that the newest configuration is this one.
+func (h *harness) requireConfiguration(want []byte) {
+	h.t.Helper()
+	answer, err := h.operator.Configuration(h.ctx)
+	assert.NilError(h.t, err)
+	assert.Equal(h.t, answer.Status, 200, "%s", answer.Body)
+	assert.Equal(h.t, string(answer.Body), string(want))
 }
 
-// until waits for a condition.
-func (w *world) until(what string, check func() error) {
-	w.t.Helper()
-	poll.WaitOn(w.t, func(poll.LogT) poll.Result {
+// eventually waits until a condition holds.
+func (h *harness) eventually(what string, check func() error) {
+	h.t.Helper()
+	poll.WaitOn(h.t, func(poll.LogT) poll.Result {
 		if err := check(); err != nil {
 			return poll.Continue("%s: %v", what, err)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
-// untilServed waits until an edge knows the configuration, the stores of both services and the turn stores.
-func (w *world) untilServed(edge *testbed.Machine) {
-	w.t.Helper()
-	w.until("a plain request is served", func() error {
+// waitUntilServed waits until an edge has the configuration, the stores of both services and the turn stores.
+func (h *harness) waitUntilServed(edge *testbed.Machine) {
+	h.t.Helper()
+	h.eventually("a plain request is served", func() error {
 		call := testbed.Call{Method: "GET", Path: testbed.FetchPrefix + "first"}
-		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckPlain(call)
+		return h.client.Do(h.ctx, edge.Settings.Listen.Front, call).CheckPlain(call)
 	})
-	w.until("a stream is served", func() error {
+	h.eventually("a stream is served", func() error {
 		call := draft("first", 6)
-		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
+		return h.client.Do(h.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
 	})
-	w.until("a turn is kept", func() error {
+	h.eventually("a turn is stored", func() error {
 		call := talk("first", 6)
-		return w.client.Do(w.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
+		return h.client.Do(h.ctx, edge.Settings.Listen.Front, call).CheckEvents(call, call.Body)
 	})
 }
--- a/internal/tier/fleet/agent_test.go
+++ b/internal/tier/fleet/agent_test.go
@@ -13,10 +13,10 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// followed is how many coordinators an agent follows, as in package agent.
-const followed = 2
+// sourcesPerAgent is the number of coordinators that an agent follows, as in package agent.
+const sourcesPerAgent = 2
 
-// agent is a hollow one: a State that a Follower keeps up to date, and what the checks remember of it.
+// agent is a hollow agent: a watch.State that a follower keeps up to date, and the records of the checks.
 type agent struct {
 	fleet   *fleet
 	machine *simulation.Machine
@@ -27,13 +27,13 @@
 	version  uint64 // of the State, up to which it was checked
 	control  uint64
 	terminal map[string]tierpb.InstanceState
-	complete bool // it knew all once
+	complete bool // it has known all stores once
 
-	mu       sync.Mutex
-	bytes    int
-	heardAt  time.Time
-	answers  map[string]time.Time // by source, the last one
-	greatest time.Duration        // between two answers
+	mu          sync.Mutex
+	bytes       int
+	lastReply   time.Time
+	lastReplies map[string]time.Time // by source
+	longestGap  time.Duration        // between two replies
 }
 
 func newAgent(f *fleet, i int) *agent {
@@ -44,55 +44,56 @@
 	}
 }
 
-// start begins a life that knows nothing but the seeds.
+// start starts an incarnation that knows only the seeds.
 func (a *agent) start() {
 	if a.cancel != nil {
 		a.cancel()
 	}
-	life := a.machine.Start()
+	incarnation := a.machine.Start()
 	a.state = watch.NewState()
 	a.version, a.control, a.complete, a.terminal = 0, 0, false, make(map[string]tierpb.InstanceState)
-	a.forget()
+	a.resetCounts()
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
 	state := a.state
 	seeds := []string{a.fleet.coordinators[0].self.Address, a.fleet.coordinators[1].self.Address, a.fleet.coordinators[2].self.Address}
 	options := watch.Options{
-		Caller: &counting{agent: a, inner: &caller{fleet: a.fleet, inner: life.Caller()}}, State: state, MaxSources: followed, Self: a.self,
+		Caller: &countingCaller{agent: a, inner: &caller{fleet: a.fleet, inner: incarnation.Caller()}}, State: state, MaxSources: sourcesPerAgent, Self: a.self,
 		Endpoints: func() []watch.Endpoint { return watch.CoordinatorEndpoints(a.self, state, nil, seeds) },
 	}
 	a.fleet.running.Go(func() { watch.Run(ctx, options) })
 }
 
-// forget begins new counts.
-func (a *agent) forget() {
+// resetCounts sets the counts to zero.
+func (a *agent) resetCounts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.bytes, a.heardAt, a.greatest, a.answers = 0, time.Now(), 0, make(map[string]time.Time)
+	a.bytes, a.lastReply, a.longestGap, a.lastReplies = 0, time.Now(), 0, make(map[string]time.Time)
 }
 
-func (a *agent) carried() int {
+// bytesCarried returns the bytes of the agent's polls since the last reset.
+func (a *agent) bytesCarried() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.bytes
 }
 
-func (a *agent) heard(source string, bytes int) {
+func (a *agent) recordReply(source string, bytes int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.bytes += bytes
-	a.greatest = max(a.greatest, now.Sub(a.heardAt))
-	a.heardAt = now
-	a.answers[source] = now
+	a.longestGap = max(a.longestGap, now.Sub(a.lastReply))
+	a.lastReply = now
+	a.lastReplies[source] = now
 }
 
-// followsOnly says that all that answered within the last second are among the coordinators.
+// followsOnly reports whether all sources that replied within the last second are among the coordinators.
 func (a *agent) followsOnly(among []*coordinator) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	others := 0
-	for address, at := range a.answers {
+	for address, at := range a.lastReplies {
 		if time.Since(at) <= time.Second && !slices.ContainsFunc(among, func(c *coordinator) bool { return c.self.Address == address }) {
 			others++
 		}
@@ -100,31 +101,32 @@
 	return others == 0
 }
 
-// longestUnheard is the longest time without any answer of a source.
-func (a *agent) longestUnheard() time.Duration {
+// longestWithoutSource returns the longest time without a reply of any source.
+func (a *agent) longestWithoutSource() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return max(a.greatest, time.Since(a.heardAt))
+	return max(a.longestGap, time.Since(a.lastReply))
 }
 
+// knowsAll reports whether the agent has a control state and all expected stores.
 func (a *agent) knowsAll() bool {
-	return a.state.Control() != nil && a.state.Count(tierpb.InstanceState_INSTANCE_READY) >= a.fleet.steadyStores()
+	return a.state.Control() != nil && a.state.Count(tierpb.InstanceState_INSTANCE_READY) >= a.fleet.expectedStores()
 }
 
-// check holds the invariants: the control state never goes back, what has ended stays ended, and a list that was whole
-// keeps all stores that are well.
+// check checks the invariants: the control state never rolls back, a draining or deregistered store never becomes ready
+// again, and an endpoint list that was complete keeps all healthy stores.
 func (a *agent) check() {
 	t := a.fleet.t
 	control := a.state.Control().GetVersion()
 	if control < a.control {
-		t.Fatalf("%s went back from control state %d to %d", a.self.Name, a.control, control)
+		t.Fatalf("%s rolled back from control state %d to %d", a.self.Name, a.control, control)
 	}
 	a.control = control
 	changed, version := a.state.ChangedSince(a.version)
 	a.version = version
 	for _, instance := range changed {
 		if before, ended := a.terminal[instance.Id]; ended && instance.State < before {
-			t.Fatalf("%s: %s came back", a.self.Name, instance.Id)
+			t.Fatalf("%s: %s is ready again", a.self.Name, instance.Id)
 		}
 		if watch.IsTerminal(instance.State) {
 			a.terminal[instance.Id] = instance.State
@@ -137,16 +139,16 @@
 	}
 }
 
-// counting adds up what an agent's polls carry.
-type counting struct {
+// countingCaller counts the bytes of an agent's polls.
+type countingCaller struct {
 	agent *agent
 	inner rpc.Caller
 }
 
-func (c *counting) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
+func (c *countingCaller) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	err := c.inner.Call(ctx, address, method, request, reply)
 	if err == nil {
-		c.agent.heard(address, pollBytes(request, reply))
+		c.agent.recordReply(address, pollBytes(request, reply))
 	}
 	return err
 }
--- a/internal/tier/fleet/coordinator_test.go
+++ b/internal/tier/fleet/coordinator_test.go
@@ -13,22 +13,22 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// coordinator is a hollow one: the list, the watch feed and the links to the others, without the register.
+// coordinator is a hollow coordinator: the registry, the watch and the links to its peers, without the register.
 type coordinator struct {
-	fleet   *fleet
-	machine *simulation.Machine
-	self    *tierpb.Node
-	state   *watch.State
-	silence *registry.FailureDetector
-	cancel  context.CancelFunc
-	listed  int
-
-	mu       sync.Mutex
-	life     *simulation.Incarnation
-	dark     bool // its machine is without power: no connection is reset
-	answers  map[string]bool
-	startsAt []time.Time // first polls of agents: those that are not to be held
-	calls    int         // polls of agents
+	fleet    *fleet
+	machine  *simulation.Machine
+	self     *tierpb.Node
+	state    *watch.State
+	detector *registry.FailureDetector
+	cancel   context.CancelFunc
+	listed   int
+
+	mu          sync.Mutex
+	incarnation *simulation.Incarnation
+	poweredOff  bool // its machine has no power: no connection is reset
+	answers     map[string]bool
+	firstPolls  []time.Time // of agents' first polls, which are answered at once
+	polls       int         // of agents
 }
 
 func newCoordinator(f *fleet, i int) *coordinator {
@@ -42,30 +42,30 @@
 	}
 }
 
-// start begins a life that knows nothing.
+// start starts an incarnation that knows nothing.
 func (c *coordinator) start() {
-	life, state := c.machine.Start(), watch.NewState()
-	c.state, c.silence, c.listed = state, registry.NewFailureDetector(heartbeat), 0
+	incarnation, state := c.machine.Start(), watch.NewState()
+	c.state, c.detector, c.listed = state, registry.NewFailureDetector(heartbeat), 0
 	c.mu.Lock()
-	c.life, c.dark, c.answers = life, false, make(map[string]bool)
+	c.incarnation, c.poweredOff, c.answers = incarnation, false, make(map[string]bool)
 	c.mu.Unlock()
 	started := time.Now()
 	gate := watch.NewReadinessGate(watch.ReadinessOptions{
-		State: state, Ready: c.inTouch, Starting: func() bool { return time.Since(started) <= startTime },
+		State: state, Ready: c.hasMajority, Starting: func() bool { return time.Since(started) <= startTime },
 	})
-	rpc.Handle(life.Server, rpc.MethodWatch, func(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
+	rpc.Handle(incarnation.Server, rpc.MethodWatch, func(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 		return c.watch(ctx, state, gate, request)
 	})
-	rpc.Handle(life.Server, rpc.MethodAnnounce, func(_ context.Context, request *tierpb.AnnounceRequest) (*tierpb.AnnounceReply, error) {
+	rpc.Handle(incarnation.Server, rpc.MethodAnnounce, func(_ context.Context, request *tierpb.AnnounceRequest) (*tierpb.AnnounceReply, error) {
 		return announced(state, request)
 	})
-	life.Listen()
+	incarnation.Listen()
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	options := watch.Options{
 		Caller: c.caller(), State: state, Endpoints: c.targets, Self: c.self, Heartbeats: true,
 		OnSourceChange: func(address string, answers bool) {
-			c.answering(address, answers)
+			c.setAnswering(address, answers)
 			gate.Check()
 		},
 	}
@@ -77,25 +77,27 @@
 	c.cancel()
 }
 
-// losePower ends the process without a word to those that are connected.
-func (c *coordinator) losePower() {
+// powerLoss ends the process without resetting its connections.
+func (c *coordinator) powerLoss() {
 	c.mu.Lock()
-	c.dark = true
+	c.poweredOff = true
 	c.mu.Unlock()
 	c.machine.PowerLoss()
 	c.cancel()
 }
 
-// current is the newest life, and whether the machine is without power.
+// current returns the newest incarnation, and whether the machine is powered off.
 func (c *coordinator) current() (*simulation.Incarnation, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.life, c.dark
+	return c.incarnation, c.poweredOff
 }
 
 func (c *coordinator) alive() bool { return c.machine.Running() }
 
-func (c *coordinator) caller() rpc.Caller { return &caller{fleet: c.fleet, inner: c.life.Caller()} }
+func (c *coordinator) caller() rpc.Caller {
+	return &caller{fleet: c.fleet, inner: c.incarnation.Caller()}
+}
 
 func (c *coordinator) targets() []watch.Endpoint {
 	var targets []watch.Endpoint
@@ -107,13 +109,13 @@
 	return targets
 }
 
-func (c *coordinator) answering(address string, answers bool) {
+func (c *coordinator) setAnswering(address string, answers bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answers[address] = answers
 }
 
-func (c *coordinator) heard() []*tierpb.Node {
+func (c *coordinator) respondingPeers() []*tierpb.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	nodes := []*tierpb.Node{c.self}
@@ -125,17 +127,17 @@
 	return nodes
 }
 
-func (c *coordinator) inTouch() bool { return len(c.heard()) > coordinatorCount/2 }
+func (c *coordinator) hasMajority() bool { return len(c.respondingPeers()) > coordinatorCount/2 }
 
-// watch is as in the role: one that is cut off sends followers elsewhere.
+// watch answers as the role does: a partitioned coordinator sends followers elsewhere.
 func (c *coordinator) watch(ctx context.Context, state *watch.State, gate *watch.ReadinessGate, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	if request.Follower.GetRole() == tierpb.Role_ROLE_COORDINATOR {
 		return state.Watch(ctx, request)
 	}
 	c.mu.Lock()
-	c.calls++
+	c.polls++
 	if request.WaitMs == 0 {
-		c.startsAt = append(c.startsAt, time.Now())
+		c.firstPolls = append(c.firstPolls, time.Now())
 	}
 	c.mu.Unlock()
 	return gate.Watch(ctx, request)
@@ -148,35 +150,35 @@
 	return &tierpb.AnnounceReply{}, nil
 }
 
-// runMaintenance marks silent stores and lists the coordinators that answer.
+// runMaintenance marks suspect stores and advertises the coordinators that respond.
 func (c *coordinator) runMaintenance() {
 	if !c.alive() {
 		return
 	}
-	heard := c.heard()
-	if len(heard) != c.listed {
-		c.listed = len(heard)
-		c.state.AdvertiseCoordinators(heard)
+	peers := c.respondingPeers()
+	if len(peers) != c.listed {
+		c.listed = len(peers)
+		c.state.AdvertiseCoordinators(peers)
 	}
-	for _, mark := range c.silence.Observe(time.Now(), c.inTouch(), c.state.Instances()) {
-		c.state.Upsert(mark)
+	for _, suspect := range c.detector.Observe(time.Now(), c.hasMajority(), c.state.Instances()) {
+		c.state.Upsert(suspect)
 	}
 }
 
-// reset forgets the polls counted so far.
+// reset sets the counts of polls to zero.
 func (c *coordinator) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls, c.startsAt = 0, nil
+	c.polls, c.firstPolls = 0, nil
 }
 
-// densest is the most first polls within a span.
-func (c *coordinator) densest(span time.Duration) int {
+// maxFirstPolls returns the largest number of first polls within a span.
+func (c *coordinator) maxFirstPolls(span time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	most, from := 0, 0
-	for to, at := range c.startsAt {
-		for at.Sub(c.startsAt[from]) > span {
+	for to, at := range c.firstPolls {
+		for at.Sub(c.firstPolls[from]) > span {
 			from++
 		}
 		most = max(most, to-from+1)
@@ -184,7 +186,7 @@
 	return most
 }
 
-// caller fails calls at once when the process called ends, as a reset connection does.
+// caller fails calls at once when the callee's process ends, as a reset connection does.
 type caller struct {
 	fleet *fleet
 	inner rpc.Caller
@@ -192,16 +194,16 @@
 
 func (c *caller) Call(ctx context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
 	target := c.fleet.coordinatorAt(address)
-	life, _ := target.current()
-	if life == nil {
+	incarnation, _ := target.current()
+	if incarnation == nil {
 		return c.inner.Call(ctx, address, method, request, reply)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-life.Ended():
-			if _, dark := target.current(); !dark {
+		case <-incarnation.Ended():
+			if _, poweredOff := target.current(); !poweredOff {
 				cancel()
 			}
 		case <-ctx.Done():
--- a/internal/tier/fleet/fleet_test.go
+++ b/internal/tier/fleet/fleet_test.go
@@ -1,5 +1,5 @@
-// Package fleet holds tests of the control plane at size: hundreds of hollow agents, coordinators and stores in one process,
-// over the simulated network and under the clock of a testing/synctest bubble.
+// Package fleet holds scale tests of the control plane: hundreds of hollow agents, with coordinators and stores, in one
+// process, over the simulated network and under the clock of a testing/synctest bubble.
 package fleet
 
 import (
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// The size and the times of the fleet.
+// Sizes and times of the fleet.
 const (
 	agentCount        = 100
 	storeCount        = 300
@@ -28,13 +28,13 @@
 	heartbeat         = time.Second
 	stepTime          = 50 * time.Millisecond
 	maintenancePeriod = 750 * time.Millisecond
-	settleTime        = 2 * time.Second // all stores have sent heartbeats, and every agent has its sources
-	startTime         = 2 * time.Second // that a coordinator may take to find the others
+	warmUpTime        = 2 * time.Second // until all stores have sent heartbeats and every agent has its sources
+	startTime         = 2 * time.Second // within which a coordinator finds its peers
 	callTime          = 400 * time.Millisecond
-	endTime           = 6 * time.Second // after which no call is under way any more
+	endTime           = 6 * time.Second // after which no call is in progress
 )
 
-// fleet is all processes of the control plane, and what the checks remember.
+// fleet is all processes of the control plane, and the records of the checks.
 type fleet struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -45,7 +45,7 @@
 	numbers      int // of store incarnations
 	ended        map[string]bool
 	tick         int
-	growing      bool // stores start that are not on all lists yet
+	growing      bool // stores have started that are not in all endpoint lists yet
 	begun        time.Time
 	running      sync.WaitGroup
 }
@@ -53,11 +53,11 @@
 // store is one incarnation of a store that sends heartbeats.
 type store struct {
 	instance *tierpb.Instance
-	steady   bool // it is to be on all lists until the end
+	expected bool // must be in all endpoint lists until the end of the test
 	first    int  // tick of its first heartbeat
 }
 
-// inFleet runs a test with all processes started and all agents up to date.
+// inFleet runs a test in a bubble with all processes started and all agents up to date.
 func inFleet(t *testing.T, seed uint64, test func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 			f.agents = append(f.agents, a)
 			a.start()
 		}
-		f.pass(settleTime)
+		f.advance(warmUpTime)
 		f.requireAllKnown()
 		test(f)
 	})
@@ -100,17 +100,17 @@
 	<-time.After(endTime)
 }
 
-// newStore makes an incarnation of a store that beats from the next steps on.
+// newStore creates an incarnation of a store that sends heartbeats from the next steps on.
 func (f *fleet) newStore(i int) *store {
 	f.numbers++
 	instance := &tierpb.Instance{
 		Id: fmt.Sprintf("store-%d-%d", i, f.numbers), Backend: "engines", Zone: zoneOf(i), Generation: "g1", Slots: 8,
 		Address: fmt.Sprintf("10.9.%d.%d:8000", i/200, i%200), Models: []string{"model-a"}, Sequence: 1,
 	}
-	return &store{instance: instance, steady: true, first: f.tick}
+	return &store{instance: instance, expected: true, first: f.tick}
 }
 
-// configure has the first coordinator that runs learn of a new control state, as the register's proposer does.
+// configure gives a new control state to the first running coordinator, as the register's proposer does.
 func (f *fleet) configure(version uint64) {
 	control := &tierpb.ControlState{
 		Version: version, Configuration: &tierpb.Configuration{Generation: version, Body: body(version)},
@@ -121,7 +121,7 @@
 	}
 	control.Voters = []*tierpb.VoterSet{set}
 	for _, c := range f.coordinators {
-		if c.alive() && c.inTouch() || version == 1 {
+		if c.alive() && c.hasMajority() || version == 1 {
 			c.state.SetControl(control)
 			if version > 1 {
 				return
@@ -130,7 +130,7 @@
 	}
 }
 
-// body is a configuration of many routes of which one changes with each version.
+// body returns a configuration of many routes, of which one changes with each version.
 func body(version uint64) []byte {
 	var text []byte
 	for i := range routeCount {
@@ -143,8 +143,8 @@
 	return text
 }
 
-// pass lets simulated time go by in steps, with the heartbeats that are due, and checks the invariants after each.
-func (f *fleet) pass(duration time.Duration) {
+// advance lets simulated time pass in steps, with the heartbeats that are due, and checks the invariants after each.
+func (f *fleet) advance(duration time.Duration) {
 	for range duration / stepTime {
 		f.step()
 	}
@@ -157,7 +157,7 @@
 	beatTicks := int(heartbeat / stepTime)
 	for i, s := range f.stores {
 		if (f.tick-s.first+i)%beatTicks == 0 || f.tick == s.first+1 {
-			f.beat(s)
+			f.sendHeartbeat(s)
 		}
 	}
 	if f.tick%int(maintenancePeriod/stepTime) == 0 {
@@ -170,8 +170,8 @@
 	}
 }
 
-// beat brings a heartbeat to a coordinator that answers stores, another one each time.
-func (f *fleet) beat(s *store) {
+// sendHeartbeat delivers a heartbeat to a coordinator that accepts them, another one each time.
+func (f *fleet) sendHeartbeat(s *store) {
 	s.instance = s.instance.CloneVT()
 	s.instance.Sequence++
 	if c := f.anyCoordinator(); c != nil {
@@ -179,20 +179,20 @@
 	}
 }
 
-// anyCoordinator is one that runs and hears a majority, nil for none.
+// anyCoordinator returns a coordinator that runs and has a majority of peers, nil if there is none.
 func (f *fleet) anyCoordinator() *coordinator {
 	first := f.random.IntN(coordinatorCount)
 	for i := range coordinatorCount {
-		if c := f.coordinators[(first+i)%coordinatorCount]; c.alive() && c.inTouch() {
+		if c := f.coordinators[(first+i)%coordinatorCount]; c.alive() && c.hasMajority() {
 			return c
 		}
 	}
 	return nil
 }
 
-// end brings the drain or the end of a store in, at one coordinator that tells the others.
-func (f *fleet) end(s *store, state tierpb.InstanceState) {
-	s.steady = false
+// endStore delivers the drain or deregistration of a store to one coordinator, which announces it to its peers.
+func (f *fleet) endStore(s *store, state tierpb.InstanceState) {
+	s.expected = false
 	s.instance = s.instance.CloneVT()
 	s.instance.Sequence++
 	s.instance.State = state
@@ -211,8 +211,8 @@
 	}
 }
 
-// until passes time until all agents agree, and returns how long that took.
-func (f *fleet) until(bound time.Duration, agrees func(*agent) bool) time.Duration {
+// advanceUntil lets time pass until the condition holds for all agents, and returns how long that took.
+func (f *fleet) advanceUntil(bound time.Duration, agrees func(*agent) bool) time.Duration {
 	f.t.Helper()
 	from := time.Now()
 	for time.Since(from) <= bound {
@@ -238,11 +238,11 @@
 	}
 }
 
-// steadyStores is how many stores are to be on all lists.
-func (f *fleet) steadyStores() int {
+// expectedStores returns the number of stores that must be in all endpoint lists.
+func (f *fleet) expectedStores() int {
 	count := 0
 	for _, s := range f.stores {
-		if s.steady {
+		if s.expected {
 			count++
 		}
 	}
@@ -251,5 +251,5 @@
 
 func zoneOf(i int) string { return fmt.Sprintf("zone-%d", i%zoneCount) }
 
-// pollBytes is what a poll carried.
+// pollBytes returns the bytes of a poll.
 func pollBytes(request, reply rpc.Message) int { return request.SizeVT() + reply.SizeVT() }
--- a/internal/tier/fleet/invariant_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package fleet
-
-import "pulleygw.example/pulleygw/internal/tier/invariant"
-
-func init() { invariant.FailTests() }
