--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -1,5 +1,5 @@
-// Package conformance plays cases of the query API, as data, through the official Go client against a daemon on
-// sockets among stand-in lot stores.
+// Package conformance tests the query API against the official Go client: it runs the cases of cases.json, and the
+// client's typed calls, against a gatherer on loopback sockets with fake lot stores.
 package conformance
 
 import (
@@ -33,14 +33,16 @@
 	each   = 50
 )
 
-// service is a daemon among 12 lot stores, two to a cell of four ranges.
+// service is a gatherer with 12 fake lot stores, two replicas of each cell of four ranges.
 type service struct {
 	client *opensearchapi.Client
 	corpus *lots.Corpus
-	silent atomic.Int32 // so many cells answer nothing
+	silent atomic.Int32 // number of cells whose stores do not respond
 }
 
+// start starts the gatherer and its stores; they end with the test.
 func start(t *testing.T) *service {
+	t.Helper()
 	s := &service{corpus: lots.New(7, ranges, each)}
 	var hosts []string
 	for i := range 2 * cells {
@@ -102,7 +104,7 @@
 	}
 }
 
-// Each case gets its status and, at each path that it names, its value; null is nothing there.
+// TestCases checks the status of each case and the value at each path that it names; null means that the path is absent.
 func TestCases(t *testing.T) {
 	text, err := os.ReadFile("cases.json")
 	if err != nil {
@@ -149,7 +151,7 @@
 	}
 }
 
-// question is a search's body for the first lots of all, with its sort as the stand-in reads it.
+// question returns the body of a search for the first lots, with its sort in the form that the fake store reads.
 func question(body json.RawMessage, size int) gjson.Result {
 	var m map[string]any
 	if err := json.Unmarshal(body, &m); err != nil {
@@ -170,27 +172,28 @@
 	return gjson.ParseBytes(text)
 }
 
-// do plays one request through the client.
+// do sends one request through the client and returns the status and the body of the response.
 func (s *service) do(t *testing.T, method, path string, body []byte) (int, []byte) {
+	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, path, bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	p, err := s.client.Client.Perform(req)
+	response, err := s.client.Client.Stream(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Body.Close()
-	got, err := io.ReadAll(p.Body)
+	defer response.Body.Close()
+	got, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p.StatusCode, got
+	return response.StatusCode, got
 }
 
-// What the client's own calls send and read: info, search, multi-search, bulk, multi-get and a point in time that is
-// walked to its end.
+// TestTypedCalls checks the client's typed calls: info, search, multi-search, bulk, multi-get and a point in time that is
+// read to its end.
 func TestTypedCalls(t *testing.T) {
 	s, ctx := start(t), context.Background()
 	if info, err := s.client.Info(ctx, nil); err != nil || info.Version.Distribution != "opensearch" {
