--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -14,9 +14,9 @@
 		changed: "go func() { _ = a.saveAccepted(request.Proposal, request.Value) }()\n\tif err := error(nil); err != nil {",
 	},
 	{
-		name: "version counts as durable without a sync of its folder", file: "storage/versions.go",
-		old:     "if err := s.faults.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.folder); err != nil {",
-		changed: "if err := s.faults.At(failpoint.VersionRenamed); err != nil {",
+		name: "version counts as durable without a sync of its directory", file: "storage/series.go",
+		old:     "if err := s.failpoints.At(failpoint.VersionRenamed); err != nil {\n\t\treturn err\n\t}\n\tif err := s.disk.SyncDir(s.directory); err != nil {",
+		changed: "if err := s.failpoints.At(failpoint.VersionRenamed); err != nil {",
 	},
 	{
 		name: "restart forgets that an accept implies a prepare", file: "register/acceptor_storage.go",
@@ -110,26 +110,26 @@
 	},
 	{
 		name: "fencing token not checked", file: "placement/fence.go",
-		old:     "case current != claim.Term:",
-		changed: "case true:\n\t\treturn nil\n\tcase current != claim.Term:",
+		old:     "case current != credentials.Term:",
+		changed: "case true:\n\t\treturn nil\n\tcase current != credentials.Term:",
 	},
 	{
-		name: "previous turn stores removed after the first migration report", file: "placement/moves.go",
-		old:     "return p.members-p.reported <= max(p.allowed, p.gone)",
+		name: "previous turn stores removed after the first migration report", file: "placement/migration.go",
+		old:     "return p.previous-p.reported <= max(p.tolerated, p.diskLost)",
 		changed: "return true",
 	},
 	{
-		name: "migration report of an earlier epoch counts", file: "placement/moves.go",
+		name: "migration report of an earlier epoch counts", file: "placement/migration.go",
 		old:     "join.Request.CopiedEpoch >= stores.Epoch",
 		changed: "join.Request.CopiedEpoch > 0",
 	},
 	{
-		name: "only the new replica set counts during a migration", file: "replica/collect.go",
+		name: "only the new replica set counts during a migration", file: "replica/placement.go",
 		old:     "if len(membership.Previous) > 0 {",
 		changed: "if false {",
 	},
 	{
-		name: "write quorum of one less", file: "replica/set.go",
+		name: "write quorum of one less", file: "replica/quorum.go",
 		old:     "return min(tolerance+1, size)",
 		changed: "return min(tolerance, size)",
 	},
--- a/internal/tier/turnstore/compaction_test.go
+++ b/internal/tier/turnstore/compaction_test.go
@@ -16,12 +16,12 @@
 	m := c.machines["10.0.0.1:1"]
 	assert.Equal(t, put(c, m, c.record("before", "")), tierpb.StoreStatus_STORE_OK)
 	m.disk.fail(true)
-	lost := c.record("during", "")
-	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
+	record := c.record("during", "")
+	assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_FULL)
 	m.disk.fail(false)
-	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_FULL)
+	assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_FULL)
 	assert.NilError(t, m.store.Compact(context.Background()))
-	assert.Equal(t, put(c, m, lost), tierpb.StoreStatus_STORE_OK)
+	assert.Equal(t, put(c, m, record), tierpb.StoreStatus_STORE_OK)
 	assert.Equal(t, put(c, m, c.record("after", "")), tierpb.StoreStatus_STORE_OK)
 	c.losePower(m)
 	c.start(m)
@@ -56,7 +56,7 @@
 	}
 }
 
-// Marks go with the segments that a merged file replaces.
+// A compaction removes the offsets files of the segments that it replaces.
 func TestCompactionRemovesOffsetsFiles(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
--- a/internal/tier/turnstore/simulation_placement_test.go
+++ b/internal/tier/turnstore/simulation_placement_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// sendJoin has a store call the coordinators, which may miss it.
+// sendJoin delivers a store's join request to the coordinators, each of which may miss it.
 func (w *simulation) sendJoin(m *machine) {
 	running := w.rebalancers[m]
 	copied := running.rebalancer.CompletedEpoch()
@@ -34,7 +34,7 @@
 	}
 }
 
-// runPlacement takes the next step by what one coordinator has heard.
+// runPlacement runs the placement role on the join requests that one coordinator has received.
 func (w *simulation) runPlacement(joins map[uint64]placement.Join) {
 	view := &placement.View{
 		Now: time.Now(), ListeningSince: w.began, Tolerance: w.tolerance, CatchUpTimeout: catchUp, MembershipSeen: w.moveSeen,
@@ -49,7 +49,7 @@
 	})
 	next, reason := placement.NextStores(w.control.CloneVT(), view)
 	if reason != "" {
-		assert.Assert(w.t, w.toleranceExceeded || reason != "records moved, but more disks were lost than are tolerated")
+		assert.Assert(w.t, w.toleranceExceeded || reason != placement.ReasonDisksLost)
 		w.logEvent("%s", reason)
 		w.publish(next)
 	}
@@ -67,7 +67,7 @@
 	w.cluster.mu.Unlock()
 }
 
-// endRecoveredFailures takes away machines that were emptied, and ends losses that are over.
+// endRecoveredFailures shuts down machines whose retirement is complete, and ends the failures that are recovered.
 func (w *simulation) endRecoveredFailures() {
 	for _, retirement := range w.control.Retirements {
 		if m := w.machines[retirement.Node]; m != nil && retirement.Completed {
@@ -80,20 +80,20 @@
 		return
 	}
 	for _, m := range w.sortedMachines() {
-		if _, isLost := w.failed[m]; isLost && m.store != nil && !w.partitioned[m.address] &&
+		if _, hasFailed := w.failed[m]; hasFailed && m.store != nil && !w.partitioned[m.address] &&
 			replica.Contains(stores.Current, m.store.Identity()) {
 			w.logEvent("over: %s", m.address)
 			delete(w.failed, m)
 		}
 	}
 	for m := range w.failed {
-		if w.machines[m.address] != m { // it was taken away, and so has been what it stood in for
+		if w.machines[m.address] != m { // it was shut down
 			delete(w.failed, m)
 		}
 	}
 }
 
-// allDisksPresent says whether the disks of all members are there.
+// allDisksPresent returns whether the disks of all members exist.
 func (w *simulation) allDisksPresent(members []*tierpb.Node) bool {
 	for _, member := range members {
 		m := w.machines[member.Address]
@@ -109,7 +109,7 @@
 	w.remove(m)
 }
 
-// retire gives the order to empty a machine, where enough stay.
+// retire retires a random member, if enough remain.
 func (w *simulation) retire() {
 	next := w.control.CloneVT()
 	stores := next.Stores
@@ -117,14 +117,14 @@
 		return
 	}
 	at := w.random.IntN(len(stores.Current))
-	leaver := stores.Current[at]
+	retired := stores.Current[at]
 	if len(stores.Previous) == 0 {
 		stores.Previous = stores.Current
 	}
 	current := make([]*tierpb.Node, 0, len(stores.Current))
 	stores.Current = append(append(current, stores.Current[:at]...), stores.Current[at+1:]...)
 	stores.Epoch++
-	w.logEvent("retire %s", leaver.Name)
-	next.Retirements = append(next.Retirements, &tierpb.Retirement{Node: leaver.Name, Identity: leaver.Identity})
+	w.logEvent("retire %s", retired.Name)
+	next.Retirements = append(next.Retirements, &tierpb.Retirement{Node: retired.Name, Identity: retired.Identity})
 	w.publish(next)
 }
