--- a/internal/tier/fleet/agent_test.go
+++ b/internal/tier/fleet/agent_test.go
@@ -58,7 +58,8 @@
 	state := a.state
 	seeds := []string{a.fleet.coordinators[0].self.Address, a.fleet.coordinators[1].self.Address, a.fleet.coordinators[2].self.Address}
 	options := watch.Options{
-		Caller: &countingCaller{agent: a, inner: &caller{fleet: a.fleet, inner: incarnation.Caller()}}, State: state, MaxSources: sourcesPerAgent, Self: a.self,
+		Caller: &countingCaller{agent: a, inner: &caller{fleet: a.fleet, inner: incarnation.Caller()}}, State: state,
+		MaxSources: sourcesPerAgent, Self: a.self,
 		Endpoints: func() []watch.Endpoint { return watch.CoordinatorEndpoints(a.self, state, nil, seeds) },
 	}
 	a.fleet.running.Go(func() { watch.Run(ctx, options) })
--- a/internal/tier/modelcheck/disk.go
+++ b/internal/tier/modelcheck/disk.go
@@ -22,8 +22,9 @@
 	}
 	released := make(chan struct{})
 	p.run.post(&event{
-		kind: syncEvent, from: p.node.number, to: p.node.number, label: "sync", observation: observation{kind: observationSync, from: p.node.number},
-		release: func() { close(released) },
+		kind: syncEvent, from: p.node.number, to: p.node.number, label: "sync",
+		observation: observation{kind: observationSync, from: p.node.number},
+		release:     func() { close(released) },
 	})
 	select {
 	case <-released:
--- a/internal/tier/modelcheck/observation.go
+++ b/internal/tier/modelcheck/observation.go
@@ -28,7 +28,7 @@
 // observation is the part of a message, or of a step of a process, that enters the fingerprint.
 type observation struct {
 	kind      observationKind
-	from      int // node
+	from      int // number of the node
 	flags     uint64
 	identity  uint64
 	number    uint64
@@ -36,6 +36,7 @@
 	state     *tierpb.ControlState
 }
 
+// flags packs booleans into a number, the first one into the lowest bit.
 func flags(bits ...bool) (flags uint64) {
 	for i, bit := range bits {
 		if bit {
@@ -49,7 +50,10 @@
 func (r *run) observationOf(message rpc.Message) observation {
 	switch m := message.(type) {
 	case *tierpb.PrepareRequest:
-		return observation{kind: observationPrepareRequest, identity: m.Identity, proposals: []*tierpb.ProposalNumber{m.Proposal, m.KnownAccepted}}
+		return observation{
+			kind: observationPrepareRequest, identity: m.Identity,
+			proposals: []*tierpb.ProposalNumber{m.Proposal, m.KnownAccepted},
+		}
 	case *tierpb.PrepareReply:
 		return observation{
 			kind: observationPrepareReply, flags: flags(m.Prepared, m.WrongIdentity), state: m.Value,
@@ -58,7 +62,10 @@
 	case *tierpb.AcceptRequest:
 		return observation{kind: observationAcceptRequest, identity: m.Identity, proposals: []*tierpb.ProposalNumber{m.Proposal}, state: m.Value}
 	case *tierpb.AcceptReply:
-		return observation{kind: observationAcceptReply, flags: flags(m.Accepted, m.WrongIdentity), proposals: []*tierpb.ProposalNumber{m.HighestPrepared}}
+		return observation{
+			kind: observationAcceptReply, flags: flags(m.Accepted, m.WrongIdentity),
+			proposals: []*tierpb.ProposalNumber{m.HighestPrepared},
+		}
 	case *tierpb.LeaseRequest:
 		return observation{kind: observationLeaseRequest, flags: flags(m.Release), identity: m.Identity, number: m.Holder ^ m.Sequence}
 	case *tierpb.LeaseReply:
--- a/internal/tier/modelcheck/scheduler.go
+++ b/internal/tier/modelcheck/scheduler.go
@@ -51,7 +51,8 @@
 	case Partition, PartitionInbound:
 		n.partitioned, n.inboundPartitioned = a.kind == Partition, a.kind == PartitionInbound
 		r.deferUntil(&event{
-			kind: healEvent, from: n.number, to: n.number, label: "healed", release: func() { n.partitioned, n.inboundPartitioned = false, false },
+			kind: healEvent, from: n.number, to: n.number, label: "healed",
+			release: func() { n.partitioned, n.inboundPartitioned = false, false },
 		}, time.Now().Add(delayTime))
 	case Freeze:
 		n.frozen = time.Now().Add(delayTime)
@@ -112,6 +113,7 @@
 	r.deferred = slices.DeleteFunc(r.deferred, is)
 }
 
+// deferUntil adds a deferred event that is not dispatched by default before a time.
 func (r *run) deferUntil(e *event, until time.Time) {
 	e.until = until
 	r.deferred = append(r.deferred, e)
--- a/internal/tier/modelcheck/walk.go
+++ b/internal/tier/modelcheck/walk.go
@@ -44,7 +44,10 @@
 
 func newWalker(seed uint64) *walker {
 	random := rand.New(rand.NewPCG(seed, 0))
-	drawn := &walker{random: random, deviationRate: maxDeviationRate * math.Pow(10, -2*random.Float64()), maxDeviations: 1 + random.IntN(maxWalkDeviations)}
+	drawn := &walker{
+		random: random, deviationRate: maxDeviationRate * math.Pow(10, -2*random.Float64()),
+		maxDeviations: 1 + random.IntN(maxWalkDeviations),
+	}
 	for kind := range drawn.enabled {
 		drawn.enabled[kind] = random.IntN(2) == 0
 	}
--- a/internal/tier/soak/configuration_probe.go
+++ b/internal/tier/soak/configuration_probe.go
@@ -70,7 +70,8 @@
 		}
 		bound := asked.acknowledgedAt.Add(configBound + calmSlack)
 		if !asked.acknowledgedAt.IsZero() && attempt.Sent.After(bound) && c.harness.calm(contactBound, asked.acknowledgedAt, attempt.Ended) {
-			c.harness.reportLate("CONFIG", "%s does not serve %d, acknowledged at %s", at.front, asked.generation, asked.acknowledgedAt.Format("15:04:05.000"))
+			c.harness.reportLate("CONFIG", "%s does not serve %d, acknowledged at %s", at.front, asked.generation,
+				asked.acknowledgedAt.Format("15:04:05.000"))
 		}
 	}
 }
--- a/internal/tier/soak/faults.go
+++ b/internal/tier/soak/faults.go
@@ -11,6 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/testbed"
 )
 
+// Times of faults.
 const (
 	slowSync        = 700 * time.Millisecond
 	retireTime      = 20 * time.Second
@@ -40,22 +41,22 @@
 
 // scopeOf returns which rules a fault excuses, and where.
 func (h *harness) scopeOf(fault Fault) faultScope {
-	why := faultScope{what: fault.String()}
+	scope := faultScope{what: fault.String()}
 	switch fault.Kind {
 	case Reload:
-		why.planned = true
+		scope.planned = true
 	case Terminate:
-		why.planned = fault.Class == classEdge
+		scope.planned = fault.Class == classEdge
 	case KillAll:
-		why.stops = everyEdge
+		scope.stops = everyEdge
 	}
 	switch fault.Kind {
 	case KillMachine, KillRole, PauseMachine, PauseRole, Terminate:
 		if fault.Class == classEdge {
-			why.stops = h.machine(fault).Settings.Listen.Front
+			scope.stops = h.machine(fault).Settings.Listen.Front
 		}
 	}
-	return why
+	return scope
 }
 
 func (h *harness) machine(fault Fault) *testbed.Machine {
--- a/internal/tier/soak/harness.go
+++ b/internal/tier/soak/harness.go
@@ -71,24 +71,10 @@
 		return nil, err
 	}
 	log := &logWatcher{to: options.Log}
-	builds := rand.New(rand.NewPCG(plan.Seed, 5000))
-	var buildsMutex sync.Mutex
-	launch := func(role, settingsPath string) *exec.Cmd {
-		buildsMutex.Lock()
-		defer buildsMutex.Unlock()
-		if plan.Mixed && options.Other != nil && builds.IntN(2) == 0 {
-			return options.Other(role, settingsPath)
-		}
-		configured := settingsOf(settingsPath)
-		volatile := ""
-		if plan.Volatile {
-			volatile = configured.DataDir
-		}
-		return options.Launch(role, settingsPath, address, configured.IP, volatile)
-	}
 	tier, err := testbed.NewTier(testbed.Layout{
 		Folder: options.Folder, Subnet: options.Subnet, Zones: []string{"north", "south", "west"}, Edges: plan.Size.Edges,
-		Coordinators: plan.Size.Coordinators, TurnStores: plan.Size.TurnStores, Spares: 1, ToleratedFailures: plan.Size.ToleratedFailures, Launch: launch, Log: log,
+		Coordinators: plan.Size.Coordinators, TurnStores: plan.Size.TurnStores, Spares: 1,
+		ToleratedFailures: plan.Size.ToleratedFailures, Launch: newLauncher(plan, options, address), Log: log,
 		StoreResponseDelay: storeResponseDelay,
 	})
 	if err != nil {
@@ -96,9 +82,13 @@
 		return nil, err
 	}
 	h := &harness{
-		Tier: tier, History: NewHistory(options.Log), plan: plan, timed: options.Timed, mixed: plan.Mixed && options.Other != nil, relay: relay, incarnations: make(map[*testbed.Machine]int),
-		started: make(map[*testbed.Machine]time.Time),
-		ended:   make(map[*testbed.Machine]int), busy: make(map[*testbed.Machine]bool), removed: make(map[*testbed.Machine]bool),
+		Tier: tier, History: NewHistory(options.Log), plan: plan, timed: options.Timed, relay: relay,
+		mixed:        plan.Mixed && options.Other != nil,
+		incarnations: make(map[*testbed.Machine]int),
+		started:      make(map[*testbed.Machine]time.Time),
+		ended:        make(map[*testbed.Machine]int),
+		busy:         make(map[*testbed.Machine]bool),
+		removed:      make(map[*testbed.Machine]bool),
 	}
 	h.config.harness, h.turns.harness, h.stores.harness = h, h, h
 	log.found = func(line string) { h.ReportViolation("INVARIANT", "%s", line) }
@@ -109,6 +99,26 @@
 	return h, nil
 }
 
+// newLauncher returns the launcher of a plan: in a mixed plan, half of the starts, drawn from the seed, are of the other build.
+func newLauncher(plan Plan, options Options, relayAddress string) testbed.Launcher {
+	var mu sync.Mutex
+	builds := rand.New(rand.NewPCG(plan.Seed, 5000))
+	return func(role, settingsPath string) *exec.Cmd {
+		mu.Lock()
+		defer mu.Unlock()
+		if plan.Mixed && options.Other != nil && builds.IntN(2) == 0 {
+			return options.Other(role, settingsPath)
+		}
+		configured := settingsOf(settingsPath)
+		volatile := ""
+		if plan.Volatile {
+			volatile = configured.DataDir
+		}
+		return options.Launch(role, settingsPath, relayAddress, configured.IP, volatile)
+	}
+}
+
+// start starts the machines and stores, puts the first configuration, and waits until every route is served.
 func (h *harness) start(ctx context.Context) error {
 	defer h.beginFault(faultScope{what: "start", stops: everyEdge})()
 	ctx, cancel := context.WithTimeout(ctx, startTime)
--- a/internal/tier/soak/operators.go
+++ b/internal/tier/soak/operators.go
@@ -215,7 +215,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !made.acknowledgedAt.IsZero() {
-		c.harness.ReportViolation("CONFIG", "configuration %d on %d was acknowledged and then rejected: %d %s", made.generation, made.ifMatch, status, text)
+		c.harness.ReportViolation("CONFIG", "configuration %d on %d was acknowledged and then rejected: %d %s", made.generation,
+			made.ifMatch, status, text)
 	}
 	made.rejected = true
 }
--- a/internal/tier/soak/plan.go
+++ b/internal/tier/soak/plan.go
@@ -163,9 +163,9 @@
 // drawKinds draws the kinds of faults of a plan. A few at a time find more than all at once (swarm testing, Groce et al.).
 func drawKinds(random *rand.Rand) []Kind {
 	all := []Kind{
-		KillMachine, KillRole, PauseMachine, PauseRole, Terminate, Reload, BadSettings, Isolate, PartitionPair, PartitionOneWay, PartitionHalves,
-		SlowLinks, DropReplies, ResetConnections, KillCoordinators, KillTurnStores, KillAll, Wipe, TruncateFile, ReplaceCoordinator, AddTurnStore, RetireTurnStore, RemoveDataFolder,
-		RemoveFile, CorruptFile, SlowDisk, FailSync, FullDisk,
+		KillMachine, KillRole, PauseMachine, PauseRole, Terminate, Reload, BadSettings, Isolate, PartitionPair, PartitionOneWay,
+		PartitionHalves, SlowLinks, DropReplies, ResetConnections, KillCoordinators, KillTurnStores, KillAll, Wipe, TruncateFile,
+		ReplaceCoordinator, AddTurnStore, RetireTurnStore, RemoveDataFolder, RemoveFile, CorruptFile, SlowDisk, FailSync, FullDisk,
 	}
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:5+random.IntN(6)]
--- a/internal/tier/soak/stores.go
+++ b/internal/tier/soak/stores.go
@@ -186,7 +186,7 @@
 // deregisterAtPartitionedCoordinator deregisters a store at a coordinator that is partitioned from all other machines, and
 // kills that coordinator: an acknowledgement that it gave alone would be known to no other. Then the others restart, so that
 // they know nothing of the store's heartbeat time-out either. It reports whether there was an acknowledgement. With a single
-// coordinator it does nothing: the acknowledgement is not given alone, and no store can register while it is down.
+// coordinator it does nothing: that one is the majority by itself, and while it is down nothing has contact with one.
 func (s *storeSet) deregisterAtPartitionedCoordinator(ctx, acknowledgeCtx context.Context, store *testbed.Store, random *rand.Rand) bool {
 	h := s.harness
 	machine := h.Coordinators[random.IntN(len(h.Coordinators))]
@@ -194,7 +194,9 @@
 		return false
 	}
 	defer h.release(machine)
-	end := h.beginFault(faultScope{what: "coordinator " + machine.Settings.NodeName + " is partitioned, receives a deregistration and is killed"})
+	end := h.beginFault(faultScope{
+		what: "coordinator " + machine.Settings.NodeName + " is partitioned, receives a deregistration and is killed",
+	})
 	restore := h.isolate(machine)
 	err := store.DeregisterAt(acknowledgeCtx, machine.Settings.Listen.Control)
 	h.kill(machine)
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -114,7 +114,8 @@
 	switch {
 	case attempt.isNotExecuted():
 	case reply.Status == 404 && attempt.Previous != "":
-		h.ReportViolation("LOST", "turn %s continues %s, which was answered completely, and got 404 at %s", attempt.ID, attempt.Previous, attempt.Front)
+		h.ReportViolation("LOST", "turn %s continues %s, which was answered completely, and got 404 at %s", attempt.ID,
+			attempt.Previous, attempt.Front)
 	default:
 		h.ReportViolation("DENIED", "%s %s got %d at %s", kind, attempt.ID, reply.Status, attempt.Front)
 	}
