--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -27,11 +27,13 @@
 	Reason cause  `json:"reason"`
 }
 
+// cause is an error object without a status.
 type cause struct {
 	Type   string `json:"type"`
 	Reason string `json:"reason"`
 }
 
+// shardCounts is the _shards object.
 type shardCounts struct {
 	Total      int          `json:"total"`
 	Successful int          `json:"successful"`
@@ -40,7 +42,7 @@
 	Failures   []shardError `json:"failures,omitempty"`
 }
 
-// causes describes how a part's last attempt ended.
+// causes describes how the last attempt of a subquery ended.
 var causes = map[decision.Status]cause{
 	decision.Error:         {"query_phase_execution_exception", "the lot store reported a failure"},
 	decision.Rejected:      {"rejected_execution_exception", "the lot store turned it away"},
@@ -51,7 +53,8 @@
 	decision.NotSent:       {"task_cancelled_exception", "not sent"},
 }
 
-func (a *asked) counts(res gather.Result) (c shardCounts, timedOut bool) {
+// counts makes the _shards object of an answer, and reports whether a shard timed out.
+func (a *clientRequest) counts(res gather.Result) (c shardCounts, timedOut bool) {
 	c.Total = len(res.Shards)
 	for _, p := range res.Shards {
 		if p.OK {
@@ -59,7 +62,7 @@
 			continue
 		}
 		if p.Skipped {
-			c.Successful++ // as the API counts them
+			c.Successful++ // as in the API
 			c.Skipped++
 			continue
 		}
@@ -73,35 +76,35 @@
 	return c, timedOut
 }
 
-// render formats a final answer.
-func (a *asked) render(res gather.Result, took time.Duration) *http1.Response {
+// render makes the response for a final answer.
+func (a *clientRequest) render(res gather.Result, took time.Duration) *http1.Response {
 	counts, timedOut := a.counts(res)
-	if res.Kind != gather.Answered && len(res.Search.Moved) > 0 { // no use in trying again
+	if res.Kind != gather.Answered && len(res.Search.Moved) > 0 { // a retry would not help
 		return errorResponse(&apiError{404, "search_context_missing_exception", fmt.Sprintf("%d of %d ranges have changed since the point in time was opened",
 			len(res.Search.Moved), a.shards)}, nil)
 	}
 	switch res.Kind {
 	case gather.Answered:
-		if a.q.Search != nil {
-			return a.page(res, counts, timedOut, took)
+		if a.core.Search != nil {
+			return a.renderPage(res, counts, timedOut, took)
 		}
 		if a.search {
-			return a.hits(res, counts, timedOut, took)
+			return a.mergeHits(res, counts, timedOut, took)
 		}
-		return a.created(res, counts)
+		return a.renderCreated(res, counts)
 	case gather.Rejected:
 		p := errorResponse(&apiError{429, "rejected_execution_exception", "rejected: " + res.Reason}, nil)
-		// Whole seconds, as the field's definition has them.
+		// In whole seconds, as the header is defined.
 		p.Header.Set("Retry-After", strconv.Itoa(max(int(math.Ceil(res.RetryAfter.Seconds())), 1)))
 		return p
 	}
-	// A failure may have had its effect, so that its status must not be one that client libraries take
-	// for harmless and repeat by themselves: 429, 502, 503 and for a create 504.
+	// A failure may have taken effect, so its status must not be one that client libraries retry by themselves: 429,
+	// 502, 503 and for a create 504.
 	switch {
 	case res.Reason == gather.ReasonBody:
 		return errorResponse(&apiError{413, "content_too_long_exception", res.Reason}, nil)
 	case res.Reason == gather.ReasonDepth:
-		return errorResponse(illegal("%s", res.Reason), nil)
+		return errorResponse(illegalArgument("%s", res.Reason), nil)
 	case res.Reason == gather.ReasonQuestion:
 		return errorResponse(&apiError{400, "search_phase_execution_exception", fmt.Sprintf("%s: %.300s", res.Reason, res.Detail)}, nil)
 	case !a.search:
@@ -112,9 +115,9 @@
 	return errorResponse(&apiError{500, "search_phase_execution_exception", res.Reason}, counts.Failures)
 }
 
-// hits merges the shards' hits, best score first. A value that is not a hits object of the API, as from
-// lot stores that speak frames, counts as one hit.
-func (a *asked) hits(res gather.Result, counts shardCounts, timedOut bool, took time.Duration) *http1.Response {
+// mergeHits merges the shards' hits, best score first. A value that is no hits object of the API, as from lot stores that
+// speak frames, counts as one hit.
+func (a *clientRequest) mergeHits(res gather.Result, counts shardCounts, timedOut bool, took time.Duration) *http1.Response {
 	type hit struct {
 		raw   string
 		score float64
@@ -160,18 +163,18 @@
 	})
 }
 
-// page formats what a plan led to.
-func (a *asked) page(res gather.Result, counts shardCounts, timedOut bool, took time.Duration) *http1.Response {
+// renderPage makes the response for the result of a plan.
+func (a *clientRequest) renderPage(res gather.Result, counts shardCounts, timedOut bool, took time.Duration) *http1.Response {
 	r := res.Search
 	raws := make([]json.RawMessage, len(r.Hits))
 	for i, h := range r.Hits {
 		raws[i] = a.listing(h, res.Phases)
 	}
 	hits := map[string]any{"max_score": nil, "hits": raws}
-	if r.Best != nil && a.q.Search.Keys[0].Field == merge.Score {
+	if r.Best != nil && a.core.Search.Keys[0].Field == merge.Score {
 		hits["max_score"] = r.Best.Sort[0].Num
 	}
-	if a.q.Search.Count != search.CountNone {
+	if a.core.Search.Count != search.CountNone {
 		relation := "eq"
 		if r.AtLeast {
 			relation = "gte"
@@ -179,7 +182,7 @@
 		hits["total"] = map[string]any{"value": r.Total, "relation": relation}
 	}
 	answer := map[string]any{"took": took.Milliseconds(), "timed_out": timedOut, "_shards": counts, "hits": hits}
-	if list, ok := a.q.Search.Extra.([]*aggs.Node); ok {
+	if list, ok := a.core.Search.Extra.([]*aggs.Node); ok {
 		answers := make([][]aggs.Part, len(r.Extra))
 		for i, x := range r.Extra {
 			answers[i] = x.([]aggs.Part)
@@ -197,9 +200,10 @@
 	return jsonResponse(200, answer)
 }
 
-func (a *asked) coverage(res gather.Result) coverage {
+// coverage makes the coverage object of an answer.
+func (a *clientRequest) coverage(res gather.Result) coverage {
 	r := res.Search
-	c := coverage{Whole: res.Complete, Share: r.Share(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
+	c := coverage{Complete: res.Complete, Fraction: r.Share(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
 		Skipped: len(r.Skipped), Changed: r.Changed, Phases: int(res.Phases)}
 	if c.Missing == nil {
 		c.Missing = []int{}
@@ -207,22 +211,22 @@
 	return c
 }
 
-// coverage is how much of a whole answer an answer is. OpenSearch has no such object; its clients pass it over.
+// coverage says how complete an answer is. OpenSearch has no such object; its clients ignore it.
 type coverage struct {
-	Whole   bool    `json:"whole"`
-	Share   float64 `json:"share"`           // of a whole answer: weight times listed
-	Weight  float64 `json:"weight"`          // of the ranges that are in or were skipped
-	Listed  float64 `json:"listed"`          // share of the page's lots whose ranges gave their listings
-	Missing []int   `json:"missing"`         // ranges that were not ranked
-	Moved   []int   `json:"moved,omitempty"` // those of them that have changed since the point in time
-	Skipped int     `json:"skipped"`
-	Changed int     `json:"changed"` // lots left out of the page, as they changed while it was made
-	Phases  int     `json:"phases"`
+	Complete bool    `json:"whole"`
+	Fraction float64 `json:"share"`           // of a complete answer: weight times listed
+	Weight   float64 `json:"weight"`          // of the ranges that were answered or skipped
+	Listed   float64 `json:"listed"`          // fraction of the page's lots that were listed
+	Missing  []int   `json:"missing"`         // ranges that were not ranked
+	Moved    []int   `json:"moved,omitempty"` // those of them that have changed since the point in time
+	Skipped  int     `json:"skipped"`
+	Changed  int     `json:"changed"` // lots left out of the page, as they changed while it was made
+	Phases   int     `json:"phases"`
 }
 
-// listing formats a hit as its client asked for it: without what was asked of the lot store for the ranking's sake.
-func (a *asked) listing(h *merge.Hit, phases search.Phases) json.RawMessage {
-	q := a.q.Search
+// listing formats a hit as its client asked for it, without what the lot store was asked for the ranking alone.
+func (a *clientRequest) listing(h *merge.Hit, phases search.Phases) json.RawMessage {
+	q := a.core.Search
 	if !q.Ties && phases == search.One {
 		return json.RawMessage(h.Listing)
 	}
@@ -254,8 +258,9 @@
 	return append(b, '}')
 }
 
-func (a *asked) created(res gather.Result, counts shardCounts) *http1.Response {
-	doc := map[string]any{"_index": a.index, "_id": a.q.Key, "_version": 1, "result": "created", "_shards": counts}
+// renderCreated makes the response for a create.
+func (a *clientRequest) renderCreated(res gather.Result, counts shardCounts) *http1.Response {
+	doc := map[string]any{"_index": a.index, "_id": a.core.Key, "_version": 1, "result": "created", "_shards": counts}
 	item := res.Values()[0].Value
 	if v := gjson.Parse(item); gjson.Valid(item) && v.Get("_id").Exists() {
 		for _, k := range []string{"_version", "_seq_no", "_primary_term"} {
@@ -269,6 +274,7 @@
 	return jsonResponse(201, doc)
 }
 
+// errorResponse makes the response for an error, with the failures of shards if any.
 func errorResponse(e *apiError, failed []shardError) *http1.Response {
 	object := map[string]any{"type": e.kind, "reason": e.reason,
 		"root_cause": []cause{{e.kind, e.reason}}}
@@ -278,15 +284,17 @@
 	return jsonResponse(e.status, map[string]any{"error": object, "status": e.status})
 }
 
+// jsonResponse makes a response with a value as JSON.
 func jsonResponse(status int, v any) *http1.Response {
 	return rawResponse(status, must(json.Marshal(v)))
 }
 
+// rawResponse makes a response with a JSON body.
 func rawResponse(status int, body []byte) *http1.Response {
 	return &http1.Response{Status: status, Header: textproto.MIMEHeader{"Content-Type": {"application/json; charset=UTF-8"}}, Body: body}
 }
 
-// must is for what cannot fail: plain values made here, and JSON that was validated.
+// must panics on an error. It is for encodings that cannot fail: plain values, and JSON that was validated.
 func must(b []byte, err error) []byte {
 	if err != nil {
 		panic(err)
--- a/internal/gatherer/net/opensearch/calls.go
+++ b/internal/gatherer/net/opensearch/calls.go
@@ -12,58 +12,58 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 )
 
-// Limits of calls that carry several requests.
+// Bounds of calls, with the defaults of points in time.
 const (
-	innerMost   = 100            // searches of one _msearch
-	itemsMost   = 256            // documents of one _mget or _bulk
-	keepDefault = time.Minute    // a point in time's life where none is given
-	keepMost    = 24 * time.Hour // and the longest
+	maxSearches      = 100            // searches of one _msearch
+	maxItems         = 256            // documents of one _mget or _bulk
+	defaultKeepAlive = time.Minute    // lifetime of a point in time where none is given
+	maxKeepAlive     = 24 * time.Hour // and its maximum
 )
 
-// job is what one call comes to: requests of the core, each admitted, refused and answered by itself, and how their
-// answers make one.
-type job struct {
-	asked []*asked
-	join  func([]*http1.Response) *http1.Response // nil where there is one request, whose answer it is
+// clientCall is a parsed call: requests of the core, each admitted, rejected and answered by itself, and how their answers
+// are joined.
+type clientCall struct {
+	requests []*clientRequest
+	join     func([]*http1.Response) *http1.Response // nil for one request, whose answer is that of the call
 }
 
-// at once is a job that is answered here.
-func at(p *http1.Response) *job {
-	return &job{join: func([]*http1.Response) *http1.Response { return p }}
+// immediate is a call that is answered without the core.
+func immediate(p *http1.Response) *clientCall {
+	return &clientCall{join: func([]*http1.Response) *http1.Response { return p }}
 }
 
 // Handle is the front's http1.Handler.
 func (f *Front) Handle(r *http1.Request, gone <-chan struct{}) *http1.Response {
 	j, e := f.route(r)
 	head := r.Method == "HEAD"
-	r.Release() // nothing of the body is needed any more, and the answer may take seconds
+	r.Release() // the body is parsed, and the answer may take seconds
 	if e != nil {
 		return errorResponse(e, nil)
 	}
-	for _, a := range j.asked {
-		if a.wrong == nil {
-			f.Core.Submit(a.q)
+	for _, a := range j.requests {
+		if a.err == nil {
+			f.Core.Submit(a.core)
 		}
 	}
-	answers := make([]*http1.Response, len(j.asked))
-	for i, a := range j.asked {
-		if a.wrong != nil {
-			answers[i] = errorResponse(a.wrong, nil)
+	answers := make([]*http1.Response, len(j.requests))
+	for i, a := range j.requests {
+		if a.err != nil {
+			answers[i] = errorResponse(a.err, nil)
 			continue
 		}
 		select {
-		case res := <-a.q.Done:
+		case res := <-a.core.Done:
 			answers[i] = a.response(res, time.Since(r.At))
 		case <-gone:
-			for _, a := range j.asked[i:] {
-				if a.wrong == nil {
-					f.Core.ClientGone(a.q)
+			for _, a := range j.requests[i:] {
+				if a.err == nil {
+					f.Core.ClientGone(a.core)
 				}
 			}
 			return nil
 		}
 	}
-	p := (*http1.Response)(nil)
+	var p *http1.Response
 	if j.join != nil {
 		p = j.join(answers)
 	} else {
@@ -75,107 +75,108 @@
 	return p
 }
 
-// response formats a request's final answer.
-func (a *asked) response(res gather.Result, took time.Duration) *http1.Response {
+// response makes the response for a request's final answer.
+func (a *clientRequest) response(res gather.Result, took time.Duration) *http1.Response {
 	if a.format != nil && res.Kind == gather.Answered {
 		return a.format(res, took)
 	}
 	return a.render(res, took)
 }
 
-// unsupported names what is not, and what is.
+// unsupported is the error of a call that is not supported.
 func unsupported(r *http1.Request) *apiError {
-	return illegal("not supported here: %s %.80q; the calls that are stand in docs/api.md", r.Method, r.Path)
+	return illegalArgument("not supported here: %s %.80q; the calls that are stand in docs/api.md", r.Method, r.Path)
 }
 
-// route finds what a call is.
-func (f *Front) route(r *http1.Request) (*job, *apiError) {
+// route parses a call.
+func (f *Front) route(r *http1.Request) (*clientCall, *apiError) {
 	params, err := url.ParseQuery(r.Query)
 	if err != nil {
-		return nil, illegal("the query string is malformed")
+		return nil, illegalArgument("the query string is malformed")
 	}
 	path := strings.Split(strings.Trim(r.Path, "/"), "/")
 	for i := range path {
 		if path[i], err = url.PathUnescape(path[i]); err != nil {
-			return nil, illegal("the path is malformed")
+			return nil, illegalArgument("the path is malformed")
 		}
 	}
-	methods := func(ok ...string) *apiError {
-		if !slices.Contains(ok, r.Method) {
-			return &apiError{405, "illegal_argument_exception", fmt.Sprintf("method [%s] is not allowed here", r.Method)}
-		}
-		return nil
-	}
 	index := ""
 	if len(path) > 0 && !strings.HasPrefix(path[0], "_") && path[0] != "" {
 		index, path = path[0], path[1:]
 	}
-	call := strings.Join(path[:min(len(path), 2)], "/")
 	if len(path) > 0 && (path[0] == "_doc" || path[0] == "_create") {
-		if call = path[0]; index == "" || len(path) != 2 {
+		if index == "" || len(path) != 2 {
 			return nil, unsupported(r)
 		}
+		return f.routeDocument(r, index, path[0], path[1], params)
 	}
-	var j *job
-	var e *apiError
+	name := strings.Join(path[:min(len(path), 2)], "/")
+	if index == "" && (name == "" || name == "_cluster/health") {
+		return f.routeCluster(r, name)
+	}
+	return f.routeSearch(r, index, name, params)
+}
+
+// allow checks the method of a call and then parses it.
+func allow(r *http1.Request, parse func() (*clientCall, *apiError), methods ...string) (*clientCall, *apiError) {
+	if !slices.Contains(methods, r.Method) {
+		return nil, &apiError{405, "illegal_argument_exception", fmt.Sprintf("method [%s] is not allowed here", r.Method)}
+	}
+	return parse()
+}
+
+// routeCluster parses a call about the cluster.
+func (f *Front) routeCluster(r *http1.Request, name string) (*clientCall, *apiError) {
+	if name == "" {
+		return allow(r, func() (*clientCall, *apiError) { return immediate(f.info()), nil }, "GET", "HEAD")
+	}
+	return allow(r, func() (*clientCall, *apiError) { return immediate(f.health()), nil }, "GET")
+}
+
+// routeDocument parses a call about one document.
+func (f *Front) routeDocument(r *http1.Request, index, name, id string, params url.Values) (*clientCall, *apiError) {
 	switch {
-	case index == "" && call == "":
-		if e = methods("GET", "HEAD"); e == nil {
-			j = at(f.info())
-		}
-	case index == "" && call == "_cluster/health":
-		if e = methods("GET"); e == nil {
-			j = at(f.health())
-		}
-	case call == "_search":
-		if e = methods("GET", "POST"); e == nil {
-			j, e = f.search(r, index, params)
+	case name == "_doc" && (r.Method == "GET" || r.Method == "HEAD"):
+		if e := allowOnly(params, "timeout", "routing", "_source"); e != nil {
+			return nil, e
 		}
-	case call == "_search/point_in_time" && (index != "") == (r.Method == "POST"):
-		if e = methods("POST", "DELETE"); e == nil && index != "" {
-			j, e = f.openPoint(r, index, params)
-		} else if e == nil {
-			j, e = f.closePoints(r)
+		a, e := f.get(r, index, id, params.Get("routing"), params.Get("_source"), params.Get("timeout"))
+		if e != nil {
+			return nil, e
 		}
-	case call == "_msearch":
-		if e = methods("GET", "POST"); e == nil {
-			j, e = f.multiSearch(r, index, params)
-		}
-	case index != "" && call == "_count":
-		if e = methods("GET", "POST"); e == nil {
-			j, e = f.count(r, index, params)
-		}
-	case index != "" && call == "_validate/query":
-		if e = methods("GET", "POST"); e == nil {
-			j, e = f.validate(r, index, params)
-		}
-	case call == "_mget":
-		if e = methods("GET", "POST"); e == nil {
-			j, e = f.multiGet(r, index, params)
-		}
-	case call == "_bulk":
-		if e = methods("POST", "PUT"); e == nil {
-			j, e = f.bulk(r, index, params)
-		}
-	case call == "_doc" && (r.Method == "GET" || r.Method == "HEAD"):
-		var a *asked
-		if e = only(params, "timeout", "routing", "_source"); e == nil {
-			if a, e = f.get(r, index, path[1], params.Get("routing"), params.Get("_source"), params.Get("timeout")); e == nil {
-				j = &job{asked: []*asked{a}}
-			}
-		}
-	case call == "_create", call == "_doc" && params.Get("op_type") == "create":
-		if e = methods("PUT", "POST"); e == nil {
-			j, e = f.create(r, index, path[1], params)
-		}
-	default:
-		e = unsupported(r)
+		return &clientCall{requests: []*clientRequest{a}}, nil
+	case name == "_create", params.Get("op_type") == "create":
+		return allow(r, func() (*clientCall, *apiError) { return f.create(r, index, id, params) }, "PUT", "POST")
+	}
+	return nil, unsupported(r)
+}
+
+// routeSearch parses any other call.
+func (f *Front) routeSearch(r *http1.Request, index, name string, params url.Values) (*clientCall, *apiError) {
+	read := []string{"GET", "POST"}
+	switch {
+	case name == "_search":
+		return allow(r, func() (*clientCall, *apiError) { return f.search(r, index, params) }, read...)
+	case name == "_search/point_in_time" && index != "" && r.Method == "POST":
+		return f.openPoint(r, index, params)
+	case name == "_search/point_in_time" && index == "" && r.Method != "POST":
+		return allow(r, func() (*clientCall, *apiError) { return f.closePoints(r) }, "DELETE")
+	case name == "_msearch":
+		return allow(r, func() (*clientCall, *apiError) { return f.multiSearch(r, index, params) }, read...)
+	case index != "" && name == "_count":
+		return allow(r, func() (*clientCall, *apiError) { return f.count(r, index, params) }, read...)
+	case index != "" && name == "_validate/query":
+		return allow(r, func() (*clientCall, *apiError) { return f.validate(r, index, params) }, read...)
+	case name == "_mget":
+		return allow(r, func() (*clientCall, *apiError) { return f.multiGet(r, index, params) }, read...)
+	case name == "_bulk":
+		return allow(r, func() (*clientCall, *apiError) { return f.bulk(r, index, params) }, "POST", "PUT")
 	}
-	return j, e
+	return nil, unsupported(r)
 }
 
-// request makes a request of an index's class. keyed says whether it is a create.
-func (f *Front) request(r *http1.Request, index string, keyed bool, timeout string) (*asked, *apiError) {
+// request makes a request of the class of an index. Create says whether it is a create or a search.
+func (f *Front) request(r *http1.Request, index string, create bool, timeout string) (*clientRequest, *apiError) {
 	set := f.Settings.Load()
 	class := set.Class((*f.indices.Load())[index])
 	if class < 0 {
@@ -183,20 +184,20 @@
 	}
 	k := set.Policy.Classes[class]
 	switch {
-	case !keyed && k.Effect != decision.Idempotent:
-		return nil, illegal("index [%s] takes only create", index)
-	case keyed && k.Effect == decision.Idempotent:
-		return nil, illegal("index [%s] takes only _search", index)
+	case !create && k.Effect != decision.Idempotent:
+		return nil, illegalArgument("index [%s] takes only create", index)
+	case create && k.Effect == decision.Idempotent:
+		return nil, illegalArgument("index [%s] takes only _search", index)
 	}
 	wait := k.Deadline
 	if timeout != "" {
-		ok := false
+		var ok bool
 		if wait, ok = parseTime(timeout); !ok {
-			return nil, illegal("failed to parse setting [timeout] with value [%.40s] as a time value", timeout)
+			return nil, illegalArgument("failed to parse setting [timeout] with value [%.40s] as a time value", timeout)
 		}
 	}
-	a := &asked{index: index, search: !keyed, size: sizeUsed, shards: set.Shards}
-	a.q = &gather.Request{Name: fmt.Sprintf("%s-%d", f.Name, f.number.Add(1)), Class: class, Done: make(chan gather.Result, 1),
+	a := &clientRequest{index: index, search: !create, size: defaultSize, shards: set.Shards}
+	a.core = &gather.Request{Name: fmt.Sprintf("%s-%d", f.Name, f.lastNumber.Add(1)), Class: class, Done: make(chan gather.Result, 1),
 		Deadline: r.At.Add(wait), Origin: r.Origin("opensearch", index)}
 	return a, nil
 }
--- a/internal/gatherer/net/opensearch/cluster.go
+++ b/internal/gatherer/net/opensearch/cluster.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 )
 
-// info is what client libraries ask for first.
+// info is the response that client libraries request first.
 func (f *Front) info() *http1.Response {
 	return jsonResponse(200, map[string]any{"name": f.Name, "cluster_name": "pulleygw", "cluster_uuid": f.Name,
 		"version": map[string]any{"distribution": "opensearch", "number": apiVersion, "build_type": "pulleygw", "lucene_version": "9.0.0",
@@ -15,30 +15,30 @@
 		"tagline": "pulleygw speaks a part of the OpenSearch API; see docs/api.md"})
 }
 
-// apiVersion is the API's version that the calls here follow.
+// apiVersion is the version of the API that the front follows.
 const apiVersion = "2.11.0"
 
-// health tells the fleet's state by the list of lot stores: red where a range has none that serves, yellow where one
-// has a single one, green otherwise.
+// health is the state of the cluster by the list of lot stores: red where a range has no ready replica, yellow where one has
+// a single one, green otherwise.
 func (f *Front) health() *http1.Response {
 	set := f.Settings.Load()
 	s := f.Core.Snapshot()
-	holders := make([]int, set.Policy.Cells)
+	replicas := make([]int, set.Policy.Cells)
 	nodes := 0
 	for _, x := range s.Servers {
 		if x.State != decision.Ready || slices.Contains(s.Banned, x.Name) {
 			continue
 		}
 		nodes++
-		for j := range set.Policy.Width { // shards that begin at a cell are held by so many cells in a row
-			if len(holders) > 0 {
-				holders[(x.Cell-j+len(holders))%len(holders)]++
+		for j := range set.Policy.Width { // shards that begin at a cell are held by Width cells in a row
+			if len(replicas) > 0 {
+				replicas[(x.Cell-j+len(replicas))%len(replicas)]++
 			}
 		}
 	}
 	status, active := "green", 0
 	for shard := range set.Shards {
-		switch n := holders[shard%len(holders)]; {
+		switch n := replicas[shard%len(replicas)]; {
 		case n == 0:
 			status = "red"
 		case n == 1 && status == "green":
--- a/internal/gatherer/net/opensearch/documents.go
+++ b/internal/gatherer/net/opensearch/documents.go
@@ -15,13 +15,13 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
-// get looks one lot up, in the range that its routing leads to.
-func (f *Front) get(r *http1.Request, index, id, routing, source, timeout string) (*asked, *apiError) {
-	if e := f.plans("_doc"); e != nil {
+// get parses a get of one lot, in the range that its routing leads to.
+func (f *Front) get(r *http1.Request, index, id, routing, source, timeout string) (*clientRequest, *apiError) {
+	if e := f.requirePlans("_doc"); e != nil {
 		return nil, e
 	}
 	if id == "" || len(id) > 512 {
-		return nil, illegal("a document id has 1 to 512 bytes")
+		return nil, illegalArgument("a document id has 1 to 512 bytes")
 	}
 	a, e := f.request(r, index, false, timeout)
 	if e != nil {
@@ -58,50 +58,32 @@
 	return a, nil
 }
 
-// multiGet looks several lots up.
-func (f *Front) multiGet(r *http1.Request, index string, params url.Values) (*job, *apiError) {
-	if e := only(params, "timeout", "routing", "_source"); e != nil {
+// multiGet parses a get of several lots.
+func (f *Front) multiGet(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
+	if e := allowOnly(params, "timeout", "routing", "_source"); e != nil {
 		return nil, e
 	}
 	if wrong := query.Check(string(r.Body)); wrong != nil {
-		return nil, placed(wrong)
+		return nil, parseError(wrong)
 	}
 	body := gjson.ParseBytes(r.Body)
 	docs, ids := body.Get("docs"), body.Get("ids")
 	if docs.IsArray() == ids.IsArray() {
-		return nil, illegal("the body wants [docs] or [ids], a list")
+		return nil, illegalArgument("the body wants [docs] or [ids], a list")
 	}
 	list := append(docs.Array(), ids.Array()...)
-	if len(list) == 0 || len(list) > itemsMost {
-		return nil, illegal("%d documents, want 1 to %d", len(list), itemsMost)
+	if len(list) == 0 || len(list) > maxItems {
+		return nil, illegalArgument("%d documents, want 1 to %d", len(list), maxItems)
 	}
-	j := &job{}
+	j := &clientCall{}
 	var names [][2]string
 	for _, d := range list {
-		in, id, routing, source := index, d.String(), params.Get("routing"), params.Get("_source")
-		if d.IsObject() {
-			id = d.Get("_id").String()
-			if v := d.Get("_index").String(); v != "" {
-				in = v
-			}
-			if v := d.Get("routing").String(); v != "" {
-				routing = v
-			}
-			if v := d.Get("_source"); v.IsArray() {
-				var fields []string
-				for _, x := range v.Array() {
-					fields = append(fields, x.String())
-				}
-				source = strings.Join(fields, ",")
-			} else if v.Exists() {
-				source = v.String()
-			}
-		}
-		a, e := f.get(r, in, id, routing, source, params.Get("timeout"))
+		doc := parseDocument(d, document{index, d.String(), params.Get("routing"), params.Get("_source")})
+		a, e := f.get(r, doc.index, doc.id, doc.routing, doc.source, params.Get("timeout"))
 		if e != nil {
-			a = &asked{wrong: e}
+			a = &clientRequest{err: e}
 		}
-		j.asked, names = append(j.asked, a), append(names, [2]string{in, id})
+		j.requests, names = append(j.requests, a), append(names, [2]string{doc.index, doc.id})
 	}
 	j.join = func(answers []*http1.Response) *http1.Response {
 		docs := make([]json.RawMessage, len(answers))
@@ -116,28 +98,57 @@
 	return j, nil
 }
 
-func (f *Front) create(r *http1.Request, index, id string, params url.Values) (*job, *apiError) {
-	if e := only(params, "timeout", "routing", "op_type"); e != nil {
+// document is one document of a multi-get.
+type document struct{ index, id, routing, source string }
+
+// parseDocument parses an element of a multi-get, an id or an object. What it does not have is as in defaults.
+func parseDocument(d gjson.Result, defaults document) document {
+	doc := defaults
+	if !d.IsObject() {
+		return doc
+	}
+	doc.id = d.Get("_id").String()
+	if v := d.Get("_index").String(); v != "" {
+		doc.index = v
+	}
+	if v := d.Get("routing").String(); v != "" {
+		doc.routing = v
+	}
+	if v := d.Get("_source"); v.IsArray() {
+		var fields []string
+		for _, x := range v.Array() {
+			fields = append(fields, x.String())
+		}
+		doc.source = strings.Join(fields, ",")
+	} else if v.Exists() {
+		doc.source = v.String()
+	}
+	return doc
+}
+
+// create parses a create of one document.
+func (f *Front) create(r *http1.Request, index, id string, params url.Values) (*clientCall, *apiError) {
+	if e := allowOnly(params, "timeout", "routing", "op_type"); e != nil {
 		return nil, e
 	}
 	if params.Has("op_type") && params.Get("op_type") != "create" {
-		return nil, illegal("the only [op_type] supported here is create")
+		return nil, illegalArgument("the only [op_type] supported here is create")
 	}
-	a, e := f.keyed(r, index, id, params.Get("routing"), r.Body, params.Get("timeout"))
+	a, e := f.newCreate(r, index, id, params.Get("routing"), r.Body, params.Get("timeout"))
 	if e != nil {
 		return nil, e
 	}
-	return &job{asked: []*asked{a}}, nil
+	return &clientCall{requests: []*clientRequest{a}}, nil
 }
 
-// keyed makes a create: the document id is the idempotency key.
-func (f *Front) keyed(r *http1.Request, index, id, routing string, body []byte, timeout string) (*asked, *apiError) {
+// newCreate makes the request of a create. The document id is the idempotency key.
+func (f *Front) newCreate(r *http1.Request, index, id, routing string, body []byte, timeout string) (*clientRequest, *apiError) {
 	a, e := f.request(r, index, true, timeout)
 	if e != nil {
 		return nil, e
 	}
 	if !http1.IsName(id) {
-		return nil, illegal("the document id is missing, too long or has characters other than letters, digits, - and _")
+		return nil, illegalArgument("the document id is missing, too long or has characters other than letters, digits, - and _")
 	}
 	if wrong := query.Check(string(body)); wrong != nil {
 		return nil, &apiError{400, "mapper_parsing_exception", wrong.Error()}
@@ -145,78 +156,81 @@
 	if routing == "" {
 		routing = id
 	}
-	a.q.Key, a.q.Text = id, slices.Clone(body)
-	a.q.Shards = []gather.Shard{{Number: Shard(routing, a.shards), Weight: 1}}
+	a.core.Key, a.core.Text = id, slices.Clone(body)
+	a.core.Shards = []gather.Shard{{Number: Shard(routing, a.shards), Weight: 1}}
 	return a, nil
 }
 
-// bulk carries creates. The whole body is looked through before any of them is sent, so that one bad line costs
-// nothing; then each is refused, fails or is done by itself, and says which.
-func (f *Front) bulk(r *http1.Request, index string, params url.Values) (*job, *apiError) {
-	if e := only(params, "timeout", "routing"); e != nil {
+// bulk parses creates. The complete body is checked before any of them is sent, so that an invalid line has no effect; then
+// each is rejected, fails or succeeds by itself, and says which.
+func (f *Front) bulk(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
+	if e := allowOnly(params, "timeout", "routing"); e != nil {
 		return nil, e
 	}
-	list, e := lines(r.Body)
+	list, e := splitLines(r.Body)
 	if e != nil {
 		return nil, e
 	}
-	if len(list)%2 != 0 || len(list) > 2*itemsMost {
-		return nil, illegal("%d lines, want an action and a document for each of at most %d creates", len(list), itemsMost)
+	if len(list)%2 != 0 || len(list) > 2*maxItems {
+		return nil, illegalArgument("%d lines, want an action and a document for each of at most %d creates", len(list), maxItems)
 	}
-	j := &job{}
+	j := &clientCall{}
 	seen := map[string]int{}
 	for i := 0; i < len(list); i += 2 {
 		action := gjson.Parse(list[i])
 		create := action.Get("create")
 		if !create.IsObject() || len(action.Map()) != 1 {
-			return nil, illegal("line %d: the only action supported here is create", i+1)
+			return nil, illegalArgument("line %d: the only action supported here is create", i+1)
 		}
-		in, routing := index, params.Get("routing")
+		doc := document{index: index, id: create.Get("_id").String(), routing: params.Get("routing")}
 		for k, v := range create.Map() {
 			switch k {
 			case "_index":
-				in = v.String()
+				doc.index = v.String()
 			case "routing":
-				routing = v.String()
+				doc.routing = v.String()
 			case "_id":
 			default:
-				return nil, illegal("line %d: not supported here: [%.60s] of create", i+1, k)
+				return nil, illegalArgument("line %d: not supported here: [%.60s] of create", i+1, k)
 			}
 		}
-		id := create.Get("_id").String()
-		a, e := f.keyed(r, in, id, routing, []byte(list[i+1]), params.Get("timeout"))
+		a, e := f.newCreate(r, doc.index, doc.id, doc.routing, []byte(list[i+1]), params.Get("timeout"))
 		if e != nil {
 			return nil, &apiError{e.status, e.kind, fmt.Sprintf("line %d: %s", i+1, e.reason)}
 		}
-		if first, twice := seen[in+"/"+id]; twice { // two of one key are one to lot stores
-			return nil, illegal("line %d: [%s] was created in line %d", i+1, id, first)
+		key := doc.index + "/" + doc.id
+		if first, twice := seen[key]; twice { // two of one key are one to lot stores
+			return nil, illegalArgument("line %d: [%s] was created in line %d", i+1, doc.id, first)
 		}
-		seen[in+"/"+id] = i + 1
+		seen[key] = i + 1
 		a.format = func(res gather.Result, _ time.Duration) *http1.Response {
 			counts, _ := a.counts(res)
-			return a.created(res, counts)
+			return a.renderCreated(res, counts)
 		}
-		j.asked = append(j.asked, a)
+		j.requests = append(j.requests, a)
 	}
-	begun := r.At
-	j.join = func(answers []*http1.Response) *http1.Response {
-		items, failed := make([]json.RawMessage, len(answers)), false
-		for i, p := range answers {
-			item := map[string]json.RawMessage{}
-			gjson.ParseBytes(p.Body).ForEach(func(k, v gjson.Result) bool { item[k.Str] = json.RawMessage(v.Raw); return true })
-			a := j.asked[i]
-			item["_index"], item["_id"], item["status"] = must(json.Marshal(a.index)), must(json.Marshal(a.q.Key)), fmt.Appendf(nil, "%d", p.Status)
-			outcome := "done"
-			if p.Status != 201 {
-				failed = true
-				if outcome = "may_have_run"; p.Status == 429 {
-					outcome = "never_ran"
-				}
+	started := r.At
+	j.join = func(answers []*http1.Response) *http1.Response { return joinCreates(j.requests, answers, started) }
+	return j, nil
+}
+
+// joinCreates makes the response of a bulk from those of its creates.
+func joinCreates(requests []*clientRequest, answers []*http1.Response, started time.Time) *http1.Response {
+	items, failed := make([]json.RawMessage, len(answers)), false
+	for i, p := range answers {
+		item := map[string]json.RawMessage{}
+		gjson.ParseBytes(p.Body).ForEach(func(k, v gjson.Result) bool { item[k.Str] = json.RawMessage(v.Raw); return true })
+		a := requests[i]
+		item["_index"], item["_id"], item["status"] = must(json.Marshal(a.index)), must(json.Marshal(a.core.Key)), fmt.Appendf(nil, "%d", p.Status)
+		outcome := "done"
+		if p.Status != 201 {
+			failed = true
+			if outcome = "may_have_run"; p.Status == 429 {
+				outcome = "never_ran"
 			}
-			item["outcome"] = must(json.Marshal(outcome))
-			items[i] = must(json.Marshal(map[string]any{"create": item}))
 		}
-		return jsonResponse(200, map[string]any{"took": time.Since(begun).Milliseconds(), "errors": failed, "items": items})
+		item["outcome"] = must(json.Marshal(outcome))
+		items[i] = must(json.Marshal(map[string]any{"create": item}))
 	}
-	return j, nil
+	return jsonResponse(200, map[string]any{"took": time.Since(started).Milliseconds(), "errors": failed, "items": items})
 }
--- a/internal/gatherer/net/opensearch/front.go
+++ b/internal/gatherer/net/opensearch/front.go
@@ -1,5 +1,5 @@
-// Package opensearch speaks the part of the OpenSearch query API that the README states: as a front to
-// clients, and to lot stores.
+// Package opensearch implements the part of the OpenSearch query API that docs/api.md lists: Front serves it to clients, and
+// Stores is the transport to lot stores that speak it.
 package opensearch
 
 import (
@@ -17,65 +17,65 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// Core is what the front needs of the gatherer's core.
+// Core is the part of gather.Core that the front uses.
 type Core interface {
 	Submit(*gather.Request)
 	ClientGone(*gather.Request)
 	Snapshot() gather.Snapshot
 }
 
-// Front accepts the API from clients.
+// Front serves the API to clients.
 type Front struct {
-	Core     Core
-	Settings *settings.Current
-	Name     string // begins the names of this front's requests
-	Plans    bool   // lot stores speak the API, so that searches are led by plans
-	Ties     bool   // and break ties by id
-	number   atomic.Uint64
-	indices  atomic.Pointer[map[string]string]
-	keys     atomic.Pointer[pages.Keys]
+	Core       Core
+	Settings   *settings.Current
+	Name       string // prefix of the names of this front's requests
+	Plans      bool   // lot stores speak the API, so searches are led by plans
+	Ties       bool   // and break ties by id
+	lastNumber atomic.Uint64
+	indices    atomic.Pointer[map[string]string]
+	keys       atomic.Pointer[pages.Keys]
 }
 
-// SetKeys says which keys sign and verify points in time, from now on; without any there are none.
+// SetKeys sets the keys that sign and verify points in time. Without keys there are no points in time.
 func (f *Front) SetKeys(k *pages.Keys) { f.keys.Store(k) }
 
-// SetIndices says which class each index stands for, from now on: safe classes are searched, keyed ones
-// created in.
+// SetIndices sets the class of each index: idempotent classes are searched, others take creates.
 func (f *Front) SetIndices(classes map[string]string) { f.indices.Store(&classes) }
 
-// Bounds of what a client may ask for.
+// Bounds of what a client may ask for, and defaults.
 const (
-	longest  = time.Minute
-	sizeMost = 10000
-	sizeUsed = 10 // hits where no size is given
+	maxTimeout  = time.Minute
+	maxSize     = 10000
+	defaultSize = 10 // hits where no size is given
 )
 
-// apiError is an error object with its status.
+// apiError is an error object of the API with its status.
 type apiError struct {
 	status       int
 	kind, reason string
 }
 
-func illegal(format string, args ...any) *apiError {
+// illegalArgument is the error of an invalid argument.
+func illegalArgument(format string, args ...any) *apiError {
 	return &apiError{400, "illegal_argument_exception", fmt.Sprintf(format, args...)}
 }
 
-// asked is what a client asks for beside the core's request.
-type asked struct {
-	q      *gather.Request
+// clientRequest is one request of a client.
+type clientRequest struct {
+	core   *gather.Request
 	index  string
 	search bool
-	size   int  // where no plan leads it
+	size   int  // of the page, where no plan leads the search
 	ties   bool // hits end their sort values with a tie
 	shards int  // of the index
 	pin    *pages.Pin
-	token  string    // of the pin
-	wrong  *apiError // what is wrong with it, so that it never reaches the core
-	// format makes the response of an answer, where it is neither a search's nor a create's.
+	token  string    // of the pin, to be returned
+	err    *apiError // why it is invalid, so that it does not reach the core
+	// format makes the response of an answer, where it is neither that of a search nor of a create.
 	format func(gather.Result, time.Duration) *http1.Response
 }
 
-// parseTime reads a time value such as 500ms or 2s.
+// parseTime parses a time value such as 500ms or 2s.
 func parseTime(s string) (time.Duration, bool) {
 	for _, u := range []struct {
 		suffix string
@@ -83,20 +83,20 @@
 	}{{"micros", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute}} {
 		if n, ok := strings.CutSuffix(s, u.suffix); ok {
 			x, err := strconv.ParseUint(n, 10, 32)
-			return time.Duration(min(float64(x)*float64(u.unit), float64(longest))), err == nil && x > 0
+			return time.Duration(min(float64(x)*float64(u.unit), float64(maxTimeout))), err == nil && x > 0
 		}
 	}
 	return 0, false
 }
 
-// only refuses any parameter not named.
-func only(params url.Values, names ...string) *apiError {
+// allowOnly returns an error for any parameter that is not named.
+func allowOnly(params url.Values, names ...string) *apiError {
 	for p, v := range params {
 		if !slices.Contains(names, p) {
-			return illegal("request contains unrecognized parameter: [%.60s]", p)
+			return illegalArgument("request contains unrecognized parameter: [%.60s]", p)
 		}
 		if len(v) > 1 {
-			return illegal("parameter [%.60s] is given twice", p)
+			return illegalArgument("parameter [%.60s] is given twice", p)
 		}
 	}
 	return nil
--- a/internal/gatherer/net/opensearch/parse.go
+++ b/internal/gatherer/net/opensearch/parse.go
@@ -11,71 +11,72 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
-func (f *Front) parseSearch(a *asked, now time.Time, params url.Values, body []byte) *apiError {
+// parseSearch parses the parameters and the body of a search into its request.
+func (f *Front) parseSearch(a *clientRequest, now time.Time, params url.Values, body []byte) *apiError {
 	names := []string{"timeout", "allow_partial_search_results", "preference", "routing", "size"}
 	if f.Plans {
 		names = append(names, "from", "sort", "track_total_hits", "q", "df", "default_operator", "terminate_after")
 	}
-	if e := only(params, names...); e != nil {
+	if e := allowOnly(params, names...); e != nil {
 		return e
 	}
 	switch v := params.Get("allow_partial_search_results"); v {
 	case "", "true":
 	case "false":
-		a.q.CompleteOnly = true
+		a.core.CompleteOnly = true
 	default:
-		return illegal("failed to parse value [%.40s] as only [true] or [false] are allowed", v)
+		return illegalArgument("failed to parse value [%.40s] as only [true] or [false] are allowed", v)
 	}
 	if len(body) == 0 {
 		body = []byte("{}")
 	}
 	var e *apiError
 	if f.Plans {
-		var w *wanted
+		var w *searchBody
 		if w, e = parseBody(string(body), params, f.Ties); e != nil {
 			return e
 		}
-		a.q.Search, a.q.Text = w.Query, w.text()
-		if w.timeout > 0 && !params.Has("timeout") { // the nearest to the search counts
-			a.q.Deadline = now.Add(w.timeout)
+		a.core.Search, a.core.Text = w.Query, w.coreText()
+		if w.timeout > 0 && !params.Has("timeout") { // the parameter takes precedence
+			a.core.Deadline = now.Add(w.timeout)
 		}
-		if e := f.pinned(a, w, now); e != nil {
+		if e := f.applyPin(a, w, now); e != nil {
 			return e
 		}
 	} else if a.size, e = parseOpaque(body, params); e != nil {
 		return e
 	} else {
-		a.q.Text = slices.Clone(body)
+		a.core.Text = slices.Clone(body)
 	}
 	var shards []int
 	shards, e = f.shards(params)
 	for _, s := range shards {
 		if a.pin != nil {
 			if _, in := a.pin.Versions[s]; !in {
-				continue // it stays out, and its weight with it
+				continue // it is left out, and its weight with it
 			}
 		}
-		a.q.Shards = append(a.q.Shards, gather.Shard{Number: s, Weight: 1 / float64(len(shards))})
+		a.core.Shards = append(a.core.Shards, gather.Shard{Number: s, Weight: 1 / float64(len(shards))})
 	}
-	if e == nil && len(a.q.Shards) == 0 {
+	if e == nil && len(a.core.Shards) == 0 {
 		e = &apiError{404, "search_context_missing_exception", "the point in time has no range"}
 	}
 	return e
 }
 
-// pinned ties a search to its point in time.
-func (f *Front) pinned(a *asked, w *wanted, now time.Time) *apiError {
+// applyPin applies the point in time of a search.
+func (f *Front) applyPin(a *clientRequest, w *searchBody, now time.Time) *apiError {
 	switch {
 	case w.pit == "" && a.pin == nil:
 		return nil
 	case a.pin == nil:
-		return illegal("[pit] cannot be given with an index")
+		return illegalArgument("[pit] cannot be given with an index")
 	case !f.Ties:
-		return illegal("points in time want lot stores that break ties by id")
+		return illegalArgument("points in time want lot stores that break ties by id")
 	}
-	a.q.Search.Pins, a.q.Search.Absent, a.ties = a.pin.Versions, a.pin.Absent(), true
-	if w.keep != "" { // a longer life is another token
-		keep, e := keepAlive(w.keep)
+	a.core.Search.Pins, a.core.Search.Absent, a.ties = a.pin.Versions, a.pin.Absent(), true
+	if w.keepAlive != "" { // a longer lifetime needs a new token
+		keep, e := parseKeepAlive(w.keepAlive)
 		if e != nil {
 			return e
 		}
@@ -88,27 +89,27 @@
 	return nil
 }
 
-// parseOpaque reads of a search whose lot stores speak frames what matters here, its size; they get the text as it is.
+// parseOpaque parses the size of a search whose lot stores speak frames. They get the text unchanged.
 func parseOpaque(body []byte, params url.Values) (size int, e *apiError) {
 	if wrong := query.Check(string(body)); wrong != nil {
-		return 0, placed(wrong)
+		return 0, parseError(wrong)
 	}
-	size = sizeUsed
+	size = defaultSize
 	gjson.ParseBytes(body).ForEach(func(k, v gjson.Result) bool {
 		switch k.Str {
 		case "query", "_source":
 		case "size":
-			e = whole(&size, "size", v, sizeMost)
+			e = parseInt(&size, "size", v, maxSize)
 		default:
-			e = parsing("not supported here: [%.60s] in the search body", k.Str)
+			e = parsingException("not supported here: [%.60s] in the search body", k.Str)
 		}
 		return e == nil
 	})
 	if v := params.Get("size"); e == nil && v != "" {
 		if !gjson.Valid(v) {
-			return 0, illegal("[size] is not a number")
+			return 0, illegalArgument("[size] is not a number")
 		}
-		e = whole(&size, "size", gjson.Parse(v), sizeMost)
+		e = parseInt(&size, "size", gjson.Parse(v), maxSize)
 	}
 	return size, e
 }
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -23,7 +23,7 @@
 func parseSearchBody(b []byte) error {
 	if q, e := parseBody(string(b), nil, true); e != nil {
 		return errors.New(e.reason)
-	} else if q.From < 0 || q.Size < 0 || q.From+q.Size > windowMost || len(q.Keys) == 0 {
+	} else if q.From < 0 || q.Size < 0 || q.From+q.Size > maxWindow || len(q.Keys) == 0 {
 		panic("a query out of bounds")
 	}
 	return nil
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -197,7 +197,7 @@
 	var items []string
 	var ranges []search.Range
 	for s := range 200 {
-		items = append(items, k.Search(s, gjson.ParseBytes(askBody(w.text(), ask, s, "1s"))))
+		items = append(items, k.Search(s, gjson.ParseBytes(shardBody(w.coreText(), ask, s, "1s"))))
 		ranges = append(ranges, search.Range{Number: s, Weight: 1.0 / 200})
 	}
 	b.ReportAllocs()
--- a/internal/gatherer/net/opensearch/rig_stores_test.go
+++ b/internal/gatherer/net/opensearch/rig_stores_test.go
@@ -82,7 +82,7 @@
 		r.live[key]++
 		r.tries[key]++
 		r.most[key] = max(r.most[key], r.live[key])
-		body := askBody(a.Text, a.Search, a.Shard, "1s")
+		body := shardBody(a.Text, a.Search, a.Shard, "1s")
 		p := lots.PhaseOf(gjson.ParseBytes(body))
 		if s.asked[p] == nil {
 			s.asked[p] = map[int]int{}
@@ -125,7 +125,7 @@
 		}
 		j.state = 1
 		s.free--
-		body := gjson.ParseBytes(askBody(j.a.Text, j.a.Search, j.a.Shard, "1s"))
+		body := gjson.ParseBytes(shardBody(j.a.Text, j.a.Search, j.a.Shard, "1s"))
 		p := lots.PhaseOf(body)
 		end, more := standin.Hit, time.Duration(0)
 		if s.trouble != nil {
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -152,7 +152,7 @@
 		if slices.Contains(without, s) {
 			continue
 		}
-		found, why := parseFound(gjson.Parse(k.Search(s, gjson.ParseBytes(askBody(q.text(), ask, s, "1s")))), ask)
+		found, why := parseFound(gjson.Parse(k.Search(s, gjson.ParseBytes(shardBody(q.coreText(), ask, s, "1s")))), ask)
 		if why != "" {
 			panic(why)
 		}
--- a/internal/gatherer/net/opensearch/searches.go
+++ b/internal/gatherer/net/opensearch/searches.go
@@ -14,14 +14,14 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
-// search is one search: of an index, or of the point in time that its body names.
-func (f *Front) search(r *http1.Request, index string, params url.Values) (*job, *apiError) {
+// search parses a search: of an index, or of the point in time in its body.
+func (f *Front) search(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
 	var pin *pages.Pin
 	token := ""
 	if index == "" {
 		token = gjson.GetBytes(r.Body, "pit.id").String()
 		if token == "" {
-			return nil, illegal("a search of no index wants a [pit]")
+			return nil, illegalArgument("a search of no index wants a [pit]")
 		}
 		var e *apiError
 		if pin, e = f.openToken(token, r.At); e != nil {
@@ -37,49 +37,48 @@
 	if e := f.parseSearch(a, r.At, params, r.Body); e != nil {
 		return nil, e
 	}
-	return &job{asked: []*asked{a}}, nil
+	return &clientCall{requests: []*clientRequest{a}}, nil
 }
 
-// lines splits a body of one JSON object a line.
-func lines(body []byte) (list []string, e *apiError) {
+// splitLines splits a body of one JSON object per line.
+func splitLines(body []byte) (list []string, e *apiError) {
 	text := strings.TrimSuffix(string(body), "\n")
 	for n, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if wrong := query.Check(line); wrong != nil {
-			return nil, parsing("line %d: %s", n+1, (&query.Error{Line: n + 1, Column: wrong.Column, Reason: wrong.Reason}).Error())
+			return nil, parsingException("line %d: %s", n+1, (&query.Error{Line: n + 1, Column: wrong.Column, Reason: wrong.Reason}).Error())
 		}
 		list = append(list, line)
 	}
 	return list, nil
 }
 
-// multiSearch carries searches that have nothing to do with each other: what is wrong with one, refused or failed is
-// said of it alone.
-func (f *Front) multiSearch(r *http1.Request, index string, params url.Values) (*job, *apiError) {
-	if e := only(params, "timeout", "max_concurrent_searches", "rest_total_hits_as_int", "typed_keys"); e != nil {
+// multiSearch parses independent searches: an invalid, rejected or failed one does not affect the others.
+func (f *Front) multiSearch(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
+	if e := allowOnly(params, "timeout", "max_concurrent_searches", "rest_total_hits_as_int", "typed_keys"); e != nil {
 		return nil, e
 	}
 	for _, p := range []string{"rest_total_hits_as_int", "typed_keys"} {
 		if v := params.Get(p); v != "" && v != "false" {
-			return nil, illegal("not supported here: [%s]", p)
+			return nil, illegalArgument("not supported here: [%s]", p)
 		}
 	}
-	list, e := lines(r.Body)
+	list, e := splitLines(r.Body)
 	if e != nil {
 		return nil, e
 	}
-	if len(list)%2 != 0 || len(list) > 2*innerMost {
-		return nil, illegal("%d lines, want a header and a body for each of at most %d searches", len(list), innerMost)
+	if len(list)%2 != 0 || len(list) > 2*maxSearches {
+		return nil, illegalArgument("%d lines, want a header and a body for each of at most %d searches", len(list), maxSearches)
 	}
-	j := &job{}
+	j := &clientCall{}
 	for i := 0; i < len(list); i += 2 {
-		a, e := f.inner(r, index, list[i], list[i+1], params)
+		a, e := f.innerSearch(r, index, list[i], list[i+1], params)
 		if e != nil {
-			a = &asked{wrong: e}
+			a = &clientRequest{err: e}
 		}
-		j.asked = append(j.asked, a)
+		j.requests = append(j.requests, a)
 	}
-	begun := r.At
+	started := r.At
 	j.join = func(answers []*http1.Response) *http1.Response {
 		var b []byte
 		b = append(b, `{"responses":[`...)
@@ -92,13 +91,13 @@
 				b = append(b[:len(b)-1], `,"status":200}`...)
 			}
 		}
-		return rawResponse(200, fmt.Appendf(b, `],"took":%d}`, time.Since(begun).Milliseconds()))
+		return rawResponse(200, fmt.Appendf(b, `],"took":%d}`, time.Since(started).Milliseconds()))
 	}
 	return j, nil
 }
 
-// inner is one search of several.
-func (f *Front) inner(r *http1.Request, index, header, body string, outer url.Values) (*asked, *apiError) {
+// innerSearch parses one search of several.
+func (f *Front) innerSearch(r *http1.Request, index, header, body string, outer url.Values) (*clientRequest, *apiError) {
 	inner := url.Values{}
 	var e *apiError
 	gjson.Parse(header).ForEach(func(k, v gjson.Result) bool {
@@ -108,17 +107,17 @@
 				v = v.Array()[0]
 			}
 			if index = v.Str; v.Type != gjson.String {
-				e = illegal("[index] is not the name of one index")
+				e = illegalArgument("[index] is not the name of one index")
 			}
 		case "preference", "routing", "allow_partial_search_results", "timeout":
 			inner.Set(k.Str, v.String())
 		case "search_type":
 			if v.Str != "query_then_fetch" {
-				e = illegal("not supported here: [search_type] of [%.40s]", v.Str)
+				e = illegalArgument("not supported here: [search_type] of [%.40s]", v.Str)
 			}
 		case "ignore_unavailable", "allow_no_indices", "expand_wildcards", "request_cache":
 		default:
-			e = illegal("not supported here: [%.60s] in the header of a search", k.Str)
+			e = illegalArgument("not supported here: [%.60s] in the header of a search", k.Str)
 		}
 		return e == nil
 	})
@@ -136,17 +135,17 @@
 	return a, f.parseSearch(a, r.At, inner, []byte(body))
 }
 
-// plans says that a call needs lot stores that rank.
-func (f *Front) plans(call string) *apiError {
+// requirePlans returns an error unless lot stores speak the API.
+func (f *Front) requirePlans(call string) *apiError {
 	if f.Plans {
 		return nil
 	}
-	return illegal("not supported here: [%s], as lot stores speak frames", call)
+	return illegalArgument("not supported here: [%s], as lot stores speak frames", call)
 }
 
-// count counts the lots that match.
-func (f *Front) count(r *http1.Request, index string, params url.Values) (*job, *apiError) {
-	if e := f.plans("_count"); e != nil {
+// count parses a count of the lots that match.
+func (f *Front) count(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
+	if e := f.requirePlans("_count"); e != nil {
 		return nil, e
 	}
 	a, e := f.request(r, index, false, params.Get("timeout"))
@@ -158,7 +157,7 @@
 		body = []byte("{}")
 	}
 	if wrong := query.Check(string(body)); wrong != nil {
-		return nil, placed(wrong)
+		return nil, parseError(wrong)
 	}
 	var other string
 	gjson.ParseBytes(body).ForEach(func(k, _ gjson.Result) bool {
@@ -168,7 +167,7 @@
 		return other == ""
 	})
 	if other != "" {
-		return nil, parsing("not supported here: [%.60s] in the body of a count", other)
+		return nil, parsingException("not supported here: [%.60s] in the body of a count", other)
 	}
 	p := url.Values{"size": {"0"}, "track_total_hits": {"true"}}
 	for _, name := range []string{"q", "df", "default_operator", "preference", "routing", "terminate_after", "timeout"} {
@@ -177,7 +176,7 @@
 			params.Del(name)
 		}
 	}
-	if e := only(params); e != nil {
+	if e := allowOnly(params); e != nil {
 		return nil, e
 	}
 	if e := f.parseSearch(a, r.At, p, body); e != nil {
@@ -187,12 +186,12 @@
 		counts, _ := a.counts(res)
 		return jsonResponse(200, map[string]any{"count": res.Search.Total, "_shards": counts, "coverage": a.coverage(res)})
 	}
-	return &job{asked: []*asked{a}}, nil
+	return &clientCall{requests: []*clientRequest{a}}, nil
 }
 
-// validate says whether a query can be parsed, and how it is understood.
-func (f *Front) validate(r *http1.Request, index string, params url.Values) (*job, *apiError) {
-	if e := only(params, "q", "df", "default_operator", "explain", "rewrite"); e != nil {
+// validate reports whether a query is valid, and how it is parsed.
+func (f *Front) validate(r *http1.Request, index string, params url.Values) (*clientCall, *apiError) {
+	if e := allowOnly(params, "q", "df", "default_operator", "explain", "rewrite"); e != nil {
 		return nil, e
 	}
 	if _, e := f.request(r, index, false, ""); e != nil {
@@ -213,7 +212,7 @@
 			answer["explanations"] = []map[string]any{{"index": index, "valid": false, "error": e.reason}}
 		}
 	} else if explain {
-		answer["explanations"] = []map[string]any{{"index": index, "valid": true, "explanation": string(query.JSON(w.tree))}}
+		answer["explanations"] = []map[string]any{{"index": index, "valid": true, "explanation": string(query.JSON(w.query))}}
 	}
-	return at(jsonResponse(200, answer)), nil
+	return immediate(jsonResponse(200, answer)), nil
 }
--- a/internal/gatherer/net/opensearch/shards.go
+++ b/internal/gatherer/net/opensearch/shards.go
@@ -11,13 +11,12 @@
 	"github.com/twmb/murmur3"
 )
 
-// shards lists those that a search goes to: the ones that preference names, the one that routing leads to,
-// or all.
+// shards returns the shards of a search: those that preference names, the one that routing leads to, or all.
 func (f *Front) shards(params url.Values) (list []int, e *apiError) {
 	pref, routing := params.Get("preference"), params.Get("routing")
 	switch {
 	case pref != "" && routing != "":
-		return nil, illegal("[preference] and [routing] cannot be given together here")
+		return nil, illegalArgument("[preference] and [routing] cannot be given together here")
 	case routing != "":
 		return []int{Shard(routing, f.Settings.Load().Shards)}, nil
 	case pref == "":
@@ -28,19 +27,19 @@
 	}
 	names, ok := strings.CutPrefix(pref, "_shards:")
 	if !ok {
-		return nil, illegal("the only [preference] supported here is _shards:N,N")
+		return nil, illegalArgument("the only [preference] supported here is _shards:N,N")
 	}
 	for _, n := range strings.Split(names, ",") {
 		s, err := strconv.Atoi(n)
 		if err != nil || s < 0 || s >= f.Settings.Load().Shards || slices.Contains(list, s) {
-			return nil, illegal("[preference] names no shard, or one twice: [%.20s]", n)
+			return nil, illegalArgument("[preference] names no shard, or one twice: [%.20s]", n)
 		}
 		list = append(list, s)
 	}
 	return list, nil
 }
 
-// Shard is the shard that a routing value leads to among n, as OpenSearch works it out: murmur3 of the
+// Shard is the shard of a routing value among n, as OpenSearch computes it: murmur3 of the
 // value in UTF-16, over the routing shards, of which there are n times a power of two, up to 1,024.
 func Shard(routing string, n int) int {
 	factor := 1
@@ -51,6 +50,7 @@
 	return ((hash%(n*factor) + n*factor) % (n * factor)) / factor
 }
 
+// routingHash is murmur3 of the UTF-16 of a routing value.
 func routingHash(routing string) int32 {
 	var b []byte
 	for _, u := range utf16.Encode([]rune(routing)) {
--- a/internal/gatherer/net/opensearch/ask.go
+++ b/internal/gatherer/net/opensearch/shardsearch.go
@@ -14,21 +14,21 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// extremesName is the aggregation by which a range is asked for the extremes of a field. The API has none of this
-// name, and what clients ask for goes by their own.
+// extremesName is the name of the aggregation by which a range is asked for the extremes of a field. It cannot be one of the
+// client's names.
 const extremesName = "::extremes"
 
-// text is what travels with a search through the core: the query in its canonical form, and which fields are wanted.
-func (w *wanted) text() []byte {
-	b := append([]byte(`{"query":`), query.JSON(w.tree)...)
+// coreText is what the core carries of a search: the query in its canonical form, and which fields are wanted.
+func (w *searchBody) coreText() []byte {
+	b := append([]byte(`{"query":`), query.JSON(w.query)...)
 	if w.source != "" {
 		b = append(append(b, `,"_source":`...), w.source...)
 	}
 	if w.minScore != "" {
 		b = append(append(b, `,"min_score":`...), w.minScore...)
 	}
-	if w.terminate > 0 {
-		b = strconv.AppendInt(append(b, `,"terminate_after":`...), int64(w.terminate), 10)
+	if w.terminateAfter > 0 {
+		b = strconv.AppendInt(append(b, `,"terminate_after":`...), int64(w.terminateAfter), 10)
 	}
 	if len(w.aggs) > 0 {
 		b = aggs.AppendAsk(append(b, `,"aggs":`...), w.aggs)
@@ -36,40 +36,30 @@
 	return append(b, '}')
 }
 
-// askBody formats what an attempt asks a range for. text is its search's, as wanted.text formats it.
-func askBody(text []byte, a *gather.ShardSearch, shard int, timeout string) []byte {
-	root := gjson.ParseBytes(text) // as wanted.text formats it
-	asked := root.Get("query").Raw
+// shardBody formats the body of an attempt at a range. Text is that of its search, as coreText formats it.
+func shardBody(text []byte, a *gather.ShardSearch, shard int, timeout string) []byte {
+	root := gjson.ParseBytes(text)
+	tree := root.Get("query").Raw
 	q := a.Query
 	b := append([]byte(nil), `{"timeout":"`...)
 	b = append(append(b, timeout...), `","query":`...)
 	size := q.From + q.Size
-	if a.IDs != nil { // ranked again, so that one that has moved is found out
+	if a.IDs != nil { // ranked again, so that one that has changed is detected
 		size = len(a.IDs)
-		b = append(append(b, `{"bool":{"must":[`...), asked...)
+		b = append(append(b, `{"bool":{"must":[`...), tree...)
 		b = append(append(b, `],"filter":[{"ids":{"values":`...), must(json.Marshal(a.IDs))...)
 		b = append(b, `}}]}}`...)
 	} else {
-		b = append(b, asked...)
+		b = append(b, tree...)
 	}
 	b = strconv.AppendInt(append(b, `,"size":`...), int64(size), 10)
 	if q.Ties || sorted(q) {
 		b = appendSort(append(b, `,"sort":`...), q.Keys, q.Ties)
 	}
 	if q.After != nil && a.IDs == nil {
-		b = append(b, `,"search_after":[`...)
-		for i, v := range q.After.Values {
-			if i > 0 {
-				b = append(b, ',')
-			}
-			b = append(b, v.JSON(quote)...)
-		}
-		if q.Ties {
-			b = append(append(b, ','), quote(q.After.Tie(shard))...)
-		}
-		b = append(b, ']')
+		b = appendAfter(b, q, shard)
 	}
-	if v, pinned := q.Pins[shard]; pinned { // a lot store that still has it answers from there
+	if v, pinned := q.Pins[shard]; pinned { // a lot store that still has that version answers from it
 		b = append(strconv.AppendInt(append(b, `,"view":{"version":`...), v, 10), '}')
 	}
 	for _, name := range []string{"min_score", "terminate_after"} {
@@ -97,9 +87,29 @@
 	if a.IDs != nil {
 		wanted = ""
 	}
+	return append(appendShardAggs(b, a, wanted), '}')
+}
+
+// appendAfter formats the position that the page begins behind.
+func appendAfter(b []byte, q *search.Query, shard int) []byte {
+	b = append(b, `,"search_after":[`...)
+	for i, v := range q.After.Values {
+		if i > 0 {
+			b = append(b, ',')
+		}
+		b = append(b, v.JSON(quote)...)
+	}
+	if q.Ties {
+		b = append(append(b, ','), quote(q.After.Tie(shard))...)
+	}
+	return append(b, ']')
+}
+
+// appendShardAggs formats the wanted aggregations and, where the attempt asks for them, the extremes of the first sort key.
+func appendShardAggs(b []byte, a *gather.ShardSearch, wanted string) []byte {
 	switch {
 	case a.Extremes:
-		field := must(json.Marshal(q.Keys[0].Field))
+		field := must(json.Marshal(a.Query.Keys[0].Field))
 		b = append(append(b, `,"aggs":{"`+extremesName+`":{"global":{},"aggs":{"least":{"min":{"field":`...), field...)
 		b = append(append(b, `}},"greatest":{"max":{"field":`...), field...)
 		b = append(b, `}}}}`...)
@@ -110,9 +120,10 @@
 	case wanted != "":
 		b = append(append(b, `,"aggs":`...), wanted...)
 	}
-	return append(b, '}')
+	return b
 }
 
+// quote formats a string as JSON.
 func quote(s string) string { return string(must(json.Marshal(s))) }
 
 // appendSort formats sort keys, and the id that breaks ties.
@@ -136,19 +147,22 @@
 	return append(b, ']')
 }
 
-// parseFound reads one range's answer to a search, and says why where it cannot be used. It walks the text once: at 200
-// ranges looking members up by name, each from the start, took three times as long.
-func parseFound(item gjson.Result, a *gather.ShardSearch) (found *search.Answer, why string) {
-	found = &search.Answer{Bytes: len(item.Raw)}
-	var total, aggregations gjson.Result
-	early := false
+// foundMembers are the members of a range's answer that are not parsed at once.
+type foundMembers struct {
+	total, aggregations gjson.Result
+	early               bool
+}
+
+// walkFound parses the members of a range's answer. It walks the text once: at 200 ranges, looking members up by name, each
+// from the start, took three times as long.
+func walkFound(found *search.Answer, item gjson.Result, a *gather.ShardSearch) (m foundMembers, why string) {
 	item.ForEach(func(k, v gjson.Result) bool {
 		switch k.Str {
 		case "hits":
 			v.ForEach(func(k, v gjson.Result) bool {
 				switch k.Str {
 				case "total":
-					total = v
+					m.total = v
 				case "hits":
 					found.Hits, why = parseHits(v, a)
 				}
@@ -158,15 +172,23 @@
 			found.View = search.View{Boot: v.Get("boot").String(), Version: v.Get("version").Int(),
 				Holds: float64(max(v.Get("holds_ms").Int(), 0)) / 1000}
 		case "aggregations":
-			aggregations = v
+			m.aggregations = v
 		case "terminated_early":
-			early = v.Bool()
+			m.early = v.Bool()
 		}
 		return why == ""
 	})
+	return m, why
+}
+
+// parseFound parses one range's answer to a search, and says why where it is invalid.
+func parseFound(item gjson.Result, a *gather.ShardSearch) (found *search.Answer, why string) {
+	found = &search.Answer{Bytes: len(item.Raw)}
+	m, why := walkFound(found, item, a)
 	if why != "" {
 		return nil, why
 	}
+	total, aggregations := m.total, m.aggregations
 	if total.IsObject() {
 		found.AtLeast = total.Get("relation").Str != "eq"
 		total = total.Get("value")
@@ -198,21 +220,21 @@
 		return nil, why
 	}
 	if a.Query.Cut {
-		found.AtLeast = found.AtLeast || early
+		found.AtLeast = found.AtLeast || m.early
 		found.View = search.View{}
 	}
 	return found, ""
 }
 
-// parseHits reads the hits of an answer.
+// parseHits parses the hits of an answer.
 func parseHits(list gjson.Result, a *gather.ShardSearch) (hits []merge.Hit, why string) {
 	keys := len(a.Query.Keys)
-	room := a.Query.From + a.Query.Size
+	expected := a.Query.From + a.Query.Size
 	if a.IDs != nil {
-		room = len(a.IDs)
+		expected = len(a.IDs)
 	}
-	hits = make([]merge.Hit, 0, min(room, 64))
-	values := make([]merge.Value, 0, keys*cap(hits)) // of all hits, one piece of memory for the usual page
+	hits = make([]merge.Hit, 0, min(expected, 64))
+	values := make([]merge.Value, 0, keys*cap(hits)) // of all hits, one allocation for the usual page
 	list.ForEach(func(_, h gjson.Result) bool {
 		x := merge.Hit{}
 		var score, sort gjson.Result
@@ -252,7 +274,7 @@
 			values = append(values, parseValue(score))
 		case n == keys || n == keys+1 && tie == x.ID:
 		default:
-			values = values[:first] // Check finds that they are lacking
+			values = values[:first] // Check reports that they are missing
 		}
 		x.Sort = values[first:len(values):len(values)]
 		hits = append(hits, x)
@@ -261,7 +283,7 @@
 	return hits, why
 }
 
-// parseValue reads a sort value. The API has infinite numbers, which stand for lots without the field, as strings.
+// parseValue parses a sort value. The API encodes infinite numbers, which stand for lots without the field, as strings.
 func parseValue(v gjson.Result) merge.Value {
 	switch {
 	case v.Type == gjson.Number:
--- a/internal/gatherer/net/opensearch/stores.go
+++ b/internal/gatherer/net/opensearch/stores.go
@@ -14,29 +14,29 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// StoresConfig is what the lot-store side needs to know.
+// StoresConfig configures a Stores.
 type StoresConfig struct {
-	Class          func(class int) (index string, keyed bool) // keyed: created in, not searched
+	Class          func(class int) (index string, create bool) // create: the index takes creates, not searches
 	Shards         int
-	ConnectTimeout time.Duration // also a probe's
-	ConnIdle       time.Duration // the lot store closes a connection idle for so long
-	WriteFor       time.Duration // a lot store that does not read is waited for so long
-	MaxConns       int           // in all
-	MaxAnswer      int           // bytes of an answer, where more than 64 KiB
+	ConnectTimeout time.Duration // also of a health check
+	ConnIdle       time.Duration // a lot store closes a connection that has been idle for so long
+	WriteFor       time.Duration // time-out of a write, where a lot store does not read
+	MaxConns       int           // to all lot stores together
+	MaxAnswer      int           // bytes of an answer, if more than 64 KiB
 	Log            *slog.Logger
 }
 
-// Stores implements gather.Transport on the API: the searches of a call travel as one _msearch, its
-// creates as one _bulk. A connection carries one call at a time.
+// Stores implements gather.Transport on the API: the searches of a call are sent as one _msearch, its creates as one _bulk. A
+// connection carries one call at a time.
 type Stores struct {
 	StoresConfig
-	routing []string // by shard, a value that leads there
+	routing []string // by shard, a routing value that leads there
 	report  gather.Reporter
 
-	mu      sync.Mutex
-	servers map[decision.ServerID]*store
-	where   map[*gather.Attempt]*exchange
-	conns   int
+	mu        sync.Mutex
+	servers   map[decision.ServerID]*store
+	exchanges map[*gather.Attempt]*exchange
+	connCount int
 }
 
 type store struct {
@@ -49,7 +49,7 @@
 	since time.Time
 }
 
-// NewStores makes the transport; Start must come before any other call.
+// NewStores returns the transport. Start must be called before any other method.
 func NewStores(c StoresConfig) *Stores {
 	routing := make([]string, c.Shards)
 	for i, found := 0, 0; found < c.Shards; i++ {
@@ -58,17 +58,17 @@
 			found++
 		}
 	}
-	return &Stores{StoresConfig: c, routing: routing, servers: map[decision.ServerID]*store{}, where: map[*gather.Attempt]*exchange{}}
+	return &Stores{StoresConfig: c, routing: routing, servers: map[decision.ServerID]*store{}, exchanges: map[*gather.Attempt]*exchange{}}
 }
 
-// Start names whom outcomes are reported to.
+// Start sets the reporter of outcomes.
 func (t *Stores) Start(r gather.Reporter) { t.report = r }
 
-// Servers implements gather.Transport. What is not written yet looks at the state again when it is.
-func (t *Stores) Servers(news []mem.Server) {
+// Servers implements gather.Transport. What is not written yet checks the state again when it is.
+func (t *Stores) Servers(changed []mem.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, n := range news {
+	for _, n := range changed {
 		s := t.servers[n.ID]
 		if s == nil {
 			s = &store{}
@@ -85,22 +85,22 @@
 	}
 }
 
-// closeIdle closes the connections idle since before a time.
+// closeIdle closes the connections that have been idle since before a time. The lock is held.
 func (t *Stores) closeIdle(s *store, before time.Time) {
 	for len(s.idle) > 0 && !s.idle[0].since.After(before) {
 		s.idle[0].c.Close()
 		s.idle = s.idle[1:]
-		t.conns--
+		t.connCount--
 	}
 }
 
-// SetMaxConns gives another bound, and closes idle connections past it.
+// SetMaxConns changes the bound of connections, and closes idle ones beyond it.
 func (t *Stores) SetMaxConns(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.MaxConns = n
 	for _, s := range t.servers {
-		if t.conns <= n {
+		if t.connCount <= n {
 			return
 		}
 		t.closeIdle(s, time.Now())
@@ -121,7 +121,7 @@
 	var kinds [2][]*gather.Attempt
 	for _, a := range attempts {
 		k := 0
-		if _, keyed := t.Class(a.Class); keyed {
+		if _, create := t.Class(a.Class); create {
 			k = 1
 		}
 		kinds[k] = append(kinds[k], a)
@@ -133,62 +133,63 @@
 			continue
 		}
 		ctx, stop := context.WithDeadline(context.Background(), some[0].Until)
-		x := &exchange{left: len(some), stop: stop}
+		x := &exchange{remaining: len(some), cancel: stop}
 		for _, a := range some {
-			t.where[a] = x
+			t.exchanges[a] = x
 		}
 		go t.run(ctx, id, x, some)
 	}
 }
 
-// Cancel implements gather.Transport: when nobody waits for anything in a call, its connection is closed. One
-// part of a call cannot be given up alone: it is out until the call ends.
+// Cancel implements gather.Transport. One attempt of a call cannot be cancelled alone: it is in flight until the call ends.
+// When all of a call are cancelled, its connection is closed.
 func (t *Stores) Cancel(a *gather.Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x := t.where[a]; x != nil {
-		delete(t.where, a)
-		x.gone = append(x.gone, a)
-		if x.left--; x.left == 0 {
-			x.stop()
+	if x := t.exchanges[a]; x != nil {
+		delete(t.exchanges, a)
+		x.cancelled = append(x.cancelled, a)
+		if x.remaining--; x.remaining == 0 {
+			x.cancel()
 		}
 	}
 }
 
-// end reports an attempt's outcome, unless it has been cancelled.
-func (t *Stores) end(a *gather.Attempt, s decision.Status, value string) {
-	if t.ended(a) {
+// reportOutcome reports an attempt's outcome, unless it has been cancelled.
+func (t *Stores) reportOutcome(a *gather.Attempt, s decision.Status, value string) {
+	if t.removeAttempt(a) {
 		t.report.Outcome(a, s, value)
 	}
 }
 
-// found reports what a search brought, unless it has been cancelled.
-func (t *Stores) found(a *gather.Attempt, found *search.Answer) {
-	if t.ended(a) {
+// reportFound reports the answer to a search, unless it has been cancelled.
+func (t *Stores) reportFound(a *gather.Attempt, found *search.Answer) {
+	if t.removeAttempt(a) {
 		t.report.Found(a, found)
 	}
 }
 
-// ended removes an attempt from the tables, and says whether anybody still waits for it.
-func (t *Stores) ended(a *gather.Attempt) bool {
+// removeAttempt removes an attempt, and returns false if it has been cancelled.
+func (t *Stores) removeAttempt(a *gather.Attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.where[a]
+	x := t.exchanges[a]
 	if x != nil {
-		delete(t.where, a)
-		x.left--
+		delete(t.exchanges, a)
+		x.remaining--
 	}
 	return x != nil
 }
 
-func (t *Stores) endAll(attempts []*gather.Attempt, s decision.Status) {
+// reportAll reports the same outcome for all attempts.
+func (t *Stores) reportAll(attempts []*gather.Attempt, s decision.Status) {
 	for _, a := range attempts {
-		t.end(a, s, "")
+		t.reportOutcome(a, s, "")
 	}
 }
 
-// take gets an open connection or room for a new one.
-func (t *Stores) take(id decision.ServerID) (c *http1.Client, open, ok bool) {
+// takeConn returns an open connection or one to be dialled; ok is false where none is allowed.
+func (t *Stores) takeConn(id decision.ServerID) (c *http1.Client, open, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.servers[id]
@@ -202,28 +203,28 @@
 			return c, true, true
 		}
 		c.Close()
-		t.conns--
+		t.connCount--
 	}
-	if t.conns >= t.MaxConns {
+	if t.connCount >= t.MaxConns {
 		t.Log.Warn("connections used up", "most", t.MaxConns, "store", id)
 		return nil, false, false
 	}
-	t.conns++
+	t.connCount++
 	return &http1.Client{Addr: s.Addr, MaxBody: t.MaxAnswer}, false, true
 }
 
-// put gives a connection back. One that is closed, or leads to where the server no longer is, is dropped.
-func (t *Stores) put(id decision.ServerID, c *http1.Client) {
+// putConn returns a connection to the pool. One that is closed, or leads to an old address, is dropped.
+func (t *Stores) putConn(id decision.ServerID, c *http1.Client) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.servers[id]
 	if s == nil || !c.Open() || s.Addr != c.Addr {
 		c.Close()
-		t.conns--
+		t.connCount--
 		return
 	}
 	s.idle = append(s.idle, idleConn{c, time.Now()})
-	// Closed well before the lot store would, as what crosses that close ends as a reset.
+	// Closed well before the lot store closes it, as a call that crosses that close ends as a reset.
 	time.AfterFunc(t.ConnIdle/2+time.Millisecond, func() {
 		t.mu.Lock()
 		t.closeIdle(s, time.Now().Add(-t.ConnIdle/2))
@@ -231,15 +232,15 @@
 	})
 }
 
-// Probe implements gather.Transport.
+// HealthCheck implements gather.Transport.
 func (t *Stores) HealthCheck(id decision.ServerID) {
 	go func() {
-		c, open, ok := t.take(id)
+		c, open, ok := t.takeConn(id)
 		if !ok {
 			t.report.HealthChecked(id, false)
 			return
 		}
-		defer func() { t.put(id, c) }()
+		defer func() { t.putConn(id, c) }()
 		if !open && c.Dial(context.Background(), t.ConnectTimeout) != nil {
 			t.report.HealthChecked(id, false)
 			return
