--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -21,10 +21,11 @@
 )
 
 // limit puts routes in force.
-func (r *rig) limit(t testing.TB, repeats limits.RetryBudget, routes ...*limits.Route) {
+func (r *rig) limit(tb testing.TB, repeats limits.RetryBudget, routes ...*limits.Route) {
+	tb.Helper()
 	table, conflicts := limits.NewTable(routes)
 	if conflicts != nil {
-		t.Fatal(conflicts[0])
+		tb.Fatal(conflicts[0])
 	}
 	r.core.SetLimits(gather.Limits{Table: table, Repeats: repeats})
 }
@@ -41,14 +42,15 @@
 
 // surge plays floor terminals at a steady rate beside dealers' tools that ask far too much, and tells what the terminals
 // got in time, and the dealers.
-func surge(t testing.TB, limited bool) (terminals, dealers float64) {
+func surge(tb testing.TB, limited bool) (terminals, dealers float64) {
+	tb.Helper()
 	o := usual
 	o.phases, o.bounds = search.One, 0
 	o.change = func(s *settings.Settings) { s.OpenCap = 600 }
 	r := newRig(o)
 	defer r.stop()
 	if limited {
-		r.limit(t, limits.RetryBudget{}, greedy(limits.Limits{Concurrency: limits.Concurrency{Max: 4, Queue: 8, Wait: 300 * time.Millisecond}, Rate: limits.Rate{PerSecond: 6, Burst: 4}}))
+		r.limit(tb, limits.RetryBudget{}, greedy(limits.Limits{Concurrency: limits.Concurrency{Max: 4, Queue: 8, Wait: 300 * time.Millisecond}, Rate: limits.Rate{PerSecond: 6, Burst: 4}}))
 	}
 	rng := rand.New(rand.NewPCG(1, 9))
 	var mu sync.Mutex
@@ -88,8 +90,8 @@
 	})
 }
 
-// Repeats pile on as lot stores err: the whole's budget holds, and none is sent past it.
-func TestRepeatsBudget(t *testing.T) {
+// Retries accumulate as lot stores fail: the budget of all routes holds, and no retry is sent beyond it.
+func TestRetryBudgetOfAllRoutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -106,14 +108,14 @@
 		sent := float64(r.parts)
 		r.mu.Unlock()
 		if c := r.core.Gates()[gather.AllRoutes]; c.RetriesRejected == 0 || c.Retries == 0 || float64(c.Retries) > 2+0.05*sent {
-			t.Errorf("%v parts sent, %+v", sent, c)
+			t.Errorf("%v subqueries sent, %+v", sent, c)
 		}
 	})
 }
 
-// Waiting requests are admitted as places come free, refused when their wait is over, and forgotten when their clients
-// leave; deadlines of a microsecond and of an hour, pages too deep and bodies too long are checked on arrival; new limits
-// keep the queue.
+// Queued requests are admitted as others end, rejected when their wait is over, and removed when their clients
+// disconnect; deadlines of a microsecond and of an hour, pages too deep and bodies too large are checked on arrival; new
+// limits keep the queue.
 func TestRouteLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
@@ -144,7 +146,7 @@
 			t.Errorf("one that left: %d", got)
 		}
 		if a, b := <-statuses, <-statuses; a != 200 || b != 200 {
-			t.Errorf("the one in hand and the one that waited: %d, %d", a, b)
+			t.Errorf("the one in flight and the one that waited: %d, %d", a, b)
 		}
 		for _, s := range r.stores {
 			s.trouble = func(int, lots.Phase) (standin.End, time.Duration) { return standin.Silent, 0 }
@@ -198,7 +200,7 @@
 	})
 }
 
-// BenchmarkSurge tells what terminals get in time beside greedy dealers, with limits and without, on the same arrivals.
+// BenchmarkSurge reports what terminals get in time beside greedy clients, with limits and without, on the same arrivals.
 func BenchmarkSurge(b *testing.B) {
 	for _, limited := range []bool{false, true} {
 		b.Run(fmt.Sprintf("limited=%v", limited), func(b *testing.B) {
@@ -213,8 +215,8 @@
 	}
 }
 
-// The record of a rough half minute under limits that a reload narrows proves that every one of them held: lot stores err,
-// hang and come back, clients leave, and more is asked than is let in.
+// The record of half a minute under limits that a reload narrows proves that every one of them was kept: lot stores fail,
+// hang and recover, clients disconnect, and more is requested than is admitted.
 func TestRecordProvesLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, entries := audit.New(), 0
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -56,7 +56,7 @@
 	return f.Handle(&http1.Request{Method: method, Path: path, Query: query, Body: []byte(body), At: time.Now()}, nil)
 }
 
-// What is not supported gets a clear 400, and nothing of it reaches the core.
+// What is not supported gets a 400 that says so, and does not reach the core.
 func TestNotSupported(t *testing.T) {
 	for _, x := range []struct {
 		method, target, body string
@@ -92,9 +92,8 @@
 	}
 }
 
-// An answer from part of the weight says so in the API's own terms, and a search that allows none is
-// handed to the core as such.
-func TestPartial(t *testing.T) {
+// A partial answer says so in terms of the API, and a search that allows none is submitted as such.
+func TestPartialAnswer(t *testing.T) {
 	f, c := front(gather.Result{Shards: []gather.ShardResult{{Shard: 4, OK: true, Value: "a"}, {Shard: 5, OK: true, Value: "b"},
 		{Shard: 6, Attempts: 1, Pending: true}, {Shard: 7, Attempts: 4, Last: decision.Error}}})
 	p := call(f, "GET", "/lots/_search?preference=_shards:4,5,6,7&allow_partial_search_results=false&timeout=2s", "")
@@ -109,8 +108,8 @@
 	}
 }
 
-// Refusals tell when to come back in whole seconds; a failed create's status is none that clients repeat.
-func TestRefusedAndFailed(t *testing.T) {
+// Rejections say when to retry in whole seconds; a failed create's status is none that clients retry.
+func TestRejectedAndFailed(t *testing.T) {
 	f, _ := front(gather.Result{Kind: gather.Rejected, RetryAfter: 300 * time.Millisecond})
 	if p := call(f, "GET", "/lots/_search", ""); p.Status != 429 || p.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %v", p.Status, p.Header)
@@ -128,8 +127,8 @@
 	}
 }
 
-// Hits of all shards are merged best first and cut to size.
-func TestMerge(t *testing.T) {
+// Hits of all shards are merged best first and cut to the size.
+func TestMergeHits(t *testing.T) {
 	hits := func(scores string) string {
 		return `{"total":{"value":3,"relation":"eq"},"hits":[` + scores + `]}`
 	}
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Cuts and garbage get an error and never more.
+// Truncated and corrupt input gets an error and never more.
 func TestSearchParsers(t *testing.T) {
 	proptest.CheckParser(t, true, parseSearchBody, bodies...)
 	proptest.CheckParser(t, true, parseSearchItem, items...)
@@ -75,7 +75,7 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = parseSearchItem(b) })
 }
 
-// What is wrong with a search body is told by its place.
+// An error in a search body is reported with its position.
 func TestSearchBodyErrors(t *testing.T) {
 	for _, x := range []struct{ body, params, want string }{
 		{"{\n \"query\":7}", "", "line 2, column 10: not an object"},
@@ -108,8 +108,8 @@
 	}
 }
 
-// Only queries whose answer depends on the lots alone are learnt from; a score is the sum of its clauses' where the
-// API has it so.
+// Bounds are learned only of queries whose answer depends on the lots alone; a score is the sum of its clauses' where it
+// is in the API.
 func TestQueryNames(t *testing.T) {
 	for _, x := range []struct {
 		body    string
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -16,8 +16,8 @@
 	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
 )
 
-// A copy that dies between the phases: its listings come from another one.
-func TestCopyDiesBetweenPhases(t *testing.T) {
+// A replica fails between the phases: its listings come from another one.
+func TestReplicaFailsBetweenPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -43,13 +43,13 @@
 			most = max(most, n)
 		}
 		if !died || most < 3 || most > 4 { // scores, listings from the one that died, listings from another
-			t.Errorf("died %v, at most %d attempts of a part", died, most)
+			t.Errorf("died %v, at most %d attempts of a subquery", died, most)
 		}
 	})
 }
 
-// All copies of one range slow in the second phase: the answer comes in time with its exact share, and where that is
-// under the floor it is refused or failed in time.
+// All replicas of one range are slow in the second phase: the answer comes in time with its exact coverage, and where
+// that is below the floor it is rejected or failed in time.
 func TestSlowListings(t *testing.T) {
 	for _, size := range []int{40, 2} {
 		synctest.Test(t, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Ranges without a sound copy in the first phase: from the floor on an answer that names them, under it none, and in
+// Ranges without a healthy replica in the first phase: from the floor on an answer that names them, below it none, and in
 // time either way.
 func TestScoresMissing(t *testing.T) {
 	for _, silent := range []int{1, 2} { // cells of four ranges, of six
@@ -129,8 +129,7 @@
 	}
 }
 
-// A lot that changes between the phases so that its rank is not its own is left out and told; one that was bid on
-// but keeps its rank stays.
+// A lot that changes its rank between the phases is left out and reported; one that was changed but keeps its rank stays.
 func TestLotsChangeBetweenPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
@@ -171,8 +170,8 @@
 	return gjson.Get(item, "hits.hits.0._source.title").Str
 }
 
-// A client that leaves between the phases: all that is out is called off, and nothing stays in the tables.
-func TestClientLeavesBetweenPhases(t *testing.T) {
+// A client disconnects between the phases: all attempts in flight are cancelled, and nothing stays in the tables.
+func TestClientDisconnectsBetweenPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -210,8 +209,8 @@
 	})
 }
 
-// Classes that are reloaded, and copies that drain, between the phases: the query ends under the rules that it came
-// under, and nothing is asked of a copy that drains.
+// Classes are reloaded, and replicas drain, between the phases: the query ends under the rules of its arrival, and
+// nothing is sent to a draining replica.
 func TestReloadAndDrainBetweenPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
@@ -243,14 +242,14 @@
 		before := len(r.stores[1].asked[lots.Scores]) + len(r.stores[1].asked[lots.Listings])
 		r.search("", tractors)
 		if after := len(r.stores[1].asked[lots.Scores]) + len(r.stores[1].asked[lots.Listings]); after != before || !done {
-			t.Errorf("%d parts to a copy that drains", after-before)
+			t.Errorf("%d subqueries to a copy that drains", after-before)
 		}
 	})
 }
 
-// Spoilt score answers count as failed attempts: those that claim too much, are out of order or name a lot twice are
-// asked of another copy, and the page is the true one.
-func TestSpoiltScores(t *testing.T) {
+// Invalid score answers count as failed attempts: those that claim too much, are out of order or name a lot twice are
+// retried at another replica, and the page is the true one.
+func TestInvalidScores(t *testing.T) {
 	for name, spoil := range map[string]func(string) string{
 		"claims more than asked": func(s string) string {
 			hits := gjson.Get(s, "hits.hits").Raw
--- a/internal/gatherer/net/opensearch/phases_test.go
+++ b/internal/gatherer/net/opensearch/phases_test.go
@@ -35,8 +35,8 @@
 	return got
 }
 
-// In one phase or two, with bounds known or not, by score or by a field, an answer marked whole is the full one.
-func TestPagesAreTheFullOnes(t *testing.T) {
+// In one phase or two, with bounds known or not, by score or by a field, an answer marked complete is complete.
+func TestPagesAreComplete(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
 		synctest.Test(t, func(t *testing.T) {
 			o := usual
@@ -63,8 +63,8 @@
 	}
 }
 
-// A write that no copy shows yet and one that they show by now: neither is lost by a bound that was learnt before.
-func TestBoundsAgainstWrites(t *testing.T) {
+// A write that no replica shows yet and one that they show by now: neither is lost by a bound that was learned before.
+func TestBoundsAndWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -83,7 +83,7 @@
 }
 
 // Where lot stores answer within a millisecond, the second phase still has the core's own steps to go through.
-func TestQuickLotStores(t *testing.T) {
+func TestFastLotStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
 		o.unit = 0.0001
@@ -99,7 +99,7 @@
 	})
 }
 
-// Deep pages are served to 10,000 and refused beyond, naming the limit; pages past the end are empty.
+// Deep pages are served to 10,000 and rejected beyond, naming the limit; pages beyond the end are empty.
 func TestDeepPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
@@ -131,8 +131,8 @@
 	})
 }
 
-// A query that lot stores cannot answer is its client's fault: 400 with their words, a few parts, and no lot store is
-// taken for failing by any number of such.
+// A query that lot stores cannot answer is its client's fault: 400 with their reason, a few attempts, and no lot store
+// counts as unhealthy by any number of such.
 func TestUnanswerable(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
 		synctest.Test(t, func(t *testing.T) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Answers that are in hand are bounded: what has no room counts as a failed attempt, and the search ends.
+// Answers in memory are bounded: what exceeds the bound counts as a failed attempt, and the search ends.
 func TestAnswersBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
@@ -175,9 +175,9 @@
 	})
 }
 
-// Listings are asked of the copy that ranked the lots, and attempts of a range count over both phases: a range whose
-// copies fail gets four at the most.
-func TestListingsFromTheCopyThatRanked(t *testing.T) {
+// Listings are requested of the replica that ranked the lots, and attempts of a range count over both phases: a range
+// whose replicas fail gets four at most.
+func TestListingsFromTheReplicaThatRanked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -216,7 +216,7 @@
 	})
 }
 
-// The choice by measurement goes with the load, and the front says which way a search went.
+// The choice by measurement follows the load, and the front reports how a search was executed.
 func TestChoiceOfPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
@@ -238,7 +238,7 @@
 	})
 }
 
-// Aggregations come from every range, in one phase or two; with ranges missing they say what their figures are.
+// Aggregations come from every range, in one phase or two; with ranges missing they say what their values are.
 func TestAggregations(t *testing.T) {
 	for _, phases := range []search.Phases{search.One, search.Two} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gatherer/net/opensearch/points_test.go
+++ b/internal/gatherer/net/opensearch/points_test.go
@@ -17,15 +17,15 @@
 
 // walk reads all pages of a search at a point in time, five lots each, and calls between before each further page. named
 // are the ranges that some page said to be missing, and under changedOf how many lots pages left out as they had changed.
-func (r *rig) walk(t testing.TB, token, body string, between func(page int)) (ids []string, last gjson.Result, named map[int]int) {
-	t.Helper()
+func (r *rig) walk(tb testing.TB, token, body string, between func(page int)) (ids []string, last gjson.Result, named map[int]int) {
+	tb.Helper()
 	after := ""
 	named = map[int]int{}
 	for page := 1; ; page++ {
 		text := strings.TrimSuffix(body, "}") + `,"size":5,"pit":{"id":"` + token + `","keep_alive":"2m"}` + after + "}"
-		status, got := r.call("POST", "/_search", "", text)
+		status, got := r.post("/_search", "", text)
 		if status != 200 {
-			t.Fatalf("page %d: %d %s", page, status, got.Raw)
+			tb.Fatalf("page %d: %d %s", page, status, got.Raw)
 		}
 		for _, x := range got.Get("coverage.missing").Array() {
 			named[int(x.Int())] = 1
@@ -48,29 +48,29 @@
 
 const changedOf = -1
 
-func (r *rig) call(method, path, query, body string) (int, gjson.Result) {
-	p := r.front.Handle(&http1.Request{Method: method, Path: path, Query: query, Body: []byte(body), At: time.Now()}, nil)
+func (r *rig) post(path, query, body string) (int, gjson.Result) {
+	p := r.front.Handle(&http1.Request{Method: "POST", Path: path, Query: query, Body: []byte(body), At: time.Now()}, nil)
 	return p.Status, gjson.ParseBytes(p.Body)
 }
 
-func (r *rig) open(t testing.TB) string {
-	t.Helper()
+func (r *rig) open(tb testing.TB) string {
+	tb.Helper()
 	keys, err := pages.NewKeys([]byte(strings.Repeat("k", 32)))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r.front.SetKeys(keys)
-	status, got := r.call("POST", "/lots/_search/point_in_time", "keep_alive=1m", "")
+	status, got := r.post("/lots/_search/point_in_time", "keep_alive=1m", "")
 	if status != 200 {
-		t.Fatalf("%d %s", status, got.Raw)
+		tb.Fatalf("%d %s", status, got.Raw)
 	}
 	return got.Get("pit_id").Str
 }
 
-// Pages of a point in time, walked to the end while lots are written: where lot stores keep what was pinned, they are
-// the full search as it stood; where they do not, ranges that have changed stay out from then on and are named. Either
-// way no lot is on two pages, and what is not there is of a range that was named.
-func TestPagesHoldStill(t *testing.T) {
+// Pages of a point in time, read to the end while lots are written: where lot stores keep what was pinned, they are the
+// full search at that time; where they do not, ranges that have changed are left out from then on and named. Either way
+// no lot is on two pages, and what is missing is of a range that was named.
+func TestPagesAreStable(t *testing.T) {
 	body := `{"query":{"match":{"title":"tractor"}},"sort":[{"year":"desc"}]}`
 	for _, keep := range []int{50, 0} {
 		synctest.Test(t, func(t *testing.T) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A range that was missing when the point in time was opened stays out of its pages and is named, though it is back;
-// a copy that lags behind is passed over; a token whose ranges have all changed, or whose time is over, says so.
+// A range that was missing when the point in time was opened is left out of its pages and named, though it is back; a
+// replica that lags is skipped; a token whose ranges have all changed, or that has expired, is an error that says so.
 func TestPointInTimeOfSomeRanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
@@ -138,27 +138,27 @@
 				t.Fatalf("lot %s of a range that stays out %d", id, n)
 			}
 		}
-		if status, got := r.call("POST", "/_search", "allow_partial_search_results=false", `{"pit":{"id":"`+token+`"}}`); status == 200 {
+		if status, got := r.post("/_search", "allow_partial_search_results=false", `{"pit":{"id":"`+token+`"}}`); status == 200 {
 			t.Error("a partial page to a client that allows none: " + got.Get("coverage").Raw)
 		}
 		for shard := range 24 {
 			r.corpus.Put(shard, lots.Lot{ID: fmt.Sprint("new-", shard), Title: "tractor"})
 		}
 		time.Sleep(usual.refresh)
-		if status, got := r.call("POST", "/_search", "", `{"pit":{"id":"`+token+`"}}`); status != 404 || got.Get("error.type").Str != "search_context_missing_exception" {
+		if status, got := r.post("/_search", "", `{"pit":{"id":"`+token+`"}}`); status != 404 || got.Get("error.type").Str != "search_context_missing_exception" {
 			t.Errorf("all has changed: %d %s", status, got.Raw)
 		}
 		time.Sleep(time.Minute)
 		for text, want := range map[string]int{token: 404, token[:30]: 400, "": 400} {
-			if status, got := r.call("POST", "/_search", "", `{"pit":{"id":"`+text+`"}}`); status != want {
+			if status, got := r.post("/_search", "", `{"pit":{"id":"`+text+`"}}`); status != want {
 				t.Errorf("%.5s: %d %s", text, status, got.Raw)
 			}
 		}
 	})
 }
 
-// A copy that lags behind what is pinned is passed over for one that has it: pages are whole, and no lot is on two.
-func TestLaggingCopies(t *testing.T) {
+// A replica that lags behind what is pinned is skipped for one that has it: pages are complete, and no lot is on two.
+func TestLaggingReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(usual)
 		defer r.stop()
@@ -187,11 +187,11 @@
 		if token == "" {
 			t.Fatal("the copy that has caught up never answered")
 		}
-		before := r.asked(3, lots.Scores) + r.asked(3, lots.Both)
+		before := r.asked(lots.Scores) + r.asked(lots.Both)
 		ids, last, _ := r.walk(t, token, tractors, func(int) {})
 		want, _ := r.truth(tractors, 0, 10000)
 		pagesSeen := (len(ids)+4)/5 + 1
-		if asked := r.asked(3, lots.Scores) + r.asked(3, lots.Both) - before; asked <= pagesSeen {
+		if asked := r.asked(lots.Scores) + r.asked(lots.Both) - before; asked <= pagesSeen {
 			t.Errorf("%d pages asked range 3 %d times: no copy lagged", pagesSeen, asked)
 		}
 		if !last.Get("coverage.whole").Bool() || !slices.Equal(ids, want) {
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -19,9 +19,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
 )
 
-// Random searches in random trouble: ranges silent or erring in either phase, slow copies, a write now and then. Whatever
-// an answer says of itself is true: whole, it is the page of all lots; else it is the page of the ranges that it does not
-// name as missing, its share is right, and its count is what it says.
+// Random searches under random faults: ranges unresponsive or failing in either phase, slow replicas, some writes. What
+// an answer says of itself is true: complete, it is the page of all lots; else it is the page of the ranges that it does
+// not name as missing, its coverage is right, and its count is what it says.
 func TestRandomSearches(t *testing.T) {
 	proptest.Seed(t, 60)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -128,9 +128,9 @@
 		Make: rapid.SampledFrom([]string{"Allis", "Kubota", "Zetor"}).Draw(t, "make"), Price: 1}}
 }
 
-// Pages of a point in time, walked to the end with copies that refresh at times of their own, some of which keep what was
-// pinned, and a few ranges written between the pages: no lot stands on two pages, none that came later stands on any, and
-// one that was there is on a page or of a range that a page named. Where nothing was named, all of them are there in order.
+// Pages of a point in time, read to the end with replicas that refresh at their own times, some of which keep what was
+// pinned, and a few ranges written between the pages: no lot is on two pages, none that was added later is on any, and
+// one that existed is on a page or of a range that a page named. Where nothing was named, all of them are there in order.
 func TestRandomWalks(t *testing.T) {
 	proptest.Seed(t, 40)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -185,7 +185,7 @@
 	})
 }
 
-// BenchmarkDecode reads 200 ranges' answers of ten lots, checks and ranks them.
+// BenchmarkDecode parses 200 ranges' answers of ten lots, checks and ranks them.
 func BenchmarkDecode(b *testing.B) {
 	c := lots.New(1, 200, 40)
 	k := c.NewCopy("b", 0)
--- a/internal/gatherer/net/opensearch/rig_stores_test.go
+++ b/internal/gatherer/net/opensearch/rig_stores_test.go
@@ -22,7 +22,7 @@
 	queue []*memJob
 	dead  bool
 	slow  float64 // work takes so many times as long
-	// trouble may say how a part ends and how much work it is more; nil for none.
+	// trouble may say how a subquery ends and how much work it is more; nil for none.
 	trouble func(r int, p lots.Phase) (standin.End, time.Duration)
 	tamper  func(r int, p lots.Phase, item string) string
 	asked   map[lots.Phase]map[int]int
@@ -72,7 +72,7 @@
 	})
 }
 
-// Call implements gather.Transport: the call's own work goes with its first part.
+// Call implements gather.Transport: the call's own work goes with its first subquery.
 func (r *rig) Call(id decision.ServerID, attempts []*gather.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -42,7 +42,7 @@
 	tries    map[string]int
 }
 
-// Work of a part, as shares of what a part with listings takes, and of a call.
+// Work of a subquery, as shares of what a subquery with listings takes, and of a call.
 const (
 	partWork   = 84 * time.Millisecond
 	scoreShare = 0.7
@@ -118,8 +118,9 @@
 	return p.Status, gjson.ParseBytes(p.Body)
 }
 
-// asked adds up how often a range was asked in a phase.
-func (r *rig) asked(shard int, p lots.Phase) (n int) {
+// asked adds up how often range 3 was asked in a phase.
+func (r *rig) asked(p lots.Phase) (n int) {
+	const shard = 3
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.holders(shard) {
--- a/internal/gatherer/net/opensearch/stores_test.go
+++ b/internal/gatherer/net/opensearch/stores_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Each thing that can come back has its own outcome; what proves that it never ran is told apart.
+// Each possible response has its own outcome; what proves that the attempt never ran is distinguished.
 func TestOutcomes(t *testing.T) {
 	create := func(status string) string {
 		return `{"items":[{"create":{"_id":"k","status":` + status + `}}]}`
@@ -111,12 +111,12 @@
 	}
 	tr.HealthCheck(1)
 	if got := <-r; got.s != decision.Error {
-		t.Errorf("probe: %v", got.s)
+		t.Errorf("health check: %v", got.s)
 	}
 }
 
-// A bid whose window has passed, one whose time is up, and one to a server since told draining are not
-// written: the lot store hears of none.
+// A create whose deduplication window has passed, one past its time-out, and one to a server that is draining by now are
+// not written.
 func TestNotWritten(t *testing.T) {
 	var asked atomic.Int32
 	tr, r := stores(t, func(*http1.Request, <-chan struct{}) *http1.Response { asked.Add(1); return nil })
@@ -136,8 +136,8 @@
 	}
 }
 
-// A call is worded as the API has it, each part on a line of its own.
-func TestWording(t *testing.T) {
+// A call is encoded as the API says, each request on a line of its own.
+func TestCallEncoding(t *testing.T) {
 	asked := make(chan string, 10)
 	tr, r := stores(t, func(q *http1.Request, _ <-chan struct{}) *http1.Response {
 		asked <- q.Path + "\n" + string(q.Body)
@@ -169,8 +169,7 @@
 	}
 }
 
-// A connection that the lot store closed while idle is not used again: a call on it would count as one that
-// may have run.
+// A connection that the lot store closed while idle is not used again: a call on it would count as one that may have run.
 func TestClosedIdleConnection(t *testing.T) {
 	l := listen(t)
 	serve := func() {
@@ -197,8 +196,8 @@
 	}
 }
 
-// When nobody waits for anything in a call any more, its connection is closed, and only then are its parts
-// reported as cancelled: until then they are out.
+// When all attempts of a call are cancelled, its connection is closed, and only then are they reported as cancelled:
+// until then they are in flight.
 func TestCancelCloses(t *testing.T) {
 	began, closed := make(chan struct{}), make(chan struct{})
 	tr, r := stores(t, func(_ *http1.Request, gone <-chan struct{}) *http1.Response {
--- a/internal/gatherer/net/opensearch/twophase_bench_test.go
+++ b/internal/gatherer/net/opensearch/twophase_bench_test.go
@@ -17,7 +17,7 @@
 func inBubble(b *testing.B, f func()) {
 	b.Helper()
 	all := func(string, string) (bool, error) { return true, nil }
-	if !testing.RunTests(all, []testing.InternalTest{{Name: "bubble", F: func(t *testing.T) {
+	if !testing.RunTests(all, []testing.InternalTest{{Name: "bubble", F: func(t *testing.T) { //nolint:thelper // the body of a test
 		synctest.Test(t, func(*testing.T) { f() })
 	}}}) {
 		b.Fatal("the bubble failed")
@@ -122,7 +122,7 @@
 }
 
 // BenchmarkTwoPhase sets one phase and two side by side: the same corpus, arrivals and slow copies, on a false clock.
-// A part with listings is taken to cost 84 ms of work, scores alone 0.7 of it, listings of a few lots 0.3, and each
+// A subquery with listings is taken to cost 84 ms of work, scores alone 0.7 of it, listings of a few lots 0.3, and each
 // call 46 ms.
 //
 //	go test -run '^$' -bench TwoPhase -benchtime 1x ./internal/...
