--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -81,11 +81,11 @@
 
 // applyOrders passes the plan's orders to the scheduler.
 func (c *Core) applyOrders(q *query, o search.Orders) {
-	if len(o.Ask)+len(o.Skip) == 0 {
+	if len(o.Request)+len(o.Skip) == 0 {
 		return
 	}
 	e := decision.Planned{Query: decision.QueryID(q.id)}
-	for _, i := range o.Ask {
+	for _, i := range o.Request {
 		e.Request = append(e.Request, decision.SubqueryID(q.subqueries[i].id))
 	}
 	for _, i := range o.Skip {
@@ -134,7 +134,7 @@
 	}
 	q := a.subquery.q
 	c.endAttempt(a, decision.NotSent)
-	if !q.over && q.plan.Refused(uint32(a.Server)) {
+	if !q.over && q.plan.Unanswerable(uint32(a.Server)) {
 		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
 	}
@@ -149,7 +149,7 @@
 		q.plan.Close()
 	}
 	r := q.plan.Result()
-	return r.Whole()
+	return r.Complete()
 }
 
 // finishSearch fills in the result of a search.
--- a/internal/gatherer/gather/second.go
+++ b/internal/gatherer/gather/second.go
@@ -54,8 +54,8 @@
 
 func (s byPlan) close(q *query, _ bool) (parts []secondSubquery) {
 	for _, f := range s.plan.Close() {
-		parts = append(parts, secondSubquery{index: f.Place, weight: f.Weight, prefer: decision.ServerID(f.Source),
-			used: len(q.subqueries[f.Place].attempts), search: &ShardSearch{Query: q.Search, IDs: f.IDs}})
+		parts = append(parts, secondSubquery{index: f.Index, weight: f.Weight, prefer: decision.ServerID(f.Source),
+			used: len(q.subqueries[f.Index].attempts), search: &ShardSearch{Query: q.Search, IDs: f.IDs}})
 	}
 	return parts
 }
--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -203,7 +203,7 @@
 // coverage makes the coverage object of an answer.
 func (a *clientRequest) coverage(res gather.Result) coverage {
 	r := res.Search
-	c := coverage{Complete: res.Complete, Fraction: r.Share(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
+	c := coverage{Complete: res.Complete, Fraction: r.Fraction(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
 		Skipped: len(r.Skipped), Changed: r.Changed, Phases: int(res.Phases)}
 	if c.Missing == nil {
 		c.Missing = []int{}
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -48,7 +48,7 @@
 		p.Start(0, search.Times{})
 		p.Scored(0, 1, found, 0, 0)
 		for _, f := range p.Close() {
-			p.Listed(f.Place, found)
+			p.Listed(f.Index, found)
 		}
 		p.Result()
 	}
--- a/internal/gatherer/net/opensearch/query.go
+++ b/internal/gatherer/net/opensearch/query.go
@@ -71,12 +71,12 @@
 		return nil, e
 	}
 	w := p.body
-	if q.Cut = w.terminateAfter > 0; p.after.Exists() {
+	if q.Truncated = w.terminateAfter > 0; p.after.Exists() {
 		if e := parseAfter(q, p.after); e != nil {
 			return nil, e
 		}
 	}
-	if q.After == nil && !q.Cut && w.minScore == "" {
+	if q.After == nil && !q.Truncated && w.minScore == "" {
 		nameQuery(q, w.query)
 	}
 	return w, nil
@@ -155,7 +155,7 @@
 		}
 		w.minScore = v.Raw
 	case "terminate_after":
-		w.Cut = true
+		w.Truncated = true
 		return parseInt(&w.terminateAfter, name, v, math.MaxInt32)
 	case "aggs", "aggregations":
 		return p.parseAggs(v)
--- a/internal/gatherer/net/opensearch/shardsearch.go
+++ b/internal/gatherer/net/opensearch/shardsearch.go
@@ -170,7 +170,7 @@
 			})
 		case "view":
 			found.View = search.View{Boot: v.Get("boot").String(), Version: v.Get("version").Int(),
-				Holds: float64(max(v.Get("holds_ms").Int(), 0)) / 1000}
+				StableFor: float64(max(v.Get("holds_ms").Int(), 0)) / 1000}
 		case "aggregations":
 			m.aggregations = v
 		case "terminated_early":
@@ -219,7 +219,7 @@
 	if why := found.Check(a.Query); why != "" {
 		return nil, why
 	}
-	if a.Query.Cut {
+	if a.Query.Truncated {
 		found.AtLeast = found.AtLeast || m.early
 		found.View = search.View{}
 	}
--- a/internal/gatherer/search/bounds.go
+++ b/internal/gatherer/search/bounds.go
@@ -2,19 +2,19 @@
 
 import "pulleygw.example/pulleygw/internal/gatherer/merge"
 
-// page0 says whether only a count is wanted.
-func (p *Plan) page0() bool { return p.Query.page() == 0 }
+// countOnly reports whether only a count is wanted.
+func (p *Plan) countOnly() bool { return p.Query.page() == 0 }
 
-// compareBounds orders ranges by the best lot that they may have; those that have none come last.
+// compareBounds orders ranges by the best lot that they may have; empty ones come last.
 func (p *Plan) compareBounds(i, j int) int {
 	a, b := &p.bounds[i], &p.bounds[j]
 	switch {
-	case a.None != b.None:
-		if b.None {
+	case a.Empty != b.Empty:
+		if b.Empty {
 			return -1
 		}
 		return 1
-	case !a.None:
+	case !a.Empty:
 		n := min(len(a.Best), len(b.Best))
 		if c := merge.Compare(p.Query.Keys[:n], a.Best, b.Best); c != 0 {
 			return c
@@ -23,10 +23,10 @@
 	return p.ranges[i].Number - p.ranges[j].Number
 }
 
-// beaten says whether no lot of a range with a bound can reach the page.
+// beaten reports whether no lot of a range with a bound can reach the page.
 func (p *Plan) beaten(i int) bool {
 	b := &p.bounds[i]
-	if b.None || p.page0() {
+	if b.Empty || p.countOnly() {
 		return true
 	}
 	last := p.top.Last()
@@ -43,29 +43,29 @@
 	return last.Range < p.ranges[i].Number
 }
 
-// countable says whether a range may be left out without making the count less than the client wants.
+// countable reports whether a range may be skipped without making the count less exact than the client wants.
 func (p *Plan) countable(i int) bool {
 	b := &p.bounds[i]
 	switch c := p.Query.Count; {
 	case p.Query.Every:
-		return b.None
+		return b.Empty
 	case b.Exact || c == CountNone:
 		return true
 	case c == CountAll:
 		return false
 	case c == CountAnyhow:
-		return !p.page0()
+		return !p.countOnly()
 	default:
 		return p.total >= int64(c)
 	}
 }
 
-// prune skips the ranges that cannot change the page any more, from the worst bound up: where one is not beaten, no
-// better one is.
+// prune skips the ranges that can no longer change the page, from the worst bound up: where one is not beaten, no better one
+// is.
 func (p *Plan) prune(o Orders) Orders {
-	for ; p.worst > 0; p.worst-- {
-		i := p.order[p.worst-1]
-		if p.state[i] == in || p.state[i] == skipped {
+	for ; p.pruneFrom > 0; p.pruneFrom-- {
+		i := p.order[p.pruneFrom-1]
+		if p.state[i] == answered || p.state[i] == skipped {
 			continue
 		}
 		if !p.beaten(i) {
@@ -79,11 +79,11 @@
 	return o
 }
 
-// pruneBetween goes on past a range whose count is wanted: another may be beaten and counted.
+// pruneBetween continues behind a range whose count is wanted: another may be beaten and counted.
 func (p *Plan) pruneBetween(o Orders) Orders {
-	for n := p.worst - 1; n >= 0; n-- {
+	for n := p.pruneFrom - 1; n >= 0; n-- {
 		i := p.order[n]
-		if p.state[i] == in || p.state[i] == skipped {
+		if p.state[i] == answered || p.state[i] == skipped {
 			continue
 		}
 		if !p.beaten(i) {
--- a/internal/gatherer/search/result.go
+++ b/internal/gatherer/search/result.go
@@ -2,39 +2,39 @@
 
 import "pulleygw.example/pulleygw/internal/gatherer/merge"
 
-// same says whether a lot still belongs where it was ranked: it has not changed, or its rank has not.
-func same(keys []merge.Key, h, now *merge.Hit) bool {
+// unchanged reports whether a lot still has its rank: it has not changed, or its sort values have not.
+func unchanged(keys []merge.Key, h, now *merge.Hit) bool {
 	return h.Version != 0 && h.Version == now.Version || merge.Same(keys, h.Sort, now.Sort)
 }
 
-// Result is what a query's answer says.
+// Result is the result of a query.
 type Result struct {
-	Hits    []*merge.Hit // of the page, in order, with their listings
-	Total   int64
-	AtLeast bool       // Total is a lower bound
-	Best    *merge.Hit // of all lots, nil where there is none or a better one may be missing
-	In      int        // ranges that answered
-	Skipped []int      // range numbers
-	Missing []int
-	Weight  float64      // of the ranges that are in or skipped
-	Listed  float64      // share of the page's lots whose ranges gave their listings
-	Changed int          // lots left out as they had changed between the phases
-	Bytes   int          // of the lot stores' answers
-	Parts   int          // asked, further attempts not counted
-	Extra   []any        // of the ranges that are in, in the plan's order
-	Views   map[int]View // of the ranges that are in, by number
-	Moved   []int        // those of Missing that were ahead of where they are pinned
+	Hits     []*merge.Hit // of the page, in order, with their listings
+	Total    int64
+	AtLeast  bool       // Total is a lower bound
+	Best     *merge.Hit // of all lots, nil where there is none or a better one may be missing
+	Answered int        // ranges that answered
+	Skipped  []int      // range numbers
+	Missing  []int
+	Weight   float64      // of the ranges that answered or were skipped
+	Listed   float64      // fraction of the page's lots that were listed
+	Changed  int          // lots left out as they changed between the phases
+	Bytes    int          // of the lot stores' answers
+	Requests int          // made, retries not counted
+	Extra    []any        // of the ranges that answered, in the plan's order
+	Views    map[int]View // of the ranges that answered, by number
+	Moved    []int        // those of Missing that have changed since the pinned version
 }
 
-// Share is the share of a whole answer that the result is: of the weight, and of the page.
-func (r *Result) Share() float64 { return r.Weight * r.Listed }
+// Fraction is the fraction of a complete answer that the result is: of the weight, times that of the page.
+func (r *Result) Fraction() float64 { return r.Weight * r.Listed }
 
-// Whole says whether nothing is missing.
-func (r *Result) Whole() bool { return len(r.Missing) == 0 && r.Listed == 1 && r.Changed == 0 }
+// Complete reports whether nothing is missing.
+func (r *Result) Complete() bool { return len(r.Missing) == 0 && r.Listed == 1 && r.Changed == 0 }
 
-// Result is what is in now; the host ends the score phase first.
+// Result is the result so far. The score phase must have been closed.
 func (p *Plan) Result() (r Result) {
-	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, Changed: p.changed, Bytes: p.bytes, Parts: p.parts}
+	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, Changed: p.changed, Bytes: p.bytes, Requests: p.requests}
 	r.Views = map[int]View{}
 	r.Missing = append(r.Missing, p.Query.Absent...)
 	for _, x := range p.extra {
@@ -44,8 +44,8 @@
 	}
 	for i, s := range p.state {
 		switch s {
-		case in:
-			r.In++
+		case answered:
+			r.Answered++
 			r.Weight += p.ranges[i].Weight
 			r.Views[p.ranges[i].Number] = p.views[i]
 		case skipped:
@@ -53,7 +53,7 @@
 			r.Weight += p.ranges[i].Weight
 		default:
 			r.Missing = append(r.Missing, p.ranges[i].Number)
-			if p.ahead[i] {
+			if p.movedOn[i] {
 				r.Moved = append(r.Moved, p.ranges[i].Number)
 			}
 		}
--- a/internal/gatherer/search/search.go
+++ b/internal/gatherer/search/search.go
@@ -1,9 +1,10 @@
-// Package search decides how a search is put to many ranges of lots: which range is asked for scores and when,
-// which need not be asked, which lots make the page, what listings to fetch, and what the answer may claim.
+// Package search plans how a search is executed over many ranges of lots: which range is asked for scores and when, which
+// need not be asked, which lots make the page, which listings to fetch, and what the answer may claim.
 //
-// It does no input or output, keeps no clock and knows no wire: its host hands it answers and the time, as a
-// duration since some fixed moment, and carries out its orders. It never chooses lot stores, further attempts or
-// refusals, which are package policy's.
+// It does no I/O and has no clock: its host passes answers and the time, as a duration since some fixed moment, and carries
+// out its orders. Lot stores, retries and rejections are package policy's.
+//
+// A Chooser chooses one phase or two, a Plan leads one query, and an Index remembers bounds of ranges between queries.
 package search
 
 import (
@@ -12,71 +13,71 @@
 	"pulleygw.example/pulleygw/internal/gatherer/merge"
 )
 
-// Counting says what a client wants to know of the number of lots.
+// Counting says how the client wants matching lots to be counted.
 type Counting int
 
-// The countings that are not a number of lots. A number above 0 asks for a count that is exact up to it.
+// The special values of Counting. A number above 0 asks for a count that is exact up to it.
 const (
 	CountNone   Counting = 0
 	CountAll    Counting = -1 // exact
-	CountAnyhow Counting = -2 // what comes without asking more ranges; the usual
+	CountAnyhow Counting = -2 // what is known without asking more ranges; the default
 )
 
-// Query is what one client asks for.
+// Query is one search.
 type Query struct {
 	Keys       []merge.Key // at least one
 	From, Size int
 	Count      Counting
 	After      *merge.After // the page begins behind it; nil for at the start
 	Ties       bool         // ranges are asked to break ties by id
-	Cut        bool         // ranges may end before they have looked at all their lots, so that answers bound nothing
-	// Name tells queries that the same lots answer in the same order: two of one name differ in From, Size and
-	// Count at most. Empty where nothing may be learnt or used.
+	Truncated  bool         // ranges may terminate before they have examined all their lots, so that answers bound nothing
+	// Name identifies queries with the same lots in the same order: two of one name differ at most in From, Size and
+	// Count. Empty where no bounds may be learned or used.
 	Name string
-	// Clauses are the parts whose scores add up to a lot's, by name; nil where its score is not such a sum. They
+	// Clauses are the names of the clauses whose scores add up to a lot's; nil where its score is not such a sum. They
 	// matter only where the first key is the score, best first.
 	Clauses []string
-	// Plain queries consist of their one clause and nothing else, so that their answers teach its best score.
+	// Plain queries consist of one clause and nothing else, so that its best score is learned from their answers.
 	Plain bool
-	// Pins are the versions that ranges must answer from, by number, and Absent the ranges that stay out of the search;
-	// nil for as they come.
+	// Pins are the versions that ranges must answer from, by number, and Absent the ranges that are excluded; nil for
+	// none.
 	Pins   map[int]int64
 	Absent []int
-	// Every says that more is asked of each range than the page, so that only one without a lot may be left out.
+	// Every says that more than the page is asked of each range, so that only a range without a lot may be skipped.
 	Every bool
-	// Extra is the host's own, for formatting questions and reading answers.
+	// Extra is the host's, for encoding requests and decoding answers.
 	Extra any
 }
 
-// page is how many lots a range may have to name.
+// page is how many lots a range may have to return.
 func (q *Query) page() int { return q.From + q.Size }
 
-// byScore says whether the best score is the first key.
+// byScore reports whether the best score is the first key.
 func (q *Query) byScore() bool { return q.Keys[0].Field == merge.Score && q.Keys[0].Desc }
 
-// View is what a range's answer was made from. The zero View promises nothing.
+// View is the state of a range that an answer was made from. The zero View guarantees nothing.
 type View struct {
-	Boot    string  // tells one start of a lot store's process from another; empty where it did not say
-	Version int64   // grows with every change to the range that a search can see
-	Holds   float64 // seconds from the question on for which the copy's searches see this very version
+	Boot      string  // id of the start of the lot store's process; empty if unknown
+	Version   int64   // increases with every change of the range that a search can see
+	StableFor float64 // seconds from the request on for which the replica's searches see this version
 }
 
-// Answer is what a range said to the score phase.
+// Answer is the answer of a range to the score phase.
 type Answer struct {
 	Hits     []merge.Hit // sorted, with ID and Sort set
 	Total    int64       // lots of the range that match
 	AtLeast  bool        // Total is a lower bound
 	View     View
-	Extremes map[string]Extremes // of fields over all lots of the range, where asked for
-	Bytes    int                 // of the answer on its wire, to be measured by
-	Extra    any                 // what the host makes of the query's Extra
+	Extremes map[string]Extremes // of fields over all lots of the range, where requested
+	Bytes    int                 // size of the answer on the wire
+	Extra    any                 // the answer to the query's Extra, as decoded by the host
 }
 
 // Extremes are a field's least and greatest value in a range.
 type Extremes struct{ Least, Greatest merge.Value }
 
-// Check says what is wrong with an answer to a query, and nothing where it can be used: more hits than were
-// asked for, an id twice, sort values that are lacking or not in order, a total that its own hits refute.
+// Check returns what is wrong with an answer to a query, empty if it is valid: more hits than requested, a duplicate id,
+// sort values that are missing or out of order, a total that its own hits contradict.
 func (a *Answer) Check(q *Query) string {
 	if merge.Twice(a.Hits) {
 		return "a hit stands twice"
--- a/internal/gatherer/search/search_test.go
+++ b/internal/gatherer/search/search_test.go
@@ -19,8 +19,8 @@
 
 var byScore = []merge.Key{{Field: merge.Score, Desc: true}}
 
-// Whatever bounds were learnt from earlier searches and whichever order answers come in, pruning loses no lot: the
-// page is the one of a full search, the count is exact or says that it is a bound, and nobody is asked twice.
+// Whatever bounds were learned from earlier searches and in whichever order answers arrive, pruning loses no lot: the
+// page is that of a full search, the count is exact or says that it is a bound, and no range is asked twice.
 func TestPruningLosesNothing(t *testing.T) {
 	proptest.Seed(t, 1000)
 	rapid.Check(t, func(t *rapid.T) {
@@ -50,7 +50,7 @@
 				q.Count == CountAll && r.AtLeast || q.Count == 7 && r.AtLeast && r.Total < 7 {
 				t.Fatalf("total %d, at least %v, truly %d, asked for %d", r.Total, r.AtLeast, total, q.Count)
 			}
-			if !r.Whole() || r.Share() < 0.999 || r.In+len(r.Skipped) != len(w.lots) {
+			if !r.Complete() || r.Fraction() < 0.999 || r.Answered+len(r.Skipped) != len(w.lots) {
 				t.Fatalf("not whole: %+v", r)
 			}
 			at += 100 * ms
@@ -80,23 +80,23 @@
 	return newWorld(byScore, ranges)
 }
 
-// The second search of a kind asks the few ranges that hold the page, and the rest are skipped.
-func TestPruningSavesParts(t *testing.T) {
+// The second search of a kind asks the few ranges that contain the page, and skips the rest.
+func TestPruningSavesRequests(t *testing.T) {
 	w, x := falling(200), NewIndex(200, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
 	w.run(w.plan(q, x), sec, first)
 	r, fetch := w.run(w.plan(q, x), 2*sec, first)
-	if r.In > 20 || len(r.Skipped) != 200-r.In || len(fetch) != 1 || r.Total != 2000 || r.AtLeast {
-		t.Errorf("%d ranges asked, %d skipped, %d fetches, total %d", r.In, len(r.Skipped), len(fetch), r.Total)
+	if r.Answered > 20 || len(r.Skipped) != 200-r.Answered || len(fetch) != 1 || r.Total != 2000 || r.AtLeast {
+		t.Errorf("%d ranges asked, %d skipped, %d fetches, total %d", r.Answered, len(r.Skipped), len(fetch), r.Total)
 	}
-	if r, _ = w.run(w.plan(&Query{Keys: byScore, Size: 10, Name: "q"}, nil), 2*sec, first); r.In != 200 {
-		t.Errorf("%d of 200 asked with nothing known", r.In)
+	if r, _ = w.run(w.plan(&Query{Keys: byScore, Size: 10, Name: "q"}, nil), 2*sec, first); r.Answered != 200 {
+		t.Errorf("%d of 200 asked with nothing known", r.Answered)
 	}
 }
 
-// A bound is void when its time is up, when a later version is heard of, and when a copy that spoke starts anew or
-// goes. Versions that lag behind teach nothing.
-func TestBoundsGoVoid(t *testing.T) {
+// A bound is invalid when its guarantee expires, when a later version is reported, and when a replica that reported
+// restarts or ends. Nothing is learned from versions that lag.
+func TestBoundsExpire(t *testing.T) {
 	q := &Query{Keys: byScore, Size: 10, Name: "q", Clauses: []string{"c"}, Plain: true, Count: CountAnyhow}
 	two := &Query{Keys: byScore, Size: 10, Name: "q2", Clauses: []string{"c", "c"}}
 	answer := func(version int64, boot string, holds float64) *Answer {
@@ -144,8 +144,8 @@
 	}
 }
 
-// A sum of clauses bounds a query of several, and names not used for longest make room.
-func TestClausesAndRoom(t *testing.T) {
+// A sum of clauses bounds a query of several, and the least recently used names are evicted.
+func TestClausesAndEviction(t *testing.T) {
 	x := NewIndex(10, 30)
 	for i, best := range []float64{3, 4} {
 		clause := fmt.Sprint("c", i)
@@ -169,33 +169,33 @@
 	}
 }
 
-// What was not asked yet goes when there is just time for it, however slow the first wave is.
-func TestHurry(t *testing.T) {
+// Remaining ranges are requested when there is just time for it, however slow the first wave is.
+func TestRequestAllInTime(t *testing.T) {
 	w, x := falling(40), NewIndex(40, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
 	w.run(w.plan(q, x), sec, first)
 	p := w.plan(q, x)
 	o := p.Start(2*sec, Times{End: 3 * sec, Usual: 25 * ms})
-	if n := len(o.Ask); n == 0 || n > 10 {
+	if n := len(o.Request); n == 0 || n > 10 {
 		t.Fatalf("%d asked first", n)
 	}
 	if p.Due() != 2950*ms {
 		t.Errorf("due %v", p.Due())
 	}
-	if late := p.Tick(2900 * ms); len(late.Ask) != 0 {
+	if late := p.Tick(2900 * ms); len(late.Request) != 0 {
 		t.Error("asked too soon")
 	}
-	if late := p.Tick(2950 * ms); len(late.Ask)+len(o.Ask) != 40 || p.Due() != 0 {
-		t.Errorf("%d asked at last", len(late.Ask))
+	if late := p.Tick(2950 * ms); len(late.Request)+len(o.Request) != 40 || p.Due() != 0 {
+		t.Errorf("%d asked at last", len(late.Request))
 	}
 	p = w.plan(q, x)
-	if o := p.Start(2*sec, Times{End: 2090 * ms, Usual: 25 * ms}); len(o.Ask) != 40 {
-		t.Errorf("%d asked where there is time for one wave only", len(o.Ask))
+	if o := p.Start(2*sec, Times{End: 2090 * ms, Usual: 25 * ms}); len(o.Request) != 40 {
+		t.Errorf("%d asked where there is time for one wave only", len(o.Request))
 	}
 }
 
-// A slow range that has become pointless is called off while it is out, and its answer is not looked at.
-func TestSkipWhileOut(t *testing.T) {
+// A slow range that can no longer change the page is cancelled in flight, and its answer is ignored.
+func TestSkipInFlight(t *testing.T) {
 	w, x := falling(12), NewIndex(12, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
 	w.run(w.plan(q, x), sec, first)
@@ -205,12 +205,12 @@
 	n := len(o.Skip) // range 0's last is 991, and range 1 reaches 990
 	p.Scored(o.Skip[0], 0, w.answer(q, o.Skip[0]), 2*sec, 2*sec)
 	p.Close()
-	if r := p.Result(); n < 10 || len(r.Skipped) != n || r.In != 1 {
+	if r := p.Result(); n < 10 || len(r.Skipped) != n || r.Answered != 1 {
 		t.Errorf("%d skipped: %+v", n, r)
 	}
 }
 
-// Equal scores over the page's edge come by range: the same lots whichever answers come first.
+// Equal scores across the edge of the page are ordered by range: the same lots whichever answers arrive first.
 func TestTiesAtTheEdge(t *testing.T) {
 	var ranges [][]merge.Value
 	for range 20 {
@@ -226,8 +226,8 @@
 	}
 }
 
-// A lot that is gone at the fetch, or whose rank is not its own any more, is left out and the answer is not whole; one
-// that changed without moving stays.
+// A lot that is missing at the fetch, or whose rank has changed, is left out and the answer is not complete; one that
+// changed without moving stays.
 func TestChangedBetweenPhases(t *testing.T) {
 	w := falling(3)
 	q := &Query{Keys: byScore, Size: 4, Count: CountAnyhow}
@@ -250,13 +250,13 @@
 		{ID: "0-3", Sort: []merge.Value{merge.Num(996.9)}, Version: 1, Listing: "same lot, scored by another copy"},
 		{ID: "9-9", Sort: []merge.Value{merge.Num(1001)}, Version: 1, Listing: "never asked for"}}})
 	r := p.Result()
-	if !slices.Equal(ids(r.Hits), []string{"0-0", "0-3"}) || r.Changed != 2 || r.Whole() || r.Listed != 1 {
+	if !slices.Equal(ids(r.Hits), []string{"0-0", "0-3"}) || r.Changed != 2 || r.Complete() || r.Listed != 1 {
 		t.Errorf("%v %+v", ids(r.Hits), r)
 	}
 }
 
-// Missing ranges and missing listings are told, and the share is that of the weight times that of the page.
-func TestShare(t *testing.T) {
+// Missing ranges and missing listings are reported, and the fraction is that of the weight times that of the page.
+func TestFraction(t *testing.T) {
 	w := falling(4)
 	q := &Query{Keys: byScore, Size: 20, Count: CountAnyhow}
 	p := w.plan(q, nil)
@@ -265,14 +265,14 @@
 		p.Scored(i, 0, w.answer(q, i), sec, sec)
 	}
 	f := p.Close()
-	p.Listed(f[0].Place, &Answer{Hits: w.answer(q, f[0].Place).Hits})
+	p.Listed(f[0].Index, &Answer{Hits: w.answer(q, f[0].Index).Hits})
 	r := p.Result()
-	if !slices.Equal(r.Missing, []int{3}) || r.Weight != 0.75 || !r.AtLeast || r.Share() >= 0.75 || r.Whole() || r.Best != nil {
-		t.Errorf("%+v share %v", r, r.Share())
+	if !slices.Equal(r.Missing, []int{3}) || r.Weight != 0.75 || !r.AtLeast || r.Fraction() >= 0.75 || r.Complete() || r.Best != nil {
+		t.Errorf("%+v share %v", r, r.Fraction())
 	}
 }
 
-// Answers that claim what cannot be are told from good ones.
+// Impossible answers are detected, and good ones are not.
 func TestCheck(t *testing.T) {
 	q := &Query{Keys: byScore, Size: 2, Count: CountAnyhow}
 	hit := func(id string, score float64) merge.Hit {
@@ -300,7 +300,7 @@
 	}
 }
 
-// The choice follows what was measured, and does not go to and fro.
+// The choice follows the measurements, and does not oscillate.
 func TestChoose(t *testing.T) {
 	c := NewChooser(0)
 	q := &Query{Keys: byScore, Size: 10}
@@ -312,7 +312,7 @@
 	}
 	measure := func(phases Phases, parts, bytes int, took time.Duration, n int) {
 		for range n {
-			c.Measured(0, &Plan{Query: q, Phases: phases, ranges: make([]Range, 96), parts: parts, bytes: bytes}, took, sec, true)
+			c.Measured(0, &Plan{Query: q, Phases: phases, ranges: make([]Range, 96), requests: parts, bytes: bytes}, took, sec, true)
 		}
 	}
 	measure(Two, 60, 30<<10, 300*ms, 20)
@@ -339,7 +339,7 @@
 	}
 }
 
-// BenchmarkPlan is what a query costs the planner at 200 ranges, with bounds known and without.
+// BenchmarkPlan measures the planner for a query over 200 ranges, with bounds known and without.
 func BenchmarkPlan(b *testing.B) {
 	for _, known := range []bool{false, true} {
 		b.Run(fmt.Sprintf("known=%v", known), func(b *testing.B) {
@@ -359,7 +359,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				p := NewPlan(q, Two, ranges, x)
-				for _, i := range p.Start(2*sec, Times{End: 3 * sec, Usual: 25 * ms}).Ask {
+				for _, i := range p.Start(2*sec, Times{End: 3 * sec, Usual: 25 * ms}).Request {
 					p.Scored(i, 0, answers[i], 2*sec, 2*sec)
 				}
 				p.Close()
--- a/internal/gatherer/search/waves.go
+++ b/internal/gatherer/search/waves.go
@@ -1,12 +1,11 @@
 package search
 
-import "time"
-
+// skip skips a range by its bound.
 func (p *Plan) skip(o Orders, i int) Orders {
-	if p.state[i] == waiting {
-		p.left--
+	if p.state[i] == pending {
+		p.unsent--
 	} else {
-		p.waveIn++ // of the wave it went with
+		p.waveAnswered++ // of the wave that it was requested with
 	}
 	p.state[i] = skipped
 	b := &p.bounds[i]
@@ -16,60 +15,62 @@
 	return o
 }
 
-func (p *Plan) ask(o Orders, i int) Orders {
-	p.state[i] = asked
-	p.left--
-	p.parts++
+// request requests a range.
+func (p *Plan) request(o Orders, i int) Orders {
+	p.state[i] = requested
+	p.unsent--
+	p.requests++
 	p.waveSize++
-	o.Ask = append(o.Ask, i)
+	o.Request = append(o.Request, i)
 	return o
 }
 
-func (p *Plan) askAll(o Orders) Orders {
+// requestAll requests all remaining ranges.
+func (p *Plan) requestAll(o Orders) Orders {
 	p.waves++
 	for i := range p.ranges {
-		if p.state[i] == waiting {
-			o = p.ask(o, i)
+		if p.state[i] == pending {
+			o = p.request(o, i)
 		}
 	}
-	p.hurryAt = 0
+	p.askAllAt = 0
 	return o
 }
 
-// wave asks the next ranges: at first those without a bound and, by their bounds, as many of the others as hold a
-// page and a half; then, with a page to beat, half of what can still reach it, and at last the rest.
-func (p *Plan) wave(o Orders, now time.Duration, first bool) Orders {
+// wave requests the next ranges: at first those without a bound and, by their bounds, as many of the others as contain a page
+// and a half; then, with a page to beat, half of those that can still reach it, and at last the rest.
+func (p *Plan) wave(o Orders, first bool) Orders {
 	p.waves++
-	p.waveSize, p.waveIn = 0, 0
+	p.waveSize, p.waveAnswered = 0, 0
 	if first {
 		for i := range p.ranges {
-			if !p.known[i] && p.state[i] == waiting {
-				o = p.ask(o, i)
+			if !p.hasBound[i] && p.state[i] == pending {
+				o = p.request(o, i)
 			}
 		}
 	}
-	want, most := pageAndHalf*float64(p.Query.page()), p.left
+	want, limit := pageAndHalf*float64(p.Query.page()), p.unsent
 	if p.top.Last() != nil {
-		want, most = float64(p.left*p.Query.page()), (p.left+1)/2
+		want, limit = float64(p.unsent*p.Query.page()), (p.unsent+1)/2
 	}
-	if p.waves >= mostWaves || p.left <= leastLeft {
-		return p.askAll(o)
+	if p.waves >= maxWaves || p.unsent <= minPending {
+		return p.requestAll(o)
 	}
-	for held := 0.0; held < want && most > 0 && p.next < len(p.order); p.next++ {
+	for lots := 0.0; lots < want && limit > 0 && p.next < len(p.order); p.next++ {
 		i := p.order[p.next]
-		if p.state[i] != waiting {
+		if p.state[i] != pending {
 			continue
 		}
 		n := float64(p.Query.page()) / pageEighth
 		if p.bounds[i].Exact {
 			n = float64(p.bounds[i].Count)
 		}
-		held += n
-		most--
-		o = p.ask(o, i)
+		lots += n
+		limit--
+		o = p.request(o, i)
 	}
-	if p.left <= leastLeft {
-		return p.askAll(o)
+	if p.unsent <= minPending {
+		return p.requestAll(o)
 	}
 	return o
 }
--- a/internal/gatherer/search/world_test.go
+++ b/internal/gatherer/search/world_test.go
@@ -22,7 +22,7 @@
 			lots = append(lots, merge.Hit{ID: fmt.Sprintf("%d-%d", r, i), Sort: []merge.Value{v}})
 		}
 		w.lots = append(w.lots, lots)
-		w.view = append(w.view, View{Boot: "b", Version: 1, Holds: 10})
+		w.view = append(w.view, View{Boot: "b", Version: 1, StableFor: 10})
 		w.sort(keys, r)
 	}
 	return w
@@ -77,25 +77,25 @@
 	times := roomy
 	times.End += at
 	o := p.Start(at, times)
-	out := slices.Clone(o.Ask)
+	out := slices.Clone(o.Request)
 	for len(out) > 0 {
 		n := pick(len(out))
 		i := out[n]
 		out = slices.Delete(out, n, n+1)
 		o := p.Scored(i, uint32(i), w.answer(p.Query, i), at, at+20*ms)
-		out = append(out, o.Ask...)
+		out = append(out, o.Request...)
 		out = slices.DeleteFunc(out, func(i int) bool { return slices.Contains(o.Skip, i) })
 	}
 	fetch = p.Close()
 	for _, f := range fetch {
 		a := &Answer{}
-		for _, h := range w.lots[f.Place] {
+		for _, h := range w.lots[f.Index] {
 			if slices.Contains(f.IDs, h.ID) {
 				h.Listing = "listing of " + h.ID
 				a.Hits = append(a.Hits, h)
 			}
 		}
-		p.Listed(f.Place, a)
+		p.Listed(f.Index, a)
 	}
 	return p.Result(), fetch
 }
