--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -27,9 +27,9 @@
 }
 
 // answers asks the ranges of a corpus.
-func answers(t rapid.TB, c *lots.Corpus, list []*aggs.Node, ranges ...int) (all [][]aggs.Part) {
+func answers(t rapid.TB, c *lots.Corpus, list []*aggs.Node, ranges ...int) (all [][]aggs.Partial) {
 	k := c.NewCopy("t", 0)
-	question := gjson.Parse(`{"size":0,"aggs":` + string(aggs.AppendAsk(nil, list)) + `}`)
+	question := gjson.Parse(`{"size":0,"aggs":` + string(aggs.AppendRequest(nil, list)) + `}`)
 	for _, r := range ranges {
 		item := k.Search(r, question)
 		parts, why := aggs.Decode(list, gjson.Get(item, "aggregations"))
@@ -41,7 +41,7 @@
 	return all
 }
 
-func merge(t rapid.TB, list []*aggs.Node, all [][]aggs.Part, missing bool) gjson.Result {
+func merge(t rapid.TB, list []*aggs.Node, all [][]aggs.Partial, missing bool) gjson.Result {
 	b, err := aggs.Merge(list, all, missing)
 	if err != nil || !gjson.ValidBytes(b) {
 		t.Fatalf("%v %s", err, b)
@@ -103,8 +103,8 @@
 	}
 }
 
-// Merged out of any number of ranges, each aggregation is the one over all lots at once.
-func TestMergedIsWhole(t *testing.T) {
+// Merged from any number of ranges, each aggregation is the one over all lots at once.
+func TestMergedEqualsAllLots(t *testing.T) {
 	proptest.Seed(t, 300)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "ranges")
@@ -123,7 +123,7 @@
 	})
 }
 
-// With ranges missing, a figure that says it is a bound is one.
+// With ranges missing, a value that says it is a bound is one.
 func TestBoundsHold(t *testing.T) {
 	proptest.Seed(t, 200)
 	list, e := parse(`{"aggs":{"min":{"min":{"field":"price"}},"max":{"max":{"field":"price"}},"n":{"value_count":{"field":"price"}},` +
@@ -156,7 +156,8 @@
 	})
 }
 
-// Where ranges cut their lists, each count is right within its stated error, and so is what no list shows.
+// Where ranges truncate their lists, each count is right within its stated error, and so is that of every term that is
+// not listed.
 func TestTermsError(t *testing.T) {
 	proptest.Seed(t, 200)
 	list, _ := parse(`{"aggs":{"t":{"terms":{"field":"year","size":2}}}}`) // 13 of up to 36 years from each range
@@ -195,7 +196,7 @@
 	})
 }
 
-// A percentile's rank is within a hundredth, and of small ranges within one value, of the one asked for.
+// The rank of a percentile is within a hundredth, and for small ranges within one value, of the requested one.
 func TestPercentiles(t *testing.T) {
 	list, _ := parse(`{"aggs":{"p":{"percentiles":{"field":"price","percents":[0,1,10,50,90,99,100]}},"n":{"value_count":{"field":"price"}}}}`)
 	c := lots.New(3, 8, 200)
@@ -218,7 +219,7 @@
 	}
 }
 
-// Empty buckets are filled in by the calendar of the zone, over a change of the clock too.
+// Empty buckets are added by the calendar of the zone, across a change of the clock too.
 func TestFill(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"date_histogram":{"field":"d","calendar_interval":"day","time_zone":"Europe/Berlin"}}`: "2026-03-28T00:00:00.000+01:00 2026-03-29T00:00:00.000+01:00 2026-03-30T00:00:00.000+02:00 2026-03-31T00:00:00.000+02:00",
@@ -238,7 +239,7 @@
 		if why != "" {
 			t.Fatal(why)
 		}
-		got := merge(t, list, [][]aggs.Part{parts}, false)
+		got := merge(t, list, [][]aggs.Partial{parts}, false)
 		var shown []string
 		for _, b := range got.Get("h.buckets").Array() {
 			shown = append(shown, b.Get("key_as_string").Str)
@@ -249,8 +250,8 @@
 	}
 }
 
-// What cannot be merged is refused by name, and too many buckets are.
-func TestRefused(t *testing.T) {
+// What cannot be merged is an error that names it, and so are too many buckets.
+func TestUnsupported(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"a":{"a":{"geo_distance":{}}}}`:                                                                               "not supported here: the aggregation [geo_distance]",
 		`{"a":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`:                                                  "rarest first",
@@ -274,32 +275,32 @@
 	}
 	list, _ := parse(`{"a":{"h":{"histogram":{"field":"x","interval":1}}}}`)
 	parts, _ := aggs.Decode(list, gjson.Parse(`{"h":{"buckets":[{"key":0,"doc_count":1},{"key":1e9,"doc_count":1}]}}`))
-	if _, err := aggs.Merge(list, [][]aggs.Part{parts}, false); !errors.Is(err, aggs.ErrTooMany) {
+	if _, err := aggs.Merge(list, [][]aggs.Partial{parts}, false); !errors.Is(err, aggs.ErrTooMany) {
 		t.Errorf("a billion empty buckets: %v", err)
 	}
 }
 
 const example = `{"t":{"terms":{"field":"make","size":3},"aggs":{"p":{"percentiles":{"field":"price"}},"d":{"date_histogram":{"field":"closing","calendar_interval":"1M"}}}}}`
 
-// Cuts and garbage, of what clients ask and of what ranges answer, get an error and never more.
+// Truncated and corrupt input, of clients and of ranges, gets an error and never more.
 func TestGarbage(t *testing.T) {
 	feed := func(b []byte) error {
 		if list, e := parse(`{"a":` + string(b) + `}`); e != nil {
 			return e
-		} else if !gjson.ValidBytes(aggs.AppendAsk(nil, list)) {
+		} else if !gjson.ValidBytes(aggs.AppendRequest(nil, list)) {
 			panic("the question is no JSON")
 		}
 		return nil
 	}
 	proptest.CheckParser(t, true, feed, example)
 	list, _ := parse(`{"a":` + example + `}`)
-	answer := gjson.Get(lots.New(1, 1, 5).NewCopy("t", 0).Search(0, gjson.Parse(`{"aggs":`+string(aggs.AppendAsk(nil, list))+`}`)), "aggregations").Raw
+	answer := gjson.Get(lots.New(1, 1, 5).NewCopy("t", 0).Search(0, gjson.Parse(`{"aggs":`+string(aggs.AppendRequest(nil, list))+`}`)), "aggregations").Raw
 	proptest.CheckParser(t, false, func(b []byte) error {
 		parts, why := aggs.Decode(list, gjson.ParseBytes(b))
 		if why != "" {
 			return fmt.Errorf("%s", why)
 		}
-		_, err := aggs.Merge(list, [][]aggs.Part{parts, parts}, true)
+		_, err := aggs.Merge(list, [][]aggs.Partial{parts, parts}, true)
 		return err
 	}, answer)
 }
@@ -308,15 +309,15 @@
 	f.Add([]byte(example))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if list, e := parse(`{"a":` + string(b) + `}`); e == nil {
-			aggs.AppendAsk(nil, list)
+			aggs.AppendRequest(nil, list)
 		}
 	})
 }
 
-// A million terms over 200 ranges: what is kept is bounded by what was asked for, and the error is told.
+// A million terms over 200 ranges: memory is bounded by what was requested, and the error is stated.
 func TestMillionTerms(t *testing.T) {
 	list, _ := parse(`{"a":{"t":{"terms":{"field":"x","size":10}}}}`)
-	var all [][]aggs.Part
+	var all [][]aggs.Partial
 	for r := range 200 {
 		var buckets []string
 		for i := range 25 {
--- a/internal/gatherer/aggs/histogram.go
+++ b/internal/gatherer/aggs/histogram.go
@@ -11,13 +11,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// histogram adds up buckets by key, and fills the gaps where empty buckets are wanted.
-func (m *merger) histogram(b []byte, n *Node, parts []*Part) ([]byte, error) {
+// mergeHistogram merges buckets by key, and adds empty ones where they are wanted.
+func (m *merger) mergeHistogram(b []byte, n *Node, parts []*Partial) ([]byte, error) {
 	all := map[string]*merged{}
 	for _, p := range parts {
 		for i := range p.buckets {
 			x := &p.buckets[i]
-			if _, err := m.keep(all, strconv.FormatFloat(x.key.num, 'g', -1, 64), x); err != nil {
+			if _, err := m.mergeBucket(all, strconv.FormatFloat(x.key.num, 'g', -1, 64), x); err != nil {
 				return nil, err
 			}
 		}
@@ -27,7 +27,7 @@
 		list = append(list, x)
 	}
 	slices.SortFunc(list, func(x, y *merged) int { return cmp.Compare(x.key.num, y.key.num) })
-	if n.MinDocs <= 0 { // 0 is the API's default
+	if n.MinDocs <= 0 { // 0 is the default of the API
 		var err error
 		if list, err = n.fill(list); err != nil {
 			return nil, err
@@ -56,13 +56,13 @@
 		}
 	}
 	b = append(b, end)
-	if text := meta(m.lacks(Lower)); text != "" {
+	if text := meta(m.boundIfMissing(Lower)); text != "" {
 		b = append(append(b, `,"meta":`...), text...)
 	}
 	return append(b, '}'), nil
 }
 
-// fill puts empty buckets between the least and the greatest key, and out to the bounds that the client extends to.
+// fill adds empty buckets between the least and the greatest key, extended to the bounds of the client.
 func (n *Node) fill(list []*merged) ([]*merged, error) {
 	lo, hi := math.NaN(), math.NaN()
 	if len(list) > 0 {
@@ -79,7 +79,7 @@
 		if len(full) > MaxBuckets {
 			return nil, ErrTooMany
 		}
-		// A key of the ranges' that lies before the one reckoned here, by a rounding or a zone's change, is kept as it is.
+		// A key of a range just before the computed one, by rounding or a change of the zone, is kept as it is.
 		for at < len(list) && list[at].key.num <= k+n.slip() {
 			full = append(full, list[at])
 			at++
@@ -91,7 +91,7 @@
 	return full, nil
 }
 
-// slip is how far apart two keys may be that are one.
+// slip is how far apart two equal keys may be.
 func (n *Node) slip() float64 {
 	if n.Kind == Histogram {
 		return n.Interval / 1e6
@@ -99,7 +99,7 @@
 	return 0.5
 }
 
-// floor is the key of the bucket that a value falls into.
+// floor is the key of the bucket of a value.
 func (n *Node) floor(x float64) float64 {
 	if n.Kind == Histogram {
 		off := gjson.Parse(n.Offset).Num
@@ -130,7 +130,7 @@
 	return float64(at.UnixMilli()) + n.shift()
 }
 
-// next is the key after one.
+// next is the key of the following bucket.
 func (n *Node) next(k float64) float64 {
 	if n.Kind == Histogram {
 		off := gjson.Parse(n.Offset).Num
@@ -163,27 +163,28 @@
 	return float64(at.UnixMilli()) + n.shift()
 }
 
-// shift is a date_histogram's offset in milliseconds.
+// shift is the offset of a date_histogram in milliseconds.
 func (n *Node) shift() float64 {
 	sign, s := 1.0, strings.TrimPrefix(n.Offset, "+")
 	if strings.HasPrefix(s, "-") {
 		sign, s = -1, s[1:]
 	}
-	d, _ := fixed(s)
+	d, _ := parseFixedInterval(s)
 	return sign * float64(d.Milliseconds())
 }
 
+// local is a time, in Unix milliseconds, in the zone of the aggregation.
 func (n *Node) local(ms float64) time.Time {
 	where := time.UTC
 	if n.Zone != "" {
-		if l, err := zone(n.Zone); err == nil { // as parsed
+		if l, err := parseZone(n.Zone); err == nil { // it was checked by Parse
 			where = l
 		}
 	}
 	return time.UnixMilli(int64(ms - n.shift())).In(where)
 }
 
-// text is a filled bucket's key_as_string.
+// text is the key_as_string of an added bucket.
 func (n *Node) text(k float64) string {
 	if n.Kind == Histogram {
 		return ""
@@ -196,7 +197,7 @@
 	return time.UnixMilli(int64(k)).In(where).Format(layout)
 }
 
-// layoutOf turns a date format of the API into this language's; false where it has what is not known.
+// layoutOf converts a date format of the API to a Go layout; false if it is not supported.
 func layoutOf(format string) (string, bool) {
 	if format == "" || format == "strict_date_time" || format == "date_time" {
 		return "2006-01-02T15:04:05.000Z07:00", true
--- a/internal/gatherer/aggs/kinds.go
+++ b/internal/gatherer/aggs/kinds.go
@@ -11,20 +11,23 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
+// minDocs parses min_doc_count.
 func (p *parser) minDocs(n *Node) member {
 	return func(v gjson.Result) *query.Error {
 		i := 0
-		e := p.whole(&i, 0, math.MaxInt32)(v)
+		e := p.integer(&i, 0, math.MaxInt32)(v)
 		n.MinDocs = int64(i)
 		return e
 	}
 }
 
+// cardinality parses a cardinality.
 func (p *parser) cardinality(n *Node, v gjson.Result) *query.Error {
 	precision := 0
-	return p.members(n, v, true, map[string]member{"precision_threshold": p.whole(&precision, 0, 40000)})
+	return p.members(n, v, true, map[string]member{"precision_threshold": p.integer(&precision, 0, 40000)})
 }
 
+// percentiles parses a percentiles.
 func (p *parser) percentiles(n *Node, v gjson.Result) *query.Error {
 	n.Keyed = true
 	n.Percents = []float64{1, 5, 25, 50, 75, 95, 99}
@@ -43,11 +46,12 @@
 	}})
 }
 
+// terms parses a terms.
 func (p *parser) terms(n *Node, v gjson.Result) *query.Error {
 	n.Size, n.Desc = 10, true
-	e := p.members(n, v, true, map[string]member{"size": p.whole(&n.Size, 1, MaxSize), "min_doc_count": p.minDocs(n),
-		"shard_size": p.whole(&n.Shard, 1, MaxBuckets), "order": func(v gjson.Result) *query.Error {
-			if v.IsArray() && len(v.Array()) > 0 { // further keys break ties, as the key does here
+	e := p.members(n, v, true, map[string]member{"size": p.integer(&n.Size, 1, MaxSize), "min_doc_count": p.minDocs(n),
+		"shard_size": p.integer(&n.Shard, 1, MaxBuckets), "order": func(v gjson.Result) *query.Error {
+			if v.IsArray() && len(v.Array()) > 0 { // further keys break ties, as the bucket key does here
 				v = v.Array()[0]
 			}
 			ok := false
@@ -71,6 +75,7 @@
 	return e
 }
 
+// histogram parses a histogram.
 func (p *parser) histogram(n *Node, v gjson.Result) *query.Error {
 	offset := 0.0
 	return p.members(n, v, true, map[string]member{"interval": p.number(&n.Interval, func(x float64) bool { return x > 0 }, "a number above 0"),
@@ -81,6 +86,7 @@
 		}})
 }
 
+// bounds parses extended_bounds.
 func (p *parser) bounds(n *Node) member {
 	return func(v gjson.Result) *query.Error {
 		lo, hi := v.Get("min"), v.Get("max")
@@ -92,23 +98,24 @@
 	}
 }
 
-// calendars are the calendar intervals, by the names that the API has for them.
+// calendars are the calendar intervals by the names of the API.
 var calendars = map[string]string{"minute": "1m", "1m": "1m", "hour": "1h", "1h": "1h", "day": "1d", "1d": "1d", "week": "1w", "1w": "1w",
 	"month": "1M", "1M": "1M", "quarter": "1q", "1q": "1q", "year": "1y", "1y": "1y"}
 
+// dateHistogram parses a date_histogram.
 func (p *parser) dateHistogram(n *Node, v gjson.Result) *query.Error {
 	e := p.members(n, v, true, map[string]member{"min_doc_count": p.minDocs(n), "keyed": p.flag(&n.Keyed), "format": p.str(&n.Format),
 		"offset": p.str(&n.Offset), "extended_bounds": p.bounds(n),
 		"time_zone": func(v gjson.Result) *query.Error {
 			e := p.str(&n.Zone)(v)
-			if _, err := zone(n.Zone); e == nil && err != nil {
+			if _, err := parseZone(n.Zone); e == nil && err != nil {
 				e = p.at(v, "[time_zone] is not known: [%.60s]", n.Zone)
 			}
 			return e
 		},
 		"fixed_interval": func(v gjson.Result) *query.Error {
 			var ok bool
-			if n.Fixed, ok = fixed(v.Str); !ok {
+			if n.Fixed, ok = parseFixedInterval(v.Str); !ok {
 				return p.at(v, "[fixed_interval] is not a number of ms, s, m, h or d")
 			}
 			return nil
@@ -122,7 +129,7 @@
 	if _, ok := layoutOf(n.Format); e == nil && !ok && n.MinDocs <= 0 {
 		e = p.at(v, "not supported here: the [format] %.40q where empty buckets are wanted; ask for [min_doc_count] of 1", n.Format)
 	}
-	if _, ok := fixed(strings.TrimLeft(n.Offset, "+-")); e == nil && n.Offset != "" && !ok {
+	if _, ok := parseFixedInterval(strings.TrimLeft(n.Offset, "+-")); e == nil && n.Offset != "" && !ok {
 		e = p.at(v, "[offset] is not a number of ms, s, m, h or d")
 	}
 	if e == nil && (n.Fixed == 0) == (n.Calendar == "") {
@@ -131,8 +138,8 @@
 	return e
 }
 
-// fixed reads a fixed interval.
-func fixed(s string) (time.Duration, bool) {
+// parseFixedInterval parses a fixed interval.
+func parseFixedInterval(s string) (time.Duration, bool) {
 	for _, u := range []struct {
 		suffix string
 		unit   time.Duration
@@ -147,8 +154,8 @@
 	return 0, false
 }
 
-// zone reads a time zone: a name, or an offset such as +09:00.
-func zone(s string) (*time.Location, error) {
+// parseZone parses a time zone: a name, or an offset such as +09:00.
+func parseZone(s string) (*time.Location, error) {
 	if t, err := time.Parse("-07:00", s); err == nil {
 		_, off := t.Zone()
 		return time.FixedZone(s, off), nil
@@ -156,6 +163,7 @@
 	return time.LoadLocation(s)
 }
 
+// ranges parses a range or a date_range.
 func (p *parser) ranges(n *Node, v gjson.Result) *query.Error {
 	e := p.members(n, v, true, map[string]member{"keyed": p.flag(&n.Keyed), "format": p.str(&n.Format), "time_zone": p.str(&n.Zone),
 		"ranges": func(v gjson.Result) (e *query.Error) {
@@ -189,12 +197,14 @@
 	return e
 }
 
+// filter parses a filter.
 func (p *parser) filter(n *Node, v gjson.Result) *query.Error {
 	q, e := query.Parse(p.text, v)
 	n.Filters = []Named{{Query: q}}
 	return e
 }
 
+// filters parses a filters.
 func (p *parser) filters(n *Node, v gjson.Result) *query.Error {
 	other := false
 	e := p.members(n, v, false, map[string]member{"filters": func(v gjson.Result) (e *query.Error) {
@@ -222,9 +232,10 @@
 	return e
 }
 
+// topHits parses a top_hits.
 func (p *parser) topHits(n *Node, v gjson.Result) *query.Error {
 	n.Size = 3
-	e := p.members(n, v, false, map[string]member{"size": p.whole(&n.Size, 0, MaxHits), "from": p.whole(&n.From, 0, MaxHits),
+	e := p.members(n, v, false, map[string]member{"size": p.integer(&n.Size, 0, MaxHits), "from": p.integer(&n.From, 0, MaxHits),
 		"sort":    func(v gjson.Result) *query.Error { n.Sort = v.Raw; return nil },
 		"_source": func(v gjson.Result) *query.Error { n.Source = v.Raw; return nil }})
 	if e == nil && n.From+n.Size > MaxHits {
@@ -236,7 +247,7 @@
 	return e
 }
 
-// simpleSort takes [{"field":"asc"}], [{"field":{"order":"desc"}}] and the like.
+// simpleSort reports whether a sort is [{"field":"asc"}], [{"field":{"order":"desc"}}] and the like.
 func simpleSort(v gjson.Result) bool {
 	if v.IsArray() {
 		if len(v.Array()) != 1 {
--- a/internal/gatherer/aggs/merge.go
+++ b/internal/gatherer/aggs/merge.go
@@ -5,26 +5,26 @@
 	"math"
 )
 
-// Bound says how a figure stands to the true one.
+// Bound is the relation of a value to the true one.
 type Bound string
 
-// The bounds. Exact figures do not name theirs.
+// The bounds. Exact values do not state theirs.
 const (
 	Exact    Bound = "exact"
-	Lower    Bound = "lower"    // the true one is this or more
-	Upper    Bound = "upper"    // the true one is this or less
-	Estimate Bound = "estimate" // either
+	Lower    Bound = "lower"    // the true value is at least this
+	Upper    Bound = "upper"    // the true value is at most this
+	Estimate Bound = "estimate" // the true value may be more or less
 )
 
-// ErrTooMany is more buckets than one answer may have.
+// ErrTooMany is returned for more buckets than one answer may have.
 var ErrTooMany = errors.New("more buckets than an answer may have")
 
-// keptMost bounds the buckets that are kept while ranges' answers come together.
-const keptMost = 16 * MaxBuckets
+// maxMergedBuckets bounds the buckets in memory while answers are merged.
+const maxMergedBuckets = 16 * MaxBuckets
 
-// Merge makes one answer, as the value of aggregations, of ranges' answers. missing says that some range is not among
-// them, so that counts are bounds.
-func Merge(list []*Node, answers [][]Part, missing bool) ([]byte, error) {
+// Merge merges ranges' answers into the value of aggregations. Missing says that some range is not among them, so that
+// counts are bounds.
+func Merge(list []*Node, answers [][]Partial, missing bool) ([]byte, error) {
 	m := merger{missing: missing}
 	b, err := m.list(nil, list, answers)
 	if err != nil {
@@ -33,20 +33,21 @@
 	return b, nil
 }
 
+// merger merges answers and counts buckets.
 type merger struct {
 	missing bool
-	buckets int // in the answer
-	kept    int // while merging
+	buckets int // in the merged answer
+	merged  int // while merging
 }
 
-// list formats aggregations; answers are by range, then by aggregation.
-func (m *merger) list(b []byte, list []*Node, answers [][]Part) ([]byte, error) {
+// list merges a list of aggregations. Answers are by range, then by aggregation.
+func (m *merger) list(b []byte, list []*Node, answers [][]Partial) ([]byte, error) {
 	b = append(b, '{')
 	for i, n := range list {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		parts := make([]*Part, len(answers))
+		parts := make([]*Partial, len(answers))
 		for r := range answers {
 			parts[r] = &answers[r][i]
 		}
@@ -59,7 +60,7 @@
 	return append(b, '}'), nil
 }
 
-// meta formats a bound, and more beside it.
+// meta encodes a bound, and more members.
 func meta(b Bound, more ...string) string {
 	if b == Exact {
 		return ""
@@ -67,15 +68,16 @@
 	return object(append([]string{"bound", quote(string(b))}, more...)...)
 }
 
-// if missing, a figure that is else exact is a bound of this kind.
-func (m *merger) lacks(b Bound) Bound {
+// boundIfMissing is the bound of a value that is exact if no range is missing.
+func (m *merger) boundIfMissing(b Bound) Bound {
 	if m.missing {
 		return b
 	}
 	return Exact
 }
 
-func (m *merger) node(b []byte, n *Node, parts []*Part) ([]byte, error) {
+// node merges one aggregation.
+func (m *merger) node(b []byte, n *Node, parts []*Partial) ([]byte, error) {
 	var sum total
 	docs, least, greatest := int64(0), math.NaN(), math.NaN()
 	for _, p := range parts {
@@ -85,23 +87,23 @@
 	}
 	switch n.Kind {
 	case Min:
-		return append(b, object("value", num(least), "meta", meta(m.lacks(Upper)))...), nil
+		return append(b, object("value", num(least), "meta", meta(m.boundIfMissing(Upper)))...), nil
 	case Max:
-		return append(b, object("value", num(greatest), "meta", meta(m.lacks(Lower)))...), nil
+		return append(b, object("value", num(greatest), "meta", meta(m.boundIfMissing(Lower)))...), nil
 	case Sum:
-		return append(b, object("value", num(sum.value()), "meta", meta(m.lacks(Estimate)))...), nil
+		return append(b, object("value", num(sum.value()), "meta", meta(m.boundIfMissing(Estimate)))...), nil
 	case ValueCount:
-		return append(b, object("value", whole(docs), "meta", meta(m.lacks(Lower)))...), nil
+		return append(b, object("value", integer(docs), "meta", meta(m.boundIfMissing(Lower)))...), nil
 	case Avg, Stats:
 		avg := math.NaN()
 		if docs > 0 {
 			avg = sum.value() / float64(docs)
 		}
 		if n.Kind == Avg {
-			return append(b, object("value", num(avg), "meta", meta(m.lacks(Estimate)))...), nil
+			return append(b, object("value", num(avg), "meta", meta(m.boundIfMissing(Estimate)))...), nil
 		}
-		return append(b, object("count", whole(docs), "min", num(least), "max", num(greatest), "avg", num(avg),
-			"sum", num(sum.value()), "meta", meta(m.lacks(Estimate)))...), nil
+		return append(b, object("count", integer(docs), "min", num(least), "max", num(greatest), "avg", num(avg),
+			"sum", num(sum.value()), "meta", meta(m.boundIfMissing(Estimate)))...), nil
 	case Cardinality:
 		return append(b, m.cardinality(parts)...), nil
 	case Percentiles:
@@ -109,24 +111,25 @@
 	case TopHits:
 		return append(b, m.topHits(n, parts, docs)...), nil
 	case Terms:
-		return m.terms(b, n, parts)
+		return m.mergeTerms(b, n, parts)
 	case Histogram, DateHistogram:
-		return m.histogram(b, n, parts)
+		return m.mergeHistogram(b, n, parts)
 	}
-	return m.fixed(b, n, parts)
+	return m.mergeFixed(b, n, parts)
 }
 
-// merged is a bucket out of several ranges'.
+// merged is a bucket merged from several ranges.
 type merged struct {
 	bucket
-	subs   [][]Part
-	listed int64 // what the ranges that list it can at most have cut off of any other
+	subs        [][]Partial
+	listedError int64 // by how many lots the ranges that list it may have cut off any other bucket
 }
 
-func (m *merger) keep(into map[string]*merged, name string, x *bucket) (*merged, error) {
+// mergeBucket adds a bucket to that of the same name.
+func (m *merger) mergeBucket(into map[string]*merged, name string, x *bucket) (*merged, error) {
 	b := into[name]
 	if b == nil {
-		if m.kept++; m.kept > keptMost {
+		if m.merged++; m.merged > maxMergedBuckets {
 			return nil, ErrTooMany
 		}
 		b = &merged{bucket: *x}
@@ -140,12 +143,12 @@
 	return b, nil
 }
 
-// bucket formats a bucket after its key.
+// bucket encodes a bucket, its key members first.
 func (m *merger) bucket(b []byte, n *Node, x *merged, members ...string) ([]byte, error) {
 	if m.buckets++; m.buckets > MaxBuckets {
 		return nil, ErrTooMany
 	}
-	text := object(append(members, "doc_count", whole(x.docs))...)
+	text := object(append(members, "doc_count", integer(x.docs))...)
 	b = append(b, text[:len(text)-1]...)
 	if len(n.Subs) > 0 {
 		subs, err := m.list(nil, n.Subs, x.subs)
--- a/internal/gatherer/aggs/metrics.go
+++ b/internal/gatherer/aggs/metrics.go
@@ -11,16 +11,16 @@
 	"github.com/tidwall/gjson"
 )
 
-// total is a sum whose error does not grow with the number of terms, nor depend on their order by more than a rounding:
-// Neumaier's variant of Kahan's summation (1974).
-type total struct{ sum, lost float64 }
+// total is a sum whose error does not grow with the number of terms, nor depends on their order by more than a rounding:
+// Neumaier's variant of Kahan summation (1974).
+type total struct{ sum, compensation float64 }
 
 func (t *total) add(x float64) {
 	s := t.sum + x
 	if math.Abs(t.sum) >= math.Abs(x) {
-		t.lost += (t.sum - s) + x
+		t.compensation += (t.sum - s) + x
 	} else {
-		t.lost += (x - s) + t.sum
+		t.compensation += (x - s) + t.sum
 	}
 	t.sum = s
 }
@@ -29,9 +29,10 @@
 	if math.IsInf(t.sum, 0) || math.IsNaN(t.sum) {
 		return t.sum
 	}
-	return t.sum + t.lost
+	return t.sum + t.compensation
 }
 
+// num encodes a number, NaN and infinities as null.
 func num(x float64) string {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return "null"
@@ -39,8 +40,10 @@
 	return strconv.FormatFloat(x, 'g', -1, 64)
 }
 
-func whole(n int64) string { return strconv.FormatInt(n, 10) }
+// integer encodes an integer.
+func integer(n int64) string { return strconv.FormatInt(n, 10) }
 
+// lesser is the lesser number; NaN is none.
 func lesser(a, b float64) float64 {
 	if math.IsNaN(a) || b < a {
 		return b
@@ -48,6 +51,7 @@
 	return a
 }
 
+// greater is the greater number; NaN is none.
 func greater(a, b float64) float64 {
 	if math.IsNaN(a) || b > a {
 		return b
@@ -55,41 +59,42 @@
 	return a
 }
 
-// cardinality is exact where no range cut its list of terms. Else the terms that are known are at least so many, and
-// the ranges' own figures, each of which counts its terms once, together at most.
-func (m *merger) cardinality(parts []*Part) string {
-	seen, upper, cut := map[string]struct{}{}, int64(0), false
+// cardinality is exact where no range truncated its list of terms. Otherwise the number of known terms is a lower bound,
+// and the sum of the ranges' own values an upper one.
+func (m *merger) cardinality(parts []*Partial) string {
+	seen, upper, truncated := map[string]struct{}{}, int64(0), false
 	for _, p := range parts {
 		for _, x := range p.buckets {
 			seen[x.key.raw] = struct{}{}
 		}
 		if p.other > 0 {
-			cut = true
+			truncated = true
 			upper += max(p.count, int64(len(p.buckets)))
 		} else {
 			upper += int64(len(p.buckets))
 		}
 	}
-	if cut && !m.missing {
-		return object("value", whole(int64(len(seen))), "meta", meta(Lower, "upper", whole(upper)))
+	if truncated && !m.missing {
+		return object("value", integer(int64(len(seen))), "meta", meta(Lower, "upper", integer(upper)))
 	}
-	return object("value", whole(int64(len(seen))), "meta", meta(m.lacks(Lower)))
+	return object("value", integer(int64(len(seen))), "meta", meta(m.boundIfMissing(Lower)))
 }
 
-// percentiles reads the mixture of the ranges' distributions, each weighing as many values as it has. A range's is
-// known at each hundredth, so that a percentile's rank is off by one hundredth at the most, beside the range's own error.
-func (n *Node) percentiles(parts []*Part, docs int64) string {
+// percentiles computes percentiles of the mixture of the ranges' distributions, each weighted by its number of values. A
+// distribution is known at each hundredth, so the rank of a percentile is off by at most one hundredth, beside the range's
+// own error.
+func (n *Node) percentiles(parts []*Partial, docs int64) string {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, p := range parts {
 		if p.count > 0 {
 			lo, hi = min(lo, p.dist[0]), max(hi, p.dist[points])
 		}
 	}
-	below := func(x float64) float64 { // values that are x or less
+	below := func(x float64) float64 { // number of values up to x
 		sum := 0.0
 		for _, p := range parts {
 			if p.count > 0 {
-				sum += float64(p.count) * share(p.dist, x)
+				sum += float64(p.count) * cumulative(p.dist, x)
 			}
 		}
 		return sum
@@ -99,7 +104,7 @@
 		x := math.NaN()
 		if docs > 0 {
 			from, to := lo, hi
-			for range 64 { // bisection, to the last bit or so
+			for range 64 { // bisection, nearly to the last bit
 				mid := from + (to-from)/2
 				if below(mid) >= percent/100*float64(docs) {
 					to = mid
@@ -126,8 +131,8 @@
 	return object("values", list, "meta", meta(Estimate, "rank_error", num(1.0/points)))
 }
 
-// share is which part of a distribution is x or less.
-func share(dist []float64, x float64) float64 {
+// cumulative is the fraction of a distribution up to x.
+func cumulative(dist []float64, x float64) float64 {
 	i := sort.Search(len(dist), func(i int) bool { return dist[i] > x }) // the first point above
 	switch {
 	case i == 0:
@@ -138,7 +143,8 @@
 	return (float64(i-1) + (x-dist[i-1])/(dist[i]-dist[i-1])) / points
 }
 
-func (m *merger) topHits(n *Node, parts []*Part, docs int64) string {
+// topHits merges the best hits of the ranges.
+func (m *merger) topHits(n *Node, parts []*Partial, docs int64) string {
 	var all []hit
 	for _, p := range parts {
 		all = append(all, p.hits...)
@@ -166,6 +172,6 @@
 	if m.missing {
 		relation = `"gte"`
 	}
-	return object("hits", object("total", object("value", whole(docs), "relation", relation), "max_score", "null",
-		"hits", "["+strings.Join(raws, ",")+"]"), "meta", meta(m.lacks(Estimate)))
+	return object("hits", object("total", object("value", integer(docs), "relation", relation), "max_score", "null",
+		"hits", "["+strings.Join(raws, ",")+"]"), "meta", meta(m.boundIfMissing(Estimate)))
 }
--- a/internal/gatherer/aggs/parse.go
+++ b/internal/gatherer/aggs/parse.go
@@ -9,21 +9,24 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
-// Parse reads the aggregations of a valid JSON text; v must come from a walk over it.
+// Parse parses the aggregations of a valid JSON text. V must come from a walk over text, so that its position is known.
 func Parse(text string, v gjson.Result) ([]*Node, *query.Error) {
 	p := &parser{text: text}
 	return p.list(v, 1)
 }
 
+// parser parses the aggregations of one text.
 type parser struct {
 	text  string
 	nodes int
 }
 
+// at returns an error at the position of v.
 func (p *parser) at(v gjson.Result, format string, args ...any) *query.Error {
 	return query.At(p.text, v.Index, format, args...)
 }
 
+// list parses an object of aggregations by name.
 func (p *parser) list(v gjson.Result, depth int) (list []*Node, e *query.Error) {
 	if depth > MaxDepth {
 		return nil, p.at(v, "aggregations nested deeper than %d", MaxDepth)
@@ -44,6 +47,7 @@
 	return list, e
 }
 
+// node parses one aggregation.
 func (p *parser) node(name, v gjson.Result, depth int) (n *Node, e *query.Error) {
 	if p.nodes++; p.nodes > MaxNodes {
 		return nil, p.at(v, "more than %d aggregations", MaxNodes)
@@ -83,12 +87,13 @@
 	return n, e
 }
 
-// reader reads the body of one kind.
+// reader parses the body of one kind.
 type reader func(*parser, *Node, gjson.Result) *query.Error
 
+// kinds are the readers of the supported kinds.
 var kinds map[Kind]reader
 
-func init() { // as filters read queries, and lists nodes
+func init() { // the readers refer to each other
 	metric := reader(func(p *parser, n *Node, v gjson.Result) *query.Error { return p.members(n, v, true, nil) })
 	kinds = map[Kind]reader{Min: metric, Max: metric, Sum: metric, Avg: metric, Stats: metric, ValueCount: metric, Missing: metric,
 		Cardinality: (*parser).cardinality, Percentiles: (*parser).percentiles, Terms: (*parser).terms, Histogram: (*parser).histogram,
@@ -96,9 +101,10 @@
 		Filters: (*parser).filters, TopHits: (*parser).topHits}
 }
 
+// member parses one member of an object.
 type member func(gjson.Result) *query.Error
 
-// members reads an object; field and missing are known where an aggregation is of a field.
+// members parses an object by its members. An aggregation of a field has the members field and missing as well.
 func (p *parser) members(n *Node, v gjson.Result, ofField bool, known map[string]member) (e *query.Error) {
 	e = query.Members(p.text, v, func(k, x gjson.Result) (e *query.Error) {
 		read := known[k.Str]
@@ -124,7 +130,8 @@
 	return e
 }
 
-func (p *parser) whole(to *int, least, most int) member {
+// integer parses an integer within bounds.
+func (p *parser) integer(to *int, least, most int) member {
 	return func(v gjson.Result) *query.Error {
 		if v.Type != gjson.Number || v.Num != math.Trunc(v.Num) || v.Num < float64(least) || v.Num > float64(most) {
 			return p.at(v, "not a whole number from %d to %d", least, most)
@@ -134,6 +141,7 @@
 	}
 }
 
+// number parses a number that is ok; what describes those.
 func (p *parser) number(to *float64, ok func(float64) bool, what string) member {
 	return func(v gjson.Result) *query.Error {
 		if v.Type != gjson.Number || math.IsInf(v.Num, 0) || !ok(v.Num) {
@@ -144,6 +152,7 @@
 	}
 }
 
+// flag parses a boolean.
 func (p *parser) flag(to *bool) member {
 	return func(v gjson.Result) *query.Error {
 		if !v.IsBool() {
@@ -154,6 +163,7 @@
 	}
 }
 
+// str parses a string.
 func (p *parser) str(to *string) member {
 	return func(v gjson.Result) *query.Error {
 		if v.Type != gjson.String || len(v.Str) > query.MaxField {
--- a/internal/gatherer/aggs/part.go
+++ b/internal/gatherer/aggs/partial.go
@@ -8,41 +8,43 @@
 	"github.com/tidwall/gjson"
 )
 
-// Part is what one range answered for one aggregation.
-type Part struct {
+// Partial is the answer of one range to one aggregation.
+type Partial struct {
 	count    int64
 	sum      float64
 	min, max float64 // NaN for none
 	buckets  []bucket
-	other    int64     // lots in buckets that were cut off
-	dist     []float64 // values at each hundredth, of percentiles
+	other    int64     // lots in buckets that were truncated
+	dist     []float64 // of percentiles: the values at each hundredth
 	hits     []hit
 }
 
+// bucket is one bucket of a range.
 type bucket struct {
 	key  key
 	text string // key_as_string
 	from gjson.Result
 	to   gjson.Result
 	docs int64
-	subs []Part
+	subs []Partial
 }
 
-// key is a bucket's key. raw tells keys apart: 64-bit integers past 2^53 are not rounded.
+// key is the key of a bucket. Raw distinguishes keys: 64-bit integers beyond 2^53 are not rounded.
 type key struct {
 	raw string
 	num float64
 	str bool
 }
 
+// hit is one hit of a top_hits.
 type hit struct {
 	raw  string
 	sort gjson.Result
 }
 
-// Decode reads a range's answer to AppendAsk, and says why where it cannot be used.
-func Decode(list []*Node, v gjson.Result) ([]Part, string) {
-	parts := make([]Part, len(list))
+// Decode parses a range's answer to AppendRequest. The string says why it is invalid, empty if it is not.
+func Decode(list []*Node, v gjson.Result) ([]Partial, string) {
+	parts := make([]Partial, len(list))
 	if len(list) > 0 && !v.IsObject() {
 		return nil, "aggregations are missing"
 	}
@@ -60,7 +62,7 @@
 	return parts, ""
 }
 
-// number reads a figure; null is none.
+// number parses a number; anything else is NaN.
 func number(v gjson.Result) float64 {
 	if v.Type != gjson.Number {
 		return math.NaN()
@@ -68,14 +70,16 @@
 	return v.Num
 }
 
+// count parses a count.
 func count(v gjson.Result) (int64, bool) {
 	ok := v.Type == gjson.Number && v.Num >= 0 && v.Num < 1<<53 && v.Num == math.Trunc(v.Num)
 	return int64(v.Num), ok
 }
 
-func (n *Node) decode(p *Part, v gjson.Result, beside map[string]gjson.Result) string {
+// decode parses the answer to one aggregation. Beside are all aggregations of the answer by name.
+func (n *Node) decode(p *Partial, v gjson.Result, beside map[string]gjson.Result) string {
 	value := v.Get("value")
-	ok := true
+	var ok bool
 	p.min, p.max = math.NaN(), math.NaN()
 	switch n.Kind {
 	case Min, Max:
@@ -101,34 +105,15 @@
 		if p.count, ok = count(value); !ok {
 			return "a count that is none"
 		}
-		list := Node{Kind: Terms, Size: listMost}
+		list := Node{Kind: Terms, Size: maxListedTerms}
 		return list.decodeBuckets(p, beside[n.Name+termsList])
 	case Percentiles:
 		if p.count, ok = count(beside[n.Name+countName].Get("value")); !ok {
 			return "a count that is none"
 		}
-		last := math.Inf(-1)
-		v.Get("values").ForEach(func(_, x gjson.Result) bool {
-			y := number(x.Get("value"))
-			ok = ok && (p.count == 0 || y >= last)
-			p.dist, last = append(p.dist, y), y
-			return ok && len(p.dist) <= points+1
-		})
-		if !ok || len(p.dist) != points+1 {
-			return "a distribution that does not rise, or lacks points"
-		}
+		return p.decodeDistribution(v)
 	case TopHits:
-		v.Get("hits.hits").ForEach(func(_, h gjson.Result) bool {
-			x := hit{raw: h.Raw, sort: h.Get("sort.0")}
-			if n.Sort == "" {
-				x.sort = h.Get("_score")
-			}
-			p.hits = append(p.hits, x)
-			return true
-		})
-		if p.count, ok = count(v.Get("hits.total.value")); !ok || len(p.hits) > n.From+n.Size {
-			return "hits without a count, or more than were asked for"
-		}
+		return n.decodeHits(p, v)
 	case Filter, Missing:
 		b := bucket{}
 		if why := n.decodeBucket(&b, v); why != "" {
@@ -141,7 +126,40 @@
 	return ""
 }
 
-func (n *Node) decodeBuckets(p *Part, v gjson.Result) (why string) {
+// decodeDistribution parses the points of a distribution.
+func (p *Partial) decodeDistribution(v gjson.Result) string {
+	ok, last := true, math.Inf(-1)
+	v.Get("values").ForEach(func(_, x gjson.Result) bool {
+		y := number(x.Get("value"))
+		ok = ok && (p.count == 0 || y >= last)
+		p.dist, last = append(p.dist, y), y
+		return ok && len(p.dist) <= points+1
+	})
+	if !ok || len(p.dist) != points+1 {
+		return "a distribution that does not rise, or lacks points"
+	}
+	return ""
+}
+
+// decodeHits parses the hits of a top_hits.
+func (n *Node) decodeHits(p *Partial, v gjson.Result) string {
+	v.Get("hits.hits").ForEach(func(_, h gjson.Result) bool {
+		x := hit{raw: h.Raw, sort: h.Get("sort.0")}
+		if n.Sort == "" {
+			x.sort = h.Get("_score")
+		}
+		p.hits = append(p.hits, x)
+		return true
+	})
+	var ok bool
+	if p.count, ok = count(v.Get("hits.total.value")); !ok || len(p.hits) > n.From+n.Size {
+		return "hits without a count, or more than were asked for"
+	}
+	return ""
+}
+
+// decodeBuckets parses buckets, and checks that they are those that were requested.
+func (n *Node) decodeBuckets(p *Partial, v gjson.Result) (why string) {
 	list := v.Get("buckets")
 	if !list.IsArray() {
 		return "no buckets"
@@ -172,12 +190,12 @@
 	switch {
 	case why != "":
 	case n.Kind == Terms:
-		ok := false
+		var ok bool
 		if p.other, ok = count(v.Get("sum_other_doc_count")); !ok {
 			why = "no sum of what was cut off"
 		}
 	case n.Kind == Range || n.Kind == DateRange:
-		for _, b := range p.buckets { // named by their places
+		for _, b := range p.buckets { // their keys are indices
 			if i, err := strconv.Atoi(unquote(b.key.raw)); err != nil || i < 0 || i >= len(n.Ranges) {
 				return "a range that was not asked for"
 			}
@@ -197,10 +215,12 @@
 	return why
 }
 
+// unquote decodes a JSON value as a string.
 func unquote(raw string) string { return gjson.Parse(raw).String() }
 
+// decodeBucket parses the count and the aggregations of a bucket.
 func (n *Node) decodeBucket(b *bucket, v gjson.Result) (why string) {
-	ok := false
+	var ok bool
 	if b.docs, ok = count(v.Get("doc_count")); !ok {
 		return "a bucket without a count"
 	}
--- a/internal/gatherer/aggs/terms.go
+++ b/internal/gatherer/aggs/terms.go
@@ -7,42 +7,29 @@
 	"strings"
 )
 
-// terms ranks the terms that ranges listed. A range that cut its list may hold of any term that it did not list as many
-// lots as its last bucket, no more: that is the error, of each bucket and of terms that are in no list. By key there is
-// none: the first keys over all are among the first of each range.
-func (m *merger) terms(b []byte, n *Node, parts []*Part) ([]byte, error) {
-	all, other, caps := map[string]*merged{}, int64(0), int64(0)
+// mergeTerms merges and ranks the terms that ranges listed. A range that truncated its list may have up to as many lots of an
+// unlisted term as of its last bucket: that is the error, of each bucket and of terms in no list. By key there is no error:
+// the first keys overall are among the first of each range.
+func (m *merger) mergeTerms(b []byte, n *Node, parts []*Partial) ([]byte, error) {
+	all, other, errorBound := map[string]*merged{}, int64(0), int64(0)
 	for _, p := range parts {
 		limit := int64(0)
 		if other += p.other; p.other > 0 && !n.ByKey && len(p.buckets) > 0 {
 			limit = p.buckets[len(p.buckets)-1].docs
 		}
-		caps += limit
+		errorBound += limit
 		for i := range p.buckets {
-			x, err := m.keep(all, p.buckets[i].key.raw, &p.buckets[i])
+			x, err := m.mergeBucket(all, p.buckets[i].key.raw, &p.buckets[i])
 			if err != nil {
 				return nil, err
 			}
-			x.listed += limit
+			x.listedError += limit
 		}
 	}
-	list := make([]*merged, 0, len(all))
-	for _, x := range all {
-		list = append(list, x)
-	}
-	slices.SortFunc(list, func(x, y *merged) int {
-		if c := cmp.Compare(y.docs, x.docs); c != 0 && !n.ByKey {
-			return c
-		}
-		c := x.key.compare(y.key)
-		if n.ByKey && n.Desc {
-			c = -c
-		}
-		return c
-	})
+	list := n.rankTerms(all)
 	least := max(n.MinDocs, 1)
-	if n.MinDocs > 1 && caps > 0 { // a bucket under the least may reach it by what was cut off
-		least = max(n.MinDocs-caps, 1)
+	if n.MinDocs > 1 && errorBound > 0 { // a bucket below the least may reach it by what was truncated
+		least = max(n.MinDocs-errorBound, 1)
 	}
 	b = append(b, `{"buckets":[`...)
 	shown := 0
@@ -56,14 +43,34 @@
 		}
 		shown++
 		var err error
-		if b, err = m.bucket(b, n, x, "key", x.key.raw, "key_as_string", quoted(x.text), "doc_count_error_upper_bound", whole(caps-x.listed)); err != nil {
+		if b, err = m.bucket(b, n, x, "key", x.key.raw, "key_as_string", quoted(x.text), "doc_count_error_upper_bound", integer(errorBound-x.listedError)); err != nil {
 			return nil, err
 		}
 	}
 	b = append(b, "],"...)
-	return append(b, object("doc_count_error_upper_bound", whole(caps), "sum_other_doc_count", whole(other), "meta", meta(m.lacks(Lower)))[1:]...), nil
+	return append(b, object("doc_count_error_upper_bound", integer(errorBound), "sum_other_doc_count", integer(other), "meta", meta(m.boundIfMissing(Lower)))[1:]...), nil
+}
+
+// rankTerms sorts buckets by the order of the terms.
+func (n *Node) rankTerms(all map[string]*merged) []*merged {
+	list := make([]*merged, 0, len(all))
+	for _, x := range all {
+		list = append(list, x)
+	}
+	slices.SortFunc(list, func(x, y *merged) int {
+		if c := cmp.Compare(y.docs, x.docs); c != 0 && !n.ByKey {
+			return c
+		}
+		c := x.key.compare(y.key)
+		if n.ByKey && n.Desc {
+			c = -c
+		}
+		return c
+	})
+	return list
 }
 
+// compare orders keys: strings as such, integers exactly.
 func (k key) compare(o key) int {
 	if k.str || o.str {
 		return strings.Compare(unquote(k.raw), unquote(o.raw))
--- a/internal/gatherer/merge/merge.go
+++ b/internal/gatherer/merge/merge.go
@@ -1,5 +1,5 @@
-// Package merge ranks lots out of many ranges' sorted answers: by several sort keys with missing values, in one total
-// order, keeping a page of the best. It is pure.
+// Package merge merges the sorted answers of many ranges into a page of the best lots: by several sort keys, with missing
+// values, in one total order. It does no I/O. Create a Top with NewTop, pass each answer to Offer, then call Sorted.
 package merge
 
 import (
@@ -14,13 +14,13 @@
 // numbers come first.
 type Value struct {
 	Kind  Kind
-	Whole bool // a number that is Int, to the last digit: 64-bit integers past 2^53 differ where their Num does not
+	IsInt bool // the number is exactly Int: 64-bit integers beyond 2^53 differ where their Num does not
 	Int   int64
 	Num   float64
 	Str   string
 }
 
-// Kind says what a Value is.
+// Kind is the kind of a Value.
 type Kind uint8
 
 // The kinds of values.
@@ -30,13 +30,13 @@
 	String
 )
 
-// Num makes a number.
+// Num returns a number.
 func Num(x float64) Value { return Value{Kind: Number, Num: x} }
 
-// Int makes a whole number.
-func Int(n int64) Value { return Value{Kind: Number, Whole: true, Int: n, Num: float64(n)} }
+// Int returns an integer.
+func Int(n int64) Value { return Value{Kind: Number, IsInt: true, Int: n, Num: float64(n)} }
 
-// Str makes a string.
+// Str returns a string.
 func Str(s string) Value { return Value{Kind: String, Str: s} }
 
 // JSON formats a value, a missing one as null.
@@ -44,7 +44,7 @@
 	switch {
 	case v.Kind == String:
 		return quote(v.Str)
-	case v.Kind == Number && v.Whole:
+	case v.Kind == Number && v.IsInt:
 		return strconv.FormatInt(v.Int, 10)
 	case v.Kind == Number && !math.IsInf(v.Num, 0):
 		return strconv.FormatFloat(v.Num, 'g', -1, 64)
@@ -56,7 +56,7 @@
 
 // Key is one key that lots are sorted by.
 type Key struct {
-	Field        string // Score for the score
+	Field        string // the constant Score for the score
 	Desc         bool
 	MissingFirst bool // lots without the field come first, whichever the direction
 }
@@ -64,10 +64,10 @@
 // Score is the field name of a lot's score.
 const Score = "_score"
 
-// Compare orders two values of a key: below 0 where a's lot comes first.
+// Compare compares two values of a key: below 0 if the lot of a comes first.
 func (k Key) Compare(a, b Value) int {
 	if a.Kind == Missing || b.Kind == Missing {
-		order := cmp.Compare(b.Kind, a.Kind) // Missing is the least kind, and its lot comes last
+		order := cmp.Compare(b.Kind, a.Kind) // Missing is the smallest kind, and its lot comes last
 		if a.Kind != Missing {
 			order = -1
 		} else if b.Kind != Missing {
@@ -83,7 +83,7 @@
 	case order != 0:
 	case a.Kind == String:
 		order = strings.Compare(a.Str, b.Str)
-	case a.Whole && b.Whole:
+	case a.IsInt && b.IsInt:
 		order = cmp.Compare(a.Int, b.Int)
 	default:
 		order = cmp.Compare(a.Num, b.Num)
@@ -94,7 +94,7 @@
 	return order
 }
 
-// Compare orders two lists of sort values by keys; where there are fewer values than keys, by those there are.
+// Compare compares two lists of sort values by the keys. Where there are fewer values than keys, only those are compared.
 func Compare(keys []Key, a, b []Value) int {
 	for i := range min(len(keys), len(a), len(b)) {
 		if c := keys[i].Compare(a[i], b[i]); c != 0 {
@@ -107,8 +107,8 @@
 // Slip is the relative error of a score that adds up 32-bit terms in another order.
 const Slip = 1e-6
 
-// Same says whether two lists of sort values are the same, scores to the precision that a lot store has them.
-func Same(keys []Key, a, b []Value) bool {
+// Unchanged reports whether two lists of sort values are equal, scores up to Slip.
+func Unchanged(keys []Key, a, b []Value) bool {
 	if len(a) != len(keys) || len(b) != len(keys) {
 		return false
 	}
@@ -130,13 +130,13 @@
 type Hit struct {
 	ID      string
 	Sort    []Value // by the search's keys
-	Version int64   // of the lot, 0 where not told
-	Listing string  // as its range has it; the score phase has none
-	// Rank is its place in the answer of its range, which has lots of equal sort values in the order of their ids.
+	Version int64   // of the lot, 0 if unknown
+	Listing string  // as its range returned it; empty in the score phase
+	// Rank is its index in the answer of its range, which has lots of equal sort values in the order of their ids.
 	Range, Rank int
 }
 
-// Before is the total order of lots: by the keys, then by range, then as the range gave them.
+// Before is the total order of lots: by the keys, then by range, then by rank within the range.
 func Before(keys []Key, a, b *Hit) int {
 	if c := Compare(keys, a.Sort, b.Sort); c != 0 {
 		return c
@@ -147,9 +147,9 @@
 	return cmp.Compare(a.Rank, b.Rank)
 }
 
-// Twice says whether two hits have the same id.
-func Twice(hits []Hit) bool {
-	if len(hits) <= fewHits {
+// HasDuplicates reports whether two hits have the same id.
+func HasDuplicates(hits []Hit) bool {
+	if len(hits) <= maxPairwise {
 		for i := range hits {
 			for j := range i {
 				if hits[i].ID == hits[j].ID {
@@ -166,38 +166,38 @@
 	return len(seen) < len(hits)
 }
 
-// fewHits is up to how many hits ids are compared one by one: a table costs more than that.
-const fewHits = 32
+// maxPairwise is up to how many hits ids are compared pairwise, which costs less than a table.
+const maxPairwise = 32
 
-// spare is how many lots are kept past the page, to move up where a lot stands on it twice.
+// spare is how many lots are kept beyond the page, to replace duplicates on it.
 const spare = 8
 
-// Top keeps the best lots of many sorted answers, themselves sorted: each answer is merged with what is kept, from the
-// place of its first lot on, and most answers end at that look.
+// Top keeps the best lots of many sorted answers, sorted: each answer is merged from the position of its first lot on, and
+// most answers end at that comparison.
 type Top struct {
 	keys       []Key
-	most       int
+	size       int
 	hits, next []*Hit
 	best       *Hit
-	twins      int
+	duplicates int
 }
 
-// NewTop keeps a page of up to so many lots.
-func NewTop(keys []Key, most int) Top { return Top{keys: keys, most: most} }
+// NewTop returns a Top for a page of at most size lots.
+func NewTop(keys []Key, size int) Top { return Top{keys: keys, size: size} }
 
-// Last is the last lot of a full page, nil while it is not full.
+// Last returns the last lot of a full page, nil while the page is not full.
 func (t *Top) Last() *Hit {
-	if t.most == 0 || len(t.hits) < t.most {
+	if t.size == 0 || len(t.hits) < t.size {
 		return nil
 	}
-	return t.hits[t.most-1]
+	return t.hits[t.size-1]
 }
 
-// Best is the best lot of all that were offered, nil without any.
+// Best returns the best lot of all that were offered, nil without any.
 func (t *Top) Best() *Hit { return t.best }
 
-// Offer takes a range's lots in, best first, and says whether the page has changed. It looks no further than the first
-// that is not among the best, as none behind it is.
+// Offer merges a range's lots, best first, and reports whether the page has changed. It stops at the first lot that is not
+// among the best, as no later one is.
 func (t *Top) Offer(hits []Hit) (changed bool) {
 	if len(hits) == 0 {
 		return false
@@ -205,14 +205,14 @@
 	if t.best == nil || Before(t.keys, &hits[0], t.best) < 0 {
 		t.best = &hits[0]
 	}
-	full := t.most + spare
-	if t.most == 0 || len(t.hits) == full && Before(t.keys, &hits[0], t.hits[full-1]) >= 0 {
+	full := t.size + spare
+	if t.size == 0 || len(t.hits) == full && Before(t.keys, &hits[0], t.hits[full-1]) >= 0 {
 		return false
 	}
 	if t.next == nil {
-		room := min(full, len(hits)+1024)
-		both := make([]*Hit, 2*room)
-		t.hits, t.next = both[:0:room], both[room:room]
+		capacity := min(full, len(hits)+1024)
+		both := make([]*Hit, 2*capacity)
+		t.hits, t.next = both[:0:capacity], both[capacity:capacity]
 	}
 	out, rest, first := t.next[:0], t.hits, -1
 	for j := 0; j < len(hits) && len(out) < full; j++ {
@@ -228,18 +228,18 @@
 	}
 	out = append(out, rest[:min(len(rest), full-len(out))]...)
 	t.hits, t.next = out, t.hits
-	return first < t.most
+	return first < t.size
 }
 
-// Sorted ends the Top and gives its lots, best first, each once: of a lot that moved from one range to another while
-// they answered, the better rank stays.
+// Sorted ends the Top and returns its lots, best first, without duplicates: of a lot that moved from one range to another
+// while they answered, the better rank is kept.
 func (t *Top) Sorted() []*Hit {
-	if len(t.hits) <= fewHits { // no table for the usual page
+	if len(t.hits) <= maxPairwise { // no table is needed for the usual page
 		for i := 1; i < len(t.hits); i++ {
 			for j := range i {
 				if t.hits[i].ID == t.hits[j].ID {
 					t.hits = slices.Delete(t.hits, i, i+1)
-					t.twins++
+					t.duplicates++
 					i--
 					break
 				}
@@ -251,18 +251,18 @@
 			_, twice := seen[h.ID]
 			seen[h.ID] = struct{}{}
 			if twice {
-				t.twins++
+				t.duplicates++
 			}
 			return twice
 		})
 	}
-	return t.hits[:min(t.most, len(t.hits))]
+	return t.hits[:min(t.size, len(t.hits))]
 }
 
-// Twins is how many lots were found to stand twice, once the Top is Sorted. The page is right up to spare of them.
-func (t *Top) Twins() int { return t.twins }
+// Duplicates returns how many duplicates Sorted has removed. The page is right for up to spare of them.
+func (t *Top) Duplicates() int { return t.duplicates }
 
-// After is the lot behind which a page begins: its sort values and, where Tied, its range and id.
+// After is the position behind which a page begins: the sort values of a lot and, where Tied, its range and id.
 type After struct {
 	Values []Value
 	Tied   bool
@@ -270,8 +270,8 @@
 	ID     string
 }
 
-// Tie is the id behind which a range's lots begin that have the very sort values: all of a later range's lots do, none
-// of an earlier one's.
+// Tie returns the id behind which the lots of a range with exactly these sort values begin: all lots of later ranges are
+// behind the position, and none of earlier ones.
 func (a *After) Tie(number int) string {
 	switch {
 	case a.Tied && number == a.Range:
@@ -279,5 +279,5 @@
 	case a.Tied && number > a.Range:
 		return ""
 	}
-	return "\U0010FFFF" // behind every id
+	return "\U0010FFFF" // greater than every id
 }
--- a/internal/gatherer/merge/merge_test.go
+++ b/internal/gatherer/merge/merge_test.go
@@ -25,7 +25,7 @@
 	return all
 }
 
-// The page is the one that sorting everything gives, whichever order answers come in, with each lot once.
+// The page is that of sorting everything, in whichever order answers arrive, without duplicates.
 func TestTopIsTheSortedPage(t *testing.T) {
 	proptest.Seed(t, 500)
 	rapid.Check(t, func(t *rapid.T) {
@@ -80,25 +80,25 @@
 			top.Offer(ranges[i])
 			ranges = slices.Delete(ranges, i, i+1)
 		}
-		if len(want) > 0 && top.most > 0 && top.Best() != want[0] {
+		if len(want) > 0 && top.size > 0 && top.Best() != want[0] {
 			t.Fatalf("best %v, want %v", top.Best(), want[0])
 		}
-		if got := top.Sorted(); !slices.Equal(got, want[:min(len(want), top.most)]) {
-			t.Fatalf("%d lots, want %d", len(got), min(len(want), top.most))
+		if got := top.Sorted(); !slices.Equal(got, want[:min(len(want), top.size)]) {
+			t.Fatalf("%d lots, want %d", len(got), min(len(want), top.size))
 		}
 	})
 }
 
-// Whole numbers past 2^53 keep their order, and are worded to the last digit.
-func TestWholeNumbers(t *testing.T) {
+// Integers beyond 2^53 keep their order, and are encoded exactly.
+func TestIntegers(t *testing.T) {
 	k := Key{Field: "n"}
 	if a, b := Int(1<<53), Int(1<<53+1); k.Compare(a, b) >= 0 || b.JSON(nil) != "9007199254740993" {
 		t.Error("two that differ by one are the same")
 	}
 }
 
-// BenchmarkMerge takes the page of the answers of 24 and 200 ranges out of them, by the sorted page that the plan has,
-// by a loser tree over the ranges' heads, and by concatenating and sorting all.
+// BenchmarkMerge computes the page of the answers of 24 and 200 ranges by the sorted page that the plan has, by a loser
+// tree over the ranges' heads, and by concatenating and sorting all.
 func BenchmarkMerge(b *testing.B) {
 	for _, ranges := range []int{24, 200} {
 		for _, page := range []int{10, 1000} {
--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -183,9 +183,9 @@
 	}
 	answer := map[string]any{"took": took.Milliseconds(), "timed_out": timedOut, "_shards": counts, "hits": hits}
 	if list, ok := a.core.Search.Extra.([]*aggs.Node); ok {
-		answers := make([][]aggs.Part, len(r.Extra))
+		answers := make([][]aggs.Partial, len(r.Extra))
 		for i, x := range r.Extra {
-			answers[i] = x.([]aggs.Part)
+			answers[i] = x.([]aggs.Partial)
 		}
 		merged, err := aggs.Merge(list, answers, len(r.Missing) > 0)
 		if err != nil {
--- a/internal/gatherer/net/opensearch/points.go
+++ b/internal/gatherer/net/opensearch/points.go
@@ -23,7 +23,7 @@
 	}
 	pin, err := keys.Open(token, "", now)
 	switch {
-	case errors.Is(err, pages.ErrExpired) || errors.Is(err, pages.ErrKey):
+	case errors.Is(err, pages.ErrExpired) || errors.Is(err, pages.ErrUnknownKey):
 		return nil, &apiError{404, "search_context_missing_exception", err.Error()}
 	case err != nil:
 		return nil, illegalArgument("[pit] %v", err)
--- a/internal/gatherer/net/opensearch/query.go
+++ b/internal/gatherer/net/opensearch/query.go
@@ -374,7 +374,7 @@
 // nameQuery sets the names by which bounds of a query are learned. A query that depends on the time of day has none.
 func nameQuery(q *search.Query, tree query.Query) {
 	text := query.JSON(tree)
-	if query.Moves(tree) || len(text) > maxNameBytes {
+	if query.TimeDependent(tree) || len(text) > maxNameBytes {
 		return
 	}
 	b := strings.Builder{}
--- a/internal/gatherer/net/opensearch/shardsearch.go
+++ b/internal/gatherer/net/opensearch/shardsearch.go
@@ -31,7 +31,7 @@
 		b = strconv.AppendInt(append(b, `,"terminate_after":`...), int64(w.terminateAfter), 10)
 	}
 	if len(w.aggs) > 0 {
-		b = aggs.AppendAsk(append(b, `,"aggs":`...), w.aggs)
+		b = aggs.AppendRequest(append(b, `,"aggs":`...), w.aggs)
 	}
 	return append(b, '}')
 }
--- a/internal/gatherer/pages/pages.go
+++ b/internal/gatherer/pages/pages.go
@@ -1,6 +1,5 @@
-// Package pages makes the pages of one search hold still: a point in time pins which ranges were in and at which
-// version, travels with the client as a signed token, and says of each later answer whether it is of the same data.
-// It does no input or output and keeps no clock.
+// Package pages makes the pages of a search stable: a point in time pins the ranges that answered and their versions. The
+// client carries it as a signed token, and later answers are compared with it. The package does no I/O and has no clock.
 package pages
 
 import (
@@ -18,15 +17,15 @@
 	"time"
 )
 
-// Pin is what a point in time holds still.
+// Pin is the content of a point in time.
 type Pin struct {
 	Index    string
-	Ends     time.Time // to the second
-	Ranges   int       // there were
-	Versions map[int]int64
+	Ends     time.Time     // when it expires, to the second
+	Ranges   int           // number of ranges of the index
+	Versions map[int]int64 // by range, of those that are pinned
 }
 
-// Absent are the ranges that were not in: they stay out of the search's pages.
+// Absent returns the ranges that are not pinned: they are excluded from the pages.
 func (p *Pin) Absent() (list []int) {
 	for r := range p.Ranges {
 		if _, in := p.Versions[r]; !in {
@@ -36,35 +35,35 @@
 	return list
 }
 
-// Why a token is refused.
+// The errors of an invalid token.
 var (
-	ErrForm    = errors.New("the token is cut or was not made by a gatherer")
-	ErrKey     = errors.New("the token was signed by a key that is not known here")
-	ErrForged  = errors.New("the token does not bear its signature")
-	ErrExpired = errors.New("the token's time is over")
-	ErrIndex   = errors.New("the token is of another index")
+	ErrMalformed  = errors.New("the token is cut or was not made by a gatherer")
+	ErrUnknownKey = errors.New("the token was signed by a key that is not known here")
+	ErrForged     = errors.New("the token does not bear its signature")
+	ErrExpired    = errors.New("the token's time is over")
+	ErrIndex      = errors.New("the token is of another index")
 )
 
-// Keys sign and verify tokens. The first signs and all verify, so that a new first key leaves the tokens of those behind
-// it good.
+// Keys sign and verify tokens. The first one signs and all verify, so that tokens of earlier keys stay valid behind a new
+// first key.
 type Keys struct{ list []signer }
 
 type signer struct {
-	name [4]byte // leads to the key, and tells nothing of it
+	name [4]byte // identifies the key without revealing it
 	key  []byte
 }
 
 // Limits of tokens and keys.
 const (
-	MaxKeys   = 16
-	MinKey    = 16      // bytes
-	MaxToken  = 8 << 10 // characters
-	maxRanges = 1 << 16
-	signature = 16 // bytes of the HMAC-SHA-256 that are kept
-	form      = 1  // the first byte of a token
+	MaxKeys      = 16
+	MinKey       = 16      // bytes
+	MaxToken     = 8 << 10 // characters
+	maxRanges    = 1 << 16
+	signature    = 16 // bytes of the truncated HMAC-SHA-256
+	tokenVersion = 1  // the first byte of a token
 )
 
-// NewKeys takes keys, the one that signs first.
+// NewKeys returns a set of keys. The first one signs.
 func NewKeys(keys ...[]byte) (*Keys, error) {
 	k := &Keys{}
 	if len(keys) == 0 || len(keys) > MaxKeys {
@@ -85,8 +84,8 @@
 	return k, nil
 }
 
-// ParseKeys reads keys as hex digits, one a line, the one that signs first. Blank lines and those that begin with # are
-// passed over.
+// ParseKeys parses keys in hexadecimal, one per line, the one that signs first. Blank lines and those that begin with # are
+// ignored.
 func ParseKeys(text []byte) (*Keys, error) {
 	var keys [][]byte
 	for n, line := range strings.Split(string(text), "\n") {
@@ -95,23 +94,24 @@
 		}
 		key, err := hex.DecodeString(line)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: not a key in hex digits", n+1) // never the line itself
+			return nil, fmt.Errorf("line %d: not a key in hex digits", n+1) // without the line itself, which is secret
 		}
 		keys = append(keys, key)
 	}
 	return NewKeys(keys...)
 }
 
+// sign returns the signature of b.
 func (s *signer) sign(b []byte) []byte {
 	h := hmac.New(sha256.New, s.key)
-	h.Write(b)
+	_, _ = h.Write(b) // a hash does not fail
 	return h.Sum(nil)[:signature]
 }
 
-// Seal encodes a pin as a token: its ranges as a bitmap and their versions as steps from the least, some 450 bytes at 200
-// ranges. What it holds is no secret; that nobody else made it is what the signature says.
+// Seal encodes a pin as a signed token: its ranges as a bitmap and their versions as differences from the least, some 450
+// bytes for 200 ranges. The content is not secret, but only a holder of the key can make a token.
 func (k *Keys) Seal(p *Pin) string {
-	b := append([]byte{form}, k.list[0].name[:]...)
+	b := append([]byte{tokenVersion}, k.list[0].name[:]...)
 	b = binary.AppendUvarint(b, uint64(max(p.Ends.Unix(), 0)))
 	b = binary.AppendUvarint(b, uint64(len(p.Index)))
 	b = append(b, p.Index...)
@@ -130,18 +130,18 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, k.list[0].sign(b)...))
 }
 
-// Open reads a token, for an index or for any where that is empty.
+// Open verifies and decodes a token, for an index or for any if that is empty.
 func (k *Keys) Open(token, index string, now time.Time) (*Pin, error) {
 	if len(token) > MaxToken {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || len(b) < 1+4+signature || b[0] != form {
-		return nil, ErrForm
+	if err != nil || len(b) < 1+4+signature || b[0] != tokenVersion {
+		return nil, ErrMalformed
 	}
 	i := slices.IndexFunc(k.list, func(s signer) bool { return bytes.Equal(s.name[:], b[1:5]) })
 	if i < 0 {
-		return nil, ErrKey
+		return nil, ErrUnknownKey
 	}
 	body, sum := b[:len(b)-signature], b[len(b)-signature:]
 	if !hmac.Equal(sum, k.list[i].sign(body)) {
@@ -149,8 +149,8 @@
 	}
 	p, ok := decode(body[5:])
 	switch {
-	case !ok: // signed by a key of ours, and yet
-		return nil, ErrForm
+	case !ok: // though signed by a key of ours
+		return nil, ErrMalformed
 	case !now.Before(p.Ends):
 		return nil, ErrExpired
 	case index != "" && p.Index != index:
@@ -159,6 +159,7 @@
 	return p, nil
 }
 
+// decode decodes the content of a token.
 func decode(b []byte) (*Pin, bool) {
 	ok := true
 	next := func() uint64 {
@@ -200,21 +201,21 @@
 	return p, ok && len(b) == 0
 }
 
-// Standing says how a later answer of a range stands to what a pin has of it.
-type Standing uint8
+// Relation is the relation of an answer of a range to the pinned version.
+type Relation uint8
 
-// The standings.
+// The relations.
 const (
-	Same    Standing = iota // of the pinned version
-	Ahead                   // the range has changed: its lots may have other ranks now
-	Behind                  // this copy has not caught up; another may have
-	Unknown                 // it does not say
+	Same    Relation = iota // of the pinned version
+	Ahead                   // the range has changed, and its lots may have other ranks
+	Behind                  // this replica lags; another may not
+	Unknown                 // the answer has no version
 )
 
-// Stands says how an answer stands: told is whether it names a version at all.
-func Stands(pinned, version int64, told bool) Standing {
+// Compare compares the version of an answer with the pinned one. Known says whether the answer has a version.
+func Compare(pinned, version int64, known bool) Relation {
 	switch {
-	case !told:
+	case !known:
 		return Unknown
 	case version == pinned:
 		return Same
--- a/internal/gatherer/pages/pages_test.go
+++ b/internal/gatherer/pages/pages_test.go
@@ -15,14 +15,15 @@
 
 var now = time.Unix(1_790_000_000, 0)
 
-func keys(t testing.TB, names ...string) *Keys {
+func keys(tb testing.TB, names ...string) *Keys {
+	tb.Helper()
 	var list [][]byte
 	for _, n := range names {
 		list = append(list, []byte(strings.Repeat(n, 32)))
 	}
 	k, err := NewKeys(list...)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return k
 }
@@ -37,7 +38,7 @@
 	return p
 }
 
-// A token gives back what was pinned, and is short enough for any client to carry.
+// A token decodes to what was pinned, and is short enough for any client to carry.
 func TestTokens(t *testing.T) {
 	proptest.Seed(t, 300)
 	k := keys(t, "a")
@@ -60,8 +61,8 @@
 	}
 }
 
-// Each thing that may be wrong with a token has its own reason; tokens outlive a change of the first key.
-func TestRefusedTokens(t *testing.T) {
+// Each fault of a token has its own error; tokens outlive a change of the first key.
+func TestInvalidTokens(t *testing.T) {
 	old := keys(t, "a").Seal(pin(24))
 	forged, _ := base64.RawURLEncoding.DecodeString(old)
 	forged[12] ^= 1
@@ -74,14 +75,14 @@
 	}{
 		"good":                    {keys(t, "a"), old, "lots", now, nil},
 		"of a key that was first": {keys(t, "b", "a"), old, "lots", now, nil},
-		"of a key taken out":      {keys(t, "b"), old, "lots", now, ErrKey},
+		"of a key taken out":      {keys(t, "b"), old, "lots", now, ErrUnknownKey},
 		"expired":                 {keys(t, "a"), old, "lots", now.Add(time.Minute), ErrExpired},
 		"of another index":        {keys(t, "a"), old, "bids", now, ErrIndex},
 		"cut":                     {keys(t, "a"), old[:len(old)-4], "lots", now, ErrForged},
-		"cut short":               {keys(t, "a"), old[:8], "lots", now, ErrForm},
+		"cut short":               {keys(t, "a"), old[:8], "lots", now, ErrMalformed},
 		"forged":                  {keys(t, "a"), base64.RawURLEncoding.EncodeToString(forged), "lots", now, ErrForged},
-		"empty":                   {keys(t, "a"), "", "lots", now, ErrForm},
-		"huge":                    {keys(t, "a"), strings.Repeat("A", MaxToken+1), "lots", now, ErrForm},
+		"empty":                   {keys(t, "a"), "", "lots", now, ErrMalformed},
+		"huge":                    {keys(t, "a"), strings.Repeat("A", MaxToken+1), "lots", now, ErrMalformed},
 	} {
 		if _, err := c.keys.Open(c.token, c.index, c.at); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
@@ -89,7 +90,7 @@
 	}
 }
 
-// Keys are refused without telling them.
+// Invalid keys are rejected without revealing them.
 func TestKeys(t *testing.T) {
 	good := strings.Repeat("0f", 32)
 	if _, err := ParseKeys([]byte("# signs\n" + good + "\n\n" + strings.Repeat("1e", 16) + "\n")); err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// Cuts and garbage are refused, also behind a good signature.
+// Truncated and corrupt tokens are rejected, also behind a valid signature.
 func TestGarbage(t *testing.T) {
 	k := keys(t, "k")
 	proptest.CheckParser(t, true, open, k.Seal(pin(24)))
@@ -125,14 +126,14 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = open(b); decode(b) })
 }
 
-// Versions compare as they are told.
-func TestStands(t *testing.T) {
+// Versions compare as they are reported.
+func TestCompare(t *testing.T) {
 	for _, c := range []struct {
 		version int64
 		told    bool
-		want    Standing
+		want    Relation
 	}{{7, true, Same}, {8, true, Ahead}, {6, true, Behind}, {7, false, Unknown}} {
-		if got := Stands(7, c.version, c.told); got != c.want {
+		if got := Compare(7, c.version, c.told); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
--- a/internal/gatherer/query/leaves.go
+++ b/internal/gatherer/query/leaves.go
@@ -6,6 +6,7 @@
 	"github.com/tidwall/gjson"
 )
 
+// term parses a term.
 func (p *parser) term(v gjson.Result, _ int) (Query, *Error) {
 	q := Terms{Single: true, Values: make([]Value, 1)}
 	field, body, short, e := p.field(v, "value")
@@ -23,6 +24,7 @@
 	return q, e
 }
 
+// terms parses a terms.
 func (p *parser) terms(v gjson.Result, _ int) (_ Query, e *Error) {
 	q := Terms{}
 	v.ForEach(func(k, x gjson.Result) bool {
@@ -59,6 +61,7 @@
 	return q, e
 }
 
+// rangeOf parses a range.
 func (p *parser) rangeOf(v gjson.Result, _ int) (Query, *Error) {
 	q := Range{}
 	field, body, _, e := p.field(v, "")
@@ -77,6 +80,7 @@
 	return q, e
 }
 
+// ids parses an ids.
 func (p *parser) ids(v gjson.Result, _ int) (Query, *Error) {
 	q := IDs{}
 	e := p.members(v, &q.Boost, map[string]member{"values": func(v gjson.Result) (e *Error) {
@@ -95,6 +99,7 @@
 	return q, e
 }
 
+// exists parses an exists.
 func (p *parser) exists(v gjson.Result, _ int) (Query, *Error) {
 	q := Exists{}
 	e := p.members(v, &q.Boost, map[string]member{"field": p.str(&q.Field, MaxField)})
@@ -104,10 +109,13 @@
 	return q, e
 }
 
+// prefix parses a prefix.
 func (p *parser) prefix(v gjson.Result, _ int) (Query, *Error) { return p.pattern(v, false) }
 
+// wildcard parses a wildcard.
 func (p *parser) wildcard(v gjson.Result, _ int) (Query, *Error) { return p.pattern(v, true) }
 
+// pattern parses a prefix or a wildcard.
 func (p *parser) pattern(v gjson.Result, wild bool) (Query, *Error) {
 	q := Pattern{Wild: wild}
 	field, body, short, e := p.field(v, "value")
--- a/internal/gatherer/query/members.go
+++ b/internal/gatherer/query/members.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// only takes an object of one member.
+// only parses an object of one member.
 func (p *parser) only(v gjson.Result, what string) (key, value gjson.Result, e *Error) {
 	if !v.IsObject() {
 		return key, value, p.at(v, "not an object, want one with %s", what)
@@ -26,8 +26,8 @@
 	return key, value, nil
 }
 
-// Members calls read for each member of an object of text, in order, up to the first error. A name that stands twice is
-// one. v must come from a walk over text, so that its place is known.
+// Members calls read for each member of an object of text, in order, up to the first error. A duplicate name is an error. V
+// must come from a walk over text, so that its position is known.
 func Members(text string, v gjson.Result, read func(key, value gjson.Result) *Error) (e *Error) {
 	seen := map[string]bool{}
 	v.ForEach(func(key, value gjson.Result) bool {
@@ -42,10 +42,10 @@
 	return e
 }
 
-// member reads one member of an object.
+// member parses one member of an object.
 type member func(v gjson.Result) *Error
 
-// members reads an object by its members; those not named are refused, and boost is known everywhere.
+// members parses an object by its members. Unknown ones are errors; boost is accepted where it is not nil.
 func (p *parser) members(v gjson.Result, boost *float64, known map[string]member) *Error {
 	return Members(p.text, v, func(k, x gjson.Result) *Error {
 		read := known[k.Str]
@@ -61,7 +61,7 @@
 	})
 }
 
-// boost reads a query's boost. As the zero of its field stands for none, a boost of 0 is the least number above that.
+// boost parses a boost. As the zero of its field means none, a boost of 0 becomes the smallest number above 0.
 func (p *parser) boost(to *float64, v gjson.Result) *Error {
 	if v.Type != gjson.Number || !boosted(v.Num) {
 		return p.at(v, "[boost] is not a number from 0 on")
@@ -70,16 +70,18 @@
 	return nil
 }
 
-func (p *parser) str(to *string, most int) member {
+// str parses a string of at most limit bytes.
+func (p *parser) str(to *string, limit int) member {
 	return func(v gjson.Result) *Error {
-		if v.Type != gjson.String || len(v.Str) > most {
-			return p.at(v, "not a string of at most %d bytes", most)
+		if v.Type != gjson.String || len(v.Str) > limit {
+			return p.at(v, "not a string of at most %d bytes", limit)
 		}
 		*to = v.Str
 		return nil
 	}
 }
 
+// flag parses a boolean.
 func (p *parser) flag(to *bool) member {
 	return func(v gjson.Result) *Error {
 		if v.Type != gjson.True && v.Type != gjson.False {
@@ -90,7 +92,7 @@
 	}
 }
 
-// value reads a scalar. Numbers keep their digits: 64-bit integers past 2^53 are not rounded.
+// value parses a scalar. Numbers keep their digits: 64-bit integers beyond 2^53 are not rounded.
 func (p *parser) value(to *Value) member {
 	return func(v gjson.Result) *Error {
 		switch {
@@ -107,7 +109,7 @@
 	}
 }
 
-// short reads a number or a short string, and keeps it as a string.
+// short parses a number or a short string as a string.
 func (p *parser) short(to *string) member {
 	return func(v gjson.Result) *Error {
 		if v.Type != gjson.String && v.Type != gjson.Number || len(v.Raw) > MaxField {
@@ -118,6 +120,7 @@
 	}
 }
 
+// operator parses an operator: and or or.
 func (p *parser) operator(to *bool) member {
 	return func(v gjson.Result) *Error {
 		if *to = strings.EqualFold(v.Str, "and"); !*to && !strings.EqualFold(v.Str, "or") {
@@ -127,7 +130,7 @@
 	}
 }
 
-// field takes an object of one field, given as the short form's value or as an object of members.
+// field parses an object of one field, whose value is that of the short form or an object of members.
 func (p *parser) field(v gjson.Result, short string) (name string, members gjson.Result, shortened bool, e *Error) {
 	k, x, e := p.only(v, "a field")
 	if e != nil {
@@ -142,6 +145,7 @@
 	return k.Str, x, !x.IsObject(), nil
 }
 
+// fieldName checks the name of a field.
 func (p *parser) fieldName(k gjson.Result) *Error {
 	if k.Str == "" || len(k.Str) > MaxField || strings.ContainsAny(k.Str, "\x00\n") {
 		return p.at(k, "not a field's name of at most %d bytes", MaxField)
--- a/internal/gatherer/query/parse.go
+++ b/internal/gatherer/query/parse.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Error is what is wrong with a text, and where: line and column count from 1, columns in bytes.
+// Error is an error in a text, with its position: line and column count from 1, columns in bytes.
 type Error struct {
 	Line, Column int
 	Reason       string
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Reason)
 }
 
-// At makes an error of a text's place.
+// At returns an error at an offset of a text.
 func At(text string, offset int, format string, args ...any) *Error {
 	offset = min(max(offset, 0), len(text))
 	before := text[:offset]
 	return &Error{Line: 1 + strings.Count(before, "\n"), Column: offset - strings.LastIndexByte(before, '\n'), Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check says where a text is not one JSON object, and nil where it is one.
+// Check returns an error unless the text is one JSON object.
 func Check(text string) *Error {
 	if !utf8.ValidString(text) {
 		for i, c := range text {
@@ -50,25 +50,27 @@
 	return nil
 }
 
-// Parse reads a query from a member of a valid JSON text; v must come from a walk over text, so that its place is known.
+// Parse parses a query from a member of a valid JSON text. V must come from a walk over text, so that its position is known.
 func Parse(text string, v gjson.Result) (Query, *Error) {
 	p := &parser{text: text}
 	return p.query(v, 1)
 }
 
+// parser parses the queries of one text.
 type parser struct {
 	text    string
 	clauses int
 }
 
+// at returns an error at the position of v.
 func (p *parser) at(v gjson.Result, format string, args ...any) *Error {
 	return At(p.text, v.Index, format, args...)
 }
 
-// kinds are the queries that are known, each with its reader.
+// kinds are the parsers of the supported queries.
 var kinds map[string]func(*parser, gjson.Result, int) (Query, *Error)
 
-func init() { // as the readers call each other
+func init() { // the parsers refer to each other
 	kinds = map[string]func(*parser, gjson.Result, int) (Query, *Error){
 		"match_all": (*parser).all, "match_none": (*parser).none, "match": (*parser).match, "match_phrase": (*parser).phrase,
 		"match_phrase_prefix": (*parser).phrasePrefix, "multi_match": (*parser).multiMatch, "term": (*parser).term, "terms": (*parser).terms,
@@ -77,6 +79,7 @@
 	}
 }
 
+// query parses a query of any kind.
 func (p *parser) query(v gjson.Result, depth int) (Query, *Error) {
 	if p.clauses++; p.clauses > MaxClauses {
 		return nil, p.at(v, "more than %d queries", MaxClauses)
@@ -98,14 +101,17 @@
 	return read(p, body, depth)
 }
 
+// all parses a match_all.
 func (p *parser) all(v gjson.Result, _ int) (Query, *Error) {
 	q := All{}
 	e := p.members(v, &q.Boost, nil)
 	return q, e
 }
 
+// none parses a match_none.
 func (p *parser) none(v gjson.Result, _ int) (Query, *Error) { return None{}, p.members(v, nil, nil) }
 
+// constant parses a constant_score.
 func (p *parser) constant(v gjson.Result, depth int) (Query, *Error) {
 	q := Constant{}
 	e := p.members(v, &q.Boost, map[string]member{"filter": func(v gjson.Result) (e *Error) {
@@ -118,6 +124,7 @@
 	return q, e
 }
 
+// boolean parses a bool.
 func (p *parser) boolean(v gjson.Result, depth int) (Query, *Error) {
 	q := Bool{}
 	several := func(to *[]Query) member {
@@ -146,7 +153,7 @@
 	return q, e
 }
 
-// isMinShould takes 2, -1, 75% and -25%; combinations are not supported here.
+// isMinShould reports whether s is like 2, -1, 75% or -25%. Combinations are not supported.
 func isMinShould(s string) bool {
 	n, err := strconv.Atoi(strings.TrimSuffix(s, "%"))
 	return err == nil && n > -1000 && n < 1000
--- a/internal/gatherer/query/query.go
+++ b/internal/gatherer/query/query.go
@@ -1,6 +1,6 @@
-// Package query is the typed tree of the query language that searches are asked in: what is known of it, within stated
-// limits. It parses the JSON form and the short form of a q parameter, and formats a tree in one canonical way, so that
-// two texts that mean the same are worded the same. It answers no query.
+// Package query is the typed tree of the supported part of the OpenSearch query language, within stated limits. Parse parses
+// the JSON form, Short that of a q parameter, and JSON formats a tree in one canonical way, so that equivalent texts have
+// the same form. The package executes no query.
 package query
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Limits of a query. The API's own defaults where it has any.
+// Limits of a query: the API's defaults where it has any.
 const (
 	MaxDepth   = 20       // queries within queries
 	MaxClauses = 1024     // queries in all
@@ -22,99 +22,110 @@
 	MaxText    = 32 << 10 // bytes of a text to match
 )
 
-// Query is one node of the tree. The zero Boost stands for 1.
+// Query is one node of the tree. A Boost of 0 means 1.
 type Query interface {
 	// append formats the node as JSON.
 	append(b []byte) []byte
 }
 
-// Value is a value as JSON has it: a string, number, boolean or null, worded canonically.
+// Value is a JSON value: a string, number, boolean or null, in canonical form.
 type Value string
 
-type (
-	// All matches every lot, None no lot.
-	All  struct{ Boost float64 }
-	None struct{}
-	// Match analyses its text and matches lots that have any of its terms, or with And all of them.
-	Match struct {
-		Field     string
-		Text      Value
-		And       bool
-		MinShould string
-		Fuzziness string
-		Boost     float64
-	}
-	// Phrase matches the text's terms in a row, at most Slop places apart; Prefix: the last of them as a prefix.
-	Phrase struct {
-		Field  string
-		Text   Value
-		Slop   int
-		Prefix bool
-		Boost  float64
-	}
-	// MultiMatch is a Match in several fields; Type says how their scores come together.
-	MultiMatch struct {
-		Fields    []string // each with ^boost where it has one
-		Text      Value
-		Type      string
-		And       bool
-		MinShould string
-		Boost     float64
-	}
-	// Terms matches lots that have one of the values as it is; a term query has one.
-	Terms struct {
-		Field  string
-		Values []Value
-		Single bool // worded as term: scores by the term, where terms scores 1
-		Fold   bool // whichever the case
-		Boost  float64
-	}
-	// Range matches lots whose field is between bounds.
-	Range struct {
-		Field            string
-		GT, GTE, LT, LTE Value // empty for none
-		Format, TimeZone string
-		Boost            float64
-	}
-	// IDs matches lots by their ids.
-	IDs struct {
-		Values []string
-		Boost  float64
-	}
-	// Exists matches lots that have the field.
-	Exists struct {
-		Field string
-		Boost float64
-	}
-	// Pattern matches by a prefix, or with Wild by ? and *.
-	Pattern struct {
-		Field, Text string
-		Wild, Fold  bool
-		Boost       float64
-	}
-	// Constant gives every lot of a filter the same score.
-	Constant struct {
-		Filter Query
-		Boost  float64
-	}
-	// Bool brings queries together; lots match all of Must and Filter, none of MustNot, and so many of Should.
-	Bool struct {
-		Must, Filter, Should, MustNot []Query
-		MinShould                     string // empty for the API's default
-		Boost                         float64
-	}
-)
+// All matches every lot.
+type All struct{ Boost float64 }
+
+// None matches no lot.
+type None struct{}
+
+// Match analyses its text and matches lots that have any of its terms, or with And all of them.
+type Match struct {
+	Field     string
+	Text      Value
+	And       bool
+	MinShould string
+	Fuzziness string
+	Boost     float64
+}
+
+// Phrase matches the terms of the text in sequence, at most Slop positions apart; with Prefix the last of them as a prefix.
+type Phrase struct {
+	Field  string
+	Text   Value
+	Slop   int
+	Prefix bool
+	Boost  float64
+}
+
+// MultiMatch is a Match in several fields. Type says how their scores are combined.
+type MultiMatch struct {
+	Fields    []string // each with ^boost where it has one
+	Text      Value
+	Type      string
+	And       bool
+	MinShould string
+	Boost     float64
+}
+
+// Terms matches lots that have one of the values exactly. A term query has one value.
+type Terms struct {
+	Field  string
+	Values []Value
+	Single bool // a term query, scored by the term, where terms scores 1
+	Fold   bool // case-insensitive
+	Boost  float64
+}
+
+// Range matches lots whose field is between bounds.
+type Range struct {
+	Field            string
+	GT, GTE, LT, LTE Value // empty for none
+	Format, TimeZone string
+	Boost            float64
+}
+
+// IDs matches lots by their ids.
+type IDs struct {
+	Values []string
+	Boost  float64
+}
+
+// Exists matches lots that have the field.
+type Exists struct {
+	Field string
+	Boost float64
+}
+
+// Pattern matches by a prefix, or with Wild by the wildcards ? and *.
+type Pattern struct {
+	Field, Text string
+	Wild, Fold  bool
+	Boost       float64
+}
+
+// Constant gives every lot of a filter the same score.
+type Constant struct {
+	Filter Query
+	Boost  float64
+}
+
+// Bool combines queries: lots match all of Must and Filter, none of MustNot, and MinShould of Should.
+type Bool struct {
+	Must, Filter, Should, MustNot []Query
+	MinShould                     string // empty for the API's default
+	Boost                         float64
+}
 
 // JSON formats a query canonically.
 func JSON(q Query) []byte { return q.append(nil) }
 
-// object formats {"kind":{...}}, with members in the order given; those of empty value are left out.
+// object formats {"kind":{...}} with members in the given order; those of empty value are left out.
 func object(b []byte, kind string, boost float64, members ...string) []byte {
 	b = append(append(append(b, `{"`...), kind...), `":{`...)
 	b = appendMembers(b, boost, members...)
 	return append(b, `}}`...)
 }
 
+// appendMembers formats members given in pairs, and the boost.
 func appendMembers(b []byte, boost float64, members ...string) []byte {
 	first := true
 	add := func(name, value string) {
@@ -143,14 +154,16 @@
 	return append(appendMembers(b, boost, members...), `}}}`...)
 }
 
+// appendString formats a string as JSON.
 func appendString(b []byte, s string) []byte {
-	text, err := json.Marshal(strings.ToValidUTF8(s, "\uFFFD")) // else what is not valid is escaped, and worded otherwise again
+	text, err := json.Marshal(strings.ToValidUTF8(s, "\uFFFD")) // else invalid UTF-8 would be escaped, and not parse to the same form
 	if err != nil {
 		panic(err) // a string
 	}
 	return append(b, text...)
 }
 
+// quote formats a string as JSON, an empty one as nothing.
 func quote(s string) string {
 	if s == "" {
 		return ""
@@ -158,6 +171,7 @@
 	return string(appendString(nil, s))
 }
 
+// flag is the value if set, else nothing.
 func flag(set bool, value string) string {
 	if set {
 		return value
@@ -224,7 +238,7 @@
 		"must_not", nodes(q.MustNot, true), "minimum_should_match", quote(q.MinShould))
 }
 
-// nodes formats a list of queries; those whose order does not show in a score stand in one order.
+// nodes formats a list of queries. Those that do not contribute to the score are sorted.
 func nodes(list []Query, sorted bool) string {
 	if len(list) == 0 {
 		return ""
@@ -240,6 +254,7 @@
 	return "[" + strings.Join(texts, ",") + "]"
 }
 
+// list formats a list of strings.
 func list(values []string) string {
 	b := []byte{'['}
 	for i, v := range values {
@@ -251,7 +266,7 @@
 	return string(append(b, ']'))
 }
 
-// Clauses are the queries whose scores add up to a lot's score, worded; nil where it is no such sum.
+// Clauses returns the canonical forms of the queries whose scores add up to a lot's score; nil where it is no such sum.
 func Clauses(q Query) (clauses []string) {
 	b, ok := q.(Bool)
 	if !ok {
@@ -266,14 +281,14 @@
 	return clauses
 }
 
-// Plain says whether a query is its one clause and nothing else.
+// Plain reports whether a query is one clause and nothing else.
 func Plain(q Query) bool {
 	_, ok := q.(Bool)
 	return !ok
 }
 
-// Moves says whether what a query matches depends on the time of day, whichever lots there are.
-func Moves(q Query) bool {
+// TimeDependent reports whether what a query matches depends on the time of day.
+func TimeDependent(q Query) bool {
 	switch q := q.(type) {
 	case Range:
 		for _, v := range []Value{q.GT, q.GTE, q.LT, q.LTE} {
@@ -282,14 +297,14 @@
 			}
 		}
 	case Constant:
-		return Moves(q.Filter)
+		return TimeDependent(q.Filter)
 	case Bool:
-		return slices.ContainsFunc(slices.Concat(q.Must, q.Filter, q.Should, q.MustNot), Moves)
+		return slices.ContainsFunc(slices.Concat(q.Must, q.Filter, q.Should, q.MustNot), TimeDependent)
 	}
 	return false
 }
 
-// Count is the number of queries in a tree.
+// Count returns the number of queries in a tree.
 func Count(q Query) (n int) {
 	n = 1
 	switch q := q.(type) {
@@ -303,5 +318,5 @@
 	return n
 }
 
-// boosted is a boost that the API takes: finite and not below 0.
+// boosted reports whether a boost is valid: finite and not below 0.
 func boosted(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && cmp.Compare(x, x) == 0 }
--- a/internal/gatherer/query/query_test.go
+++ b/internal/gatherer/query/query_test.go
@@ -19,7 +19,7 @@
 	return q, e
 }
 
-// Texts that mean the same are worded the same, and what is worded parses to itself.
+// Equivalent texts have the same canonical form, and a canonical form parses to itself.
 func TestCanonical(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"query": {"match":{"title":"x"}}}`:                                         `{"match":{"title":{"query":"x"}}}`,
@@ -48,7 +48,7 @@
 	}
 }
 
-// What is wrong is told with its line and column.
+// Errors are reported with line and column.
 func TestErrors(t *testing.T) {
 	deep := func(n int) string {
 		return `{"query":` + strings.Repeat(`{"bool":{"must":`, n) + `{"match_all":{}}` + strings.Repeat(`}}`, n) + `}`
@@ -82,7 +82,7 @@
 	}
 }
 
-// The short form means what the long one says.
+// The short form is equivalent to the long one.
 func TestShort(t *testing.T) {
 	for text, want := range map[string]string{
 		`make:deere AND year:[2015 TO *]`:   `{"bool":{"must":[{"match":{"make":{"query":"deere"}}},{"range":{"year":{"gte":2015}}}]}}`,
@@ -151,7 +151,7 @@
 	return feed([]byte(`{"q":` + string(JSON(q)) + `}`))
 }
 
-// Cuts and garbage get an error with a place, and what is taken is worded canonically.
+// Truncated and corrupt input gets an error with its position, and what is accepted has a canonical form.
 func TestGarbage(t *testing.T) {
 	proptest.CheckParser(t, true, feed, valid...)
 	proptest.CheckParser(t, false, feedShort, `make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1) x:>=3`)
--- a/internal/gatherer/query/short.go
+++ b/internal/gatherer/query/short.go
@@ -9,10 +9,11 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxShort is the longest short form taken, in bytes.
+// MaxShort is the longest short form accepted, in bytes.
 const MaxShort = 4 << 10
 
-// The short form, from the loosest binding to the tightest: words in a row, OR, AND, signs, then a field's value.
+// The grammar of the short form, from the loosest binding to the tightest: words in sequence, OR, AND, signs, then the value
+// of a field. Its type names are part of the parser's messages.
 //
 //	make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1)
 type (
@@ -55,7 +56,7 @@
 	}
 )
 
-// shortParser is made once; it holds no state between texts.
+// shortParser is stateless.
 var shortParser = participle.MustBuild[shortRow](participle.UseLookahead(2), participle.Elide("Space"),
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Space", Pattern: `\s+`},
@@ -68,8 +69,8 @@
 		{Name: "Punct", Pattern: `[():^~!+\-\[\]{}]`},
 	})))
 
-// Short parses the short form. Words without a field are looked for in df, or where that is empty in every field.
-// and says that words in a row must all match, where any will do otherwise.
+// Short parses the short form. Words without a field are searched in df, or in every field if that is empty. With and, words
+// in sequence must all match, else any of them.
 func Short(text, df string, and bool) (Query, *Error) {
 	if len(text) > MaxShort {
 		return nil, At(text, MaxShort, "longer than %d bytes", MaxShort)
@@ -77,11 +78,12 @@
 	if strings.TrimSpace(text) == "" {
 		return nil, At(text, 0, "no query")
 	}
-	depth := 0 // the parser calls itself for each
+	depth := 0 // the parser recurses for each
 	for i, c := range text {
-		if c == '(' {
+		switch c {
+		case '(':
 			depth++
-		} else if c == ')' {
+		case ')':
 			depth--
 		}
 		if depth >= MaxDepth {
@@ -104,23 +106,25 @@
 	return q, e
 }
 
+// short converts a parsed short form to a query.
 type short struct {
 	text, df string
 	and      bool
 }
 
-// bare says that a query stands with no sign and no other beside it, so that it needs no bool round it.
-func bare(b Bool) (Query, bool) {
+// unwrap returns the only clause of a bool that must or should match, and any other bool unchanged.
+func unwrap(b Bool) Query {
 	switch {
 	case len(b.MustNot) > 0 || len(b.Filter) > 0:
 	case len(b.Must) == 1 && len(b.Should) == 0:
-		return b.Must[0], true
+		return b.Must[0]
 	case len(b.Should) == 1 && len(b.Must) == 0:
-		return b.Should[0], true
+		return b.Should[0]
 	}
-	return b, false
+	return b
 }
 
+// row converts words in sequence.
 func (s *short) row(r *shortRow, field string) (Query, *Error) {
 	b := Bool{}
 	for _, a := range r.Alts {
@@ -145,10 +149,11 @@
 			b.Should = append(b.Should, q)
 		}
 	}
-	q, _ := bare(b)
+	q := unwrap(b)
 	return q, nil
 }
 
+// alt converts queries joined by OR.
 func (s *short) alt(a *shortAlt, field string) (Query, *Error) {
 	b := Bool{}
 	for _, c := range a.Conjs {
@@ -158,10 +163,11 @@
 		}
 		b.Should = append(b.Should, q)
 	}
-	q, _ := bare(b)
+	q := unwrap(b)
 	return q, nil
 }
 
+// conj converts queries joined by AND.
 func (s *short) conj(c *shortConj, field string) (Query, *Error) {
 	b := Bool{}
 	for _, one := range c.Signed {
@@ -175,11 +181,11 @@
 			b.Must = append(b.Must, q)
 		}
 	}
-	q, _ := bare(b)
+	q := unwrap(b)
 	return q, nil
 }
 
-// value turns one field's value into a query, its sign left aside.
+// value converts the value of a field to a query, without its sign.
 func (s *short) value(one *shortSigned, field string) (Query, *Error) {
 	if one.Field != "" {
 		field = unescape(one.Field)
@@ -239,6 +245,7 @@
 	return s.word(one, field, boost)
 }
 
+// phrase converts a phrase.
 func (s *short) phrase(one *shortSigned, field string, boost float64) (Query, *Error) {
 	text := Value(appendString(nil, unescape(one.Text[1:len(one.Text)-1])))
 	slop := 0
@@ -254,6 +261,7 @@
 	return Phrase{Field: field, Text: text, Slop: slop, Boost: boost}, nil
 }
 
+// word converts a word.
 func (s *short) word(one *shortSigned, field string, boost float64) (Query, *Error) {
 	wild := strings.ContainsAny(strings.ReplaceAll(strings.ReplaceAll(one.Word, `\*`, ""), `\?`, ""), "*?")
 	switch {
@@ -283,7 +291,7 @@
 	return q, nil
 }
 
-// value is a bound as JSON, empty for an open one: a number where it is one, else a string.
+// value returns a bound as JSON, empty for an open one: a number if it is one, else a string.
 func (b shortBound) value() Value {
 	if b.Word == "*" && !b.Minus {
 		return ""
@@ -301,7 +309,7 @@
 	return Value(appendString(nil, text))
 }
 
-// isNumber says whether a text is a number as JSON has it.
+// isNumber reports whether a text is a JSON number.
 func isNumber(s string) bool {
 	digits := strings.TrimPrefix(s, "-")
 	whole, part, dot := strings.Cut(digits, ".")
@@ -309,7 +317,7 @@
 	return only(whole) && (len(whole) == 1 || whole[0] != '0') && (!dot || only(part))
 }
 
-// unescape takes the backslashes out of a word or a phrase.
+// unescape removes the backslashes of a word or a phrase.
 func unescape(s string) string {
 	if !strings.ContainsRune(s, '\\') {
 		return s
--- a/internal/gatherer/query/text.go
+++ b/internal/gatherer/query/text.go
@@ -7,6 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
+// match parses a match.
 func (p *parser) match(v gjson.Result, _ int) (Query, *Error) {
 	q := Match{}
 	field, body, short, e := p.field(v, "query")
@@ -25,10 +26,13 @@
 	return q, e
 }
 
+// phrase parses a match_phrase.
 func (p *parser) phrase(v gjson.Result, _ int) (Query, *Error) { return p.phraseOf(v, false) }
 
+// phrasePrefix parses a match_phrase_prefix.
 func (p *parser) phrasePrefix(v gjson.Result, _ int) (Query, *Error) { return p.phraseOf(v, true) }
 
+// phraseOf parses a phrase.
 func (p *parser) phraseOf(v gjson.Result, prefix bool) (Query, *Error) {
 	q := Phrase{Prefix: prefix}
 	field, body, short, e := p.field(v, "query")
@@ -51,8 +55,10 @@
 	return q, e
 }
 
+// multiTypes are the types of a multi_match.
 var multiTypes = []string{"best_fields", "most_fields", "cross_fields", "phrase", "phrase_prefix", "bool_prefix"}
 
+// multiMatch parses a multi_match.
 func (p *parser) multiMatch(v gjson.Result, _ int) (Query, *Error) {
 	q := MultiMatch{}
 	e := p.members(v, &q.Boost, map[string]member{"query": p.value(&q.Text), "operator": p.operator(&q.And),
--- a/internal/gatherer/search/plan.go
+++ b/internal/gatherer/search/plan.go
@@ -170,7 +170,7 @@
 	if p.Query.Pins == nil {
 		return true
 	}
-	s := pages.Stands(p.Query.Pins[p.ranges[i].Number], a.View.Version, a.View.Boot != "")
+	s := pages.Compare(p.Query.Pins[p.ranges[i].Number], a.View.Version, a.View.Boot != "")
 	p.movedOn[i] = p.movedOn[i] || s == pages.Ahead
 	return s == pages.Same
 }
@@ -226,7 +226,7 @@
 func (p *Plan) Close() (fetch []Fetch) {
 	p.closed = true
 	p.page = p.top.Sorted()
-	p.total -= int64(p.top.Twins()) // counted by both of the ranges that a lot moved between
+	p.total -= int64(p.top.Duplicates()) // counted by both of the ranges that a lot moved between
 	p.page = p.page[min(p.Query.From, len(p.page)):]
 	if p.Phases == One {
 		return nil
--- a/internal/gatherer/search/result.go
+++ b/internal/gatherer/search/result.go
@@ -4,7 +4,7 @@
 
 // unchanged reports whether a lot still has its rank: it has not changed, or its sort values have not.
 func unchanged(keys []merge.Key, h, now *merge.Hit) bool {
-	return h.Version != 0 && h.Version == now.Version || merge.Same(keys, h.Sort, now.Sort)
+	return h.Version != 0 && h.Version == now.Version || merge.Unchanged(keys, h.Sort, now.Sort)
 }
 
 // Result is the result of a query.
--- a/internal/gatherer/search/search.go
+++ b/internal/gatherer/search/search.go
@@ -79,7 +79,7 @@
 // Check returns what is wrong with an answer to a query, empty if it is valid: more hits than requested, a duplicate id,
 // sort values that are missing or out of order, a total that its own hits contradict.
 func (a *Answer) Check(q *Query) string {
-	if merge.Twice(a.Hits) {
+	if merge.HasDuplicates(a.Hits) {
 		return "a hit stands twice"
 	}
 	for i := range a.Hits {
