--- a/cmd/pulleygw/main.go
+++ b/cmd/pulleygw/main.go
@@ -27,7 +27,7 @@
 	level := &slog.LevelVar{}
 	level.Set(f.LogLevel)
 	// A storm of one event, as of connections to a lot store that died, must not be what the core spends itself on.
-	logger := logging.New(logging.Config{Out: os.Stderr, Format: f.LogFormat, Level: level, Most: 200, Span: time.Second})
+	logger := logging.New(logging.Config{Out: os.Stderr, Format: f.LogFormat, Level: level, MaxLines: 200, Span: time.Second})
 	c, err := lifecycle.LoadConfig(f.Config, os.Getenv)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decision module on the simulator's wire: it hosts many instances that
-// share nothing, and translates only.
+// Command simhost runs package policy under the simulator's protocol, on standard input and output: it hosts many instances
+// that share nothing, and only translates.
 package main
 
 import (
@@ -17,17 +17,18 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// instance is one mixer and the wire's numbers for its queries.
+// instance is one scheduler and the protocol's numbers of its queries.
 type instance struct {
-	mixer   *policy.Scheduler
-	events  []decision.Event
-	numbers map[float32]decision.QueryID
-	byID    map[decision.QueryID]float32
+	scheduler *policy.Scheduler
+	events    []decision.Event
+	numbers   map[float32]decision.QueryID
+	byID      map[decision.QueryID]float32
 }
 
+// host is all instances of the simulation.
 type host struct {
 	instances map[uint32]*instance
-	active    []uint32 // with events in this batch, in order of first mention
+	active    []uint32 // with events in this batch, in order of their first event
 	current   uint32
 	sheets    map[uint32][]decision.ServerInfo
 	reply     wire.Reply
@@ -40,6 +41,7 @@
 	}
 }
 
+// serve answers batches of events until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	h := &host{instances: map[uint32]*instance{}, sheets: map[uint32][]decision.ServerInfo{}}
@@ -95,7 +97,7 @@
 		if err != nil {
 			return err
 		}
-		h.instances[h.current] = &instance{mixer: m, numbers: map[float32]decision.QueryID{},
+		h.instances[h.current] = &instance{scheduler: m, numbers: map[float32]decision.QueryID{},
 			byID: map[decision.QueryID]float32{}}
 		h.touch()
 		return nil
@@ -103,10 +105,15 @@
 		delete(h.instances, h.current)
 		return nil
 	}
-	x := h.instances[h.current]
-	if x == nil {
-		return nil // nobody is left to hear it
+	if x := h.instances[h.current]; x != nil { // else the instance has exited
+		h.instanceEvent(x, e)
+		h.touch()
 	}
+	return nil
+}
+
+// instanceEvent translates one record for an instance.
+func (h *host) instanceEvent(x *instance, e any) {
 	switch e := e.(type) {
 	case wire.Targets:
 		l := decision.ServerList{Kind: kinds[e.Kind]}
@@ -119,7 +126,7 @@
 			id := decision.QueryID(e.ID)
 			x.numbers[e.Number], x.byID[id] = id, e.Number
 			x.events = append(x.events, decision.QueryArrived{ID: id, Class: int(e.Class), Tenant: int(e.Tenant),
-				Key: e.Key, Remaining: time.Duration(e.LeftUs) * time.Microsecond, Subqueries: int(e.Share)})
+				Key: e.Key, Remaining: time.Duration(e.RemainingUs) * time.Microsecond, Subqueries: int(e.Share)})
 		} else if id, ok := x.numbers[e.Number]; ok {
 			x.events = append(x.events, decision.SubqueryArrived{ID: decision.SubqueryID(e.ID), Query: id,
 				Shard: int(e.Shard), Weight: float64(e.Share)})
@@ -130,18 +137,17 @@
 			status = decision.Error
 		}
 		x.events = append(x.events, decision.Outcome{Subquery: decision.SubqueryID(e.ID), Server: decision.ServerID(e.Server),
-			Attempt: int(e.Attempt), Status: status, Latency: time.Duration(e.TookUs) * time.Microsecond})
-	case wire.Gone:
+			Attempt: int(e.Attempt), Status: status, Latency: time.Duration(e.LatencyUs) * time.Microsecond})
+	case wire.ClientGone:
 		x.events = append(x.events, decision.ClientGone{Query: decision.QueryID(e.ID)})
-	case wire.Probed:
+	case wire.HealthChecked:
 		x.events = append(x.events, decision.HealthChecked{Server: decision.ServerID(e.Server), OK: e.Status == 0})
 	case wire.Timer:
 		x.events = append(x.events, decision.Wake{})
 	}
-	h.touch()
-	return nil
 }
 
+// touch marks the current instance as active in this batch.
 func (h *host) touch() {
 	if !slices.Contains(h.active, h.current) {
 		h.active = append(h.active, h.current)
@@ -155,7 +161,7 @@
 		14: decision.ConnectFailed, 10: decision.Reset, 1: decision.Cancelled, 9: decision.NotSent}
 )
 
-// step lets one instance decide and writes what it wants done. A panic in the decisions is reported.
+// step runs a step of one instance and encodes its actions. A panic of the scheduler is reported.
 func (h *host) step(i uint32, x *instance, now time.Duration) {
 	h.reply.Speaking(i)
 	defer func() {
@@ -164,7 +170,7 @@
 		}
 		x.events = x.events[:0]
 	}()
-	for _, a := range x.mixer.Step(now, x.events) {
+	for _, a := range x.scheduler.Step(now, x.events) {
 		switch a := a.(type) {
 		case decision.Send:
 			h.reply.Send(uint64(a.Subquery), uint32(a.Limit.Microseconds()), uint32(a.Server))
@@ -176,13 +182,13 @@
 				x.forget(a.Query)
 			}
 		case decision.Reject:
-			h.reply.Refuse(uint64(a.Query), uint32(a.RetryAfter.Microseconds()))
+			h.reply.Reject(uint64(a.Query), uint32(a.RetryAfter.Microseconds()))
 			x.forget(a.Query)
 		case decision.Fail:
 			h.reply.Fail(uint64(a.Query))
 			x.forget(a.Query)
 		case decision.HealthCheck:
-			h.reply.Probe(uint32(a.Server))
+			h.reply.HealthCheck(uint32(a.Server))
 		case decision.CloseIdle:
 			h.reply.CloseIdle(uint32(a.Server))
 		case decision.WakeAt:
@@ -200,7 +206,7 @@
 	}
 }
 
-// forget drops the wire's number of a query that has ended.
+// forget drops the protocol's number of a query that has ended.
 func (x *instance) forget(q decision.QueryID) {
 	if n, ok := x.byID[q]; ok {
 		delete(x.byID, q)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -32,7 +32,7 @@
 func TestPanicIsReported(t *testing.T) {
 	h := &host{}
 	h.reply.Reset()
-	h.step(3, &instance{}, 0) // no mixer: the step panics
+	h.step(3, &instance{}, 0) // no scheduler: the step panics
 	b := h.reply.Bytes()
 	if len(b) < 10 || b[4] != 25 || b[9] != 28 {
 		t.Errorf("reply %x, want Speaking and Panic", b)
--- a/internal/gatherer/lifecycle/operations.go
+++ b/internal/gatherer/lifecycle/operations.go
@@ -124,7 +124,7 @@
 		return http1.Text(400, err.Error())
 	}
 	err := x.store.Set(key, value)
-	not := (*store.NotLeader)(nil)
+	not := (*store.NotLeaderError)(nil)
 	switch {
 	case errors.As(err, &not) && not.Operations != "":
 		p := http1.Text(307, err.Error())
--- a/internal/gatherer/logging/logging.go
+++ b/internal/gatherer/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the daemon's structured log: one line an event, for people or as JSON, with storms of one event
-// held down to a count. Events carry fields and never a client's body.
+// Package logging makes the daemon's structured log: one line per event, as text or as JSON, with bursts of one event
+// sampled. Events have key fields and never a client's body.
 package logging
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Format is how lines look.
+// Format is the format of log lines.
 type Format string
 
 // The formats.
@@ -20,17 +20,18 @@
 	JSON    Format = "json"
 )
 
-// Config says how to log.
+// Config configures a logger.
 type Config struct {
 	Out    io.Writer
 	Format Format
-	Level  *slog.LevelVar // what is under it is left out; it may change at any time
-	// Most lines of one event in any Span go out, and behind them one that tells how many were left out. 0 for all.
-	Most int
-	Span time.Duration
+	Level  *slog.LevelVar // least level that is logged; it may change at any time
+	// At most this many lines of one event are logged in any Span, followed by a line with the number of lines left out.
+	// 0 logs all.
+	MaxLines int
+	Span     time.Duration
 }
 
-// ParseLevel reads a level: debug, info, warn or error.
+// ParseLevel parses a level: debug, info, warn or error.
 func ParseLevel(s string) (slog.Level, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s)); err != nil {
@@ -39,7 +40,7 @@
 	return l, nil
 }
 
-// New makes a logger.
+// New returns a logger.
 func New(c Config) *slog.Logger {
 	o := &slog.HandlerOptions{Level: c.Level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
@@ -51,52 +52,54 @@
 	if c.Format == JSON {
 		h = slog.NewJSONHandler(c.Out, o)
 	}
-	if c.Most > 0 {
-		h = &sampler{Handler: h, most: c.Most, span: c.Span, seen: &seen{events: map[string]*event{}}}
+	if c.MaxLines > 0 {
+		h = &sampler{Handler: h, maxLines: c.MaxLines, span: c.Span, seen: &seen{events: map[string]*event{}}}
 	}
 	return slog.New(h)
 }
 
-// sampler lets so many lines of each event through in each span.
+// sampler passes at most maxLines lines of each event in each span.
 type sampler struct {
 	slog.Handler
-	most int
-	span time.Duration
-	seen *seen
+	maxLines int
+	span     time.Duration
+	seen     *seen
 }
 
+// seen counts events. Samplers of one logger share it.
 type seen struct {
 	mu     sync.Mutex
 	events map[string]*event
 }
 
-// event is one event's span. Events are named in the code, so that there are few.
+// event counts one event in its current span. Events are named in the code, so there are few.
 type event struct {
-	begun        time.Time
-	lines, short int
+	started        time.Time
+	lines, dropped int
 }
 
+// Handle implements slog.Handler.
 func (s *sampler) Handle(ctx context.Context, r slog.Record) error {
 	s.seen.mu.Lock()
 	e := s.seen.events[r.Message]
 	if e == nil {
-		e = &event{begun: r.Time}
+		e = &event{started: r.Time}
 		s.seen.events[r.Message] = e
 	}
-	left := 0
-	if r.Time.Sub(e.begun) >= s.span {
-		left = e.short
-		*e = event{begun: r.Time}
+	dropped := 0
+	if r.Time.Sub(e.started) >= s.span {
+		dropped = e.dropped
+		*e = event{started: r.Time}
 	}
 	e.lines++
-	pass := e.lines <= s.most
+	pass := e.lines <= s.maxLines
 	if !pass {
-		e.short++
+		e.dropped++
 	}
 	s.seen.mu.Unlock()
-	if left > 0 {
+	if dropped > 0 {
 		x := slog.NewRecord(r.Time, slog.LevelWarn, "left out", 0)
-		x.AddAttrs(slog.String("of", r.Message), slog.Int("lines", left))
+		x.AddAttrs(slog.String("of", r.Message), slog.Int("lines", dropped))
 		if err := s.Handler.Handle(ctx, x); err != nil {
 			return err
 		}
@@ -107,10 +110,12 @@
 	return s.Handler.Handle(ctx, r)
 }
 
+// WithAttrs implements slog.Handler.
 func (s *sampler) WithAttrs(a []slog.Attr) slog.Handler {
-	return &sampler{s.Handler.WithAttrs(a), s.most, s.span, s.seen}
+	return &sampler{s.Handler.WithAttrs(a), s.maxLines, s.span, s.seen}
 }
 
+// WithGroup implements slog.Handler.
 func (s *sampler) WithGroup(name string) slog.Handler {
-	return &sampler{s.Handler.WithGroup(name), s.most, s.span, s.seen}
+	return &sampler{s.Handler.WithGroup(name), s.maxLines, s.span, s.seen}
 }
--- a/internal/gatherer/logging/logging_test.go
+++ b/internal/gatherer/logging/logging_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		level := &slog.LevelVar{}
-		l := New(Config{Out: &out, Format: JSON, Level: level, Most: 5, Span: time.Second}).With("name", "n1")
+		l := New(Config{Out: &out, Format: JSON, Level: level, MaxLines: 5, Span: time.Second}).With("name", "n1")
 		for range 100 {
 			l.Info("connection ended", "store", 3)
 		}
--- a/internal/gatherer/record/record.go
+++ b/internal/gatherer/record/record.go
@@ -67,16 +67,17 @@
 	Count uint64 `msgpack:"x,omitempty"` // of Dropped
 }
 
-// InForce are the limits in force for a request. Times are in microseconds; 0 is no limit.
+// InForce are the limits in force for a request. Times are in microseconds; 0 is no limit. The names in JSON are those that
+// the log command has always printed.
 type InForce struct {
 	Attempts       int     `msgpack:"a"`
-	Timeout        int64   `msgpack:"g"`
-	Window         int64   `msgpack:"w,omitempty"` // deduplication window
-	Hedging        bool    `msgpack:"c,omitempty"` // a subquery may have two attempts in flight
-	MaxConcurrency int     `msgpack:"m,omitempty"`
+	Timeout        int64   `msgpack:"g" json:"GiveUp"`
+	Window         int64   `msgpack:"w,omitempty"`               // deduplication window
+	Hedging        bool    `msgpack:"c,omitempty" json:"Copies"` // a subquery may have two attempts in flight
+	MaxConcurrency int     `msgpack:"m,omitempty" json:"Most"`
 	PerSecond      float64 `msgpack:"r,omitempty"`
 	Burst          int     `msgpack:"b,omitempty"`
-	Ratio          float64 `msgpack:"s,omitempty"` // of the route's retry budget
+	Ratio          float64 `msgpack:"s,omitempty" json:"Share"` // of the route's retry budget
 	Free           float64 `msgpack:"f,omitempty"`
 	Span           int64   `msgpack:"p,omitempty"`
 }
--- a/internal/gatherer/record/record_test.go
+++ b/internal/gatherer/record/record_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"io"
 	"log/slog"
@@ -223,3 +224,15 @@
 	total, dropped := w.Counts()
 	b.ReportMetric(float64(dropped)/float64(total), "dropped/entry")
 }
+
+// The JSON names of the limits in force are read by operators' scripts and stay, whatever the fields are called.
+func TestInForceJSONNames(t *testing.T) {
+	got, err := json.Marshal(InForce{Attempts: 1, Timeout: 2, Window: 3, Hedging: true, MaxConcurrency: 4, PerSecond: 5, Burst: 6, Ratio: 7, Free: 8, Span: 9})
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"Attempts":1,"GiveUp":2,"Window":3,"Copies":true,"Most":4,"PerSecond":5,"Burst":6,"Share":7,"Free":8,"Span":9}`
+	if string(got) != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
--- a/internal/gatherer/store/store.go
+++ b/internal/gatherer/store/store.go
@@ -1,6 +1,5 @@
-// Package store is the small replicated store for the daemon's own configuration and state: drain marks and
-// the second front's settings. It is built on hashicorp/raft. It never carries anything that a decision
-// reads: gatherers share nothing.
+// Package store is a small replicated store, on hashicorp/raft, for the daemon's own configuration and state: drain marks and
+// the indices of the OpenSearch-style front. No scheduling decision depends on it: gatherers share nothing.
 package store
 
 import (
@@ -18,40 +17,41 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Node is one member.
+// Node is one member of the store.
 type Node struct {
-	Name       string // the gatherer's
-	Raft       string // where its store listens
-	Operations string // where its operators' endpoint listens
+	Name       string // of the gatherer
+	Raft       string // address of its store
+	Operations string // address of its operators' endpoint
 }
 
-// Config is what a store needs to know. All members have the same Nodes.
+// Config configures a member. All members have the same Nodes.
 type Config struct {
 	Name  string
 	Dir   string
 	Nodes []Node
 	Log   io.Writer
-	// Changed is called after each change, from the store's goroutine, with all that is kept.
+	// Changed is called after each change, on the store's goroutine, with all values.
 	Changed func(map[string]string)
-	// Listener, where set, is used in place of listening at the node's own address.
+	// Listener, where set, is used instead of listening on the node's address.
 	Listener net.Listener
 }
 
-// Bounds of what is kept: it is settings, not data.
+// Bounds of the values: they are settings, not data.
 const (
 	MaxKeys  = 256
-	MaxValue = 4 << 10
+	MaxValue = 4 << 10 // bytes
 )
 
+// Time-outs.
 const (
-	applyFor = 2 * time.Second
-	dialFor  = 2 * time.Second
+	applyTimeout = 2 * time.Second
+	dialTimeout  = 2 * time.Second
 )
 
-// NotLeader tells where a change is to be sent instead.
-type NotLeader struct{ Operations string }
+// NotLeaderError says that this member is not the leader, and where the leader's operators' endpoint is, if it is known.
+type NotLeaderError struct{ Operations string }
 
-func (e *NotLeader) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Operations == "" {
 		return "the store has no leader now"
 	}
@@ -67,14 +67,15 @@
 	fsm   *fsm
 }
 
-// stream is raft's way to its peers.
+// stream is raft's connection to its peers.
 type stream struct{ net.Listener }
 
+// Dial implements raft.StreamLayer.
 func (stream) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", string(addr), min(timeout, dialFor))
+	return net.DialTimeout("tcp", string(addr), min(timeout, dialTimeout))
 }
 
-// Open starts a member. The first start of all members makes the cluster.
+// Open starts a member. The first start of all members bootstraps the cluster.
 func Open(c Config) (_ *Store, err error) {
 	s := &Store{nodes: c.Nodes, fsm: &fsm{values: map[string]string{}, changed: c.Changed}}
 	var self *Node
@@ -93,7 +94,7 @@
 	}
 	defer func() {
 		if err != nil {
-			s.logs.Close()
+			_ = s.logs.Close() // the error that ended the start is returned
 		}
 	}()
 	snapshots, err := raft.NewFileSnapshotStore(c.Dir, 2, c.Log)
@@ -105,7 +106,7 @@
 			return nil, fmt.Errorf("store.nodes: %w", err)
 		}
 	}
-	s.trans = raft.NewNetworkTransport(stream{c.Listener}, 3, dialFor, c.Log)
+	s.trans = raft.NewNetworkTransport(stream{c.Listener}, 3, dialTimeout, c.Log)
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.LogOutput, rc.LogLevel = raft.ServerID(c.Name), c.Log, "WARN"
 	had, err := raft.HasExistingState(s.logs, s.logs, snapshots)
@@ -123,13 +124,13 @@
 	return s, nil
 }
 
-// LeaderCh tells when this member becomes the leader, or no longer is.
+// LeaderCh reports when this member becomes the leader, or no longer is.
 func (s *Store) LeaderCh() <-chan bool { return s.raft.LeaderCh() }
 
-// All returns what is kept, as this member knows it.
+// All returns all values, as this member knows them.
 func (s *Store) All() map[string]string { return s.fsm.all() }
 
-// Set keeps a value; an empty one takes the key away. A member that does not lead answers with a NotLeader.
+// Set sets a value; an empty one deletes the key. A member that does not lead returns a NotLeaderError.
 func (s *Store) Set(key, value string) error {
 	if len(value) > MaxValue {
 		return fmt.Errorf("the value is over %d bytes", MaxValue)
@@ -138,16 +139,16 @@
 	if err != nil {
 		return err
 	}
-	f := s.raft.Apply(b, applyFor)
+	f := s.raft.Apply(b, applyTimeout)
 	if err := f.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) {
 			_, id := s.raft.LeaderWithID()
 			for _, n := range s.nodes {
 				if n.Name == string(id) {
-					return &NotLeader{n.Operations}
+					return &NotLeaderError{n.Operations}
 				}
 			}
-			return &NotLeader{}
+			return &NotLeaderError{}
 		}
 		return err
 	}
@@ -162,22 +163,25 @@
 	return errors.Join(s.raft.Shutdown().Error(), s.trans.Close(), s.logs.Close())
 }
 
+// change is an entry of the log. Its names are those of the JSON on disk.
 type change struct{ Key, Value string }
 
-// fsm is what the members agree on.
+// fsm is the replicated state machine.
 type fsm struct {
 	mu      sync.Mutex
 	values  map[string]string
 	changed func(map[string]string)
 }
 
+// all returns a copy of all values.
 func (f *fsm) all() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.values)
 }
 
-func (f *fsm) tell() {
+// notify calls changed.
+func (f *fsm) notify() {
 	if f.changed != nil {
 		f.changed(f.all())
 	}
@@ -201,7 +205,7 @@
 	if full {
 		return fmt.Errorf("the store holds %d keys, the most that it may", MaxKeys)
 	}
-	f.tell()
+	f.notify()
 	return nil
 }
 
@@ -221,16 +225,17 @@
 	f.mu.Lock()
 	f.values = values
 	f.mu.Unlock()
-	f.tell()
+	f.notify()
 	return nil
 }
 
+// snapshot is the state as JSON.
 type snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		sink.Cancel()
+		_ = sink.Cancel() // the error of the write is returned
 		return err
 	}
 	return sink.Close()
--- a/internal/gatherer/store/store_test.go
+++ b/internal/gatherer/store/store_test.go
@@ -68,7 +68,7 @@
 		m.until("drain/n1", "on")
 	}
 	other := all[(lead+1)%3]
-	var not *NotLeader
+	var not *NotLeaderError
 	if err := other.Set("drain/n2", "on"); !errors.As(err, &not) || not.Operations != nodes[lead].Operations {
 		t.Errorf("a follower says %v", err)
 	}
--- a/internal/gatherer/wire/wire.go
+++ b/internal/gatherer/wire/wire.go
@@ -1,15 +1,15 @@
-// Package wire is the codec of the simulator's binary dialect: frames and records, with
-// every length checked. It decides nothing.
+// Package wire is the codec of the simulator's binary protocol: frames and records, with every length checked.
 package wire
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"math"
 )
 
-// MaxFrame bounds what a frame may claim to hold.
+// MaxFrame bounds the length of a frame in bytes.
 const MaxFrame = 256 << 20
 
 // Frame is one batch of events, its body still encoded.
@@ -19,11 +19,11 @@
 	Body    []byte
 }
 
-// ReadFrame reads one batch. At a clean end of input the error is io.EOF.
+// ReadFrame reads one batch, into buf if it fits. At a clean end of input the error is io.EOF.
 func ReadFrame(r io.Reader, buf []byte) (Frame, []byte, error) {
 	var head [16]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return Frame{}, buf, err
 		}
 		return Frame{}, buf, fmt.Errorf("batch header: %d of 16 bytes: %w", n, err)
@@ -34,7 +34,7 @@
 		return Frame{}, buf, fmt.Errorf("batch header: length %d is over %d", size, MaxFrame)
 	}
 	buf = buf[:0]
-	for len(buf) < int(size) { // grow with what really comes, not with what is claimed
+	for len(buf) < int(size) { // grow with what is received, not with what is claimed
 		n := min(int(size)-len(buf), 1<<20)
 		at := len(buf)
 		buf = append(buf, make([]byte, n)...)
@@ -48,81 +48,101 @@
 
 // Event codes.
 const (
-	codeOutcome = 16
-	codeFirst   = 17
-	codeSheet   = 18
-	codeContext = 19
-	codeProbed  = 20
-	codeCreate  = 21
-	codeTimer   = 22
-	codeQuery   = 23
-	codeTargets = 24
-	codeGone    = 25
-	codeHeard   = 26
-	codeExit    = 27
+	codeOutcome       = 16
+	codeFirst         = 17
+	codeSheet         = 18
+	codeContext       = 19
+	codeHealthChecked = 20
+	codeCreate        = 21
+	codeTimer         = 22
+	codeQuery         = 23
+	codeTargets       = 24
+	codeClientGone    = 25
+	codeMessage       = 26
+	codeExit          = 27
 )
 
-// The events of the wire, in its own words.
-type (
-	Context struct{ Instance uint32 }
-	Create  struct {
-		Seed    uint64
-		Options []byte
-	}
-	Entry struct {
-		Server    uint32
-		Zone      uint8
-		Kind      uint16
-		Cell      uint16
-		State     uint8
-		Nominal   float32
-		StartedUs uint64
-	}
-	Sheet struct {
-		Table   uint32
-		Entries []Entry
-	}
-	Targets struct {
-		Kind          uint8
-		Serial, Table uint32
-	}
-	Query struct {
-		ID                   uint64
-		Class                uint8
-		Tenant               uint16
-		Key                  uint64
-		LeftUs, WorkUs       uint32
-		Number, Shard, Share float32
-		Flags                uint16
-	}
-	Outcome struct {
-		ID      uint64
-		Server  uint32
-		Status  uint16
-		TookUs  uint32
-		Attempt uint8
-		Last    bool
-	}
-	Probed struct {
-		Server uint32
-		Status uint16
-		TookUs uint32
-	}
-	Gone  struct{ ID uint64 }
-	Timer struct{ Token uint64 }
-	Exit  struct{}
-	// Other is an event that this project has no use for.
-	Other struct{ Code uint8 }
-)
+// Context sets the instance of the records after it.
+type Context struct{ Instance uint32 }
+
+// Create creates an instance.
+type Create struct {
+	Seed    uint64
+	Options []byte // the settings
+}
+
+// Entry is one server of a Sheet.
+type Entry struct {
+	Server    uint32
+	Zone      uint8
+	Kind      uint16
+	Cell      uint16
+	State     uint8
+	Nominal   float32
+	StartedUs uint64
+}
+
+// Sheet is a server list, to which Targets refers by its table number.
+type Sheet struct {
+	Table   uint32
+	Entries []Entry
+}
 
-// decoder reads fields; the first error sticks.
+// Targets is an update of the server list.
+type Targets struct {
+	Kind          uint8
+	Serial, Table uint32
+}
+
+// Query is a query, with its number of subqueries as Share, or with a Shard from 0 on one of its subqueries.
+type Query struct {
+	ID                   uint64
+	Class                uint8
+	Tenant               uint16
+	Key                  uint64
+	RemainingUs, WorkUs  uint32
+	Number, Shard, Share float32
+	Flags                uint16
+}
+
+// Outcome is how an attempt ended.
+type Outcome struct {
+	ID        uint64
+	Server    uint32
+	Status    uint16
+	LatencyUs uint32
+	Attempt   uint8
+	Last      bool
+}
+
+// HealthChecked is the result of a health check.
+type HealthChecked struct {
+	Server    uint32
+	Status    uint16
+	LatencyUs uint32
+}
+
+// ClientGone says that a query's client has disconnected.
+type ClientGone struct{ ID uint64 }
+
+// Timer is a timer that has expired.
+type Timer struct{ Token uint64 }
+
+// Exit removes the instance.
+type Exit struct{}
+
+// Other is an event without a use here.
+type Other struct{ Code uint8 }
+
+// decoder decodes fields. The first error is kept.
 type decoder struct {
 	b   []byte
 	at  int
 	err error
 }
 
-func (d *decoder) take(n int) []byte {
+// bytes returns the next n bytes.
+func (d *decoder) bytes(n int) []byte {
 	if d.err != nil || n > len(d.b)-d.at {
 		if d.err == nil {
 			d.err = fmt.Errorf("needs %d bytes, %d are left", n, len(d.b)-d.at)
@@ -132,13 +152,13 @@
 	d.at += n
 	return d.b[d.at-n : d.at]
 }
-func (d *decoder) u8() uint8    { return d.take(1)[0] }
-func (d *decoder) u16() uint16  { return binary.BigEndian.Uint16(d.take(2)) }
-func (d *decoder) u32() uint32  { return binary.BigEndian.Uint32(d.take(4)) }
-func (d *decoder) u64() uint64  { return binary.BigEndian.Uint64(d.take(8)) }
+func (d *decoder) u8() uint8    { return d.bytes(1)[0] }
+func (d *decoder) u16() uint16  { return binary.BigEndian.Uint16(d.bytes(2)) }
+func (d *decoder) u32() uint32  { return binary.BigEndian.Uint32(d.bytes(4)) }
+func (d *decoder) u64() uint64  { return binary.BigEndian.Uint64(d.bytes(8)) }
 func (d *decoder) f32() float32 { return math.Float32frombits(d.u32()) }
 
-// Each decodes the frame's records in order and hands them to do.
+// Each decodes the frame's records in order and calls do with each.
 func (f Frame) Each(do func(event any) error) error {
 	d := &decoder{b: f.Body}
 	for i := range f.Records {
@@ -161,16 +181,18 @@
 	return nil
 }
 
+// entrySize is the size of an Entry in bytes.
 const entrySize = 22
 
+// record decodes one record.
 func (d *decoder) record(code uint8) any {
 	switch code {
 	case codeOutcome:
 		e := Outcome{d.u64(), d.u32(), d.u16(), d.u32(), d.u8(), d.u8() != 0}
-		d.take(int(d.u8()) * 4)
+		d.bytes(int(d.u8()) * 4)
 		return e
 	case codeFirst:
-		d.take(17)
+		d.bytes(17)
 	case codeSheet:
 		e := Sheet{Table: d.u32()}
 		n := int(d.u32())
@@ -184,13 +206,13 @@
 		return e
 	case codeContext:
 		return Context{d.u32()}
-	case codeProbed:
-		e := Probed{d.u32(), d.u16(), d.u32()}
-		d.take(int(d.u8()) * 4)
+	case codeHealthChecked:
+		e := HealthChecked{d.u32(), d.u16(), d.u32()}
+		d.bytes(int(d.u8()) * 4)
 		return e
 	case codeCreate:
 		e := Create{Seed: d.u64()}
-		e.Options = d.take(int(d.u32()))
+		e.Options = d.bytes(int(d.u32()))
 		return e
 	case codeTimer:
 		return Timer{d.u64()}
@@ -198,11 +220,11 @@
 		return Query{d.u64(), d.u8(), d.u16(), d.u64(), d.u32(), d.u32(), d.f32(), d.f32(), d.f32(), d.u16()}
 	case codeTargets:
 		return Targets{d.u8(), d.u32(), d.u32()}
-	case codeGone:
-		return Gone{d.u64()}
-	case codeHeard:
+	case codeClientGone:
+		return ClientGone{d.u64()}
+	case codeMessage:
 		d.u32()
-		d.take(int(d.u16()))
+		d.bytes(int(d.u16()))
 	case codeExit:
 		return Exit{}
 	default:
@@ -211,10 +233,10 @@
 	return Other{code}
 }
 
-// Reply builds one reply frame.
+// Reply encodes one reply frame.
 type Reply struct{ b []byte }
 
-// Reset empties the reply.
+// Reset starts a new reply.
 func (r *Reply) Reset() { r.b = append(r.b[:0], 0, 0, 0, 0) }
 
 // Bytes returns the finished frame.
@@ -238,12 +260,10 @@
 	return 0
 }
 
-// The actions of the wire.
-
-// Speaking sets the instance for the actions after it.
+// Speaking sets the instance of the actions after it.
 func (r *Reply) Speaking(i uint32) { r.u8(25); r.u32(i) }
 
-// Send launches an attempt.
+// Send starts an attempt.
 func (r *Reply) Send(id uint64, limitUs, server uint32) {
 	r.u8(17)
 	r.u64(id)
@@ -252,27 +272,27 @@
 }
 
 // Answer answers a query.
-func (r *Reply) Answer(id uint64, full bool) { r.u8(22); r.u64(id); r.u8(flag(full)) }
+func (r *Reply) Answer(id uint64, complete bool) { r.u8(22); r.u64(id); r.u8(flag(complete)) }
 
-// Refuse ends a query and says when to come back.
-func (r *Reply) Refuse(id uint64, backUs uint32) { r.u8(26); r.u64(id); r.u32(backUs) }
+// Reject ends a query and says when to retry.
+func (r *Reply) Reject(id uint64, retryAfterUs uint32) { r.u8(26); r.u64(id); r.u32(retryAfterUs) }
 
-// Fail ends a query without a promise.
+// Fail ends a query without any guarantee.
 func (r *Reply) Fail(id uint64) { r.u8(18); r.u64(id) }
 
 // Cancel stops waiting for an attempt.
 func (r *Reply) Cancel(id uint64, attempt uint8) { r.u8(21); r.u64(id); r.u8(attempt) }
 
-// Probe health-checks a server.
-func (r *Reply) Probe(server uint32) { r.u8(29); r.u32(server) }
+// HealthCheck health-checks a server.
+func (r *Reply) HealthCheck(server uint32) { r.u8(29); r.u32(server) }
 
 // CloseIdle closes the idle connections to a server.
 func (r *Reply) CloseIdle(server uint32) { r.u8(20); r.u32(server) }
 
-// Log leaves a line.
+// Log logs a line.
 func (r *Reply) Log(s string) { r.u8(19); r.text(s) }
 
-// Panic reports that the decisions broke.
+// Panic reports a panic of the scheduler.
 func (r *Reply) Panic(s string) { r.u8(28); r.text(s) }
 
 // Timer asks for a timer event.
