--- a/internal/gatherer/cli/files.go
+++ b/internal/gatherer/cli/files.go
@@ -47,14 +47,14 @@
 				return err
 			}
 			read, err := config.Parse(path, text, of)
-			var faults config.Faults
+			var faults config.FieldErrors
 			if err != nil && !errors.As(err, &faults) {
 				return err
 			}
 			out := c.OutOrStdout()
 			if asJSON {
 				if faults == nil {
-					faults = config.Faults{}
+					faults = config.FieldErrors{}
 				}
 				e := json.NewEncoder(out)
 				e.SetIndent("", "  ")
--- a/internal/gatherer/config/config_test.go
+++ b/internal/gatherer/config/config_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		_, err = Parse(f.Name(), text, classes)
-		var faults Faults
+		var faults FieldErrors
 		if errors.As(err, &faults); len(faults) != len(want) {
 			t.Errorf("%s: %d faults, want %d:\n%v", f.Name(), len(faults), len(want), err)
 			continue
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Limits.Routes) != 3 || c.Limits.Repeats.Ratio != 0.3 {
+	if len(c.Limits.Routes) != 3 || c.Limits.Retries.Ratio != 0.3 {
 		t.Fatalf("%+v", c.Limits)
 	}
 	r := c.Limits.Table.Find(&limits.Request{Front: "opensearch", Method: "POST", Index: "lots-2026"}, "lot-search")
--- a/internal/gatherer/config/members.go
+++ b/internal/gatherer/config/members.go
@@ -8,19 +8,20 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// object reads a mapping: its members by name, none but those known, none twice. Merge keys bring in what they name.
-func (p place) object(known ...string) map[string]place {
-	members := map[string]place{}
-	p.into(members, known, map[string]bool{}, 0)
+// object reads a mapping: its members by name. Unknown and duplicate names are errors. Merge keys are followed.
+func (p value) object(known ...string) map[string]value {
+	members := map[string]value{}
+	p.collectMembers(members, known, map[string]bool{}, 0)
 	return members
 }
 
-func (p place) into(members map[string]place, known []string, seen map[string]bool, depth int) {
-	if !p.there() {
+// collectMembers reads the members into a map; seen are those that take precedence.
+func (p value) collectMembers(members map[string]value, known []string, seen map[string]bool, depth int) {
+	if !p.exists() {
 		return
 	}
 	if depth > maxDepth {
-		p.fault("nested deeper than %d", maxDepth)
+		p.addError("nested deeper than %d", maxDepth)
 		return
 	}
 	var values []*ast.MappingValueNode
@@ -32,37 +33,38 @@
 	case *ast.MappingValueNode:
 		values = []*ast.MappingValueNode{n}
 	default:
-		p.fault("wants members, as name: value")
+		p.addError("wants members, as name: value")
 		return
 	}
 	mine := map[string]bool{}
-	var merges []place
+	var merges []value
 	for _, v := range values {
-		if p.r.nodes++; p.r.nodes > maxNodes {
-			p.fault("more than %d values, aliases counted each time", maxNodes)
+		if p.reader.nodes++; p.reader.nodes > maxNodes {
+			p.addError("more than %d values, aliases counted each time", maxNodes)
 			return
 		}
 		name := keyName(v.Key)
-		at := place{p.r, v.Value, join(p.path, name)}
-		key := place{p.r, v.Key, join(p.path, name)}
+		at := value{p.reader, v.Value, join(p.path, name)}
+		key := value{p.reader, v.Key, join(p.path, name)}
 		switch {
 		case v.Key.IsMergeKey():
-			merges = append(merges, place{p.r, v.Value, p.path})
+			merges = append(merges, value{p.reader, v.Value, p.path})
 		case mine[name]:
-			key.fault("stands twice")
+			key.addError("stands twice")
 		case known != nil && !slices.Contains(known, name):
-			key.fault("is not known here%s", nearest(name, known))
-		case seen[name]: // given nearer by
+			key.addError("is not known here%s", nearest(name, known))
+		case seen[name]: // it takes precedence over a merged one
 		default:
 			members[name] = at
 		}
 		mine[name], seen[name] = true, true
 	}
 	for _, m := range merges {
-		m.into(members, known, seen, depth+1)
+		m.collectMembers(members, known, seen, depth+1)
 	}
 }
 
+// keyName is the name of a key.
 func keyName(k ast.MapKeyNode) string {
 	if s, ok := k.(*ast.StringNode); ok {
 		return s.Value
@@ -70,7 +72,7 @@
 	return strings.Trim(k.String(), `"'`)
 }
 
-// nearest suggests a name that was perhaps meant.
+// nearest suggests the most similar known name.
 func nearest(name string, known []string) string {
 	best, least := "", 3
 	for _, k := range known {
@@ -106,21 +108,21 @@
 }
 
 // list reads a sequence.
-func (p place) list(most int) (list []place) {
-	if !p.there() {
+func (p value) list(limit int) (list []value) {
+	if !p.exists() {
 		return nil
 	}
 	n, ok := p.resolve().(*ast.SequenceNode)
 	if !ok {
-		p.fault("wants a list")
+		p.addError("wants a list")
 		return nil
 	}
-	if len(n.Values) > most {
-		p.fault("has %d entries, at most %d are allowed", len(n.Values), most)
+	if len(n.Values) > limit {
+		p.addError("has %d entries, at most %d are allowed", len(n.Values), limit)
 		return nil
 	}
 	for i, v := range n.Values {
-		list = append(list, place{p.r, v, fmt.Sprintf("%s[%d]", p.path, i)})
+		list = append(list, value{p.reader, v, fmt.Sprintf("%s[%d]", p.path, i)})
 	}
 	return list
 }
--- a/internal/gatherer/config/read.go
+++ b/internal/gatherer/config/read.go
@@ -1,5 +1,5 @@
-// Package config reads the installation's own file, in YAML with JSON as its subset: every fault is told with its line,
-// its column, the rule that it breaks and what would be allowed, all faults of a file in one go.
+// Package config reads an installation's file of limits, in YAML or JSON. Every error has its line, its column, the rule that
+// is violated and what would be allowed; all errors of a file are reported together. Use Load or Parse.
 package config
 
 import (
@@ -17,41 +17,41 @@
 const (
 	MaxFile  = 4 << 20
 	maxDepth = 20
-	maxNodes = 1 << 20 // anchors told apart: what an alias stands for counts each time
+	maxNodes = 1 << 20 // values, where those of an alias count each time
 )
 
-// place is a value of the file with where it stands.
-type place struct {
-	r    *reader
-	node ast.Node // nil where it is absent
-	path string
+// value is a value of the file with its position.
+type value struct {
+	reader *reader
+	node   ast.Node // nil if absent
+	path   string
 }
 
-// reader collects the faults of one file.
+// reader collects the errors of one file.
 type reader struct {
-	file    string
-	faults  Faults
-	anchors map[string]ast.Node
-	open    map[string]bool // anchors that are being looked into
-	nodes   int
+	file      string
+	errors    FieldErrors
+	anchors   map[string]ast.Node
+	resolving map[string]bool // anchors that are being looked into
+	nodes     int
 }
 
-// read parses a text to its top place.
-func read(file string, text []byte) (place, *reader) {
-	r := &reader{file: file, anchors: map[string]ast.Node{}, open: map[string]bool{}}
-	top := place{r: r}
+// read parses a text to its top-level value.
+func read(file string, text []byte) (value, *reader) {
+	r := &reader{file: file, anchors: map[string]ast.Node{}, resolving: map[string]bool{}}
+	top := value{reader: r}
 	if len(text) > MaxFile {
-		r.faults = append(r.faults, Fault{File: file, Line: 1, Column: 1, Rule: fmt.Sprintf("the file is over %d bytes", MaxFile)})
+		r.errors = append(r.errors, FieldError{File: file, Line: 1, Column: 1, Rule: fmt.Sprintf("the file is over %d bytes", MaxFile)})
 		return top, r
 	}
 	tree, err := parse(text)
 	if err != nil {
-		f := Fault{File: file, Line: 1, Column: 1, Rule: err.Error()}
+		f := FieldError{File: file, Line: 1, Column: 1, Rule: err.Error()}
 		var syntax *yaml.SyntaxError
 		if errors.As(err, &syntax) && syntax.Token != nil {
 			f.Line, f.Column, f.Rule = syntax.Token.Position.Line, syntax.Token.Position.Column, syntax.Message
 		}
-		r.faults = append(r.faults, f)
+		r.errors = append(r.errors, f)
 		return top, r
 	}
 	if len(tree.Docs) > 1 {
@@ -59,7 +59,7 @@
 		if d := tree.Docs[1]; d.Start != nil {
 			line, column = d.Start.Position.Line, d.Start.Position.Column
 		}
-		r.faults = append(r.faults, Fault{File: file, Line: line, Column: column, Rule: "a second document; one file is one"})
+		r.errors = append(r.errors, FieldError{File: file, Line: line, Column: column, Rule: "a second document; one file is one"})
 	}
 	if len(tree.Docs) > 0 {
 		r.collect(tree.Docs[0].Body, 0)
@@ -68,7 +68,7 @@
 	return top, r
 }
 
-// parse keeps a fault in the library, which some texts have brought about, from being one here.
+// parse recovers panics of the library, which some texts have caused.
 func parse(text []byte) (tree *ast.File, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -78,7 +78,7 @@
 	return parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 }
 
-// collect remembers anchors, so that an alias may stand before what else refers to it.
+// collect records the anchors.
 func (r *reader) collect(n ast.Node, depth int) {
 	if n == nil || depth > 10*maxDepth {
 		return
@@ -101,7 +101,7 @@
 }
 
 // resolve follows anchors and aliases to a value.
-func (p place) resolve() ast.Node {
+func (p value) resolve() ast.Node {
 	n := p.node
 	for range maxDepth {
 		switch x := n.(type) {
@@ -109,9 +109,9 @@
 			n = x.Value
 		case *ast.AliasNode:
 			name := x.Value.String()
-			target, ok := p.r.anchors[name]
+			target, ok := p.reader.anchors[name]
 			if !ok {
-				p.fault("the alias *%s has no anchor", name)
+				p.addError("the alias *%s has no anchor", name)
 				return nil
 			}
 			n = target
@@ -121,10 +121,11 @@
 			return n
 		}
 	}
-	p.fault("aliases that lead to each other")
+	p.addError("aliases that lead to each other")
 	return nil
 }
 
+// position is the line and column of a node.
 func position(n ast.Node) (line, column int) {
 	if n == nil {
 		return 1, 1
@@ -142,13 +143,14 @@
 	return t.Position.Line, t.Position.Column
 }
 
-// fault notes what is wrong at a place.
-func (p place) fault(format string, args ...any) {
+// addError records an error at the position of the value.
+func (p value) addError(format string, args ...any) {
 	line, column := position(p.node)
-	p.r.faults = append(p.r.faults, Fault{p.r.file, line, column, p.path, fmt.Sprintf(format, args...)})
+	p.reader.errors = append(p.reader.errors, FieldError{p.reader.file, line, column, p.path, fmt.Sprintf(format, args...)})
 }
 
-func (p place) there() bool {
+// exists reports whether the value is present and not null.
+func (p value) exists() bool {
 	if p.node == nil {
 		return false
 	}
@@ -156,11 +158,13 @@
 	return !null
 }
 
-func (p place) line() int {
+// lineNumber is the line of the value.
+func (p value) lineNumber() int {
 	line, _ := position(p.node)
 	return line
 }
 
+// join appends a name to the path of a field.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -168,11 +172,11 @@
 	return path + "." + name
 }
 
-// done gives the faults, by place.
-func (r *reader) done() error {
-	if len(r.faults) == 0 {
+// result returns the errors by position, nil if there are none.
+func (r *reader) result() error {
+	if len(r.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column)) })
-	return slices.Compact(r.faults)
+	slices.SortStableFunc(r.errors, func(a, b FieldError) int { return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column)) })
+	return slices.Compact(r.errors)
 }
--- a/internal/gatherer/gather/limits.go
+++ b/internal/gatherer/gather/limits.go
@@ -12,7 +12,7 @@
 // Limits are the routes and the retry budget of all of them together. The zero value limits nothing.
 type Limits struct {
 	Table   *limits.Table
-	Repeats limits.RetryBudget // of all routes together
+	Retries limits.RetryBudget // of all routes together
 	// Class returns the number of the class that a route derives from a class: the class itself where it derives none.
 	Class func(r *limits.Route, class int) int
 }
@@ -76,7 +76,7 @@
 		}
 	}
 	c.admission.limits, c.admission.gates = l, gates
-	c.admission.total.Limits.Retries = l.Repeats
+	c.admission.total.Limits.Retries = l.Retries
 	if c.admission.waiting == nil {
 		c.admission.waiting = map[uint64]*Request{}
 	}
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -120,7 +120,7 @@
 	}
 	if c != nil {
 		set, l.Class = narrowClasses(set, c.Limits.Routes)
-		l.Table, l.Repeats = c.Limits.Table, c.Limits.Repeats
+		l.Table, l.Retries = c.Limits.Table, c.Limits.Retries
 	}
 	d.core.ChangeSettings(set)
 	d.core.SetLimits(l)
@@ -131,7 +131,7 @@
 // the settings still allow them.
 func (d *Daemon) reloadLimits(set *settings.Settings) *config.Config {
 	c, err := loadLimits(d.config.LimitsFile, set)
-	var faults config.Faults
+	var faults config.FieldErrors
 	switch {
 	case errors.As(err, &faults):
 		for _, f := range faults {
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -27,7 +27,7 @@
 	if conflicts != nil {
 		tb.Fatal(conflicts[0])
 	}
-	r.core.SetLimits(gather.Limits{Table: table, Repeats: repeats})
+	r.core.SetLimits(gather.Limits{Table: table, Retries: repeats})
 }
 
 // from asks as a client at an address.
--- a/internal/gatherer/settings/daemon.go
+++ b/internal/gatherer/settings/daemon.go
@@ -11,10 +11,10 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Current holds the settings in force, for all that read them; they are swapped whole.
+// Current holds the settings in force. They are replaced as a whole.
 type Current = atomic.Pointer[Settings]
 
-// Class is the number of the class of a name, -1 for none.
+// Class returns the number of the class with the name, -1 for none.
 func (s *Settings) Class(name string) int {
 	for i, n := range s.Classes {
 		if n == name && !s.dropped(i) {
@@ -24,11 +24,11 @@
 	return -1
 }
 
+// dropped reports whether a class is kept only for requests in flight.
 func (s *Settings) dropped(class int) bool { return class < len(s.Dropped) && s.Dropped[class] }
 
-// Narrow gives settings in which a class stands also as changed, under a number of its own, and that number: the class's
-// own where nothing of it is changed. Names lead to the class as it was; the number is for requests that are given it.
-// A number that stands for the very same from before is used again.
+// Narrow returns settings with a changed copy of a class under its own number, and that number: the class's own if nothing is
+// changed. The name still leads to the unchanged class. The number of an equal earlier copy is reused.
 func (s Settings) Narrow(class int, change func(*decision.Class)) (Settings, int) {
 	k := s.Policy.Classes[class]
 	if change(&k); k == s.Policy.Classes[class] {
@@ -48,7 +48,7 @@
 	return s, len(s.Classes) - 1
 }
 
-// required are the keys that a daemon reads, without which Parse would take 0 for an answer.
+// required are the keys that a daemon needs, for which Parse would use 0.
 var (
 	required = []string{"siblings", "tickUs", "discovery", "zones", "classes", "familyInfo.batch", "familyInfo.callUs",
 		"familyInfo.completeFrom", "familyInfo.leastShare", "familyInfo.fetchParts", "familyInfo.positions",
@@ -63,8 +63,7 @@
 		"limits.connectTimeoutUs"}
 )
 
-// ParseDaemon is Parse for a daemon, which must not start on, or change over to, settings that are not whole.
-// Every error names the field.
+// ParseDaemon is Parse for a daemon, which must not start with, or change to, incomplete settings. Every error names the field.
 func ParseDaemon(text []byte) (Settings, error) {
 	if !gjson.ValidBytes(text) { // gjson's getters take garbage
 		return Settings{}, errors.New("settings: missing, or not JSON")
@@ -102,28 +101,34 @@
 				return s, fmt.Errorf("settings: classes[%d].%s is missing", i, key)
 			}
 		}
-		k := s.Policy.Classes[i]
-		effect := c.Get("effect").Str
-		switch {
-		case s.Classes[i] == "" || slices.Index(s.Classes, s.Classes[i]) != i:
-			return s, fmt.Errorf("settings: classes[%d].name is empty, or stands twice", i)
-		case k.Deadline <= 0:
-			return s, fmt.Errorf("settings: classes[%d].deadlineUs is not above 0", i)
-		case k.LatencyTarget <= 0:
-			return s, fmt.Errorf("settings: classes[%d].onTimeUs is not above 0", i)
-		case effect != "safe" && effect != "keyed" && effect != "unsafe":
-			return s, fmt.Errorf("settings: classes[%d].effect: %.40q is not known", i, effect)
-		case k.Effect == decision.Deduplicated && k.Window <= 0:
-			return s, fmt.Errorf("settings: classes[%d].memorySpanUs is missing or not above 0", i)
+		if err := s.checkClass(i, c.Get("effect").Str); err != nil {
+			return s, err
 		}
 	}
 	return s, s.Policy.Check()
 }
 
-// Over makes of new settings those that follow old ones in a daemon that serves. A class keeps its number only
-// where nothing of it has changed; any other is appended, and the old number keeps its rules, marked as dropped, for
-// the requests in hand. No number is ever used for another class. What a running daemon cannot change stays as it
-// was and is named in kept.
+// checkClass checks the i-th class.
+func (s *Settings) checkClass(i int, effect string) error {
+	k := s.Policy.Classes[i]
+	switch {
+	case s.Classes[i] == "" || slices.Index(s.Classes, s.Classes[i]) != i:
+		return fmt.Errorf("settings: classes[%d].name is empty, or stands twice", i)
+	case k.Deadline <= 0:
+		return fmt.Errorf("settings: classes[%d].deadlineUs is not above 0", i)
+	case k.LatencyTarget <= 0:
+		return fmt.Errorf("settings: classes[%d].onTimeUs is not above 0", i)
+	case effect != "safe" && effect != "keyed" && effect != "unsafe":
+		return fmt.Errorf("settings: classes[%d].effect: %.40q is not known", i, effect)
+	case k.Effect == decision.Deduplicated && k.Window <= 0:
+		return fmt.Errorf("settings: classes[%d].memorySpanUs is missing or not above 0", i)
+	}
+	return nil
+}
+
+// Over returns the settings that replace old ones in a running daemon. A class keeps its number only if it is unchanged; any
+// other is appended, and the old number keeps its rules, marked as dropped, for requests in flight. A number is never reused
+// for another class. What a running daemon cannot change stays, and is named in kept.
 func (s Settings) Over(old Settings) (merged Settings, kept []string) {
 	merged = s
 	merged.Classes = slices.Clone(old.Classes)
--- a/internal/gatherer/settings/settings.go
+++ b/internal/gatherer/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the operator's settings text, for the daemon and the simulator's adapter alike.
+// Package settings parses the operator's settings, for the daemon and for the simulator's host.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// options mirrors the settings text. Keys not named here are skipped; pointers tell absent keys.
+// options mirrors the settings text. Its names are the keys. Unknown keys are ignored; pointers distinguish absent keys.
 type options struct {
 	Siblings       int
 	TickUs         int64
@@ -50,43 +50,45 @@
 	}
 }
 
+// us converts microseconds.
 func us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-func at(list []float64, i int, absent float64) float64 {
+// valueAt is the i-th value of a list, or absent.
+func valueAt(list []float64, i int, absent float64) float64 {
 	if i < len(list) {
 		return list[i]
 	}
 	return absent
 }
 
-// Settings are what the operator states: the module's part, and what only a daemon on sockets needs.
+// Settings are the operator's settings: those of package policy, and what only a daemon on sockets needs.
 type Settings struct {
 	Policy         decision.Settings
 	Classes        []string // names, in the order of Policy.Classes
-	Dropped        []bool   // of those, the ones kept only for requests in hand; the rest are in force
+	Dropped        []bool   // by class: kept only for requests in flight; the rest are in force
 	Zones          []string
 	Shards         int
-	OpenCap        int           // queries and parts held at once
-	StreamsPerConn int           // parts that one connection carries at once
-	ConnIdle       time.Duration // a lot store closes a connection idle for so long
+	OpenCap        int           // queries and subqueries in flight at once
+	StreamsPerConn int           // subqueries in flight on one connection
+	ConnIdle       time.Duration // a lot store closes a connection that has been idle for so long
 	ConnectTimeout time.Duration
-	DrainGrace     time.Duration // sends to a lot store that drains must have ended so long after that is told; 0 for not stated
+	DrainGrace     time.Duration // sends to a draining lot store must have ended within this; 0 if not configured
 }
 
-// leftFor is less than the time for which a request may still be sent on whose client has left.
-const leftFor = 250 * time.Millisecond
+// clientGoneMargin is less than the time for which a request may still be sent after its client has disconnected.
+const clientGoneMargin = 250 * time.Millisecond
 
-// WriteFor is how long a lot store that does not read is waited for. What is being written to it cannot be called off,
-// though the store may be told to drain meanwhile and clients leave.
+// WriteFor is the time-out of a write to a lot store that does not read. What is being written cannot be cancelled, though
+// the store may start to drain meanwhile and clients may disconnect.
 func (s Settings) WriteFor() time.Duration {
-	most := min(4*s.ConnectTimeout, leftFor)
+	limit := min(4*s.ConnectTimeout, clientGoneMargin)
 	if s.DrainGrace > 0 {
-		most = min(most, s.DrainGrace)
+		limit = min(limit, s.DrainGrace)
 	}
-	return most
+	return limit
 }
 
-// Parse translates the settings text.
+// Parse parses the settings.
 func Parse(text []byte) (Settings, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -118,7 +120,7 @@
 		k := decision.Class{
 			Deadline:      us(c.DeadlineUs),
 			LatencyTarget: us(c.OnTimeUs), Value: c.Worth, Window: us(c.MemorySpanUs),
-			Need: at(f.CompleteFrom, i, 1), Floor: at(f.LeastShare, i, 1), MaxAttempts: l.MaxAttempts,
+			Need: valueAt(f.CompleteFrom, i, 1), Floor: valueAt(f.LeastShare, i, 1), MaxAttempts: l.MaxAttempts,
 		}
 		if i < len(f.FetchParts) {
 			k.Fetch = f.FetchParts[i]
@@ -128,7 +130,7 @@
 			k.Effect = decision.Idempotent
 		case "keyed":
 			k.Effect = decision.Deduplicated
-		default: // what is not known is taken for the worst
+		default: // an unknown effect counts as the least safe
 			k.Effect = decision.NotIdempotent
 		}
 		s.Classes = append(s.Classes, k)
