--- a/internal/gatherer/cli/cli.go
+++ b/internal/gatherer/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: serving, which is what no command means, checking and explaining the installation's
-// file, and operators' calls.
+// Package cli is the command line of a gatherer: serving, which is the default command, checking and explaining a file of
+// limits, reading the record, and operators' calls.
 package cli
 
 import (
@@ -19,8 +19,8 @@
 
 // Exit codes, beside 0.
 const (
-	ExitFault       = 1 // a file has faults, a call was answered no, or the process could not start
-	ExitUsage       = 2 // the command line is not understood
+	ExitFault       = 1 // a file has errors, a call failed, or the process could not start
+	ExitUsage       = 2 // the command line is invalid
 	ExitUnreachable = 3 // nobody answers at the address
 )
 
@@ -30,17 +30,20 @@
 	err  error
 }
 
+// Error implements error.
 func (e *codeError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error without its code.
 func (e *codeError) Unwrap() error { return e.err }
 
-// Files are what a process is told by its command line.
+// Files are the files and the settings of the log on the command line.
 type Files struct {
 	Config, OpenSearch, Operations, Limits, Record string
 	LogLevel                                       slog.Level
 	LogFormat                                      logging.Format
 }
 
-// Run carries out a command line, and returns the exit code. serve serves until it is told to stop.
+// Run carries out a command line and returns the exit code. Serve serves until the process is to stop.
 func Run(args []string, out, errOut io.Writer, serve func(Files) error) int {
 	files := Files{}
 	root := &cobra.Command{
@@ -86,7 +89,7 @@
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(errOut, err)
+	printf(errOut, "%v\n", err)
 	var coded *codeError
 	switch {
 	case errors.As(err, &coded):
@@ -97,6 +100,10 @@
 	return ExitFault
 }
 
+// printf writes to a terminal or a pipe. Nothing can be done if that fails.
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+
+// noArgs rejects arguments.
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return &codeError{ExitUsage, fmt.Errorf("unknown command %q for %q", args[0], c.CommandPath())}
@@ -104,7 +111,7 @@
 	return nil
 }
 
-// longFlags takes the flags by one dash, as they were before there were commands.
+// longFlags accepts flags with a single dash, as they were before there were commands.
 func longFlags(args []string) []string {
 	list := make([]string, len(args))
 	for i, a := range args {
@@ -119,6 +126,7 @@
 	return list
 }
 
+// version prints the version of the build.
 func version() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Say which version this is", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
 		info, ok := debug.ReadBuildInfo()
@@ -131,7 +139,7 @@
 				rev = " " + s.Value
 			}
 		}
-		fmt.Fprintf(c.OutOrStdout(), "pulleygw %s%s, %s\n", info.Main.Version, rev, info.GoVersion)
+		printf(c.OutOrStdout(), "pulleygw %s%s, %s\n", info.Main.Version, rev, info.GoVersion)
 		return nil
 	}}
 }
--- a/internal/gatherer/cli/cli_test.go
+++ b/internal/gatherer/cli/cli_test.go
@@ -22,7 +22,7 @@
 
 const platform = "../../../examples/config.json"
 
-// No command means serving, with the flags that there were, by one dash or two; a fault at the start is code 1.
+// No command means serving, with the flags by one dash or two; an error at the start is code 1.
 func TestServe(t *testing.T) {
 	for _, args := range [][]string{{}, {"serve"}, {"-config", "c", "-file=l", "-opensearch", "o"}, {"--config", "c", "--file", "l", "--opensearch=o"},
 		{"serve", "-config=c", "--file", "l", "-opensearch", "o"}} {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Faults come one a line with code 1, as JSON too; a good file is said to be.
+// Errors are printed one per line with code 1, as JSON too; a valid file is said to be.
 func TestCheck(t *testing.T) {
 	if code, out, _, _ := run(t, "check", "../../../examples/pulleygw.yaml", "--config", platform); code != 0 || !strings.Contains(out, "good, 3 routes") {
 		t.Errorf("code %d: %s", code, out)
@@ -70,7 +70,7 @@
 	}
 }
 
-// A request's route, class and limits are told, each with the line that it comes from.
+// The route, class and limits of a request are printed, each with the line that it comes from.
 func TestExplain(t *testing.T) {
 	args := []string{"explain", "--config", platform, "--file", "../../../examples/pulleygw.yaml", "--front", "opensearch", "--index", "lots"}
 	code, out, errOut, _ := run(t, append(args, "--client", "10.1.2.3")...)
@@ -99,7 +99,7 @@
 	}
 }
 
-// A record is shown by what is asked for, and proved or not.
+// A record is printed as filtered, and audited.
 func TestLogAndAudit(t *testing.T) {
 	dir := t.TempDir()
 	w, err := record.Open(record.Config{Dir: dir, FileSize: 1 << 20, Files: 2, Ring: 100})
@@ -138,7 +138,7 @@
 	}
 }
 
-// Calls are made as operators make them; no, and nobody there, are told apart by the code.
+// Calls are made as operators make them; a rejected call and an unreachable process have different codes.
 func TestCtl(t *testing.T) {
 	l := standin.Listen(t)
 	go admin.New(l, func(call admin.Call) (string, error) {
--- a/internal/gatherer/cli/files.go
+++ b/internal/gatherer/cli/files.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net/netip"
 	"os"
 	"strings"
@@ -16,7 +17,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// classes are the operator's, from the platform's configuration file.
+// classes reads the operator's classes from the configuration file.
 func classes(path string) (*settings.Settings, []limits.Class, error) {
 	if path == "" {
 		return nil, nil, &codeError{ExitUsage, errors.New("--config is wanted (or $LB_CONFIG): limits are checked against its classes")}
@@ -28,6 +29,7 @@
 	return &c.Settings, lifecycle.LimitClasses(&c.Settings), nil
 }
 
+// check checks a file of limits.
 func check(files *Files) *cobra.Command {
 	asJSON := false
 	c := &cobra.Command{Use: "check [FILE]", Short: "Check a file of limits: all its faults, by line and rule",
@@ -47,35 +49,36 @@
 				return err
 			}
 			read, err := config.Parse(path, text, of)
-			var faults config.FieldErrors
-			if err != nil && !errors.As(err, &faults) {
+			var wrong config.FieldErrors
+			if err != nil && !errors.As(err, &wrong) {
 				return err
 			}
 			out := c.OutOrStdout()
 			if asJSON {
-				if faults == nil {
-					faults = config.FieldErrors{}
+				if wrong == nil {
+					wrong = config.FieldErrors{}
 				}
 				e := json.NewEncoder(out)
 				e.SetIndent("", "  ")
-				if err := e.Encode(map[string]any{"file": path, "good": len(faults) == 0, "faults": faults}); err != nil {
+				if err := e.Encode(map[string]any{"file": path, "good": len(wrong) == 0, "faults": wrong}); err != nil {
 					return err
 				}
-			} else if len(faults) == 0 {
-				fmt.Fprintf(out, "%s: good, %d routes\n", path, len(read.Limits.Routes))
+			} else if len(wrong) == 0 {
+				printf(out, "%s: good, %d routes\n", path, len(read.Limits.Routes))
 			}
-			if len(faults) == 0 {
+			if len(wrong) == 0 {
 				return nil
 			}
 			if asJSON {
-				return &codeError{ExitFault, fmt.Errorf("%d faults", len(faults))}
+				return &codeError{ExitFault, fmt.Errorf("%d faults", len(wrong))}
 			}
-			return &codeError{ExitFault, faults}
+			return &codeError{ExitFault, wrong}
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return c
 }
 
+// explain prints the route, the class and the limits of a request.
 func explain(files *Files) *cobra.Command {
 	var r limits.Request
 	var class, client string
@@ -99,14 +102,7 @@
 					return &codeError{ExitUsage, fmt.Errorf("--client: %w", err)}
 				}
 			}
-			r.Header = func(name string) string {
-				for _, h := range headers {
-					if k, v, _ := strings.Cut(h, "="); strings.EqualFold(k, name) {
-						return v
-					}
-				}
-				return ""
-			}
+			r.Header = func(name string) string { return header(headers, name) }
 			file, err := config.Load(files.Limits, of)
 			if err != nil {
 				return err
@@ -117,26 +113,12 @@
 				route = file.Limits.Table.Find(&r, class)
 			}
 			if route == nil {
-				fmt.Fprintf(out, "route: none; class %s as the settings have it\n", class)
+				printf(out, "route: none; class %s as the settings have it\n", class)
 				route = &limits.Route{}
 			} else {
-				fmt.Fprintf(out, "route: %s (%s:%d)\nclass: %s\n", route.Name, files.Limits, route.LineNumber, class)
-			}
-			k := of[0]
-			for _, x := range of {
-				if x.Name == class {
-					k = x
-				}
-			}
-			inherited := map[string]any{"wanted": k.LatencyTarget, "give_up": k.Timeout, "attempts": k.Attempts, "least": k.Floor}
-			for _, f := range route.Limits.Fields() {
-				switch {
-				case f[1] != "":
-					fmt.Fprintf(out, "  %-18s %-12s %s:%d\n", f[0], f[1], files.Limits, route.LineNumberOf(f[0]))
-				case inherited[f[0]] != nil:
-					fmt.Fprintf(out, "  %-18s %-12v %s (class %s)\n", f[0], inherited[f[0]], files.Config, class)
-				}
+				printf(out, "route: %s (%s:%d)\nclass: %s\n", route.Name, files.Limits, route.LineNumber, class)
 			}
+			printLimits(out, files, route, of, class)
 			return nil
 		}}
 	c.Flags().StringVar(&r.Front, "front", "platform", "platform or opensearch")
@@ -147,3 +129,32 @@
 	c.Flags().StringArrayVar(&headers, "header", nil, "a header as NAME=VALUE, as often as wanted")
 	return c
 }
+
+// header returns the value of a header among NAME=VALUE, empty if it is missing.
+func header(headers []string, name string) string {
+	for _, h := range headers {
+		if k, v, _ := strings.Cut(h, "="); strings.EqualFold(k, name) {
+			return v
+		}
+	}
+	return ""
+}
+
+// printLimits prints the limits of a route for a class, and where each comes from.
+func printLimits(out io.Writer, files *Files, route *limits.Route, classes []limits.Class, class string) {
+	k := classes[0]
+	for _, x := range classes {
+		if x.Name == class {
+			k = x
+		}
+	}
+	inherited := map[string]any{"wanted": k.LatencyTarget, "give_up": k.Timeout, "attempts": k.Attempts, "least": k.Floor}
+	for _, f := range route.Limits.Fields() {
+		switch {
+		case f[1] != "":
+			printf(out, "  %-18s %-12s %s:%d\n", f[0], f[1], files.Limits, route.LineNumberOf(f[0]))
+		case inherited[f[0]] != nil:
+			printf(out, "  %-18s %-12v %s (class %s)\n", f[0], inherited[f[0]], files.Config, class)
+		}
+	}
+}
--- a/internal/gatherer/cli/operate.go
+++ b/internal/gatherer/cli/operate.go
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 )
 
-// auditCommand reads a record and says whether every limit held.
+// auditCommand audits a record.
 func auditCommand() *cobra.Command {
 	return &cobra.Command{Use: "audit FOLDER", Short: "Prove from the record of attempts that every limit held", Args: cobra.ExactArgs(1),
 		Example: "  pulleygw audit /var/lib/pulleygw/record",
@@ -26,7 +26,7 @@
 			a, n := audit.New(), 0
 			torn, err := record.Read(args[0], func(e record.Entry) error {
 				if n++; n%1_000_000 == 0 {
-					fmt.Fprintf(c.ErrOrStderr(), "%d entries read\n", n)
+					printf(c.ErrOrStderr(), "%d entries read\n", n)
 				}
 				a.Add(e)
 				return nil
@@ -35,36 +35,46 @@
 				return err
 			}
 			r, out := a.Report(), c.OutOrStdout()
-			fmt.Fprintf(out, "%d entries, %d files that end torn, %d entries dropped\n", n, torn, r.Dropped)
-			fmt.Fprintf(out, "%d requests: %d answered, %d refused, %d failed, %d left by their clients, %d still open; %d attempts\n",
+			printf(out, "%d entries, %d files that end torn, %d entries dropped\n", n, torn, r.Dropped)
+			printf(out, "%d requests: %d answered, %d refused, %d failed, %d left by their clients, %d still open; %d attempts\n",
 				r.Requests, r.Answered, r.Rejected, r.Failed, r.Disconnected, r.Open, r.Attempts)
 			for _, b := range r.Violations {
-				fmt.Fprintln(out, "breach:", b)
+				printf(out, "breach: %v\n", b)
 			}
 			if found := len(r.Violations) + r.More; found > 0 {
 				return &codeError{ExitFault, fmt.Errorf("%d breaches", found)}
 			}
-			fmt.Fprintln(out, "every limit held")
+			printf(out, "every limit held\n")
 			return nil
 		}}
 }
 
+// kindNames are the kinds of entries as printed.
 var kindNames = map[record.Kind]string{record.Arrived: "arrived", record.Released: "let", record.Attempt: "attempt", record.Final: "final",
 	record.Dropped: "dropped", record.Started: "begun"}
 
-// logCommand shows a record, filtered, and goes on as it grows.
+// entryFilter selects entries of a record; empty fields select all.
+type entryFilter struct {
+	kind, route, class, verdict string
+	request                     uint64
+	store                       uint32
+}
+
+// selects reports whether an entry is selected.
+func (f *entryFilter) selects(e record.Entry) bool {
+	return (f.kind == "" || kindNames[e.Kind] == f.kind) && (f.route == "" || e.Route == f.route) && (f.class == "" || e.Class == f.class) &&
+		(f.verdict == "" || e.Verdict == f.verdict) && (f.request == 0 || e.Request == f.request) && (f.store == 0 || e.Store == f.store)
+}
+
+// logCommand prints a record, filtered, and follows it if asked.
 func logCommand() *cobra.Command {
-	var route, class, verdict, kind string
-	var request uint64
-	var store uint32
-	follow := false
+	filter, follow := entryFilter{}, false
 	c := &cobra.Command{Use: "log FOLDER", Short: "Show the record of attempts, one entry a line as JSON", Args: cobra.ExactArgs(1),
 		Example: "  pulleygw log FOLDER --route dealers --verdict refuse --follow\n  pulleygw log FOLDER --request 812",
 		RunE: func(c *cobra.Command, args []string) error {
 			out := json.NewEncoder(c.OutOrStdout())
 			show := func(e record.Entry) error {
-				if kind != "" && kindNames[e.Kind] != kind || route != "" && e.Route != route || class != "" && e.Class != class ||
-					verdict != "" && e.Verdict != verdict || request > 0 && e.Request != request || store > 0 && e.Store != store {
+				if !filter.selects(e) {
 					return nil
 				}
 				return out.Encode(struct {
@@ -96,20 +106,20 @@
 			}
 		}}
 	f := c.Flags()
-	f.StringVar(&kind, "kind", "", "arrived, let, attempt, final, dropped or begun")
-	f.StringVar(&route, "route", "", "of a route's arrivals")
-	f.StringVar(&class, "class", "", "of a class's arrivals")
-	f.StringVar(&verdict, "verdict", "", "admit, wait, refuse, answered, refused, failed or left")
-	f.Uint64Var(&request, "request", 0, "of one request, by its number")
-	f.Uint32Var(&store, "store", 0, "of attempts at a lot store, by its number")
+	f.StringVar(&filter.kind, "kind", "", "arrived, let, attempt, final, dropped or begun")
+	f.StringVar(&filter.route, "route", "", "of a route's arrivals")
+	f.StringVar(&filter.class, "class", "", "of a class's arrivals")
+	f.StringVar(&filter.verdict, "verdict", "", "admit, wait, refuse, answered, refused, failed or left")
+	f.Uint64Var(&filter.request, "request", 0, "of one request, by its number")
+	f.Uint32Var(&filter.store, "store", 0, "of attempts at a lot store, by its number")
 	f.BoolVar(&follow, "follow", false, "go on as it grows, until interrupted")
 	return c
 }
 
-// followEvery is how often a record is looked at for what is new.
+// followEvery is how often a record is read again when it is followed.
 const followEvery = 200 * time.Millisecond
 
-// ctl makes operators' calls, one line each; docs/operating.md says what they do.
+// ctl makes operators' calls; docs/operating.md says what they do.
 func ctl() *cobra.Command {
 	admin := os.Getenv("LB_ADMIN")
 	c := &cobra.Command{Use: "ctl", Short: "Make an operator's call at a gatherer that serves", Args: noArgs,
@@ -131,20 +141,21 @@
 	return c
 }
 
-// callFor is how long a call may take: an answer is due within a second.
-const callFor = 3 * time.Second
+// callTimeout is the time-out of a call: an answer is due within a second.
+const callTimeout = 3 * time.Second
 
+// call makes one call and prints the answer.
 func call(c *cobra.Command, addr, line string) error {
 	if addr == "" {
 		return &codeError{ExitUsage, errors.New("--admin is wanted (or $LB_ADMIN)")}
 	}
 	unreachable := func(err error) error { return &codeError{ExitUnreachable, fmt.Errorf("call %s: %w", addr, err)} }
-	nc, err := (&net.Dialer{Timeout: callFor}).DialContext(c.Context(), "tcp", addr)
+	nc, err := (&net.Dialer{Timeout: callTimeout}).DialContext(c.Context(), "tcp", addr)
 	if err != nil {
 		return unreachable(err)
 	}
 	defer nc.Close()
-	if err := nc.SetDeadline(time.Now().Add(callFor)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return unreachable(err)
 	}
 	if _, err := fmt.Fprintf(nc, "%s\n", line); err != nil {
@@ -154,7 +165,7 @@
 	if err != nil && answer == "" {
 		return unreachable(err)
 	}
-	fmt.Fprint(c.OutOrStdout(), answer)
+	printf(c.OutOrStdout(), "%s", answer)
 	if !strings.HasPrefix(answer, "200") {
 		return &codeError{ExitFault, errors.New("answered no")}
 	}
--- a/internal/gatherer/config/config_test.go
+++ b/internal/gatherer/config/config_test.go
@@ -17,8 +17,8 @@
 	{Name: "place-bid", Effect: limits.Deduplicated, LatencyTarget: 1500 * time.Millisecond, Timeout: 4 * time.Second, Window: 4 * time.Second, Attempts: 4, Floor: 1},
 }
 
-// Each bad file is refused with every fault that it has, each with its line and rule; the good one loads.
-func TestFiles(t *testing.T) {
+// Each invalid file is rejected with all its errors, each with its line and rule; the valid one loads.
+func TestInvalidFiles(t *testing.T) {
 	files, err := os.ReadDir("testdata")
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	}
 }
 
-// The good file says what it says, by anchors and merge keys too; JSON is the same language.
-func TestGood(t *testing.T) {
+// The valid file is read as written, with anchors and merge keys too; JSON is accepted as well.
+func TestValidFile(t *testing.T) {
 	c, err := Load("testdata/good.yaml", classes)
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	return err
 }
 
-// Cuts and garbage get faults with places, and never more.
+// Truncated and corrupt files get errors with positions, and never more.
 func TestGarbage(t *testing.T) {
 	text, err := os.ReadFile("testdata/good.yaml")
 	if err != nil {
--- a/internal/gatherer/logging/logging_test.go
+++ b/internal/gatherer/logging/logging_test.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// A storm of one event is held down to its count, others go on, and the level may change while it runs.
-func TestStorm(t *testing.T) {
+// A burst of one event is sampled, other events are not, and the level may change while it runs.
+func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		level := &slog.LevelVar{}
--- a/internal/gatherer/settings/settings_test.go
+++ b/internal/gatherer/settings/settings_test.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-// A daemon takes nothing that is not whole: each key that it reads must be there, and the error names it.
+// A daemon accepts no incomplete settings: each key that it reads must be there, and the error names it.
 func TestParseDaemon(t *testing.T) {
 	good := fmt.Sprintf(whole, bid)
 	proptest.CheckParser(t, true, func(b []byte) error { _, err := ParseDaemon(b); return err }, good)
@@ -70,7 +70,7 @@
 	}
 }
 
-// without takes the key at the end of a path out of an object.
+// without removes the key at the end of a path from an object.
 func without(text, path string) (string, error) {
 	var root map[string]any
 	if err := json.Unmarshal([]byte(text), &root); err != nil {
@@ -85,8 +85,8 @@
 	return string(b), err
 }
 
-// Numbers of classes are never used twice: an unchanged class keeps its own, a changed or new one gets another, and
-// those dropped keep their rules for what is in hand.
+// Numbers of classes are never reused: an unchanged class keeps its own, a changed or new one gets another, and those
+// dropped keep their rules for requests in flight.
 func TestOver(t *testing.T) {
 	first := parse(t, fmt.Sprintf(whole, bid))
 	second, _ := parse(t, fmt.Sprintf(whole, strings.Replace(bid, "place-bid", "bid-status", 1))).Over(first)
@@ -107,7 +107,7 @@
 	}
 }
 
-// What a lot store that does not read is written for is within each time that runs meanwhile.
+// The time-out of a write to a lot store that does not read is within each time that runs meanwhile.
 func TestWriteFor(t *testing.T) {
 	for _, x := range []struct{ connect, grace, want time.Duration }{
 		{250 * time.Millisecond, 0, clientGoneMargin}, {250 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond},
--- a/internal/gatherer/store/store_test.go
+++ b/internal/gatherer/store/store_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Three members agree; one that does not lead tells where the leader is; a member that starts again has
-// what it had and what it missed.
+// Three members agree; one that is not the leader says where the leader is; a member that restarts has what it had and
+// what it missed.
 func TestReplicated(t *testing.T) {
 	var nodes []Node
 	var listeners []net.Listener
--- a/internal/gatherer/wire/wire_test.go
+++ b/internal/gatherer/wire/wire_test.go
@@ -15,10 +15,11 @@
 	"1300000003" + "170007f5b55d3a91c400000091f03b7c55d20a640003a98000002ee043560000000000003e0000000001" +
 	"16000000000000004d" + "1300000005" + "19000231a00e6f2b19"
 
-func unhex(t testing.TB, s string) []byte {
+func unhex(tb testing.TB, s string) []byte {
+	tb.Helper()
 	b, err := hex.DecodeString(s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-// Each malformed frame is named, with where it broke.
+// Each malformed frame is an error that says where.
 func TestMalformed(t *testing.T) {
 	for name, c := range map[string]struct{ frame, want string }{
 		"cut header":     {"0000", "batch header"},
