--- a/cmd/pulleygw/main.go
+++ b/cmd/pulleygw/main.go
@@ -1,5 +1,4 @@
-// Command pulleygw is one gatherer: it takes queries from clients, sends their parts to lot stores and
-// answers from what comes back.
+// Command pulleygw is one gatherer: it serves queries of clients, sends their subqueries to lot stores and merges the answers.
 package main
 
 import (
@@ -16,17 +15,18 @@
 )
 
 func main() {
-	// Before anything else, as either signal would kill until then. A channel each: one that is full drops.
+	// Before anything else, as either signal would end the process until then. One channel each, as a full one drops signals.
 	terminate, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
 	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, func(f cli.Files) error { return serve(f, terminate, reload) }))
 }
 
+// serve serves until the process is told to terminate.
 func serve(f cli.Files, terminate, reload <-chan os.Signal) error {
 	level := &slog.LevelVar{}
 	level.Set(f.LogLevel)
-	// A storm of one event, as of connections to a lot store that died, must not be what the core spends itself on.
+	// A burst of one event, as of connections to a crashed lot store, must not take up the core's time.
 	logger := logging.New(logging.Config{Out: os.Stderr, Format: f.LogFormat, Level: level, MaxLines: 200, Span: time.Second})
 	c, err := lifecycle.LoadConfig(f.Config, os.Getenv)
 	if err != nil {
@@ -64,7 +64,7 @@
 		case <-reload: // also while draining, which may take as long as the longest deadline
 			d.Reload(f.Config)
 		case <-terminate:
-			terminate = nil // a second one changes nothing
+			terminate = nil // a second signal has no effect
 			go func() { d.Drain(); close(drained) }()
 		case <-drained:
 			return nil
--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -23,8 +23,8 @@
 	"github.com/tidwall/gjson"
 
 	"pulleygw.example/pulleygw/internal/gatherer/lifecycle"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 const (
@@ -45,19 +45,19 @@
 	var hosts []string
 	for i := range 2 * cells {
 		name, cell := fmt.Sprintf("s-%d", i), i/2
-		script := lots.Script{Trouble: func(int, lots.Phase) standin.End {
+		script := lots.Script{Fault: func(int, lots.Phase) testbed.End {
 			if cell < int(s.silent.Load()) {
-				return standin.Silent
+				return testbed.NoAnswer
 			}
-			return standin.Hit
+			return testbed.Hit
 		}}
-		l := standin.Listen(t)
-		go lots.Serve(l.(*net.TCPListener), s.corpus.NewCopy(name, time.Hour), script, &lots.Asked{})
-		hosts = append(hosts, standin.Host(name, l.Addr().String(), []string{"a", "b"}[i%2], cell, "ready"))
+		l := testbed.Listen(t)
+		go lots.Serve(l.(*net.TCPListener), s.corpus.NewReplica(name, time.Hour), script, &lots.Requests{})
+		hosts = append(hosts, testbed.Host(name, l.Addr().String(), []string{"a", "b"}[i%2], cell, "ready"))
 	}
-	list := standin.List(1, hosts...)
-	agent := standin.Listen(t)
-	go standin.Discovery(agent, list)
+	list := testbed.List(1, hosts...)
+	agent := testbed.Listen(t)
+	go testbed.Discovery(agent, list)
 	dir := t.TempDir()
 	settings := `{"classes":[{"deadlineUs":3000000,"effect":"safe","memorySpanUs":5000000,"name":"lot-search","onTimeUs":1200000,"worth":3},
 		{"deadlineUs":4000000,"effect":"keyed","memorySpanUs":4000000,"name":"place-bid","onTimeUs":1500000,"worth":2}],
@@ -140,7 +140,7 @@
 			}
 			if c.Truth > 0 { // the page is the one of all lots in one range
 				from := int(gjson.GetBytes(c.Body, "from").Int())
-				want := gjson.Get(sound.corpus.Whole().NewCopy("truth", 0).Search(0, question(c.Body, from+c.Truth)), "hits.hits.#._id").Array()
+				want := gjson.Get(sound.corpus.Merged().NewReplica("truth", 0).Search(0, question(c.Body, from+c.Truth)), "hits.hits.#._id").Array()
 				if x := gjson.GetBytes(got, "hits.hits.#._id").Array(); len(x) != c.Truth || fmt.Sprint(x) != fmt.Sprint(want[from:]) {
 					t.Errorf("page %v, want %v", x, want[from:])
 				}
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for the gatherer's surroundings: it serves the discovery agent and every lot store
-// that a gatherer's configuration file names, all on this machine, until it is interrupted.
+// Command toy fakes the peers of a gatherer: it serves the discovery agent and every lot store that a gatherer's
+// configuration file names, all on this machine, until it is interrupted.
 package main
 
 import (
@@ -11,13 +11,13 @@
 
 	"github.com/tidwall/gjson"
 
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
-// What the lot stores that speak opensearch hold.
+// The content of the lot stores that speak opensearch.
 const (
-	lotsEach = 200 // by range
+	lotsEach = 200 // per range
 	refresh  = 5 * time.Second
 )
 
@@ -31,20 +31,21 @@
 	}
 	root := gjson.ParseBytes(text)
 	shards := int(root.Get("settings.familyInfo.shards").Int())
-	script := &standin.Script{} // every part is a hit
+	script := &testbed.Script{} // every attempt is a hit
 	corpus := lots.New(1, shards, lotsEach)
 	for _, h := range root.Get("known.hosts").Array() {
 		l := listen(h.Get("dial").String())
 		if *speak == "opensearch" {
-			go lots.Serve(l.(*net.TCPListener), corpus.NewCopy(h.Get("host").String(), refresh), lots.Script{}, &lots.Asked{})
+			go lots.Serve(l.(*net.TCPListener), corpus.NewReplica(h.Get("host").String(), refresh), lots.Script{}, &lots.Requests{})
 		} else {
-			go standin.Frames(l, script)
+			go testbed.Frames(l, script)
 		}
 	}
 	log.Printf("%d lot stores and discovery at %s", len(root.Get("known.hosts").Array()), root.Get("discovery"))
-	standin.Discovery(listen(root.Get("discovery").String()), root.Get("known").Raw)
+	testbed.Discovery(listen(root.Get("discovery").String()), root.Get("known").Raw)
 }
 
+// listen listens on an address, or exits.
 func listen(addr string) net.Listener {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/aggs"
 	"pulleygw.example/pulleygw/internal/gatherer/proptest"
 	"pulleygw.example/pulleygw/internal/gatherer/query"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 func parse(text string) ([]*aggs.Node, *query.Error) {
@@ -28,7 +28,7 @@
 
 // answers asks the ranges of a corpus.
 func answers(t rapid.TB, c *lots.Corpus, list []*aggs.Node, ranges ...int) (all [][]aggs.Partial) {
-	k := c.NewCopy("t", 0)
+	k := c.NewReplica("t", 0)
 	question := gjson.Parse(`{"size":0,"aggs":` + string(aggs.AppendRequest(nil, list)) + `}`)
 	for _, r := range ranges {
 		item := k.Search(r, question)
@@ -118,7 +118,7 @@
 			every = append(every, r)
 		}
 		got := merge(t, list, answers(t, c, list, every...), false)
-		want := merge(t, list, answers(t, c.Whole(), list, 0), false)
+		want := merge(t, list, answers(t, c.Merged(), list, 0), false)
 		same(t, got, want, "")
 	})
 }
@@ -135,7 +135,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := lots.New(uint64(rapid.IntRange(1, 9).Draw(t, "seed")), 6, 10)
 		in := rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 1, 5, rapid.ID).Draw(t, "in")
-		got, want := merge(t, list, answers(t, c, list, in...), true), merge(t, list, answers(t, c.Whole(), list, 0), false)
+		got, want := merge(t, list, answers(t, c, list, in...), true), merge(t, list, answers(t, c.Merged(), list, 0), false)
 		for name, v := range want.Map() {
 			g := got.Get(name)
 			x, y := g.Get("value").Num, v.Get("value").Num
@@ -168,7 +168,7 @@
 		got := merge(t, list, answers(t, c, list, 0, 1, 2, 3, 4), false).Get("t")
 		truth := map[int64]int64{}
 		total := int64(0)
-		for _, b := range merge(t, exact, answers(t, c.Whole(), exact, 0), false).Get("t.buckets").Array() {
+		for _, b := range merge(t, exact, answers(t, c.Merged(), exact, 0), false).Get("t.buckets").Array() {
 			truth[b.Get("key").Int()] = b.Get("doc_count").Int()
 			total += b.Get("doc_count").Int()
 		}
@@ -204,7 +204,7 @@
 	n := got.Get("n.value").Num
 	got.Get("p.values").ForEach(func(k, v gjson.Result) bool {
 		below, _ := parse(`{"aggs":{"r":{"range":{"field":"price","ranges":[{"to":` + fmt.Sprint(v.Num+1e-6) + `}]}}}}`)
-		rank := merge(t, below, answers(t, c.Whole(), below, 0), false).Get("r.buckets.0.doc_count").Num / n
+		rank := merge(t, below, answers(t, c.Merged(), below, 0), false).Get("r.buckets.0.doc_count").Num / n
 		var want float64
 		if _, err := fmt.Sscan(k.Str, &want); err != nil {
 			t.Fatal(err)
@@ -294,7 +294,7 @@
 	}
 	proptest.CheckParser(t, true, feed, example)
 	list, _ := parse(`{"a":` + example + `}`)
-	answer := gjson.Get(lots.New(1, 1, 5).NewCopy("t", 0).Search(0, gjson.Parse(`{"aggs":`+string(aggs.AppendRequest(nil, list))+`}`)), "aggregations").Raw
+	answer := gjson.Get(lots.New(1, 1, 5).NewReplica("t", 0).Search(0, gjson.Parse(`{"aggs":`+string(aggs.AppendRequest(nil, list))+`}`)), "aggregations").Raw
 	proptest.CheckParser(t, false, func(b []byte) error {
 		parts, why := aggs.Decode(list, gjson.ParseBytes(b))
 		if why != "" {
--- a/internal/gatherer/cli/cli_test.go
+++ b/internal/gatherer/cli/cli_test.go
@@ -10,7 +10,7 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/admin"
 	"pulleygw.example/pulleygw/internal/gatherer/record"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 func run(t *testing.T, args ...string) (code int, out, errOut string, served *Files) {
@@ -140,7 +140,7 @@
 
 // Calls are made as operators make them; a rejected call and an unreachable process have different codes.
 func TestCtl(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	go admin.New(l, func(call admin.Call) (string, error) {
 		if call.Name == "s-9" {
 			return "", errors.New("not known")
--- a/internal/gatherer/lifecycle/calls_test.go
+++ b/internal/gatherer/lifecycle/calls_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 // operator makes an operator's call and returns the first word of the answer.
@@ -109,12 +109,12 @@
 // an idle connection open for a request on the way, answers it with close, and gives the request that no lot store answers
 // its final answer in time. The socket itself stays open.
 func TestInheritedSocketDrain(t *testing.T) {
-	l := standin.Listen(t).(*net.TCPListener)
+	l := testbed.Listen(t).(*net.TCPListener)
 	t.Setenv("TMPDIR", t.TempDir())
 	w := startConfig(t, "frames", nil, func(c *Config) { c.Inherited = descriptor(t, l) })
 	c := dialKept(t, l.Addr().String())
 	c.get(t, "/-/ready")
-	w.script.Set(map[int][]standin.End{3: {standin.Silent, standin.Silent, standin.Silent, standin.Silent}})
+	w.script.Set(map[int][]testbed.End{3: {testbed.NoAnswer, testbed.NoAnswer, testbed.NoAnswer, testbed.NoAnswer}})
 	slow := dialKept(t, l.Addr().String())
 	body := `{"buckets":[{"bucket":3,"part":1}],"body":"x"}`
 	slow.Write(http1.AppendRequest(nil, "POST", "/place-bid", "x", map[string][]string{"Req-Id": {"b"}, "Req-Deadline": {"30000m"}, "Idempotency-Key": {"k"}}, []byte(body)))
--- a/internal/gatherer/lifecycle/handover_test.go
+++ b/internal/gatherer/lifecycle/handover_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/handover"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 // descriptor is a new descriptor of a listening socket, as a process inherits it.
@@ -40,7 +40,7 @@
 // both. While there are two, each has half of the limits; the one that remains has all of them.
 func TestSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	l := standin.Listen(t).(*net.TCPListener)
+	l := testbed.Listen(t).(*net.TCPListener)
 	old := startConfig(t, "frames", nil, func(c *Config) { c.Inherited, c.Admin = descriptor(t, l), "127.0.0.1:0" })
 	if a := old.platform(t, 1, recorded{Shards: []int{4, 8}}); a.kind != "answered whole" {
 		t.Fatal(a.kind)
@@ -107,7 +107,7 @@
 	if err := os.WriteFile(os.TempDir()+"/pulleygw-n1.sock", []byte(`{"kind":"sta`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l := standin.Listen(t).(*net.TCPListener)
+	l := testbed.Listen(t).(*net.TCPListener)
 	w := startConfig(t, "frames", nil, func(c *Config) { c.Inherited = descriptor(t, l) })
 	if p := dialKept(t, l.Addr().String()).get(t, "/-/ready"); p.Status != 200 {
 		t.Errorf("%d", p.Status)
@@ -122,7 +122,7 @@
 // again. A reload of the old one while there is a successor does not affect their link.
 func TestSuccessorFails(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	l := standin.Listen(t).(*net.TCPListener)
+	l := testbed.Listen(t).(*net.TCPListener)
 	old := startConfig(t, "frames", nil, func(c *Config) { c.Inherited = descriptor(t, l) })
 	limit := func() int {
 		old.mu.Lock()
@@ -151,8 +151,8 @@
 		return err == nil
 	})
 	defer link.Close()
-	other := standin.Listen(t)
-	go standin.Discovery(other, standin.List(1))
+	other := testbed.Listen(t)
+	go testbed.Discovery(other, testbed.List(1))
 	text, err := os.ReadFile(old.file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/lifecycle/reload_test.go
+++ b/internal/gatherer/lifecycle/reload_test.go
@@ -13,13 +13,13 @@
 	"testing"
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 // agent is a discovery agent that records its requests, and never answers a watch of version 1 or later.
 func agent(t *testing.T, list string) (addr string, asked chan string, left chan struct{}) {
 	t.Helper()
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	asked, left = make(chan string, 1000), make(chan struct{}, 10)
 	go http1.New(l.(*net.TCPListener), func(r *http1.Request, gone <-chan struct{}) *http1.Response {
 		asked <- r.Query
@@ -28,7 +28,7 @@
 			left <- struct{}{}
 			return nil
 		}
-		return standin.JSON(200, list)
+		return testbed.JSON(200, list)
 	}, 10, slog.New(slog.DiscardHandler)).Serve()
 	return l.Addr().String(), asked, left
 }
@@ -40,8 +40,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, asked1, left := agent(t, standin.List(1))
-	second, asked2, _ := agent(t, standin.List(1))
+	first, asked1, left := agent(t, testbed.List(1))
+	second, asked2, _ := agent(t, testbed.List(1))
 	config := func(discovery string) string {
 		return strings.NewReplacer("127.0.0.1:8500", discovery, "127.0.0.1:8000", "127.0.0.1:0").Replace(string(text))
 	}
@@ -114,7 +114,7 @@
 
 // The program survives SIGHUP, and a SIGTERM right behind it still drains: exit code 0.
 func TestSignals(t *testing.T) {
-	addr, asked, _ := agent(t, standin.List(1))
+	addr, asked, _ := agent(t, testbed.List(1))
 	cmd, ended, lines := run(t, "../../../examples/config.json", nil, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY="+addr)
 	<-asked // by now it handles signals
 	signals(t, cmd, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM)
@@ -130,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := standin.Listen(t)
-	list := standin.List(1, standin.Host("s", store.Addr().String(), "cheonan", 3, "ready"))
+	store := testbed.Listen(t)
+	list := testbed.List(1, testbed.Host("s", store.Addr().String(), "cheonan", 3, "ready"))
 	first, _, _ := agent(t, list)
 	second, asked, _ := agent(t, list)
-	listen := standin.Listen(t)
+	listen := testbed.Listen(t)
 	listen.Close() // the address is the process's
 	addr := listen.Addr().String()
 	file := write(t, strings.NewReplacer("127.0.0.1:8500", first, "127.0.0.1:8000", addr, `"seq": 1,`, `"seq": 0,`).Replace(string(text)))
@@ -170,7 +170,7 @@
 	case err := <-ended:
 		t.Fatal("ended with the new address not asked:", err, lines)
 	}
-	part.Write(standin.Frame('E', call[5:]+"hit 7 -\nv"))
+	part.Write(testbed.Frame('E', call[5:]+"hit 7 -\nv"))
 	if s := <-status; s != 200 {
 		t.Errorf("what was in hand is answered %d", s)
 	}
@@ -183,8 +183,8 @@
 // after half of its state.
 func TestTerminateDuringStart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	addr, _, _ := agent(t, standin.List(1))
-	clients, err := standin.Listen(t).(*net.TCPListener).File()
+	addr, _, _ := agent(t, testbed.List(1))
+	clients, err := testbed.Listen(t).(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 
 // While discovery is down, a process is ready and serves by the list of its configuration.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
-	down := standin.Listen(t)
+	down := testbed.Listen(t)
 	down.Close()
 	w := startConfig(t, "frames", nil, func(c *Config) { c.Discovery = down.Addr().String() })
 	if p := do(t, w.Addrs()[0], "GET", "/-/ready", nil, ""); p.Status != 200 {
--- a/internal/gatherer/lifecycle/replay_test.go
+++ b/internal/gatherer/lifecycle/replay_test.go
@@ -17,8 +17,8 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 	"pulleygw.example/pulleygw/internal/gatherer/net/opensearch"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
 	"pulleygw.example/pulleygw/internal/gatherer/store"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 const shards = 24
@@ -35,9 +35,9 @@
 	Loose     bool            // ends as soon as its floor is out of reach, whichever shard shows that first
 }
 
-func (r recorded) ends(t *testing.T) (ends map[int][]standin.End, attempts map[int]int) {
+func (r recorded) ends(t *testing.T) (ends map[int][]testbed.End, attempts map[int]int) {
 	t.Helper()
-	ends, attempts = map[int][]standin.End{}, map[int]int{}
+	ends, attempts = map[int][]testbed.End{}, map[int]int{}
 	var err error
 	if r.Routing == "" {
 		if r.Ends != nil {
@@ -47,7 +47,7 @@
 			err = json.Unmarshal(r.Attempts, &attempts)
 		}
 	} else {
-		var list []standin.End
+		var list []testbed.End
 		var n int
 		if r.Ends != nil {
 			err = json.Unmarshal(r.Ends, &list)
@@ -67,7 +67,7 @@
 // world is a daemon among fake lot stores and a fake discovery agent.
 type world struct {
 	*Daemon
-	script *standin.Script
+	script *testbed.Script
 	file   string // the configuration
 }
 
@@ -88,20 +88,20 @@
 
 func startConfig(t *testing.T, storesSpeak string, o *OperationsConfig, change func(*Config)) world {
 	t.Helper()
-	s := &standin.Script{}
+	s := &testbed.Script{}
 	var hosts []string
 	for i := range 12 {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		if storesSpeak == "opensearch" {
-			go standin.OpenSearch(l, s, func(r string) int { return opensearch.Shard(r, shards) })
+			go testbed.OpenSearch(l, s, func(r string) int { return opensearch.Shard(r, shards) })
 		} else {
-			go standin.Frames(l, s)
+			go testbed.Frames(l, s)
 		}
-		hosts = append(hosts, standin.Host(fmt.Sprintf("s-%d", i), l.Addr().String(), []string{"cheonan", "pyeongtaek"}[i%2], i/2, "ready"))
+		hosts = append(hosts, testbed.Host(fmt.Sprintf("s-%d", i), l.Addr().String(), []string{"cheonan", "pyeongtaek"}[i%2], i/2, "ready"))
 	}
 	f := &FrontConfig{Listen: "127.0.0.1:0", Indices: map[string]string{"lots": "lot-search", "bids": "place-bid"},
 		Stores: storesSpeak == "opensearch"}
-	d, file := startAmong(t, standin.List(1, hosts...), f, o, change)
+	d, file := startAmong(t, testbed.List(1, hosts...), f, o, change)
 	return world{d, s, file}
 }
 
@@ -114,8 +114,8 @@
 // startSettings is startAmong with the settings of a file.
 func startSettings(t *testing.T, settings, list string, f *FrontConfig, o *OperationsConfig, change func(*Config)) (*Daemon, string) {
 	t.Helper()
-	agent := standin.Listen(t)
-	go standin.Discovery(agent, list)
+	agent := testbed.Listen(t)
+	go testbed.Discovery(agent, list)
 	set, err := os.ReadFile(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -274,7 +274,7 @@
 						t.Errorf("%s: attempts %v, want %v", r.Name, got, attempts)
 					}
 					for s, v := range a.values {
-						if r.Routing == "" && v != standin.Value(s) {
+						if r.Routing == "" && v != testbed.Value(s) {
 							t.Errorf("%s: shard %d has %q", r.Name, s, v)
 						}
 					}
@@ -316,8 +316,8 @@
 	if a := w.script.Attempts(); len(a) != 0 {
 		t.Errorf("attempts %v", a)
 	}
-	fault := []standin.End{standin.Fault, standin.Fault, standin.Fault, standin.Fault}
-	w.script.Set(map[int][]standin.End{9: fault})
+	fault := []testbed.End{testbed.Fault, testbed.Fault, testbed.Fault, testbed.Fault}
+	w.script.Set(map[int][]testbed.End{9: fault})
 	p := do(t, w.Addrs()[1], "GET", "/lots/_search?preference=_shards:8,9,10,11&allow_partial_search_results=false", nil, "")
 	e := gjson.ParseBytes(p.Body)
 	if p.Status != 500 || e.Get("error.type").String() != "search_phase_execution_exception" || e.Get("error.failed_shards.0.shard").Int() != 9 {
--- a/internal/gatherer/lifecycle/ring_test.go
+++ b/internal/gatherer/lifecycle/ring_test.go
@@ -9,25 +9,25 @@
 
 	"github.com/tidwall/gjson"
 
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 // startRing starts a daemon among six fake lot stores in a ring, each of which holds two shards.
-func startRing(t *testing.T, s *standin.Script) *Daemon {
+func startRing(t *testing.T, s *testbed.Script) *Daemon {
 	t.Helper()
-	return startRingOf(t, func(int) *standin.Script { return s })
+	return startRingOf(t, func(int) *testbed.Script { return s })
 }
 
 // startRingOf gives each store a script of its own.
-func startRingOf(t *testing.T, script func(store int) *standin.Script) *Daemon {
+func startRingOf(t *testing.T, script func(store int) *testbed.Script) *Daemon {
 	t.Helper()
 	var hosts []string
 	for i := range 6 {
-		l := standin.Listen(t)
-		go standin.Frames(l, script(i))
-		hosts = append(hosts, standin.Host(fmt.Sprint("r-", i), l.Addr().String(), []string{"east", "middle", "west"}[i%3], i, "ready"))
+		l := testbed.Listen(t)
+		go testbed.Frames(l, script(i))
+		hosts = append(hosts, testbed.Host(fmt.Sprint("r-", i), l.Addr().String(), []string{"east", "middle", "west"}[i%3], i, "ready"))
 	}
-	d, _ := startSettings(t, "testdata/ring.json", standin.List(1, hosts...), nil, nil, func(*Config) {})
+	d, _ := startSettings(t, "testdata/ring.json", testbed.List(1, hosts...), nil, nil, func(*Config) {})
 	return d
 }
 
@@ -46,10 +46,10 @@
 // A class with a second step is answered by its values alone, from the shards with the best scores; one without is not
 // affected by it.
 func TestSecondStepOnSockets(t *testing.T) {
-	s := &standin.Script{Fetch: 3}
+	s := &testbed.Script{Fetch: 3}
 	d := startRing(t, s)
 	best := []int{0, 1, 2, 3, 4, 5}
-	slices.SortFunc(best, func(a, b int) int { return standin.Score(b) - standin.Score(a) })
+	slices.SortFunc(best, func(a, b int) int { return testbed.Score(b) - testbed.Score(a) })
 	best = best[:3]
 	slices.Sort(best)
 	status, body := query(t, d, "r1", "flight-report")
@@ -59,7 +59,7 @@
 	}
 	want := map[int]string{}
 	for _, n := range best {
-		want[n] = standin.LoadValue(n)
+		want[n] = testbed.LoadValue(n)
 	}
 	if status != 200 || !body.Get("finished").Bool() || fmt.Sprint(found) != fmt.Sprint(want) {
 		t.Errorf("%d %s, want %v", status, body.Raw, want)
@@ -69,7 +69,7 @@
 			t.Errorf("a part of the second step tells %q", l)
 		}
 	}
-	if status, body := query(t, d, "r2", "pax-lookup"); status != 200 || body.Get("found.#").Int() != 6 || body.Get("found.0.item").Str != standin.Value(0) {
+	if status, body := query(t, d, "r2", "pax-lookup"); status != 200 || body.Get("found.#").Int() != 6 || body.Get("found.0.item").Str != testbed.Value(0) {
 		t.Errorf("%d %s", status, body.Raw)
 	}
 	if n := len(s.Loads()); n != 3 {
@@ -80,11 +80,11 @@
 // In a ring a shard is sent to the store where it begins and to the next one, and to no other, in zones that may have a
 // replica of it or none. A class without partial answers fails or is rejected when no replica of a shard answers.
 func TestRing(t *testing.T) {
-	scripts := make([]*standin.Script, 6)
+	scripts := make([]*testbed.Script, 6)
 	for i := range scripts {
-		scripts[i] = &standin.Script{}
+		scripts[i] = &testbed.Script{}
 	}
-	d := startRingOf(t, func(i int) *standin.Script { return scripts[i] })
+	d := startRingOf(t, func(i int) *testbed.Script { return scripts[i] })
 	for n := range 12 {
 		if status, body := query(t, d, fmt.Sprint("r", n), "pax-lookup"); status != 200 || !body.Get("finished").Bool() {
 			t.Errorf("%d %s", status, body.Raw)
@@ -101,9 +101,9 @@
 	if len(asked) != 6 {
 		t.Errorf("asked of shards %v", asked)
 	}
-	fault := []standin.End{standin.Fault, standin.Fault, standin.Fault}
-	scripts[2].Set(map[int][]standin.End{2: fault})
-	scripts[3].Set(map[int][]standin.End{2: fault})
+	fault := []testbed.End{testbed.Fault, testbed.Fault, testbed.Fault}
+	scripts[2].Set(map[int][]testbed.End{2: fault})
+	scripts[3].Set(map[int][]testbed.End{2: fault})
 	if status, body := query(t, d, "none", "pax-lookup"); status == 200 {
 		t.Errorf("%d %s", status, body.Raw)
 	}
@@ -115,7 +115,7 @@
 // Lot stores that send no score, or an unreadable one, fail the query that needs it, and no other.
 func TestNoScoreOnSockets(t *testing.T) {
 	for _, score := range []string{"-", "nan", "1e999", "0x"} {
-		s := &standin.Script{Fetch: 3, Scores: func(int) string { return score }}
+		s := &testbed.Script{Fetch: 3, Scores: func(int) string { return score }}
 		d := startRing(t, s)
 		if status, body := query(t, d, "r1", "flight-report"); status == 200 || len(s.Loads()) > 0 {
 			t.Errorf("score %q: %d %s, %d parts of a second step", score, status, body.Raw, len(s.Loads()))
--- a/internal/gatherer/lifecycle/search_test.go
+++ b/internal/gatherer/lifecycle/search_test.go
@@ -14,8 +14,8 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // A daemon on sockets among lot stores that hold lots: pages are the same in one phase and in two, in which most ranges
@@ -24,7 +24,7 @@
 func TestSearchOnSockets(t *testing.T) {
 	pages := map[search.Phases][]string{}
 	for _, phases := range []search.Phases{search.One, search.Two} {
-		corpus, asked := lots.New(7, shards, 50), &lots.Asked{}
+		corpus, asked := lots.New(7, shards, 50), &lots.Requests{}
 		cut := make(chan struct{}, 1)
 		cut <- struct{}{}
 		var hosts []string
@@ -38,11 +38,11 @@
 					return item
 				}
 			}}
-			l := standin.Listen(t)
-			go lots.Serve(l.(*net.TCPListener), corpus.NewCopy(name, time.Hour), script, asked)
-			hosts = append(hosts, standin.Host(name, l.Addr().String(), []string{"cheonan", "pyeongtaek"}[i%2], i/2, "ready"))
+			l := testbed.Listen(t)
+			go lots.Serve(l.(*net.TCPListener), corpus.NewReplica(name, time.Hour), script, asked)
+			hosts = append(hosts, testbed.Host(name, l.Addr().String(), []string{"cheonan", "pyeongtaek"}[i%2], i/2, "ready"))
 		}
-		d, _ := startAmong(t, standin.List(1, hosts...), &FrontConfig{Listen: "127.0.0.1:0",
+		d, _ := startAmong(t, testbed.List(1, hosts...), &FrontConfig{Listen: "127.0.0.1:0",
 			Indices: map[string]string{"lots": "lot-search", "bids": "place-bid"}, Stores: true, Phases: phases}, nil, func(*Config) {})
 		for i := range 4 {
 			p := do(t, d.Addrs()[1], "POST", fmt.Sprintf("/lots/_search?from=%d&size=5&timeout=3s", i%2*5), nil,
@@ -54,7 +54,7 @@
 			}
 			pages[phases] = append(pages[phases], page)
 		}
-		if listings := len(asked.Parts(lots.Listings)); (listings > 0) != (phases == search.Two) || listings > 10 {
+		if listings := len(asked.ByRange(lots.Listings)); (listings > 0) != (phases == search.Two) || listings > 10 {
 			t.Errorf("phases %d: listings asked of %d ranges", phases, listings)
 		}
 		if len(cut) != 0 {
@@ -72,9 +72,9 @@
 	corpus := lots.New(7, shards, 5)
 	var hosts []string
 	for i := range 6 {
-		l := standin.Listen(t)
-		go lots.Serve(l.(*net.TCPListener), corpus.NewCopy(fmt.Sprint("s-", i), time.Hour), lots.Script{}, &lots.Asked{})
-		hosts = append(hosts, standin.Host(fmt.Sprint("s-", i), l.Addr().String(), "cheonan", i, "ready"))
+		l := testbed.Listen(t)
+		go lots.Serve(l.(*net.TCPListener), corpus.NewReplica(fmt.Sprint("s-", i), time.Hour), lots.Script{}, &lots.Requests{})
+		hosts = append(hosts, testbed.Host(fmt.Sprint("s-", i), l.Addr().String(), "cheonan", i, "ready"))
 	}
 	dir := t.TempDir()
 	keys := dir + "/keys"
@@ -100,7 +100,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, _ := startAmong(t, standin.List(1, hosts...), f, nil, func(*Config) {})
+		d, _ := startAmong(t, testbed.List(1, hosts...), f, nil, func(*Config) {})
 		return d
 	}
 	one, two := startOne(), startOne()
--- a/internal/gatherer/net/admin/admin_test.go
+++ b/internal/gatherer/net/admin/admin_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"pulleygw.example/pulleygw/internal/gatherer/proptest"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 func TestParse(t *testing.T) {
@@ -35,7 +35,7 @@
 
 func serve(t *testing.T, h Handler) func(string) net.Conn {
 	t.Helper()
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	go New(l, h).Serve()
 	return func(text string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/gatherer/net/discovery/crossings_test.go
+++ b/internal/gatherer/net/discovery/crossings_test.go
@@ -7,12 +7,12 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
-func ready(name string) string { return standin.Host(name, "127.0.0.1:1", "a", 0, "ready") }
+func ready(name string) string { return testbed.Host(name, "127.0.0.1:1", "a", 0, "ready") }
 
-func draining() string { return standin.Host("s", "127.0.0.1:1", "a", 0, "draining") }
+func draining() string { return testbed.Host("s", "127.0.0.1:1", "a", 0, "draining") }
 
 // nextCall accepts the agent's next call, and returns its connection unanswered.
 func nextCall(t *testing.T, l net.Listener) (*net.TCPConn, *http1.Request) {
@@ -35,21 +35,21 @@
 }
 
 func list(seq int, hosts ...string) string {
-	return string(http1.AppendResponse(nil, standin.JSON(200, standin.List(seq, hosts...))))
+	return string(http1.AppendResponse(nil, testbed.JSON(200, testbed.List(seq, hosts...))))
 }
 
 // A list of an older version than the last one is ignored, whatever it says, full or not, and the watch is repeated from
 // the last version.
 func TestVersionNeverGoesBack(t *testing.T) {
-	for _, old := range []string{standin.List(7, draining()), `{"seq":7,"whole":false,"hosts":[` + draining() + `]}`} {
-		l := standin.Listen(t)
+	for _, old := range []string{testbed.List(7, draining()), `{"seq":7,"whole":false,"hosts":[` + draining() + `]}`} {
+		l := testbed.Listen(t)
 		updates, stop := watchAddr(t, l.Addr().String(), 2, false)
 		nc, _ := nextCall(t, l)
 		io.WriteString(nc, list(9, ready("s")))
 		if q := next(t, nc).Query; q != "since=9&timeout_ms=2000" {
 			t.Errorf("asked %q", q)
 		}
-		nc.Write(http1.AppendResponse(nil, standin.JSON(200, old)))
+		nc.Write(http1.AppendResponse(nil, testbed.JSON(200, old)))
 		if _, q := nextCall(t, l); q.Query != "since=9&timeout_ms=2000" {
 			t.Errorf("behind an older version, asked %q", q.Query)
 		}
@@ -65,7 +65,7 @@
 func TestResetWithinUpdate(t *testing.T) {
 	answer := list(8, ready("half"))
 	for _, sent := range []int{0, 20, len(answer) - 1} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		updates, stop := watchAddr(t, l.Addr().String(), 2, false)
 		nc, _ := nextCall(t, l)
 		io.WriteString(nc, answer[:sent])
@@ -86,7 +86,7 @@
 
 // Discovery that is down is asked again until it is back, from the last version.
 func TestDownAndBack(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	l.Close()
 	updates, _ := watchAddr(t, l.Addr().String(), 2, false)
 	again, err := net.Listen("tcp", l.Addr().String())
@@ -109,7 +109,7 @@
 func TestStoppedWatchReportsNothing(t *testing.T) {
 	answer := list(9, draining())
 	for _, sent := range []int{0, 20, len(answer) - 1} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		updates, stop := watchAddr(t, l.Addr().String(), 2, false)
 		nc, _ := nextCall(t, l)
 		io.WriteString(nc, answer[:sent])
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 	"pulleygw.example/pulleygw/internal/gatherer/proptest"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 var zones = []string{"a", "b"}
@@ -40,14 +40,14 @@
 		t.Errorf("indented: %d %+v %v", seq, same, err)
 	}
 	proptest.CheckParser(t, true, func(b []byte) error { _, _, err := ParseList(b, zones); return err },
-		delta, standin.List(1, standin.Host("s", "1:2", "a", 0, "ready")))
+		delta, testbed.List(1, testbed.Host("s", "1:2", "a", 0, "ready")))
 }
 
 // watchAgent watches an agent from version 3 on, as one of so many gatherers, until the test ends, and returns its
 // updates.
 func watchAgent(t *testing.T, agent http1.Handler, instances int, polling bool) (updates chan gather.List) {
 	t.Helper()
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	go http1.New(l.(*net.TCPListener), agent, 10, slog.New(slog.DiscardHandler)).Serve()
 	updates, _ = watchAddr(t, l.Addr().String(), instances, polling)
 	return updates
@@ -75,11 +75,11 @@
 		targets <- r.Query
 		switch n.Add(1) {
 		case 1:
-			return standin.JSON(200, standin.List(7, standin.Host("s", "127.0.0.1:1", "a", 0, "ready")))
+			return testbed.JSON(200, testbed.List(7, testbed.Host("s", "127.0.0.1:1", "a", 0, "ready")))
 		case 2:
-			return standin.JSON(500, "{}")
+			return testbed.JSON(500, "{}")
 		case 3:
-			return standin.JSON(200, "garbage")
+			return testbed.JSON(200, "garbage")
 		}
 		<-gone
 		return nil
@@ -102,7 +102,7 @@
 	var n atomic.Int32
 	h := func(r *http1.Request, gone <-chan struct{}) *http1.Response {
 		if n.Add(1) == 2 {
-			return standin.JSON(200, standin.List(9, standin.Host("s", "127.0.0.1:1", "a", 0, "draining")))
+			return testbed.JSON(200, testbed.List(9, testbed.Host("s", "127.0.0.1:1", "a", 0, "draining")))
 		}
 		<-gone
 		return nil
@@ -152,7 +152,7 @@
 	targets := make(chan string, 100)
 	h := func(r *http1.Request, _ <-chan struct{}) *http1.Response {
 		targets <- r.Query
-		return standin.JSON(200, `{"seq":3,"whole":false,"hosts":[]}`)
+		return testbed.JSON(200, `{"seq":3,"whole":false,"hosts":[]}`)
 	}
 	watchAgent(t, h, 5, true)
 	for range 2 {
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 	"pulleygw.example/pulleygw/internal/shared/peek"
 )
 
@@ -21,7 +21,7 @@
 // side of it.
 func connect(t *testing.T, tr *Transport, l net.Listener) (*conn, *net.TCPConn) {
 	t.Helper()
-	here, there := standin.Pair(t, l)
+	here, there := testbed.Pair(t, l)
 	tr.connCount++
 	return parked(tr, here), there
 }
@@ -45,7 +45,7 @@
 		"reader sees the end":   {served: true, reader: true},
 		"closed before serving": {reader: true},
 	} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		tr, r := transport(l.Addr().String(), time.Minute)
 		c, there := connect(t, tr, l)
 		c.served = x.served
@@ -54,8 +54,8 @@
 		}
 		there.Close()
 		awaitPeerClose(c)
-		script := &standin.Script{}
-		go standin.Frames(l, script)
+		script := &testbed.Script{}
+		go testbed.Frames(l, script)
 		list := attempts(2)
 		tr.Call(1, list)
 		tr.Cancel(list[1])
@@ -82,7 +82,7 @@
 // look healthy and lead nowhere. Once the list has the new start, no subquery goes there; a connection opened since
 // stays, and what is in flight on an old one is waited for.
 func TestReplacedAtTheSameAddress(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	tr, r := transport(l.Addr().String(), time.Minute)
 	idle, _ := connect(t, tr, l)
 	busy, _ := connect(t, tr, l)
@@ -117,7 +117,7 @@
 		"a drain is told": {20 * time.Millisecond, now, time.Time{}},
 		"a window ends":   {2 * time.Hour, now.Add(-time.Hour), now}, // chosen in time, and written until then
 	} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		tr, r := transport(l.Addr().String(), time.Minute)
 		tr.ConnectTimeout, tr.WriteFor = time.Hour, x.writeFor
 		c, there := connect(t, tr, l)
@@ -158,8 +158,8 @@
 // How an answer is truncated decides how its attempts end: after a close or a reset they may have run, and the network is
 // at fault; an answer that never ends, or is too large, is the store's fault. A subquery answered before it is done.
 func TestTruncatedAnswer(t *testing.T) {
-	whole := string(standin.Frame('E', "q.0 hit 7 -\nv"))
-	half := string(standin.Frame('E', "q.1 hit 7 -\nvalue"))
+	whole := string(testbed.Frame('E', "q.0 hit 7 -\nv"))
+	half := string(testbed.Frame('E', "q.1 hit 7 -\nvalue"))
 	half = half[:len(half)-3]
 	for name, x := range map[string]struct {
 		send string
@@ -172,7 +172,7 @@
 		"half a line for ever":      {whole + half, func(*net.TCPConn) {}, decision.Error},
 		"a line without bound":      {whole + "\xff\xff\xff\x7fEq.1 hit", func(*net.TCPConn) {}, decision.Error},
 	} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		tr, r := transport(l.Addr().String(), time.Minute)
 		tr.Call(1, attempts(2))
 		nc, err := l.Accept()
@@ -194,7 +194,7 @@
 // A connection that breaks while a frame is written never sent its last byte: its attempts did not run, while those
 // written completely before may have, however long ago.
 func TestResetWithinWrite(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	tr, r := transport(l.Addr().String(), time.Minute)
 	tr.WriteFor = time.Hour
 	c, there := connect(t, tr, l)
@@ -230,7 +230,7 @@
 // A connection may be established after its attempt has ended, as its client disconnected or its store was deregistered:
 // nothing of that attempt is written then, the connection serves the next one, and one to a deregistered store is closed.
 func TestDialCompletesAfterCancel(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	for _, gone := range []bool{false, true} {
 		tr, r := transport(l.Addr().String(), time.Minute)
 		c := parked(tr, nil)
@@ -253,7 +253,7 @@
 			c.remove()
 		}
 		tr.mu.Unlock()
-		want := string(standin.Frame('A', subqueryHeader(list[1], 0)))[headerSize:]
+		want := string(testbed.Frame('A', subqueryHeader(list[1], 0)))[headerSize:]
 		want = want[:len("q.1 ")]
 		b := make([]byte, headerSize+len(want))
 		switch n, err := io.ReadFull(there, b); {
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -14,13 +14,13 @@
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 	"pulleygw.example/pulleygw/internal/gatherer/proptest"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
 func TestGarbage(t *testing.T) {
 	proptest.CheckParser(t, true, func(b []byte) error {
 		return readFrame(bufio.NewReader(bytes.NewReader(b)), func(byte, []byte) error { return nil })
-	}, string(standin.Frame('E', "a.3 hit 7 -\n"+strings.Repeat("v", 9000))), string(standin.Frame('E', "a.3 hit 7 -\nvalue")), string(standin.Frame('C', "hit")))
+	}, string(testbed.Frame('E', "a.3 hit 7 -\n"+strings.Repeat("v", 9000))), string(testbed.Frame('E', "a.3 hit 7 -\nvalue")), string(testbed.Frame('C', "hit")))
 	proptest.CheckParser(t, false, func(b []byte) error { _, err := parseOutcome(b); return err },
 		"9b1f03aa5c7e2d41.3 hit 1840277719 inflight=7,util=0.61\nvalue", "a.1 overload 0 -\n", "a.1 hit 0 %% =, nan\nvalue", "a.1 hit 0 \n")
 	proptest.CheckParser(t, false, func(b []byte) error {
@@ -46,7 +46,7 @@
 		t.Errorf("lines %q", lines)
 	}
 	var out bytes.Buffer
-	if err := writeCall(&out, lines, all); err != nil || !bytes.Equal(out.Bytes(), standin.Frame('A', want)) {
+	if err := writeCall(&out, lines, all); err != nil || !bytes.Equal(out.Bytes(), testbed.Frame('A', want)) {
 		t.Errorf("%d bytes, error %v", out.Len(), err)
 	}
 }
@@ -104,10 +104,10 @@
 
 // What breaks before the last byte of its frame never ran; what breaks after it may have, all subqueries of it.
 func TestBrokenConnection(t *testing.T) {
-	l := standin.Listen(t)
-	script := &standin.Script{}
-	script.Set(map[int][]standin.End{2: {standin.Reset}, 0: {standin.Silent}, 1: {standin.Silent}})
-	go standin.Frames(l, script)
+	l := testbed.Listen(t)
+	script := &testbed.Script{}
+	script.Set(map[int][]testbed.End{2: {testbed.Reset}, 0: {testbed.NoAnswer}, 1: {testbed.NoAnswer}})
+	go testbed.Frames(l, script)
 	tr, r := transport(l.Addr().String(), time.Minute)
 	tr.Call(1, attempts(3))
 	r.want(t, 3, decision.Reset)
@@ -116,7 +116,7 @@
 	tr.HealthCheck(1)
 	r.want(t, 1, decision.OK)
 
-	refused := standin.Listen(t)
+	refused := testbed.Listen(t)
 	refused.Close()
 	tr, r = transport(refused.Addr().String(), time.Minute)
 	tr.Call(1, attempts(2))
@@ -129,12 +129,12 @@
 // had crashed, unless it says itself that it closes. An unknown id is malformed, as somebody waits in vain.
 func TestMalformedFrame(t *testing.T) {
 	for frame, want := range map[string]decision.Status{
-		string(standin.Frame('Z', "?")): decision.Error, string(standin.Frame('E', "no line")): decision.Error,
+		string(testbed.Frame('Z', "?")): decision.Error, string(testbed.Frame('E', "no line")): decision.Error,
 		"\x00\x00\x00\x00E": decision.Error, "\xff\xff\xff\xffE": decision.Error, "\x40\x00\x00\x00Z": decision.Error,
-		string(standin.Frame('E', "q.0 what 0 -\nv")): decision.Error, string(standin.Frame('E', "z.0 hit 0 -\nv")): decision.Error,
-		"\x40\x00\x00\x00Eq.0 hit 0 -\nv": decision.Error, string(standin.Frame('F', "what?")): decision.Reset,
+		string(testbed.Frame('E', "q.0 what 0 -\nv")): decision.Error, string(testbed.Frame('E', "z.0 hit 0 -\nv")): decision.Error,
+		"\x40\x00\x00\x00Eq.0 hit 0 -\nv": decision.Error, string(testbed.Frame('F', "what?")): decision.Reset,
 	} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		closed := make(chan struct{})
 		go func() {
 			c, err := l.Accept()
@@ -155,9 +155,9 @@
 
 // A duplicate or noise behind a good answer, and an unreadable report, do no harm.
 func TestNoiseBehindAnswer(t *testing.T) {
-	good := string(standin.Frame('E', "q.0 hit 0 %%\nv"))
+	good := string(testbed.Frame('E', "q.0 hit 0 %%\nv"))
 	for _, more := range []string{good, "noise\r\n\r\n", "\x00\x00\x00\x00"} {
-		l := standin.Listen(t)
+		l := testbed.Listen(t)
 		go func() {
 			if c, err := l.Accept(); err == nil {
 				io.ReadFull(c, make([]byte, 5))
@@ -188,7 +188,7 @@
 // Each call gets its own connection, as a malformed answer ends all that is in flight on it. Where a server has its share
 // of all connections calls share them, with a bounded number of subqueries on each.
 func TestConnections(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	tr, _ := transport(l.Addr().String(), time.Minute)
 	tr.MaxConns = 4
 	tr.Servers([]mem.Server{{ID: 2, Addr: "127.0.0.1:1", State: decision.Ready}})
@@ -305,7 +305,7 @@
 
 // An idle connection is closed from this side, before the lot store would close it.
 func TestIdleCloses(t *testing.T) {
-	l := standin.Listen(t)
+	l := testbed.Listen(t)
 	tr, r := transport(l.Addr().String(), 60*time.Millisecond)
 	tr.HealthCheck(1)
 	c, err := l.Accept()
@@ -313,7 +313,7 @@
 		t.Fatal(err)
 	}
 	io.ReadFull(c, make([]byte, 5))
-	c.Write(standin.Frame('C', "fault"))
+	c.Write(testbed.Frame('C', "fault"))
 	r.want(t, 1, decision.Error)
 	if n, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("%d bytes, %v", n, err)
@@ -347,7 +347,7 @@
 	c := parked(tr, here)
 	tr.Call(1, attempts(1))
 	go func() { // the frame is read but for its last byte, which the pipe hands over once the connection has failed
-		frame := len(standin.Frame('A', subqueryHeader(attempts(1)[0], 59999)))
+		frame := len(testbed.Frame('A', subqueryHeader(attempts(1)[0], 59999)))
 		io.ReadFull(there, make([]byte, frame-1))
 		c.t.mu.Lock()
 		c.removed, c.endStatus = true, decision.Error // as fail leaves it
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -16,8 +16,8 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // limit puts routes in force.
@@ -98,7 +98,7 @@
 		r.limit(t, limits.RetryBudget{Ratio: 0.05, Minimum: 2, Span: 10 * time.Second}, &limits.Route{Name: "all"})
 		for id, s := range r.stores {
 			if id%3 == 1 {
-				s.trouble = func(int, lots.Phase) (standin.End, time.Duration) { return standin.Fault, 0 }
+				s.trouble = func(int, lots.Phase) (testbed.End, time.Duration) { return testbed.Fault, 0 }
 			}
 		}
 		for range 20 {
@@ -149,7 +149,7 @@
 			t.Errorf("the one in flight and the one that waited: %d, %d", a, b)
 		}
 		for _, s := range r.stores {
-			s.trouble = func(int, lots.Phase) (standin.End, time.Duration) { return standin.Silent, 0 }
+			s.trouble = func(int, lots.Phase) (testbed.End, time.Duration) { return testbed.NoAnswer, 0 }
 		}
 		begin := time.Now()
 		go ask(nil)
@@ -235,15 +235,15 @@
 				r.limit(t, limits.RetryBudget{}, greedy(l))
 			}
 			if i%50 == 0 {
-				bad, end := rng.IntN(6), []standin.End{standin.Fault, standin.Silent, standin.Hit}[rng.IntN(3)]
+				bad, end := rng.IntN(6), []testbed.End{testbed.Fault, testbed.NoAnswer, testbed.Hit}[rng.IntN(3)]
 				r.mu.Lock()
 				for id, s := range r.stores {
 					mine := (int(id)-1)/3 == bad || id%5 == 0
-					s.trouble = func(int, lots.Phase) (standin.End, time.Duration) {
+					s.trouble = func(int, lots.Phase) (testbed.End, time.Duration) {
 						if mine {
 							return end, 0
 						}
-						return standin.Hit, 0
+						return testbed.Hit, 0
 					}
 				}
 				r.mu.Unlock()
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -12,8 +12,8 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // A replica fails between the phases: its listings come from another one.
@@ -24,12 +24,12 @@
 		want, _ := r.truth(tractors, 0, 10)
 		died := false
 		for _, s := range r.stores { // the first that is asked for listings
-			s.trouble = func(_ int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(_ int, p lots.Phase) (testbed.End, time.Duration) {
 				if p == lots.Listings && !died {
 					died = true
 					go r.kill(s)
 				}
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		for range 5 {
@@ -67,11 +67,11 @@
 				}
 			}
 			for _, s := range r.holders(shard) {
-				s.trouble = func(n int, p lots.Phase) (standin.End, time.Duration) {
+				s.trouble = func(n int, p lots.Phase) (testbed.End, time.Duration) {
 					if n == shard && p == lots.Listings {
-						return standin.Hit, 10 * time.Second
+						return testbed.Hit, 10 * time.Second
 					}
-					return standin.Hit, 0
+					return testbed.Hit, 0
 				}
 			}
 			begin := time.Now()
@@ -146,11 +146,11 @@
 			r.corpus.Put(rangeOf(ids[2]), lots.Lot{ID: ids[2], Title: r.title(ids[2]), Make: "bid on", Year: 2001, Price: 77})
 		}
 		for _, s := range r.stores {
-			s.trouble = func(shard int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(shard int, p lots.Phase) (testbed.End, time.Duration) {
 				if p == lots.Listings && !done {
 					change()
 				}
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		status, got := r.search("", tractors)
@@ -166,7 +166,7 @@
 func (r *rig) title(id string) string {
 	var shard int
 	_, _ = fmt.Sscanf(id, "lot-%d-", &shard)
-	item := r.corpus.NewCopy("t", 0).Search(shard, gjson.Parse(`{"query":{"ids":{"values":["`+id+`"]}}}`))
+	item := r.corpus.NewReplica("t", 0).Search(shard, gjson.Parse(`{"query":{"ids":{"values":["`+id+`"]}}}`))
 	return gjson.Get(item, "hits.hits.0._source.title").Str
 }
 
@@ -177,16 +177,16 @@
 		defer r.stop()
 		gone, asked := make(chan struct{}), make(chan struct{})
 		for _, s := range r.stores {
-			s.trouble = func(_ int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(_ int, p lots.Phase) (testbed.End, time.Duration) {
 				if p == lots.Listings {
 					select {
 					case <-asked:
 					default:
 						close(asked)
 					}
-					return standin.Hit, 20 * time.Second
+					return testbed.Hit, 20 * time.Second
 				}
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		answered := make(chan *http1.Response)
@@ -218,9 +218,9 @@
 		want, _ := r.truth(tractors, 0, 10)
 		done := false
 		for _, s := range r.stores {
-			s.trouble = func(_ int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(_ int, p lots.Phase) (testbed.End, time.Duration) {
 				if p != lots.Listings || done {
-					return standin.Hit, 0
+					return testbed.Hit, 0
 				}
 				done = true
 				set := *r.front.Settings.Load()
@@ -230,7 +230,7 @@
 					r.core.ChangeSettings(set)
 					r.core.Detach("s-0-0")
 				}()
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		for range 3 {
--- a/internal/gatherer/net/opensearch/phases_test.go
+++ b/internal/gatherer/net/opensearch/phases_test.go
@@ -12,8 +12,8 @@
 	"github.com/tidwall/gjson"
 
 	"pulleygw.example/pulleygw/internal/gatherer/search"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 var usual = rigOptions{ranges: 24, each: 30, phases: search.Two, refresh: 10 * time.Second, bounds: 100000}
@@ -196,12 +196,12 @@
 		shard, failed := 0, 0
 		_, _ = fmt.Sscanf(ids[0], "lot-%d-", &shard)
 		for _, s := range r.holders(shard) {
-			s.trouble = func(n int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(n int, p lots.Phase) (testbed.End, time.Duration) {
 				if n == shard && (p == lots.Listings || failed < 2) {
 					failed++
-					return standin.Fault, 0
+					return testbed.Fault, 0
 				}
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		clear(r.tries)
@@ -247,7 +247,7 @@
 			r := newRig(o)
 			defer r.stop()
 			body := `{"query":{"match":{"title":"tractor"}},"size":3,"aggs":{"makes":{"terms":{"field":"make"},"aggs":{"top":{"max":{"field":"price"}}}},"n":{"value_count":{"field":"year"}}}}`
-			want := gjson.Get(r.corpus.Whole().NewCopy("w", 0).Search(0, gjson.Parse(body)), "aggregations")
+			want := gjson.Get(r.corpus.Merged().NewReplica("w", 0).Search(0, gjson.Parse(body)), "aggregations")
 			for range 3 {
 				got := r.check(t, body, 0, 3)
 				for _, path := range []string{"makes.buckets.#.key", "makes.buckets.#.doc_count", "makes.buckets.#.top.value", "n.value"} {
--- a/internal/gatherer/net/opensearch/points_test.go
+++ b/internal/gatherer/net/opensearch/points_test.go
@@ -12,7 +12,7 @@
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 	"pulleygw.example/pulleygw/internal/gatherer/pages"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // walk reads all pages of a search at a point in time, five lots each, and calls between before each further page. named
@@ -77,7 +77,7 @@
 			r := newRig(usual)
 			defer r.stop()
 			for _, s := range r.stores {
-				s.copy.Keep = keep
+				s.copy.KeepViews = keep
 			}
 			token := r.open(t)
 			want, _ := r.truth(body, 0, 10000)
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -15,8 +15,8 @@
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 	"pulleygw.example/pulleygw/internal/gatherer/proptest"
 	"pulleygw.example/pulleygw/internal/gatherer/search"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // Random searches under random faults: ranges unresponsive or failing in either phase, slow replicas, some writes. What
@@ -40,7 +40,7 @@
 	Passes     bool // the promises' time
 	Cell       int  // in trouble, -1 for none
 	Phase      lots.Phase
-	End        standin.End
+	End        testbed.End
 	Body       string
 	From, Size int
 }
@@ -48,7 +48,7 @@
 func draw(t *rapid.T) randomAsk {
 	return randomAsk{Passes: rapid.Bool().Draw(t, "time passes"), Cell: rapid.IntRange(-1, 5).Draw(t, "cell in trouble"),
 		Phase: rapid.SampledFrom([]lots.Phase{lots.Scores, lots.Listings, lots.Both}).Draw(t, "phase"),
-		End:   rapid.SampledFrom([]standin.End{standin.Silent, standin.Fault, standin.Hit}).Draw(t, "end"),
+		End:   rapid.SampledFrom([]testbed.End{testbed.NoAnswer, testbed.Fault, testbed.Hit}).Draw(t, "end"),
 		Body: `{"query":` + rapid.SampledFrom([]string{`{"match":{"title":"tractor"}}`, `{"match":{"title":"kubota baler"}}`, `{"match_all":{}}`,
 			`{"bool":{"must":{"match":{"title":"tractor"}},"filter":{"range":{"year":{"gte":2005}}}}}`, `{"term":{"location":"Naju"}}`}).Draw(t, "query") +
 			rapid.SampledFrom([]string{``, `,"sort":[{"price":"asc"}]`, `,"sort":["make",{"year":"desc"}]`, `,"sort":[{"price":{"order":"desc","missing":"_first"}}]`}).Draw(t, "sort") +
@@ -68,11 +68,11 @@
 		r.mu.Lock()
 		for id, s := range r.stores {
 			mine := (int(id)-1)/3 == a.Cell
-			s.trouble = func(_ int, p lots.Phase) (standin.End, time.Duration) {
+			s.trouble = func(_ int, p lots.Phase) (testbed.End, time.Duration) {
 				if mine && (p == a.Phase || p == lots.Both) {
 					return a.End, time.Second
 				}
-				return standin.Hit, 0
+				return testbed.Hit, 0
 			}
 		}
 		r.mu.Unlock()
@@ -144,7 +144,7 @@
 			defer r.stop()
 			for id, s := range r.stores {
 				r.copyOf(s, fmt.Sprint("c-", id), time.Duration(refresh[id-1])*time.Second)
-				s.copy.Keep = keep[id-1]
+				s.copy.KeepViews = keep[id-1]
 			}
 			body := `{"query":{"match":{"title":"tractor"}}` + sort + `}`
 			token := r.open(t)
@@ -188,7 +188,7 @@
 // BenchmarkDecode parses 200 ranges' answers of ten lots, checks and ranks them.
 func BenchmarkDecode(b *testing.B) {
 	c := lots.New(1, 200, 40)
-	k := c.NewCopy("b", 0)
+	k := c.NewReplica("b", 0)
 	w, e := parseBody(`{"query":{"match_all":{}},"sort":["price"]}`, nil, true)
 	if e != nil {
 		b.Fatal(e.reason)
--- a/internal/gatherer/net/opensearch/rig_stores_test.go
+++ b/internal/gatherer/net/opensearch/rig_stores_test.go
@@ -10,20 +10,20 @@
 	"pulleygw.example/pulleygw/internal/gatherer/gather"
 	"pulleygw.example/pulleygw/internal/gatherer/mem"
 	"pulleygw.example/pulleygw/internal/gatherer/search"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // memStore is one lot store: two cores and a queue.
 type memStore struct {
 	id    decision.ServerID
-	copy  *lots.Copy
+	copy  *lots.Replica
 	free  int
 	queue []*memJob
 	dead  bool
 	slow  float64 // work takes so many times as long
 	// trouble may say how a subquery ends and how much work it is more; nil for none.
-	trouble func(r int, p lots.Phase) (standin.End, time.Duration)
+	trouble func(r int, p lots.Phase) (testbed.End, time.Duration)
 	tamper  func(r int, p lots.Phase, item string) string
 	asked   map[lots.Phase]map[int]int
 }
@@ -39,7 +39,7 @@
 func (r *rig) copyOf(s *memStore, boot string, every time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.copy = r.corpus.NewCopy(boot, every)
+	s.copy = r.corpus.NewReplica(boot, every)
 }
 
 // holders are the copies of a range.
@@ -54,7 +54,7 @@
 // silence has all copies of a range, and so of its cell, answer nothing.
 func (r *rig) silence(shard int) {
 	for _, s := range r.holders(shard) {
-		s.trouble = func(int, lots.Phase) (standin.End, time.Duration) { return standin.Silent, 0 }
+		s.trouble = func(int, lots.Phase) (testbed.End, time.Duration) { return testbed.NoAnswer, 0 }
 	}
 }
 
@@ -127,7 +127,7 @@
 		s.free--
 		body := gjson.ParseBytes(shardBody(j.a.Text, j.a.Search, j.a.Shard, "1s"))
 		p := lots.PhaseOf(body)
-		end, more := standin.Hit, time.Duration(0)
+		end, more := testbed.Hit, time.Duration(0)
 		if s.trouble != nil {
 			end, more = s.trouble(j.a.Shard, p)
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (r *rig) worked(j *memJob, body gjson.Result, p lots.Phase, end standin.End) {
+func (r *rig) worked(j *memJob, body gjson.Result, p lots.Phase, end testbed.End) {
 	r.mu.Lock()
 	j.s.free++
 	r.run(j.s)
@@ -144,9 +144,9 @@
 	switch {
 	case dead:
 		return // reset by kill
-	case end == standin.Silent:
+	case end == testbed.NoAnswer:
 		return
-	case end != standin.Hit:
+	case end != testbed.Hit:
 		r.end(j, decision.Error, nil)
 		return
 	}
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // rig is the front and the core on a false clock, among lot stores in memory that hold a corpus: four ranges to a
@@ -96,7 +96,7 @@
 	}
 	for i, s := range list { // the core numbers them from 1 on, in the list's order
 		id := decision.ServerID(i + 1)
-		r.stores[id] = &memStore{id: id, copy: r.corpus.NewCopy(s.Name, o.refresh), free: 2, slow: max(o.unit, 0.0001),
+		r.stores[id] = &memStore{id: id, copy: r.corpus.NewReplica(s.Name, o.refresh), free: 2, slow: max(o.unit, 0.0001),
 			asked: map[lots.Phase]map[int]int{}}
 		if o.unit == 0 {
 			r.stores[id].slow = 1
@@ -136,7 +136,7 @@
 
 // truthOf is the same without some ranges.
 func (r *rig) truthOf(body string, from, size int, without []int) (ids []string, total int) {
-	k := r.corpus.NewCopy("truth", 0)
+	k := r.corpus.NewReplica("truth", 0)
 	type hit struct {
 		id   string
 		sort []merge.Value
--- a/internal/gatherer/standin/frames.go
+++ b/internal/gatherer/testbed/frames.go
@@ -1,4 +1,4 @@
-package standin
+package testbed
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Frames is a lot store that speaks frames, until the listener closes.
+// Frames is a lot store that speaks frames. It serves until the listener is closed.
 func Frames(l net.Listener, s *Script) {
 	for {
 		c, err := l.Accept()
@@ -25,12 +25,16 @@
 	}
 }
 
-// Frame formats a frame.
-func Frame(letter byte, rest string) []byte {
-	b := binary.LittleEndian.AppendUint32(nil, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+// Frame encodes a frame.
+func Frame(message byte, payload string) []byte {
+	b := binary.LittleEndian.AppendUint32(nil, uint32(1+len(payload)))
+	return append(append(b, message), payload...)
 }
 
+// write writes to a gatherer that may have closed the connection, which the next read notices.
+func write(c net.Conn, b []byte) { _, _ = c.Write(b) }
+
+// serveFrames serves one connection.
 func serveFrames(c net.Conn, s *Script) {
 	r := bufio.NewReader(c)
 	for {
@@ -44,7 +48,7 @@
 		}
 		switch b[0] {
 		case 'C':
-			c.Write(Frame('C', "hit"))
+			write(c, Frame('C', "hit"))
 		case 'A':
 			if !call(c, b[1:], s) {
 				return
@@ -53,13 +57,13 @@
 	}
 }
 
-// call answers the parts of one call, and says whether the connection goes on.
+// call answers the attempts of one call, and reports whether the connection stays open.
 func call(c net.Conn, b []byte, s *Script) bool {
 	for len(b) > 0 {
 		line, rest, _ := bytes.Cut(b, []byte{'\n'})
 		f := bytes.Fields(line)
 		if len(f) != 4 {
-			c.Write(Frame('F', "a part's line is malformed"))
+			write(c, Frame('F', "a part's line is malformed"))
 			return false
 		}
 		shard, _ := strconv.Atoi(string(f[1]))
@@ -68,7 +72,7 @@
 		b = rest[n:]
 		end, value := Hit, Value(shard)
 		if strings.HasSuffix(string(f[0]), ".load") {
-			end, value = s.Load(shard, string(f[2])), LoadValue(shard)
+			end, value = s.LoadEnd(shard, string(f[2])), LoadValue(shard)
 		}
 		if end == Hit {
 			end = s.Next(shard, text)
@@ -76,11 +80,11 @@
 		switch end {
 		case Reset:
 			return false
-		case Silent:
+		case NoAnswer:
 		case Hit:
-			c.Write(Frame('E', fmt.Sprintf("%s hit %s latency_ms=1,queue=0\n%s", f[0], s.score(shard), value)))
+			write(c, Frame('E', fmt.Sprintf("%s hit %s latency_ms=1,queue=0\n%s", f[0], s.score(shard), value)))
 		default:
-			c.Write(Frame('E', fmt.Sprintf("%s %s 0 -\n", f[0], end)))
+			write(c, Frame('E', fmt.Sprintf("%s %s 0 -\n", f[0], end)))
 		}
 	}
 	return true
--- a/internal/gatherer/standin/http.go
+++ b/internal/gatherer/testbed/http.go
@@ -1,4 +1,4 @@
-package standin
+package testbed
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
 )
 
-// OpenSearch is a lot store that speaks the OpenSearch-style API, until the listener closes. shardOf tells
-// the shard of a routing value.
+// OpenSearch is a lot store that speaks the OpenSearch-style API. It serves until the listener is closed. ShardOf returns the
+// shard of a routing value.
 func OpenSearch(l net.Listener, s *Script, shardOf func(string) int) {
 	h := func(r *http1.Request, gone <-chan struct{}) *http1.Response {
 		lines := strings.Split(strings.TrimSuffix(string(r.Body), "\n"), "\n")
@@ -33,7 +33,7 @@
 			switch end {
 			case Reset:
 				return nil
-			case Silent:
+			case NoAnswer:
 				<-gone
 				return nil
 			}
@@ -54,10 +54,12 @@
 	serve(l, h)
 }
 
+// serve serves HTTP until the listener is closed.
 func serve(l net.Listener, h http1.Handler) {
 	http1.New(l.(*net.TCPListener), h, 100, slog.New(slog.DiscardHandler)).Serve()
 }
 
+// found is the answer to a search.
 func found(e End, shard int) string {
 	switch e {
 	case Overload:
@@ -70,6 +72,7 @@
 		shard, Value(shard))
 }
 
+// created is the answer to a create.
 func created(e End, id string) string {
 	switch e {
 	case Overload:
@@ -80,13 +83,12 @@
 	return fmt.Sprintf(`{"create":{"_index":"bids","_id":%q,"_version":1,"result":"created","_seq_no":7,"_primary_term":1,"status":201}}`, id)
 }
 
-// JSON makes an answer.
+// JSON makes a response.
 func JSON(status int, body string) *http1.Response {
 	return &http1.Response{Status: status, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}}, Body: []byte(body)}
 }
 
-// Discovery is an agent that serves one list, until the listener closes. A watch is answered with no change when its
-// time is up.
+// Discovery is an agent that serves one list, until the listener is closed. A watch is answered with no change at its time-out.
 func Discovery(l net.Listener, list string) {
 	seq := gjson.Get(list, "seq").String()
 	h := func(r *http1.Request, gone <-chan struct{}) *http1.Response {
--- a/internal/gatherer/standin/lots/corpus.go
+++ b/internal/gatherer/testbed/lots/corpus.go
@@ -1,5 +1,5 @@
-// Package lots is a stand-in for lot stores that hold farm machinery lots and answer the published query API: a
-// seeded corpus by range, copies that see it as of their last refresh, and scripted trouble.
+// Package lots is a fake of lot stores that hold farm machinery lots and answer the published query API: a seeded corpus by
+// range, replicas that see it as of their last refresh, and scripted faults.
 package lots
 
 import (
@@ -33,13 +33,13 @@
 	length  int
 }
 
-// view is a range as of one version; it never changes.
+// view is a range at one version. It is immutable.
 type view struct {
 	version int64
 	lots    []*Lot
 }
 
-// Corpus is the truth that all copies of all ranges see sooner or later.
+// Corpus is the data that all replicas of all ranges see eventually.
 type Corpus struct {
 	analyse *analysis.DefaultAnalyzer
 	df      map[string]int // lots whose title has a term, of the first corpus: so scores compare across ranges
@@ -54,15 +54,15 @@
 	makes = []string{"John Deere", "Case IH", "New Holland", "Claas", "Fendt", "Kubota", "Massey Ferguson", "Valtra", "LS", "Daedong"}
 	kinds = []string{"tractor", "combine harvester", "baler", "seed drill", "sprayer", "plough", "rice transplanter", "forage wagon",
 		"telehandler", "cultivator", "mower", "trailer", "rotary tiller", "potato harvester", "grain dryer", "front loader"}
-	extras = []string{"with cab", "low hours", "needs repair", "one owner", "with front loader", "GPS ready", "four wheel drive", "new tyres", "for parts"}
-	places = []string{"Cheonan", "Pyeongtaek", "Iksan", "Naju", "Gimje", "Yeoju"}
+	extras    = []string{"with cab", "low hours", "needs repair", "one owner", "with front loader", "GPS ready", "four wheel drive", "new tyres", "for parts"}
+	locations = []string{"Cheonan", "Pyeongtaek", "Iksan", "Naju", "Gimje", "Yeoju"}
 )
 
-// Kinds are the words that searches look for.
+// Kinds returns the words to search for.
 func Kinds() []string { return slices.Clone(kinds) }
 
-// New makes a corpus of so many ranges and lots in each, the same for a seed. Lots stand by sale, so that a range has
-// mostly one kind of machine.
+// New makes a corpus of so many ranges with so many lots each, the same for the same seed. Lots are ranged by sale, so that a
+// range has mostly one kind of machine.
 func New(seed uint64, ranges, each int) *Corpus {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	c := &Corpus{df: map[string]int{}, analyse: &analysis.DefaultAnalyzer{Tokenizer: unicode.NewUnicodeTokenizer(),
@@ -78,7 +78,7 @@
 			maker := makes[rng.IntN(len(makes))]
 			l := &Lot{ID: fmt.Sprintf("lot-%d-%d", r, i), Make: maker, Year: 1990 + rng.IntN(36), Closing: 1_790_000_000_000 + int64(rng.IntN(1e9)),
 				Title:    fmt.Sprintf("%s %s %d %s", maker, kind, 100+rng.IntN(900), extras[rng.IntN(len(extras))]),
-				Location: places[rng.IntN(len(places))], Price: math.Round(500 * math.Exp(rng.Float64()*5+float64(r%16)/4)),
+				Location: locations[rng.IntN(len(locations))], Price: math.Round(500 * math.Exp(rng.Float64()*5+float64(r%16)/4)),
 				Text: "Lot sold as seen. Viewing by appointment; removal within ten days of the sale. Payment in full before removal."}
 			if rng.IntN(20) == 0 {
 				l.Price = 0
@@ -97,7 +97,7 @@
 	return c
 }
 
-// learn analyses a lot's title.
+// learn analyses the title of a lot.
 func (c *Corpus) learn(l *Lot) {
 	l.version++
 	l.terms, l.length = map[string]int{}, 0
@@ -107,6 +107,7 @@
 	}
 }
 
+// words are the terms of a text.
 func (c *Corpus) words(text string) (words []string) {
 	for _, t := range c.analyse.Analyze([]byte(text)) {
 		words = append(words, string(t.Term))
@@ -114,23 +115,23 @@
 	return words
 }
 
-// Whole is a corpus of one range that has all lots as they are now, and scores as this one does.
-func (c *Corpus) Whole() *Corpus {
+// Merged is a corpus of one range with all lots as they are now, and the same scores.
+func (c *Corpus) Merged() *Corpus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := &view{version: 1}
 	for _, v := range c.ranges {
 		lots := slices.Clone(v.lots)
-		slices.SortFunc(lots, func(a, b *Lot) int { return strings.Compare(a.ID, b.ID) }) // as ties are broken
+		slices.SortFunc(lots, func(a, b *Lot) int { return strings.Compare(a.ID, b.ID) }) // the order of ties
 		all.lots = append(all.lots, lots...)
 	}
 	return &Corpus{analyse: c.analyse, df: c.df, n: c.n, mean: c.mean, ranges: []*view{all}}
 }
 
-// Ranges is how many ranges there are.
+// Ranges returns the number of ranges.
 func (c *Corpus) Ranges() int { return len(c.ranges) }
 
-// Put writes a lot to a range, in place of one of its id. Copies see it from their next refresh on.
+// Put writes a lot to a range, replacing one with its id. Replicas see it from their next refresh on.
 func (c *Corpus) Put(r int, l Lot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +145,7 @@
 	c.ranges[r] = &view{old.version + 1, append(lots, &l)}
 }
 
-// Bid raises a lot's price; nothing else of it changes.
+// Bid changes the price of a lot, and nothing else.
 func (c *Corpus) Bid(r, n int, price float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +158,7 @@
 	c.ranges[r] = &view{old.version + 1, lots}
 }
 
-// Delete takes a lot out of a range.
+// Delete removes a lot from a range.
 func (c *Corpus) Delete(r int, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,40 +166,41 @@
 	c.ranges[r] = &view{old.version + 1, slices.DeleteFunc(slices.Clone(old.lots), func(o *Lot) bool { return o.ID == id })}
 }
 
+// now is the current view of a range.
 func (c *Corpus) now(r int) *view {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ranges[r]
 }
 
-// Copy is one lot store's process: it sees each range as of its last refresh.
-type Copy struct {
+// Replica is the process of one lot store: it sees each range as of its last refresh.
+type Replica struct {
 	corpus *Corpus
 	boot   string
-	every  time.Duration // between refreshes; 0 for at each search, promising nothing
+	every  time.Duration // between refreshes; 0 for at each search, without a guarantee
 
 	mu    sync.Mutex
 	views map[int]*view
-	until time.Time // the views hold
-	// Keep is how many earlier views of a range a question may still ask for.
-	Keep int
-	kept map[int][]*view
+	until time.Time // the views are stable
+	// KeepViews is how many earlier views of a range a request may still ask for.
+	KeepViews int
+	earlier   map[int][]*view
 }
 
-// NewCopy starts a process; boot tells it from others.
-func (c *Corpus) NewCopy(boot string, every time.Duration) *Copy {
-	return &Copy{corpus: c, boot: boot, every: every, views: map[int]*view{}, kept: map[int][]*view{}}
+// NewReplica starts a process with the id boot.
+func (c *Corpus) NewReplica(boot string, every time.Duration) *Replica {
+	return &Replica{corpus: c, boot: boot, every: every, views: map[int]*view{}, earlier: map[int][]*view{}}
 }
 
-// see is the copy's view of a range, and how long it will hold.
-func (k *Copy) see(r int) (v *view, holds time.Duration) {
+// current is the replica's view of a range, and how long it is stable.
+func (k *Replica) current(r int) (v *view, holds time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	if !now.Before(k.until) {
 		for r, v := range k.views {
-			if k.kept[r] = append(k.kept[r], v); len(k.kept[r]) > k.Keep {
-				k.kept[r] = k.kept[r][len(k.kept[r])-k.Keep:]
+			if k.earlier[r] = append(k.earlier[r], v); len(k.earlier[r]) > k.KeepViews {
+				k.earlier[r] = k.earlier[r][len(k.earlier[r])-k.KeepViews:]
 			}
 		}
 		clear(k.views)
@@ -213,11 +215,11 @@
 	return v, k.until.Sub(now)
 }
 
-// was is an earlier view of a range, nil where it is not kept.
-func (k *Copy) was(r int, version int64) *view {
+// earlierView is an earlier view of a range, nil if it is not kept.
+func (k *Replica) earlierView(r int, version int64) *view {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, v := range k.kept[r] {
+	for _, v := range k.earlier[r] {
 		if v.version == version {
 			return v
 		}
--- a/internal/gatherer/standin/lots/rank.go
+++ b/internal/gatherer/testbed/lots/rank.go
@@ -13,19 +13,19 @@
 	"github.com/tidwall/gjson"
 )
 
-// Parameters of BM25 as Robertson and Zaragoza give them.
+// The usual parameters of BM25 (Robertson and Zaragoza, 2009).
 const (
 	k1 = 1.2
 	b  = 0.75
 )
 
-// matcher scores a lot; false where it does not match.
+// matcher returns the score of a lot, and false if it does not match.
 type matcher func(*Lot) (score float64, ok bool)
 
-// errQuery is a query that the stand-in cannot answer; the API's 400.
+// errQuery is a query that the fake cannot answer: a 400 of the API.
 var errQuery = errors.New("parsing_exception")
 
-// compile reads a query.
+// compile parses a query.
 func (c *Corpus) compile(q gjson.Result) (m matcher, err error) {
 	err = fmt.Errorf("%w: no query: %.80s", errQuery, q.Raw)
 	q.ForEach(func(kind, body gjson.Result) bool {
@@ -35,6 +35,7 @@
 	return m, err
 }
 
+// compileKind parses a query of a kind.
 func (c *Corpus) compileKind(kind string, body gjson.Result) (matcher, error) {
 	field, value := "", gjson.Result{}
 	body.ForEach(func(k, v gjson.Result) bool { field, value = k.Str, v; return false })
@@ -85,7 +86,7 @@
 	return nil, fmt.Errorf("%w: unknown query [%s]", errQuery, kind)
 }
 
-// match scores the title's words by BM25, by the counts of the whole corpus.
+// match scores the words of the title by BM25, with the counts of the complete corpus.
 func (c *Corpus) match(field string, value gjson.Result) (matcher, error) {
 	text, all := value.String(), false
 	if value.IsObject() {
@@ -111,6 +112,7 @@
 	}, nil
 }
 
+// compileBool compiles a bool query.
 func (c *Corpus) compileBool(body gjson.Result) (matcher, error) {
 	clauses := map[string][]matcher{}
 	var err error
@@ -131,39 +133,42 @@
 	if err != nil {
 		return nil, err
 	}
-	return func(l *Lot) (score float64, ok bool) {
-		for _, m := range clauses["filter"] {
-			if _, ok := m(l); !ok {
-				return 0, false
-			}
-		}
-		for _, m := range clauses["must_not"] {
-			if _, ok := m(l); ok {
-				return 0, false
-			}
-		}
-		for _, m := range clauses["must"] {
-			s, ok := m(l)
-			if !ok {
-				return 0, false
-			}
-			score += s
+	return func(l *Lot) (float64, bool) { return matchBool(clauses, l) }, nil
+}
+
+// matchBool matches a lot by the clauses of a bool query.
+func matchBool(clauses map[string][]matcher, l *Lot) (score float64, ok bool) {
+	for _, m := range clauses["filter"] {
+		if _, ok := m(l); !ok {
+			return 0, false
 		}
-		should := 0
-		for _, m := range clauses["should"] {
-			if s, ok := m(l); ok {
-				score += s
-				should++
-			}
+	}
+	for _, m := range clauses["must_not"] {
+		if _, ok := m(l); ok {
+			return 0, false
 		}
-		if len(clauses["should"]) > 0 && should == 0 && len(clauses["must"])+len(clauses["filter"]) == 0 {
+	}
+	for _, m := range clauses["must"] {
+		s, ok := m(l)
+		if !ok {
 			return 0, false
 		}
-		return float64(float32(score)), true
-	}, nil
+		score += s
+	}
+	should := 0
+	for _, m := range clauses["should"] {
+		if s, ok := m(l); ok {
+			score += s
+			should++
+		}
+	}
+	if len(clauses["should"]) > 0 && should == 0 && len(clauses["must"])+len(clauses["filter"]) == 0 {
+		return 0, false
+	}
+	return float64(float32(score)), true
 }
 
-// field is a lot's field as JSON has it.
+// field is a field of the lot as JSON.
 func (l *Lot) field(name string) gjson.Result {
 	num := func(x float64) gjson.Result {
 		return gjson.Result{Type: gjson.Number, Num: x, Raw: strconv.FormatFloat(x, 'f', -1, 64)}
@@ -190,18 +195,20 @@
 	return gjson.Result{}
 }
 
+// scored is a lot that matched.
 type scored struct {
 	lot   *Lot
 	score float64
 	sort  []gjson.Result
 }
 
-// sortKey is one key of a question's sort.
+// sortKey is one key of the sort of a request.
 type sortKey struct {
-	field        string
-	desc, first1 bool // first1: lots without the field come first
+	field              string
+	desc, missingFirst bool // first1: lots without the field come first
 }
 
+// sortKeys parses the sort of a request.
 func sortKeys(v gjson.Result) (keys []sortKey) {
 	for _, k := range v.Array() {
 		k.ForEach(func(field, o gjson.Result) bool {
@@ -212,6 +219,7 @@
 	return keys
 }
 
+// value is the sort value of a key.
 func (s *scored) value(k sortKey) gjson.Result {
 	if k.field == "_score" {
 		return gjson.Result{Type: gjson.Number, Num: s.score, Raw: strconv.FormatFloat(s.score, 'g', -1, 64)}
@@ -219,14 +227,15 @@
 	return s.lot.field(k.field)
 }
 
+// compareBy orders lots by the keys.
 func compareBy(keys []sortKey, a, b *scored) int {
 	for i, k := range keys {
 		x, y := a.sort[i], b.sort[i]
-		c := 0
+		var c int
 		switch {
 		case x.Type == gjson.Null || y.Type == gjson.Null:
 			c = boolInt(x.Type == gjson.Null) - boolInt(y.Type == gjson.Null)
-			if k.first1 {
+			if k.missingFirst {
 				c = -c
 			}
 			if c != 0 {
@@ -248,6 +257,7 @@
 	return 0
 }
 
+// boolInt is 1 for true.
 func boolInt(b bool) int {
 	if b {
 		return 1
@@ -255,11 +265,11 @@
 	return 0
 }
 
-// Search answers one question about a range, as one item of a multi-search.
-func (k *Copy) Search(r int, question gjson.Result) string {
-	v, holds := k.see(r)
+// Search answers one request about a range, as one item of a multi-search.
+func (k *Replica) Search(r int, question gjson.Result) string {
+	v, holds := k.current(r)
 	if want := question.Get("view.version"); want.Exists() && want.Int() != v.version {
-		if old := k.was(r, want.Int()); old != nil {
+		if old := k.earlierView(r, want.Int()); old != nil {
 			v, holds = old, 0
 		}
 	}
@@ -276,32 +286,10 @@
 	if plain {
 		keys = []sortKey{{"_score", true, false}}
 	}
-	var found []*scored
-	least, hasLeast := question.Get("min_score").Num, question.Get("min_score").Exists()
-	most, early := int(question.Get("terminate_after").Int()), false
-	for _, l := range v.lots {
-		if early = most > 0 && len(found) == most; early {
-			break
-		}
-		if s, ok := match(l); ok && !(hasLeast && s < least) {
-			x := &scored{lot: l, score: s}
-			for _, key := range keys {
-				x.sort = append(x.sort, x.value(key))
-			}
-			found = append(found, x)
-		}
-	}
-	slices.SortStableFunc(found, func(a, b *scored) int { return compareBy(keys, a, b) })
-	total, matched := len(found), found
+	matched, early := findLots(v.lots, question, match, keys)
+	total, found := len(matched), matched
 	if after := question.Get("search_after"); after.Exists() {
-		anchor := &scored{sort: after.Array()}
-		shown := found[:0:0]
-		for _, x := range found {
-			if compareBy(keys, x, anchor) > 0 {
-				shown = append(shown, x)
-			}
-		}
-		matched, found = found, shown
+		found = behind(matched, after, keys)
 	}
 	size := 10
 	if s := question.Get("size"); s.Exists() {
@@ -335,20 +323,52 @@
 	return string(append(out, `,"status":200}`...))
 }
 
+// findLots returns the lots that match, sorted, and whether it terminated early.
+func findLots(lots []*Lot, question gjson.Result, match matcher, keys []sortKey) (found []*scored, early bool) {
+	least, hasLeast := question.Get("min_score").Num, question.Get("min_score").Exists()
+	limit := int(question.Get("terminate_after").Int())
+	for _, l := range lots {
+		if early = limit > 0 && len(found) == limit; early {
+			break
+		}
+		if s, ok := match(l); ok && (!hasLeast || s >= least) {
+			x := &scored{lot: l, score: s}
+			for _, key := range keys {
+				x.sort = append(x.sort, x.value(key))
+			}
+			found = append(found, x)
+		}
+	}
+	slices.SortStableFunc(found, func(a, b *scored) int { return compareBy(keys, a, b) })
+	return found, early
+}
+
+// behind returns the lots behind a position.
+func behind(found []*scored, after gjson.Result, keys []sortKey) []*scored {
+	anchor := &scored{sort: after.Array()}
+	rest := found[:0:0]
+	for _, x := range found {
+		if compareBy(keys, x, anchor) > 0 {
+			rest = append(rest, x)
+		}
+	}
+	return rest
+}
+
 // append formats a hit.
-func (x *scored) append(out []byte, question gjson.Result, plain bool) []byte {
-	out = fmt.Appendf(out, `{"_index":"lots","_id":%q`, x.lot.ID)
+func (s *scored) append(out []byte, question gjson.Result, plain bool) []byte {
+	out = fmt.Appendf(out, `{"_index":"lots","_id":%q`, s.lot.ID)
 	if question.Get("version").Bool() {
-		out = fmt.Appendf(out, `,"_version":%d`, x.lot.version)
+		out = fmt.Appendf(out, `,"_version":%d`, s.lot.version)
 	}
 	if plain || strings.Contains(question.Get("sort").Raw, `"_score"`) {
-		out = strconv.AppendFloat(append(out, `,"_score":`...), x.score, 'g', -1, 64)
+		out = strconv.AppendFloat(append(out, `,"_score":`...), s.score, 'g', -1, 64)
 	} else {
 		out = append(out, `,"_score":null`...)
 	}
 	if src := question.Get("_source"); src.Type != gjson.False {
 		out = append(out, `,"_source":`...)
-		all, err := json.Marshal(x.lot)
+		all, err := json.Marshal(s.lot)
 		if err != nil {
 			panic(err) // plain values
 		}
@@ -365,7 +385,7 @@
 	}
 	if !plain {
 		out = append(out, `,"sort":[`...)
-		for i, v := range x.sort {
+		for i, v := range s.sort {
 			if i > 0 {
 				out = append(out, ',')
 			}
--- a/internal/gatherer/standin/lots/store.go
+++ b/internal/gatherer/testbed/lots/store.go
@@ -12,20 +12,20 @@
 	"github.com/tidwall/gjson"
 
 	"pulleygw.example/pulleygw/internal/gatherer/net/http1"
-	"pulleygw.example/pulleygw/internal/gatherer/standin"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed"
 )
 
-// Phase is what a question is for.
+// Phase is the phase of a search that a request is of.
 type Phase string
 
 // The phases of a search.
 const (
 	Scores   Phase = "scores"   // ids and sort values
-	Listings Phase = "listings" // of lots that are named
+	Listings Phase = "listings" // of the named lots
 	Both     Phase = "both"     // a search in one phase
 )
 
-// PhaseOf tells what a question is for.
+// PhaseOf is the phase of a request.
 func PhaseOf(question gjson.Result) Phase {
 	switch {
 	case question.Get("query.bool.filter.0.ids").Exists():
@@ -36,25 +36,26 @@
 	return Both
 }
 
-// Script is the trouble of a lot store. Its fields are set before it serves; the functions may be nil.
+// Script is the faults of a lot store. Its fields are set before it serves; the functions may be nil.
 type Script struct {
-	// Trouble says how a part ends.
-	Trouble func(r int, p Phase) standin.End
-	// Delay is how long the answer to a part takes.
+	// Fault says how an attempt ends.
+	Fault func(r int, p Phase) testbed.End
+	// Delay is how long the answer to an attempt takes.
 	Delay func(r int, p Phase) time.Duration
-	// Tamper may spoil a part's answer.
+	// Tamper may change an answer.
 	Tamper func(r int, p Phase, item string) string
-	// Bid tells of a bid's id; true where it was there before.
+	// Bid is called with the id of each bid; true if it existed already.
 	Bid func(id string) bool
 }
 
-// Asked counts the questions that a lot store was asked.
-type Asked struct {
+// Requests counts the requests to a lot store.
+type Requests struct {
 	mu    sync.Mutex
 	count map[Phase]map[int]int
 }
 
-func (a *Asked) add(r int, p Phase) {
+// add counts a request.
+func (a *Requests) add(r int, p Phase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.count == nil {
@@ -66,8 +67,8 @@
 	a.count[p][r]++
 }
 
-// Parts tells how often each range was asked in a phase.
-func (a *Asked) Parts(p Phase) map[int]int {
+// ByRange returns the number of requests in a phase by range.
+func (a *Requests) ByRange(p Phase) map[int]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := map[int]int{}
@@ -77,20 +78,15 @@
 	return n
 }
 
-// Handler answers _msearch and _bulk calls from a copy.
-func Handler(k *Copy, s Script, asked *Asked) http1.Handler {
+// Handler answers _msearch and _bulk calls from a replica.
+func Handler(k *Replica, s Script, asked *Requests) http1.Handler {
 	return func(r *http1.Request, gone <-chan struct{}) *http1.Response {
 		lines := strings.Split(strings.TrimSuffix(string(r.Body), "\n"), "\n")
 		var items []string
 		wait := time.Duration(0)
 		for i := 0; i+1 < len(lines); i += 2 {
 			if r.Path == "/_bulk" {
-				id := gjson.Get(lines[i], "create._id").String()
-				status := 201
-				if s.Bid != nil && s.Bid(id) {
-					status = 409
-				}
-				items = append(items, fmt.Sprintf(`{"create":{"_index":"bids","_id":%q,"_version":1,"result":"created","status":%d}}`, id, status))
+				items = append(items, s.create(lines[i]))
 				continue
 			}
 			shard, err := strconv.Atoi(strings.TrimPrefix(gjson.Get(lines[i], "preference").String(), "_shards:"))
@@ -101,22 +97,19 @@
 			question := gjson.Parse(lines[i+1])
 			phase := PhaseOf(question)
 			asked.add(shard, phase)
-			end := standin.Hit
-			if s.Trouble != nil {
-				end = s.Trouble(shard, phase)
-			}
+			end := s.end(shard, phase)
 			if s.Delay != nil {
 				wait = max(wait, s.Delay(shard, phase))
 			}
 			switch end {
-			case standin.Reset:
+			case testbed.Reset:
 				return nil
-			case standin.Silent:
+			case testbed.NoAnswer:
 				<-gone
 				return nil
-			case standin.Overload:
+			case testbed.Overload:
 				items = append(items, `{"error":{"type":"rejected_execution_exception"},"status":429}`)
-			case standin.Fault:
+			case testbed.Fault:
 				items = append(items, `{"error":{"type":"query_phase_execution_exception"},"status":500}`)
 			default:
 				item := k.Search(shard, question)
@@ -126,26 +119,53 @@
 				items = append(items, item)
 			}
 		}
-		if wait > 0 {
-			timer := time.NewTimer(wait)
-			defer timer.Stop()
-			select {
-			case <-timer.C:
-			case <-gone:
-				return nil
-			}
+		if !sleep(wait, gone) {
+			return nil
 		}
 		switch r.Path {
 		case "/_msearch":
-			return standin.JSON(200, `{"took":1,"responses":[`+strings.Join(items, ",")+`]}`)
+			return testbed.JSON(200, `{"took":1,"responses":[`+strings.Join(items, ",")+`]}`)
 		case "/_bulk":
-			return standin.JSON(200, `{"took":1,"errors":false,"items":[`+strings.Join(items, ",")+`]}`)
+			return testbed.JSON(200, `{"took":1,"errors":false,"items":[`+strings.Join(items, ",")+`]}`)
 		}
-		return standin.JSON(200, `{}`)
+		return testbed.JSON(200, `{}`)
+	}
+}
+
+// end says how an attempt ends.
+func (s *Script) end(r int, p Phase) testbed.End {
+	if s.Fault == nil {
+		return testbed.Hit
+	}
+	return s.Fault(r, p)
+}
+
+// create answers a create.
+func (s *Script) create(action string) string {
+	id := gjson.Get(action, "create._id").String()
+	status := 201
+	if s.Bid != nil && s.Bid(id) {
+		status = 409
+	}
+	return fmt.Sprintf(`{"create":{"_index":"bids","_id":%q,"_version":1,"result":"created","status":%d}}`, id, status)
+}
+
+// sleep waits, and returns false if the client disconnects meanwhile.
+func sleep(wait time.Duration, gone <-chan struct{}) bool {
+	if wait <= 0 {
+		return true
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-gone:
+		return false
 	}
 }
 
-// Serve is a lot store until the listener closes.
-func Serve(l *net.TCPListener, k *Copy, s Script, asked *Asked) {
+// Serve is a lot store that serves until the listener is closed.
+func Serve(l *net.TCPListener, k *Replica, s Script, asked *Requests) {
 	http1.New(l, Handler(k, s, asked), 100, slog.New(slog.DiscardHandler)).Serve()
 }
--- a/internal/gatherer/standin/standin.go
+++ b/internal/gatherer/testbed/script.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for the gatherer's peers, for tests and the example: lot stores that
-// speak frames or the OpenSearch-style API by one script, and a discovery agent.
-package standin
+// Package testbed has fakes of the gatherer's peers, for tests and the example: lot stores that speak frames or the
+// OpenSearch-style API by one script, and a discovery agent.
+package testbed
 
 import (
 	"fmt"
@@ -11,35 +11,36 @@
 	"sync"
 )
 
-// End is how a lot store is to end a part.
+// End is how a lot store ends an attempt.
 type End string
 
-// The ends. Reset breaks the connection; Silent never answers.
+// The ends. Reset breaks the connection; NoAnswer never answers.
 const (
 	Hit      End = "hit"
 	Fault    End = "fault"
 	Overload End = "overload"
 	Reset    End = "reset"
-	Silent   End = "silent"
+	NoAnswer End = "silent"
 )
 
-// Script says how parts end and remembers what was asked. It may serve many stores.
+// Script says how attempts end and records them. Many stores may share it.
 type Script struct {
-	// Fetch is how many shards a second step goes to; a part of it for any other ends as Fault.
+	// Fetch is how many shards a second step goes to; an attempt of it at any other ends as Fault.
 	Fetch int
-	// Scores gives an answer's score by shard; nil for Score's.
+	// Scores returns the score of an answer by shard; nil for Score.
 	Scores func(shard int) string
 
 	mu       sync.Mutex
-	ends     map[int][]End // by shard: what its next attempts get; Hit once these are used up
+	ends     map[int][]End // by shard: of its next attempts; Hit once these are used up
 	attempts map[int]int
 	texts    map[int]string
-	loads    []string // shards, with the lists of the second step's parts
+	loads    []string // shards, with the lists of attempts of the second step
 }
 
-// Score is what an answer of a shard scores: in no order of the shards, so that a mix-up shows.
+// Score is the score of an answer of a shard: unordered, so that a mix-up shows.
 func Score(shard int) int { return (shard*7919 + 13) % 1009 }
 
+// score is the score of an answer as text.
 func (s *Script) score(shard int) string {
 	if s.Scores != nil {
 		return s.Scores(shard)
@@ -47,18 +48,18 @@
 	return fmt.Sprint(Score(shard))
 }
 
-// Load notes a part of a second step, and says how it ends: Fault for a shard that is not among the best of those that
-// were in, or where the list does not say which were.
-func (s *Script) Load(shard int, list string) End {
+// LoadEnd records an attempt of a second step, and says how it ends: Fault for a shard that is not among the best of those
+// that were answered, or where the list does not say which were.
+func (s *Script) LoadEnd(shard int, list string) End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads = append(s.loads, fmt.Sprintf("%d %s", shard, list))
-	in, better, whole := false, 0, false
+	in, better, complete := false, 0, false
 	for _, field := range strings.Split(list, ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
 		case "whole":
-			whole = value == "0" || value == "1"
+			complete = value == "0" || value == "1"
 		case "from":
 			for _, x := range strings.Split(value, "+") {
 				n, err := strconv.Atoi(x)
@@ -72,20 +73,20 @@
 			}
 		}
 	}
-	if !in || !whole || better >= s.Fetch {
+	if !in || !complete || better >= s.Fetch {
 		return Fault
 	}
 	return Hit
 }
 
-// Loads lists the parts of second steps that came, as SHARD LIST.
+// Loads returns the attempts of second steps, as SHARD LIST.
 func (s *Script) Loads() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.loads)
 }
 
-// Set makes the script forget what was asked and gives it the ends to come.
+// Set clears the recorded attempts and sets the ends of the next ones.
 func (s *Script) Set(ends map[int][]End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Next notes an attempt and says how it ends.
+// Next records an attempt and says how it ends.
 func (s *Script) Next(shard int, text string) End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	return Hit
 }
 
-// Attempts tells how many attempts each shard has had.
+// Attempts returns the number of attempts by shard.
 func (s *Script) Attempts() map[int]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,19 +123,19 @@
 	return c
 }
 
-// Value is what a store answers for a shard, and LoadValue in a second step.
+// Value is the answer of a store for a shard.
 func Value(shard int) string { return fmt.Sprintf("value-%d", shard) }
 
-// LoadValue is what a store answers for a shard in a second step.
+// LoadValue is the answer of a store for a shard in a second step.
 func LoadValue(shard int) string { return fmt.Sprintf("load-%d", shard) }
 
-// Cleaner is what a stand-in needs of a test.
+// Cleaner is the part of testing.TB that the fakes use.
 type Cleaner interface {
 	Cleanup(func())
 	Fatal(...any)
 }
 
-// Listen opens a loopback listener that closes with the test.
+// Listen opens a listener on loopback that is closed with the test.
 func Listen(t Cleaner) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -144,7 +145,7 @@
 	return l
 }
 
-// Pair connects to a listener on loopback, and gives both sides. They close with the test.
+// Pair connects to a listener on loopback and returns both sides. They are closed with the test.
 func Pair(t Cleaner, l net.Listener) (here, there *net.TCPConn) {
 	a, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -158,13 +159,13 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// Host is a line of the list.
+// Host is an entry of a server list.
 func Host(name, addr, site string, cell int, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":"small-2c","block":%d,"health":%q,"share":1.0,"born_ms":0}`,
 		name, addr, site, cell, health)
 }
 
-// List is a whole list.
+// List is a full server list.
 func List(seq int, hosts ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, seq, strings.Join(hosts, ","))
 }
