--- a/conformance/conformance_test.go
+++ b/conformance/conformance_test.go
@@ -1,5 +1,5 @@
 // Package conformance plays cases of the query API, as data, through the official Go client against a daemon on
-// sockets among stand-in lot stores.
+// sockets among fake lot stores.
 package conformance
 
 import (
@@ -149,7 +149,7 @@
 	}
 }
 
-// question is a search's body for the first lots of all, with its sort as the stand-in reads it.
+// question is a search's body for the first lots of all, with its sort as the fake reads it.
 func question(body json.RawMessage, size int) gjson.Result {
 	var m map[string]any
 	if err := json.Unmarshal(body, &m); err != nil {
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// core is a stand-in that gives every request one result.
+// core is a fake that gives every request one result.
 type core struct {
 	result gather.Result
 	asked  *gather.Request
