--- a/internal/gatherer/logging/logging_test.go
+++ b/internal/gatherer/logging/logging_test.go
@@ -11,12 +11,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// A storm of one event is held down to its count, others go on, and the level may change while it runs.
-func TestStorm(t *testing.T) {
+// A burst of one event is sampled, other events are not, and the level may change while it runs.
+func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		level := &slog.LevelVar{}
-		l := New(Config{Out: &out, Format: JSON, Level: level, Most: 5, Span: time.Second}).With("name", "n1")
+		l := New(Config{Out: &out, Format: JSON, Level: level, MaxLines: 5, Span: time.Second}).With("name", "n1")
 		for range 100 {
 			l.Info("connection ended", "store", 3)
 		}
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -23,7 +23,7 @@
 func parseSearchBody(b []byte) error {
 	if q, e := parseBody(string(b), nil, true); e != nil {
 		return errors.New(e.reason)
-	} else if q.From < 0 || q.Size < 0 || q.From+q.Size > windowMost || len(q.Keys) == 0 {
+	} else if q.From < 0 || q.Size < 0 || q.From+q.Size > maxWindow || len(q.Keys) == 0 {
 		panic("a query out of bounds")
 	}
 	return nil
@@ -48,14 +48,14 @@
 		p.Start(0, search.Times{})
 		p.Scored(0, 1, found, 0, 0)
 		for _, f := range p.Close() {
-			p.Listed(f.Place, found)
+			p.Listed(f.Index, found)
 		}
 		p.Result()
 	}
 	return nil
 }
 
-// Cuts and garbage get an error and never more.
+// Truncated and corrupt input gets an error and never more.
 func TestSearchParsers(t *testing.T) {
 	proptest.CheckParser(t, true, parseSearchBody, bodies...)
 	proptest.CheckParser(t, true, parseSearchItem, items...)
@@ -75,7 +75,7 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = parseSearchItem(b) })
 }
 
-// What is wrong with a search body is told by its place.
+// An error in a search body is reported with its position.
 func TestSearchBodyErrors(t *testing.T) {
 	for _, x := range []struct{ body, params, want string }{
 		{"{\n \"query\":7}", "", "line 2, column 10: not an object"},
@@ -108,8 +108,8 @@
 	}
 }
 
-// Only queries whose answer depends on the lots alone are learnt from; a score is the sum of its clauses' where the
-// API has it so.
+// Bounds are learned only of queries whose answer depends on the lots alone; a score is the sum of its clauses' where it
+// is in the API.
 func TestQueryNames(t *testing.T) {
 	for _, x := range []struct {
 		body    string
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
-	"pulleygw.example/pulleygw/internal/gatherer/standin/lots"
+	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
 // rig is the front and the core on a false clock, among lot stores in memory that hold a corpus: four ranges to a
@@ -42,7 +42,7 @@
 	tries    map[string]int
 }
 
-// Work of a part, as shares of what a part with listings takes, and of a call.
+// Work of a subquery, as shares of what a subquery with listings takes, and of a call.
 const (
 	partWork   = 84 * time.Millisecond
 	scoreShare = 0.7
@@ -96,7 +96,7 @@
 	}
 	for i, s := range list { // the core numbers them from 1 on, in the list's order
 		id := decision.ServerID(i + 1)
-		r.stores[id] = &memStore{id: id, copy: r.corpus.NewCopy(s.Name, o.refresh), free: 2, slow: max(o.unit, 0.0001),
+		r.stores[id] = &memStore{id: id, copy: r.corpus.NewReplica(s.Name, o.refresh), free: 2, slow: max(o.unit, 0.0001),
 			asked: map[lots.Phase]map[int]int{}}
 		if o.unit == 0 {
 			r.stores[id].slow = 1
@@ -118,8 +118,9 @@
 	return p.Status, gjson.ParseBytes(p.Body)
 }
 
-// asked adds up how often a range was asked in a phase.
-func (r *rig) asked(shard int, p lots.Phase) (n int) {
+// asked adds up how often range 3 was asked in a phase.
+func (r *rig) asked(p lots.Phase) (n int) {
+	const shard = 3
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.holders(shard) {
@@ -135,7 +136,7 @@
 
 // truthOf is the same without some ranges.
 func (r *rig) truthOf(body string, from, size int, without []int) (ids []string, total int) {
-	k := r.corpus.NewCopy("truth", 0)
+	k := r.corpus.NewReplica("truth", 0)
 	type hit struct {
 		id   string
 		sort []merge.Value
@@ -152,7 +153,7 @@
 		if slices.Contains(without, s) {
 			continue
 		}
-		found, why := parseFound(gjson.Parse(k.Search(s, gjson.ParseBytes(askBody(q.text(), ask, s, "1s")))), ask)
+		found, why := parseFound(gjson.Parse(k.Search(s, gjson.ParseBytes(shardBody(q.coreText(), ask, s, "1s")))), ask)
 		if why != "" {
 			panic(why)
 		}
