--- a/internal/tier/soak/run.go
+++ b/internal/tier/soak/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"sync"
 	"time"
@@ -170,13 +171,14 @@
 	}
 }
 
-// verifyTurn continues a turn that was answered completely, in a new program.
+// verifyTurn continues a turn that was answered completely. Each attempt is a program of its own: a stream that breaks
+// off after its last event has delivered its tokens, and the next attempt delivers as many again.
 func (h *harness) verifyTurn(ctx context.Context, random *rand.Rand, kept *turn) {
 	client := testbed.NewClient()
 	defer client.Close()
-	for {
+	for number := 1; ; number++ {
 		call := callOf(talkRoute, "afterwards\n")
-		call.Program, call.Session, call.Budget = "after-"+kept.id, "s", 1000
+		call.Program, call.Session, call.Budget = fmt.Sprintf("after-%s-%d", kept.id, number), "s", 1000
 		attempt := h.send(ctx, client, h.Edges[random.IntN(len(h.Edges))], talkRoute, call, kept)
 		if attempt.Status == 200 && attempt.isComplete() || attempt.Status == 404 {
 			return
