--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -138,8 +138,8 @@
 		}
 		x.events = append(x.events, decision.Outcome{Subquery: decision.SubqueryID(e.ID), Server: decision.ServerID(e.Server),
 			Attempt: int(e.Attempt), Status: status, Latency: time.Duration(e.LatencyUs) * time.Microsecond})
-	case wire.ClientGone:
-		x.events = append(x.events, decision.ClientGone{Query: decision.QueryID(e.ID)})
+	case wire.ClientDisconnected:
+		x.events = append(x.events, decision.ClientDisconnected{Query: decision.QueryID(e.ID)})
 	case wire.HealthChecked:
 		x.events = append(x.events, decision.HealthChecked{Server: decision.ServerID(e.Server), OK: e.Status == 0})
 	case wire.Timer:
@@ -200,7 +200,7 @@
 		}
 	}
 	for _, e := range x.events {
-		if g, ok := e.(decision.ClientGone); ok {
+		if g, ok := e.(decision.ClientDisconnected); ok {
 			x.forget(g.Query)
 		}
 	}
--- a/internal/gatherer/decision/events.go
+++ b/internal/gatherer/decision/events.go
@@ -92,8 +92,8 @@
 	Latency  time.Duration
 }
 
-// ClientGone reports that a query's client has disconnected. Its subqueries end with it.
-type ClientGone struct{ Query QueryID }
+// ClientDisconnected reports that a query's client has disconnected. Its subqueries end with it.
+type ClientDisconnected struct{ Query QueryID }
 
 // ServerList reports changes of the server list.
 type ServerList struct {
@@ -129,7 +129,7 @@
 
 func (Outcome) event() {}
 
-func (ClientGone) event() {}
+func (ClientDisconnected) event() {}
 
 func (ServerList) event() {}
 
--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -5,7 +5,7 @@
 // per tick. A request passes these stages, a file each: inbox, limits, admit, route, send, outcomes, relay.
 //
 // A front calls [Core.Submit] with a [Request] and receives exactly one [Result] on its Done channel, unless it calls
-// [Core.ClientGone] first. A [Transport] carries the attempts and reports to the core, which is its [Reporter].
+// [Core.ClientDisconnected] first. A [Transport] carries the attempts and reports to the core, which is its [Reporter].
 package gather
 
 import (
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -243,7 +243,7 @@
 		}
 		c.forgetSearch(q)
 		q.plan = nil // a plan that panicked must not be asked for its result
-		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
+		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)})
 		c.deliver(q, Result{Kind: Failed, Reason: ReasonPanic, Shards: shardResults(q.Request)})
 	}()
 	f()
--- a/internal/gatherer/gather/crossings_test.go
+++ b/internal/gatherer/gather/crossings_test.go
@@ -38,7 +38,7 @@
 		} else {
 			c.Submit(r)
 		}
-		c.ClientGone(r)
+		c.ClientDisconnected(r)
 		last := newRequest(0, 1, 20*time.Second)
 		c.Submit(last)
 		for sent := false; !sent; {
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -12,8 +12,8 @@
 // Inbox: messages of fronts, the transport and discovery arrive through one channel and become events of the next step.
 
 type (
-	clientGone struct{ r *Request }
-	outcome    struct {
+	clientDisconnected struct{ r *Request }
+	outcome            struct {
 		a     *Attempt
 		s     decision.Status
 		value string
@@ -122,8 +122,8 @@
 // Submit submits a request. Its final answer is sent on Done.
 func (c *Core) Submit(r *Request) { c.post(r) }
 
-// ClientGone reports that a request's client has disconnected. It gets no answer, unless one was already being sent.
-func (c *Core) ClientGone(r *Request) { c.post(clientGone{r}) }
+// ClientDisconnected reports that a request's client has disconnected. It gets no answer, unless one was already being sent.
+func (c *Core) ClientDisconnected(r *Request) { c.post(clientDisconnected{r}) }
 
 // List reports an update of the server list.
 func (c *Core) List(l List) { c.post(l) }
@@ -164,7 +164,7 @@
 		c.applyLimits(m)
 	case gateCounts:
 		m.to <- c.countGates()
-	case clientGone:
+	case clientDisconnected:
 		c.endForClient(m.r)
 	case outcome:
 		c.guard(m.a.subquery.q, func() { c.recordOutcome(m.a, m.s, m.value, m.score) })
@@ -198,7 +198,7 @@
 	}
 	if q, ok := c.inFlight.Query(r.id); ok && q.Request == r {
 		c.recordFinal(r, "left", "")
-		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(r.id)})
+		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(r.id)})
 		c.forget(q)
 	}
 }
--- a/internal/gatherer/gather/relay.go
+++ b/internal/gatherer/gather/relay.go
@@ -16,7 +16,7 @@
 	case !a.Final && (!q.CompleteOnly || a.Complete):
 		c.startSecondStep(q, a.Complete)
 	case q.CompleteOnly && (!a.Complete || !q.pageComplete()):
-		c.events = append(c.events, decision.ClientGone{Query: a.Query}) // ends the query where the first step ended
+		c.events = append(c.events, decision.ClientDisconnected{Query: a.Query}) // ends the query where the first step ended
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPartial})
 	default:
 		c.finish(q, Result{Kind: Answered, Complete: a.Complete && q.pageComplete()})
@@ -49,7 +49,7 @@
 		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.subqueries, func(p *subquery) bool { return p.mayRun > 0 }) {
 			kind = Rejected
 		}
-		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)}) // the scheduler cancels what is in flight
+		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)}) // the scheduler cancels what is in flight
 		c.finish(q, Result{Kind: kind, Reason: ReasonStopping})
 	}
 }
--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -135,7 +135,7 @@
 	q := a.subquery.q
 	c.endAttempt(a, decision.NotSent)
 	if !q.over && q.plan.Unanswerable(uint32(a.Server)) {
-		c.events = append(c.events, decision.ClientGone{Query: decision.QueryID(q.id)})
+		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
 	}
 }
--- a/internal/gatherer/net/opensearch/calls.go
+++ b/internal/gatherer/net/opensearch/calls.go
@@ -57,7 +57,7 @@
 		case <-gone:
 			for _, a := range j.requests[i:] {
 				if a.err == nil {
-					f.Core.ClientGone(a.core)
+					f.Core.ClientDisconnected(a.core)
 				}
 			}
 			return nil
--- a/internal/gatherer/net/opensearch/front.go
+++ b/internal/gatherer/net/opensearch/front.go
@@ -20,7 +20,7 @@
 // Core is the part of gather.Core that the front uses.
 type Core interface {
 	Submit(*gather.Request)
-	ClientGone(*gather.Request)
+	ClientDisconnected(*gather.Request)
 	Snapshot() gather.Snapshot
 }
 
--- a/internal/gatherer/net/opensearch/opensearch_test.go
+++ b/internal/gatherer/net/opensearch/opensearch_test.go
@@ -36,9 +36,9 @@
 	asked  *gather.Request
 }
 
-func (c *core) Submit(r *gather.Request)      { c.asked = r; r.Done <- c.result }
-func (c *core) ClientGone(*gather.Request)    {}
-func (c *core) Snapshot() (s gather.Snapshot) { return s }
+func (c *core) Submit(r *gather.Request)           { c.asked = r; r.Done <- c.result }
+func (c *core) ClientDisconnected(*gather.Request) {}
+func (c *core) Snapshot() (s gather.Snapshot)      { return s }
 
 func front(res gather.Result) (*Front, *core) {
 	c := &core{result: res}
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -20,7 +20,7 @@
 // Core is the part of gather.Core that the front uses.
 type Core interface {
 	Submit(*gather.Request)
-	ClientGone(*gather.Request)
+	ClientDisconnected(*gather.Request)
 }
 
 // Front serves queries and the platform's health checks.
@@ -57,7 +57,7 @@
 	case res := <-q.Done:
 		return render(res)
 	case <-gone:
-		f.Core.ClientGone(q)
+		f.Core.ClientDisconnected(q)
 		return nil
 	}
 }
--- a/internal/gatherer/net/platform/platform_test.go
+++ b/internal/gatherer/net/platform/platform_test.go
@@ -25,7 +25,7 @@
 		r.Done <- c.result
 	}
 }
-func (c *core) ClientGone(*gather.Request) { c.left = true }
+func (c *core) ClientDisconnected(*gather.Request) { c.left = true }
 
 const none gather.Kind = 99
 
--- a/internal/gatherer/settings/settings.go
+++ b/internal/gatherer/settings/settings.go
@@ -75,13 +75,13 @@
 	DrainGrace     time.Duration // sends to a draining lot store must have ended within this; 0 if not configured
 }
 
-// clientGoneMargin is less than the time for which a request may still be sent after its client has disconnected.
-const clientGoneMargin = 250 * time.Millisecond
+// disconnectMargin is less than the time for which a request may still be sent after its client has disconnected.
+const disconnectMargin = 250 * time.Millisecond
 
 // WriteFor is the time-out of a write to a lot store that does not read. What is being written cannot be cancelled, though
 // the store may start to drain meanwhile and clients may disconnect.
 func (s Settings) WriteFor() time.Duration {
-	limit := min(4*s.ConnectTimeout, clientGoneMargin)
+	limit := min(4*s.ConnectTimeout, disconnectMargin)
 	if s.DrainGrace > 0 {
 		limit = min(limit, s.DrainGrace)
 	}
--- a/internal/gatherer/settings/settings_test.go
+++ b/internal/gatherer/settings/settings_test.go
@@ -110,8 +110,8 @@
 // The time-out of a write to a lot store that does not read is within each time that runs meanwhile.
 func TestWriteFor(t *testing.T) {
 	for _, x := range []struct{ connect, grace, want time.Duration }{
-		{250 * time.Millisecond, 0, clientGoneMargin}, {250 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond},
-		{250 * time.Millisecond, 2 * time.Second, clientGoneMargin}, {20 * time.Millisecond, 2 * time.Second, 80 * time.Millisecond},
+		{250 * time.Millisecond, 0, disconnectMargin}, {250 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond},
+		{250 * time.Millisecond, 2 * time.Second, disconnectMargin}, {20 * time.Millisecond, 2 * time.Second, 80 * time.Millisecond},
 	} {
 		if got := (Settings{ConnectTimeout: x.connect, DrainGrace: x.grace}).WriteFor(); got != x.want {
 			t.Errorf("connects within %v, drains within %v: %v, want %v", x.connect, x.grace, got, x.want)
--- a/internal/gatherer/wire/wire.go
+++ b/internal/gatherer/wire/wire.go
@@ -48,18 +48,18 @@
 
 // Event codes.
 const (
-	codeOutcome       = 16
-	codeFirst         = 17
-	codeSheet         = 18
-	codeContext       = 19
-	codeHealthChecked = 20
-	codeCreate        = 21
-	codeTimer         = 22
-	codeQuery         = 23
-	codeTargets       = 24
-	codeClientGone    = 25
-	codeMessage       = 26
-	codeExit          = 27
+	codeOutcome            = 16
+	codeFirst              = 17
+	codeSheet              = 18
+	codeContext            = 19
+	codeHealthChecked      = 20
+	codeCreate             = 21
+	codeTimer              = 22
+	codeQuery              = 23
+	codeTargets            = 24
+	codeClientDisconnected = 25
+	codeMessage            = 26
+	codeExit               = 27
 )
 
 // Context sets the instance of the records after it.
@@ -122,8 +122,8 @@
 	LatencyUs uint32
 }
 
-// ClientGone says that a query's client has disconnected.
-type ClientGone struct{ ID uint64 }
+// ClientDisconnected says that a query's client has disconnected.
+type ClientDisconnected struct{ ID uint64 }
 
 // Timer is a timer that has expired.
 type Timer struct{ Token uint64 }
@@ -220,8 +220,8 @@
 		return Query{d.u64(), d.u8(), d.u16(), d.u64(), d.u32(), d.u32(), d.f32(), d.f32(), d.f32(), d.u16()}
 	case codeTargets:
 		return Targets{d.u8(), d.u32(), d.u32()}
-	case codeClientGone:
-		return ClientGone{d.u64()}
+	case codeClientDisconnected:
+		return ClientDisconnected{d.u64()}
 	case codeMessage:
 		d.u32()
 		d.bytes(int(d.u16()))
--- a/internal/gatherer/wire/wire_test.go
+++ b/internal/gatherer/wire/wire_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	want := []any{Context{3}, Query{ID: 0x7f5b55d3a91c4, Key: 0x91f03b7c55d20a64, RemainingUs: 240000, WorkUs: 12000,
-		Number: 214, Share: 0.125, Flags: 1}, Timer{77}, Context{5}, ClientGone{0x231a00e6f2b19}}
+		Number: 214, Share: 0.125, Flags: 1}, Timer{77}, Context{5}, ClientDisconnected{0x231a00e6f2b19}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v\nwant %v", got, want)
 	}
--- a/policy/answers_test.go
+++ b/policy/answers_test.go
@@ -90,7 +90,7 @@
 // Bad input to the public interface is ignored, or rejected where a query is owed its answer.
 func TestBadInput(t *testing.T) {
 	b := newFixture(t, base(), 0, 1, 2)
-	b.step(decision.QueryArrived{ID: 1, Class: 99, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: 5}, decision.ClientGone{Query: 9},
+	b.step(decision.QueryArrived{ID: 1, Class: 99, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: 5}, decision.ClientDisconnected{Query: 9},
 		decision.SubqueryArrived{ID: 8, Query: 77}, decision.SubqueryArrived{ID: 9, Query: 1, Shard: -4})
 	if _, ok := b.last[1].(decision.Reject); !ok {
 		t.Error("a query of an unknown class was not refused")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -61,7 +61,7 @@
 		sc.onSubquery(e)
 	case decision.Outcome:
 		sc.onOutcome(e)
-	case decision.ClientGone:
+	case decision.ClientDisconnected:
 		sc.End(sc.Queries[e.Query])
 	case decision.ServerList:
 		sc.onList(e)
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -30,7 +30,7 @@
 			if _, ok := b.last[q].(decision.Reject); ok {
 				refused[class]++
 			}
-			b.step(decision.ClientGone{Query: q})
+			b.step(decision.ClientDisconnected{Query: q})
 		}
 	}
 	if refused[0] < 70 || refused[1] > 30 {
