--- a/internal/tier/coordinator/membership/watch.go
+++ b/internal/tier/coordinator/membership/watch.go
@@ -37,8 +37,8 @@
 
 // HandleWatch answers a poll. Coordinators get all that they lack; agents and turn stores are served by the readiness gate.
 func (m *Membership) HandleWatch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
-	m.directory.recordContact(request.Follower)
-	if request.GetFollower().GetRole() == tierpb.Role_ROLE_COORDINATOR {
+	m.directory.recordContact(request.Watcher)
+	if request.GetWatcher().GetRole() == tierpb.Role_ROLE_COORDINATOR {
 		return m.watchAsCoordinator(ctx, request)
 	}
 	return m.readiness.Watch(ctx, request)
--- a/internal/tier/modelcheck/store_action.go
+++ b/internal/tier/modelcheck/store_action.go
@@ -196,10 +196,10 @@
 		add(uint64(count))
 	}
 	for _, join := range r.leaseHolder.joins {
-		add(join.Request.Node.Identity, join.Request.CopiedEpoch, uint64(join.FirstSeen.UnixNano()), uint64(join.LastSeen.UnixNano()))
+		add(join.Request.Node.Identity, join.Request.RebalancedEpoch, uint64(join.FirstSeen.UnixNano()), uint64(join.LastSeen.UnixNano()))
 	}
 	for _, e := range r.queue {
-		add(uint64(e.kind), uint64(r.column(e).number), uint64(e.due), uint64(e.diskNumber), e.call.GetCopiedEpoch())
+		add(uint64(e.kind), uint64(r.column(e).number), uint64(e.due), uint64(e.diskNumber), e.call.GetRebalancedEpoch())
 	}
 	for _, m := range r.machines {
 		add(uint64(m.diskNumber), uint64(m.reachableAt), m.known.Epoch, m.copied, flags(r.client.synced[m.identity()]))
--- a/internal/tier/modelcheck/store_event.go
+++ b/internal/tier/modelcheck/store_event.go
@@ -109,7 +109,7 @@
 }
 
 func (r *storeRun) callOf(m *storeMachine) *tierpb.JoinRequest {
-	return &tierpb.JoinRequest{Node: m.node(), StoreEpoch: m.known.Epoch, CopiedEpoch: m.copied}
+	return &tierpb.JoinRequest{Node: m.node(), StoreEpoch: m.known.Epoch, RebalancedEpoch: m.copied}
 }
 
 // write lets one store of the replica sets sync the record that is being written, and the client count its reply.
--- a/internal/tier/placement/migration.go
+++ b/internal/tier/placement/migration.go
@@ -37,7 +37,7 @@
 	for _, member := range stores.GetPrevious() {
 		join, known := view.join(member.Identity)
 		switch {
-		case known && join.Request.CopiedEpoch >= stores.Epoch:
+		case known && join.Request.RebalancedEpoch >= stores.Epoch:
 			progress.reported++
 		case isDiskLost(member, stores.Current):
 			progress.diskLost++
--- a/internal/tier/rpc/client.go
+++ b/internal/tier/rpc/client.go
@@ -44,7 +44,7 @@
 // errors. It implements Caller.
 func (c *Client) Call(ctx context.Context, address string, method Method, request, reply Message) error {
 	c.counters.calls.Add(1)
-	err := c.call(ctx, peerKey{address: address, bulk: method == MethodMoveRecords}, method, request, reply)
+	err := c.call(ctx, peerKey{address: address, bulk: method == MethodTransferRecords}, method, request, reply)
 	if err != nil {
 		c.counters.failures.Add(1)
 	}
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -20,7 +20,7 @@
 	MethodGetChain                         // turnstore
 	MethodReserveBudget                    // turnstore
 	MethodReadBudget                       // turnstore
-	MethodMoveRecords                      // turnstore
+	MethodTransferRecords                      // turnstore
 	MethodOfferRecords                     // turnstore
 	MethodChangeSegments                   // coordinator
 )
--- a/internal/tier/turnstore/control.go
+++ b/internal/tier/turnstore/control.go
@@ -90,7 +90,7 @@
 func (r *role) pollCoordinators(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	request := &tierpb.WatchRequest{ControlVersion: r.state.Control().GetVersion(), Follower: r.node}
+	request := &tierpb.WatchRequest{ControlVersion: r.state.Control().GetVersion(), Watcher: r.node}
 	var calls sync.WaitGroup
 	for _, address := range r.coordinatorAddresses() {
 		calls.Go(func() {
--- a/internal/tier/turnstore/join.go
+++ b/internal/tier/turnstore/join.go
@@ -50,7 +50,7 @@
 	request := &tierpb.JoinRequest{
 		Node:        j.node,
 		StoreEpoch:  membership.GetEpoch(),
-		CopiedEpoch: j.rebalancer.CompletedEpoch(),
+		RebalancedEpoch: j.rebalancer.CompletedEpoch(),
 		Records:     uint64(j.store.Records()),
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -21,7 +21,7 @@
 	rpc.Handle(server, rpc.MethodGetChain, s.GetChain)
 	rpc.Handle(server, rpc.MethodReserveBudget, s.ReserveBudget)
 	rpc.Handle(server, rpc.MethodReadBudget, s.ReadBudget)
-	rpc.Handle(server, rpc.MethodMoveRecords, s.MoveRecords)
+	rpc.Handle(server, rpc.MethodTransferRecords, s.MoveRecords)
 	rpc.Handle(server, rpc.MethodOfferRecords, s.OfferRecords)
 }
 
@@ -83,13 +83,13 @@
 
 // MoveRecords stores what another store transfers during a rebalance. It returns when it is synced.
 func (s *Store) MoveRecords(
-	ctx context.Context, request *tierpb.MoveRecordsRequest,
-) (*tierpb.MoveRecordsReply, error) {
+	ctx context.Context, request *tierpb.TransferRecordsRequest,
+) (*tierpb.TransferRecordsReply, error) {
 	header, err := s.commit(ctx, request.Header, writes{request.Records, request.Budgets, request.Extensions})
 	if err != nil {
 		return nil, err
 	}
-	return &tierpb.MoveRecordsReply{Header: header}, nil
+	return &tierpb.TransferRecordsReply{Header: header}, nil
 }
 
 // OfferRecords returns the indexes of the offered records that are not durable in this store.
--- a/internal/tier/turnstore/transfer.go
+++ b/internal/tier/turnstore/transfer.go
@@ -95,10 +95,10 @@
 // send sends keys to one member in calls of bounded size and returns how many of them, from the first, it has synced.
 func (r *rebalance) send(ctx context.Context, member *tierpb.Node, keys []*keyProgress) (synced int, err error) {
 	for synced < len(keys) {
-		request := &tierpb.MoveRecordsRequest{Header: r.header(member)}
+		request := &tierpb.TransferRecordsRequest{Header: r.header(member)}
 		count := fillRequest(request, keys[synced:])
-		reply := &tierpb.MoveRecordsReply{}
-		err := r.call(ctx, member, rpc.MethodMoveRecords, request, reply)
+		reply := &tierpb.TransferRecordsReply{}
+		err := r.call(ctx, member, rpc.MethodTransferRecords, request, reply)
 		served, err := checkReply(reply.Header, err)
 		if err != nil || !served {
 			return synced, err
@@ -109,7 +109,7 @@
 }
 
 // fillRequest adds keys to a request up to its size limit, at least one, and returns how many it has added.
-func fillRequest(request *tierpb.MoveRecordsRequest, keys []*keyProgress) int {
+func fillRequest(request *tierpb.TransferRecordsRequest, keys []*keyProgress) int {
 	bytes := 0
 	for i, progress := range keys {
 		if i > 0 && bytes+progress.approximateBytes() > maxTransferBytes {
@@ -138,12 +138,12 @@
 		}
 	}
 	return r.callMembers(byMember, func(member *tierpb.Node, extended []*keyProgress) (func(), error) {
-		request := &tierpb.MoveRecordsRequest{Header: r.header(member)}
+		request := &tierpb.TransferRecordsRequest{Header: r.header(member)}
 		for _, progress := range extended {
 			request.Extensions = append(request.Extensions, progress.extension())
 		}
-		reply := &tierpb.MoveRecordsReply{}
-		err := r.call(ctx, member, rpc.MethodMoveRecords, request, reply)
+		reply := &tierpb.TransferRecordsReply{}
+		err := r.call(ctx, member, rpc.MethodTransferRecords, request, reply)
 		served, err := checkReply(reply.Header, err)
 		return func() { applyExtensionReply(member, extended, served) }, err
 	})
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -85,7 +85,7 @@
 func (w *Watcher) newRequest(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
 	request := &tierpb.WatchRequest{
 		ControlVersion: w.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
-		Follower: w.options.Self, Heartbeats: w.options.Heartbeats,
+		Watcher: w.options.Self, Heartbeats: w.options.Heartbeats,
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/tier/watch/reply.go
+++ b/internal/tier/watch/reply.go
@@ -22,7 +22,7 @@
 		reply.Coordinators = s.advertisedCoordinators
 	}
 	switch {
-	case !wantsInstances(request.Follower):
+	case !wantsInstances(request.Watcher):
 	case request.Incarnation != s.incarnation && request.Cursor > 0 && !hasSummary:
 		reply.Cursor, reply.More = 0, true // its position is in another incarnation: a summary shows what it misses
 	default:
@@ -37,7 +37,7 @@
 	case request.DigestsOnly:
 		reply.ControlVersion = s.control.Version
 	default:
-		reply.Control = controlFor(request.Follower, s.control)
+		reply.Control = controlFor(request.Watcher, s.control)
 		s.replaceBodyByDelta(request, reply)
 	}
 }
@@ -116,7 +116,7 @@
 // receivesFrom reports whether a watcher is or watches the source at an address. The address is empty for a call of a
 // store.
 func receivesFrom(request *tierpb.WatchRequest, source string) bool {
-	return source != "" && (request.GetFollower().GetAddress() == source || slices.Contains(request.OtherSources, source))
+	return source != "" && (request.GetWatcher().GetAddress() == source || slices.Contains(request.OtherSources, source))
 }
 
 func statusOf(instance *tierpb.Instance) *tierpb.InstanceStatus {
--- a/internal/tier/watch/serve.go
+++ b/internal/tier/watch/serve.go
@@ -75,7 +75,7 @@
 	if request.Incarnation != s.incarnation {
 		return len(s.instances) > 0 || len(s.advertisedCoordinators) > 0
 	}
-	if !wantsInstances(request.Follower) {
+	if !wantsInstances(request.Watcher) {
 		return s.advertisedRevision > cursor && s.publishedRevision > cursor
 	}
 	if s.listRevision() > cursor && s.publishedRevision > cursor {
