--- a/internal/tier/modelcheck/fault_test.go
+++ b/internal/tier/modelcheck/fault_test.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	"pulleygw.example/pulleygw/internal/tier/invariant"
 )
 
 var (
@@ -119,6 +121,9 @@
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), binary, "-test.run", "^TestHunt$", "-test.v", "-hunt", way, "-hunt-time",
 		huntTime.String(), "-scenario", *scenarioName).CombinedOutput()
+	if violation := violatedInvariant(output); err != nil && violation != "" {
+		return huntReport{Failure: violation}
+	}
 	assert.NilError(t, err, "%s", output)
 	_, line, found := strings.Cut(string(output), reportPrefix)
 	assert.Assert(t, found, "%s", output)
@@ -127,6 +132,17 @@
 	return report
 }
 
+// violatedInvariant returns the text of a panic by package invariant, empty if there is none. Such a panic ends the process
+// of the hunt before it can write its report.
+func violatedInvariant(output []byte) string {
+	_, violation, panicked := strings.Cut(string(output), "panic: "+invariant.Message)
+	if !panicked {
+		return ""
+	}
+	violation, _, _ = strings.Cut(violation, "\n")
+	return invariant.Message + violation
+}
+
 // TestHunt explores all models in turn until an invariant is violated or the time is over, and prints a report.
 func TestHunt(t *testing.T) {
 	if *hunt == "" {
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -8,21 +8,21 @@
 
 // The methods. The comment names the package that serves each.
 const (
-	MethodPrepare        Method = iota + 1 // register
-	MethodAccept                           // register
-	MethodLease                            // lease
-	MethodWatch                            // watch
-	MethodAnnounce                         // coordinator
-	MethodJoin                             // coordinator
-	MethodPing                             // every role but the proxy
-	MethodShuffle                          // peers
-	MethodPutTurns                         // turnstore
-	MethodGetChain                         // turnstore
-	MethodReserveBudget                    // turnstore
-	MethodReadBudget                       // turnstore
-	MethodTransferRecords                      // turnstore
-	MethodOfferRecords                     // turnstore
-	MethodChangeSegments                   // coordinator
+	MethodPrepare         Method = iota + 1 // register
+	MethodAccept                            // register
+	MethodLease                             // lease
+	MethodWatch                             // watch
+	MethodAnnounce                          // coordinator
+	MethodJoin                              // coordinator
+	MethodPing                              // every role but the proxy
+	MethodShuffle                           // peers
+	MethodPutTurns                          // turnstore
+	MethodGetChain                          // turnstore
+	MethodReserveBudget                     // turnstore
+	MethodReadBudget                        // turnstore
+	MethodTransferRecords                   // turnstore
+	MethodOfferRecords                      // turnstore
+	MethodChangeSegments                    // coordinator
 )
 
 // Message is a protobuf message generated with vtprotobuf.
--- a/internal/tier/turnstore/join.go
+++ b/internal/tier/turnstore/join.go
@@ -48,10 +48,10 @@
 func (j *joiner) sendJoin(ctx context.Context) {
 	membership, _ := j.store.Membership()
 	request := &tierpb.JoinRequest{
-		Node:        j.node,
-		StoreEpoch:  membership.GetEpoch(),
+		Node:            j.node,
+		StoreEpoch:      membership.GetEpoch(),
 		RebalancedEpoch: j.rebalancer.CompletedEpoch(),
-		Records:     uint64(j.store.Records()),
+		Records:         uint64(j.store.Records()),
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
