--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -42,7 +42,7 @@
 	state.panics = true
 }
 
-// Name identifies an invariant; docs/promises.md lists them.
+// Name identifies an invariant; docs/guarantees.md lists them.
 type Name string
 
 // Check records a violation of an invariant unless it holds, with the value found and the value expected, and returns
--- a/internal/tier/rules/promises_test.go
+++ b/internal/tier/rules/promises_test.go
@@ -12,7 +12,7 @@
 )
 
 // promises lists the guarantees of the tier, what may break them, and what checks them.
-const promises = "../../../docs/promises.md"
+const promises = "../../../docs/guarantees.md"
 
 var (
 	declaredInvariant = regexp.MustCompile(`(?m)^\t([A-Za-z]+) Name = "([a-z-]+)"`)
--- a/internal/tier/rules/quotations_test.go
+++ b/internal/tier/rules/quotations_test.go
@@ -41,7 +41,7 @@
 }
 
 // quotedPages are the patterns of the pages that are read, from the root.
-var quotedPages = []string{"docs/*.md", "docs/trouble/*.md", "docs/tier/*.md", "docs/design/*.md"}
+var quotedPages = []string{"docs/*.md", "docs/runbooks/*.md", "docs/tier/*.md", "docs/design/*.md"}
 
 // TestPagesQuoteCodeThatExists fails for each quotation of a page that the code does not have, or no longer.
 func TestPagesQuoteCodeThatExists(t *testing.T) {
