--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -231,11 +231,11 @@
 // newLessor grants leases on behalf of the acceptor's voter. It grants none for a while where it may have granted some before
 // this start.
 func (c *coordinator) newLessor() *lease.Lessor {
-	holdBack := lease.MaxTTL
+	gracePeriod := lease.MaxTTL
 	if c.acceptor.Fresh() && c.live.Current().Bootstrap {
-		holdBack = 0
+		gracePeriod = 0
 	}
-	return lease.NewLessor(c.self.Identity, holdBack)
+	return lease.NewLessor(c.self.Identity, gracePeriod)
 }
 
 // heartbeatPeriod is how often instances send heartbeats.
--- a/internal/tier/modelcheck/process.go
+++ b/internal/tier/modelcheck/process.go
@@ -82,11 +82,11 @@
 
 // startLease adds the lessor, and on candidates a lease candidate that runs as long as the process.
 func (p *process) startLease(bootstrap bool) {
-	holdBack := lease.MaxTTL
+	gracePeriod := lease.MaxTTL
 	if bootstrap {
-		holdBack = 0
+		gracePeriod = 0
 	}
-	lessor := lease.NewLessor(p.acceptor.Identity(), holdBack)
+	lessor := lease.NewLessor(p.acceptor.Identity(), gracePeriod)
 	lessor.Serve(p.incarnation.Server)
 	if p.node.number >= p.run.scenario.Candidates {
 		return
--- a/internal/tier/rules/promises_test.go
+++ b/internal/tier/rules/guarantees_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// promises lists the guarantees of the tier, what may break them, and what checks them.
-const promises = "../../../docs/guarantees.md"
+// guaranteesPage lists the guarantees of the tier, what may break them, and what checks them.
+const guaranteesPage = "../../../docs/guarantees.md"
 
 var (
 	declaredInvariant = regexp.MustCompile(`(?m)^\t([A-Za-z]+) Name = "([a-z-]+)"`)
@@ -20,10 +20,10 @@
 	alsoNamed         = regexp.MustCompile("`([a-z-]+)`; soak marks")
 )
 
-// TestPromisesNameTheInvariants checks that each declared invariant is used in the code and named on the page, and that the
+// TestGuaranteesNameTheInvariants checks that each declared invariant is used in the code and named on the page, and that the
 // page names no other.
-func TestPromisesNameTheInvariants(t *testing.T) {
-	page, err := os.ReadFile(promises)
+func TestGuaranteesNameTheInvariants(t *testing.T) {
+	page, err := os.ReadFile(guaranteesPage)
 	assert.NilError(t, err)
 	names, err := os.ReadFile("../invariant/names.go")
 	assert.NilError(t, err)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestPromisesNameTestsThatExist checks that the tests that the page names exist.
-func TestPromisesNameTestsThatExist(t *testing.T) {
-	page, err := os.ReadFile(promises)
+// TestGuaranteesNameTestsThatExist checks that the tests that the page names exist.
+func TestGuaranteesNameTestsThatExist(t *testing.T) {
+	page, err := os.ReadFile(guaranteesPage)
 	assert.NilError(t, err)
 	for _, match := range named.FindAllStringSubmatch(string(page), -1) {
 		assert.Check(t, testsIn(t, match[1])[match[2]], "no test %s in %s", match[2], match[1])
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -358,7 +358,7 @@
 	case rpc.MethodReadBudget:
 		return store.ReadBudget(ctx, decode[tierpb.ReadBudgetRequest](data))
 	case rpc.MethodTransferRecords:
-		return store.MoveRecords(ctx, decode[tierpb.TransferRecordsRequest](data))
+		return store.TransferRecords(ctx, decode[tierpb.TransferRecordsRequest](data))
 	case rpc.MethodOfferRecords:
 		return store.OfferRecords(ctx, decode[tierpb.OfferRecordsRequest](data))
 	}
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -21,7 +21,7 @@
 	rpc.Handle(server, rpc.MethodGetChain, s.GetChain)
 	rpc.Handle(server, rpc.MethodReserveBudget, s.ReserveBudget)
 	rpc.Handle(server, rpc.MethodReadBudget, s.ReadBudget)
-	rpc.Handle(server, rpc.MethodTransferRecords, s.MoveRecords)
+	rpc.Handle(server, rpc.MethodTransferRecords, s.TransferRecords)
 	rpc.Handle(server, rpc.MethodOfferRecords, s.OfferRecords)
 }
 
@@ -81,8 +81,8 @@
 	return &tierpb.BudgetReply{Header: header, Budget: s.claimsOf(request.Program)}, nil
 }
 
-// MoveRecords stores what another store transfers during a rebalance. It returns when it is synced.
-func (s *Store) MoveRecords(
+// TransferRecords stores what another store transfers during a rebalance. It returns when it is synced.
+func (s *Store) TransferRecords(
 	ctx context.Context, request *tierpb.TransferRecordsRequest,
 ) (*tierpb.TransferRecordsReply, error) {
 	header, err := s.commit(ctx, request.Header, writes{request.Records, request.Budgets, request.Extensions})
