--- a/internal/tier/admission/doc.go
+++ b/internal/tier/admission/doc.go
@@ -39,7 +39,7 @@
 //
 //  1. available: healthy, not stalled, with capacity
 //  2. saturated: the same without capacity; the request waits in the queue
-//  3. suspect: unhealthy, stalled, or it has recently failed this request's program
+//  3. unhealthy: low weight, stalled, or it has recently failed this request's program
 //  4. backoff: it rejected a request, or could not be reached, a moment ago
 //  5. attempted: an earlier attempt of this request was sent there
 //
@@ -48,20 +48,21 @@
 //
 // # Ejection and return
 //
-// No store is ejected altogether; it is passed over while there are better ones. All of it is in health.go:
+// An ejected store is passed over while there are better ones. While all stores of a service are in backoff, its requests
+// are queued. All of it is in health.go:
 //
 //   - A failing or slow store's weight falls (store.weight): by the cube of its success rate and by the square of its
-//     response time, as a multiple of 1.6 times what is usual. Below 0.3 it is unhealthy and falls to the suspect tier. A store
+//     response time, as a multiple of 1.6 times what is usual. Below 0.3 it is unhealthy and falls to the unhealthy tier. A store
 //     whose heartbeats are late (Suspect) has 0.3 of its weight.
-//   - A store is stalled, and in the suspect tier, while its oldest request has waited for its first byte for longer than the
+//   - A store is stalled, and in the unhealthy tier, while its oldest request has waited for its first byte for longer than the
 //     99th percentile of response times (store.stalled).
 //   - After a rejection (Saturated) a store is in backoff for its median response time, 50 to 400 ms. After a failed connection
 //     or NotExecuted it is in backoff for 1 s (store.recordOutcome).
-//   - Requests that are not idempotent also keep away from a store that has recently lost responses (store.suspectFor).
+//   - Requests that are not idempotent also keep away from a store that has recently lost responses (store.avoidedFor).
 //
 // The weight comes back with successes, and by itself: the failure rate has a half-life of 5 s, the latency ratio of 10 s and
 // the loss rate of 20 s. An unhealthy store is tested meanwhile by idempotent requests, one at a time, as by a half-open
-// circuit breaker (store.suspectFor).
+// circuit breaker (store.avoidedFor).
 //
 // # Load shedding
 //
--- a/internal/tier/admission/health.go
+++ b/internal/tier/admission/health.go
@@ -126,10 +126,10 @@
 	return now < s.backoffUntil && !ablation.Disabled(ablation.Backoff)
 }
 
-// suspectFor reports whether the store's health keeps the request away from it. An unhealthy store is tested by idempotent
+// avoidedFor reports whether the store's health keeps the request away from it. An unhealthy store is tested by idempotent
 // requests in their first attempt, while no other attempt is in flight there, as by a half-open circuit breaker. A
 // request that is neither idempotent nor a stream also keeps away from a store that has recently lost responses.
-func (s *store) suspectFor(p *pendingRequest, now time.Duration) bool {
+func (s *store) avoidedFor(p *pendingRequest, now time.Duration) bool {
 	if !p.Idempotent && !p.Streaming && s.currentLossRate(now) > maxLossRate && !ablation.Disabled(ablation.LossAvoidance) {
 		return true
 	}
--- a/internal/tier/admission/selection.go
+++ b/internal/tier/admission/selection.go
@@ -13,7 +13,7 @@
 const (
 	tierAvailable tier = iota
 	tierSaturated      // healthy, without capacity: the request would be queued
-	tierSuspect        // unhealthy, stalled, or it recently failed the request's program
+	tierUnhealthy        // unhealthy, stalled, or it recently failed the request's program
 	tierBackoff        // it rejected a request, or could not be reached, a moment ago
 	tierAttempted      // an earlier attempt of the request was sent there
 	tierExcluded       // draining or deregistered; never selected
@@ -28,8 +28,8 @@
 		return tierAttempted
 	case s.inBackoff(now):
 		return tierBackoff
-	case s == p.failedStore || s.stalled(now) || s.suspectFor(p, now):
-		return tierSuspect
+	case s == p.failedStore || s.stalled(now) || s.avoidedFor(p, now):
+		return tierUnhealthy
 	case !s.hasCapacity(now):
 		return tierSaturated
 	}
--- a/internal/tier/admission/tuning.go
+++ b/internal/tier/admission/tuning.go
@@ -70,7 +70,7 @@
 	// minBackoff and maxBackoff bound the time for which a store that rejected a request gets none.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// connectBackoff is the time for which a store that could not be reached gets no request while there are others.
+	// connectBackoff is the time for which a store that could not be reached gets no request.
 	connectBackoff = time.Second
 )
 
--- a/internal/tier/agent/log.go
+++ b/internal/tier/agent/log.go
@@ -22,7 +22,7 @@
 		if control := a.state.Control(); control.GetVersion() != version {
 			version = control.Version
 			a.log.Info("control state updated", "version", version, "generation", control.Configuration.GetGeneration(),
-				"voters", len(control.Voters), "stores", len(control.Stores.GetCurrent()))
+				"voter_sets", len(control.Voters), "turn_stores", len(control.Stores.GetCurrent()))
 		}
 		if current := a.countStores(); current != counts {
 			counts = current
--- a/internal/tier/budget/client.go
+++ b/internal/tier/budget/client.go
@@ -15,7 +15,7 @@
 // Errors of Reserve. After either the turn must not be run.
 var (
 	ErrExhausted = eris.New("the program's budget is spent")
-	ErrUncertain = replica.ErrUncertain // no quorum answered in time, or the claim was settled or withdrawn before
+	ErrUncertain = replica.ErrUncertain // no quorum answered in time, the claim was settled or withdrawn before, or an invariant failed
 )
 
 // Bounds of the client.
--- a/internal/tier/replica/client.go
+++ b/internal/tier/replica/client.go
@@ -21,7 +21,7 @@
 	Membership func() *tierpb.StoreMembership       // returns the newest membership the process knows; nil if none
 	Learn      func(*tierpb.StoreMembership)        // called with newer memberships from stores; nil: not called
 	Tolerance  int                                  // machines that may be lost at once
-	Zone       string                               // of this process; members in other zones are called last
+	Zone       string                               // of this process; members in other zones rank as if they were slower
 	Now        func() time.Time                     // clock; nil: time.Now
 	After      func(time.Duration) <-chan time.Time // timer; nil: time.After
 	CacheBytes int                                  // bound of the record cache of package turns; 0: its default
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -40,6 +40,7 @@
 	ErrTimeout = eris.New("no reply before the deadline")
 	// ErrRejected: the peer has no handler for the method, or the handler returned an error.
 	ErrRejected = eris.New("call rejected by the peer")
-	// ErrTooLarge: the request or a received frame is larger than the protocol allows.
+	// ErrTooLarge: the request is larger than the protocol allows. A received frame that is too large breaks the connection,
+	// and the call ends with ErrUnreachable.
 	ErrTooLarge = eris.New("frame too large")
 )
--- a/internal/tier/storage/doc.go
+++ b/internal/tier/storage/doc.go
@@ -15,7 +15,7 @@
 // was killed between steps 2 and 3 may have left a name that is visible and not yet durable, and the caller may act on
 // what it reads.
 //
-// A process never uses a version number twice, also when a save has failed. So a file whose sync has failed, after which
+// A Series never uses a version number twice, also when a save has failed. So a file whose sync has failed, after which
 // the kernel may drop its pages, is never written to again.
 //
 // If a published version fails its checksum, the disk has lost what it acknowledged, and Series.Corrupted reports it. What
--- a/internal/tier/turnstore/doc.go
+++ b/internal/tier/turnstore/doc.go
@@ -20,18 +20,19 @@
 //	marks-NUMBER      offsets up to which that segment was synced (see offsetFile)
 //	merged-NUMBER     compacted file: replaces all segments up to NUMBER and all earlier compacted files
 //	merged-NUMBER.part  a compacted file that is being written; removed at the next start
-//	newest.*          number of the newest compacted file
-//	identity.*        the store's identity
-//	membership.*      the newest membership whose rebalance may have begun
+//	newest-VERSION    number of the newest compacted file
+//	identity-VERSION  the store's identity
+//	membership-VERSION  the newest membership whose rebalance may have begun
 //
-// NUMBER has 16 hexadecimal digits. Segments and compacted files consist of a magic number and frames (see frame.go);
+// NUMBER and VERSION have 16 hexadecimal digits. Segments and compacted files consist of a magic number and frames (see frame.go);
 // the last three are versioned files of package storage. The names "marks" and "merged" are kept for compatibility with
 // files on disk; the code says offsets and compacted.
 //
 // # Recovery
 //
-// Open reads all compacted files and segments. Applying frames is commutative and idempotent, so neither the order nor a
-// file that has been replaced already matters. What was read is synced before it is served, because from then on it
+// Open reads all compacted files and segments. Compacted files come first, then segments in the order of their
+// numbers: an extension of retention applies only to a record that was read before it. Applying a frame again changes
+// nothing, so a file that has been replaced already does no harm. What was read is synced before it is served, because from then on it
 // counts as durable.
 //
 // A segment that ends in an incomplete frame is normal after a crash, as long as the offsets file does not say that the
@@ -57,12 +58,13 @@
 //
 // # Log lines for operators
 //
-//	data folder recovered          at the start; another identity than before, or 0 records, means an empty disk
+//	data folder recovered          at the start; another identity than before means a lost disk: an empty one where
+//	                               records is 0, else a damaged one
 //	disk lost synced data: ...     synced files are damaged or missing; the store is a new member from here on
 //	membership changed             the store has learned a newer epoch; rebalance follows if it is a previous member
 //	rebalance complete             its keys are durable on the current members
 //	cannot save membership         the rebalance of that epoch does not start before the disk accepts writes
-//	compaction failed              the disk does not accept writes; the store rejects them with STORE_FULL
+//	compaction failed              the compacted file could not be written; it is retried, and segments are kept meanwhile
 //
 // The lease holder among the coordinators logs "turn store members changed" when it replaces a store that has a new
 // identity, and "redundancy restored" when the rebalance has ended.
--- a/internal/tier/turnstore/recovery.go
+++ b/internal/tier/turnstore/recovery.go
@@ -102,7 +102,7 @@
 	complete   bool  // no frame is incomplete
 }
 
-// readFrameFile applies the frames of a file. Applying is commutative and idempotent, so a file that a compacted one has
+// readFrameFile applies the frames of a file. Applying is idempotent, so a file that a compacted one has
 // replaced does no harm. What a killed process had written without a sync is synced first: from here on it counts as
 // durable.
 func readFrameFile(disk storage.Disk, path string, loader frameLoader) (frameFile, error) {
--- a/internal/tier/turnstore/state.go
+++ b/internal/tier/turnstore/state.go
@@ -32,8 +32,8 @@
 	batch  *batch // that contains the newest change; nil if it was read from disk
 }
 
-// state is the in-memory state machine that frames are applied to. Applying is commutative and idempotent. It is not safe
-// for concurrent use: Store guards it.
+// state is the in-memory state machine that frames are applied to. Applying is idempotent, and commutative but for extensions
+// of retention, which apply only to records that are there. It is not safe for concurrent use: Store guards it.
 type state struct {
 	records  map[string]*record  // by turn id
 	programs map[string]*program // by program name
--- a/internal/tier/watch/doc.go
+++ b/internal/tier/watch/doc.go
@@ -57,6 +57,6 @@
 // # Bounds
 //
 // Wake-ups are rate limited (minChangeInterval, minHeartbeatInterval), so that a burst of changes costs each watcher
-// few polls. Replies, delta bases and the change journal are bounded in size. Sources that fail are avoided with
+// few polls. Full descriptions in a reply, delta bases and the change journal are bounded. Sources that fail are avoided with
 // exponential backoff; all periods are jittered so that watchers do not act in step.
 package watch
