--- a/internal/tier/admission/selection.go
+++ b/internal/tier/admission/selection.go
@@ -13,7 +13,7 @@
 const (
 	tierAvailable tier = iota
 	tierSaturated      // healthy, without capacity: the request would be queued
-	tierUnhealthy        // unhealthy, stalled, or it recently failed the request's program
+	tierUnhealthy      // unhealthy, stalled, or it recently failed the request's program
 	tierBackoff        // it rejected a request, or could not be reached, a moment ago
 	tierAttempted      // an earlier attempt of the request was sent there
 	tierExcluded       // draining or deregistered; never selected
--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -32,7 +32,7 @@
 	sampler  *peers.Sampler
 }
 
-// Run runs the role until ctx ends. It returns an error only if it cannot listen on an inner address.
+// Run runs the role until ctx ends. It returns an error only if it cannot listen on an internal address.
 func Run(ctx context.Context, live *settings.Live, log hclog.Logger) error {
 	a := newAgent(live, log)
 	defer a.client.Close()
@@ -69,7 +69,7 @@
 	return a
 }
 
-// listen opens the inner listener for other machines and the one for the proxy: a socket bound to the machine's address
+// listen opens the internal listener for other machines and the one for the proxy: a socket bound to the machine's address
 // cannot be reached at the loopback address.
 func (a *agent) listen(ctx context.Context) error {
 	addresses := []string{a.self.Address}
@@ -79,7 +79,7 @@
 	for _, address := range addresses {
 		listener, err := rpc.Listen(ctx, address)
 		if err != nil {
-			return eris.Wrapf(err, "inner listener %s", address)
+			return eris.Wrapf(err, "internal listener %s", address)
 		}
 		go func() { _ = a.server.Serve(listener) }()
 	}
--- a/internal/tier/agent/agent_test.go
+++ b/internal/tier/agent/agent_test.go
@@ -49,7 +49,7 @@
 	assert.NilError(t, err)
 	defer occupied.Close()
 	err = Run(context.Background(), settings.Fixed(own), hclog.NewNullLogger())
-	assert.ErrorContains(t, err, "inner listener "+occupied.Addr().String())
+	assert.ErrorContains(t, err, "internal listener "+occupied.Addr().String())
 }
 
 func TestAgentAddressIsLoopback(t *testing.T) {
--- a/internal/tier/coordinator/change_history_test.go
+++ b/internal/tier/coordinator/change_history_test.go
@@ -125,7 +125,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := p.register.ReplaceVoters(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+	_, err := p.register.Reconfigure(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		current.Voters = []*tierpb.VoterSet{{Nodes: append(nodes, c.at(standby).self)}}
 		return current, nil
 	})
--- a/internal/tier/coordinator/controlapi/api.go
+++ b/internal/tier/coordinator/controlapi/api.go
@@ -11,8 +11,9 @@
 //
 // # Answers
 //
-// Every error is a result.Error: a status, a code and often the field at fault. A request is rejected (4xx) only on a value
-// that is known to be chosen. Where no quorum answers in time, or the outcome is not known, the answer is 503, and the caller
+// Every error is a result.Error: a status, a code and often the field at fault. A fault of the request itself (400, 404
+// for a path, 405, 408, 413) is found without the control state; any other rejection (404, 409, 412) rests on a value that is
+// known to be chosen. After a 408 the outcome is open. Where no quorum answers in time, or the outcome is not known, the answer is 503, and the caller
 // sends the same request again, here or to another coordinator: all requests are idempotent. Bounds of time (callTimeout) lie
 // below the second after which callers go on by themselves.
 //
--- a/internal/tier/coordinator/controlapi/change.go
+++ b/internal/tier/coordinator/controlapi/change.go
@@ -49,6 +49,6 @@
 	if c.IfMatch >= chosen.GetConfiguration().GetGeneration() {
 		return false
 	}
-	verdict := changelog.Classify(chosen, c.changes, c.Change)
-	return verdict == changelog.Committed || verdict == changelog.Rejected
+	outcome := changelog.Classify(chosen, c.changes, c.Change)
+	return outcome == changelog.Committed || outcome == changelog.Rejected
 }
--- a/internal/tier/coordinator/membership/directory.go
+++ b/internal/tier/coordinator/membership/directory.go
@@ -22,8 +22,8 @@
 	started time.Time
 
 	mu       sync.Mutex
-	contacts map[string]contact    // coordinators by inner address
-	peers    map[string]peerStatus // by inner address
+	contacts map[string]contact    // coordinators by internal address
+	peers    map[string]peerStatus // by internal address
 	joins    map[uint64]placement.Join
 }
 
--- a/internal/tier/coordinator/membership/membership.go
+++ b/internal/tier/coordinator/membership/membership.go
@@ -52,7 +52,7 @@
 	State *watch.State
 	// Accepted returns the newest value of the own acceptor, chosen or not; nil where there is none.
 	Accepted func() *tierpb.ControlState
-	// Seeds returns the control addresses of the coordinators that the settings name.
+	// Seeds returns the internal addresses of the coordinators that the settings name.
 	Seeds func() []string
 	// Log gets a line when a coordinator becomes reachable or unreachable, and when quorum contact is lost or established.
 	Log hclog.Logger
@@ -124,7 +124,7 @@
 	return watch.CoordinatorEndpoints(m.options.Self, m.options.State, known, m.options.Seeds())
 }
 
-// Zones returns the zones of the coordinators by inner address; the first voters of a register are named without one.
+// Zones returns the zones of the coordinators by internal address; the first voters of a register are named without one.
 func (m *Membership) Zones() map[string]string {
 	zones := map[string]string{m.options.Self.Address: m.options.Self.Zone}
 	for _, node := range m.directory.coordinators() {
@@ -150,7 +150,7 @@
 // RecordContact records that a coordinator has called; calls of other roles are ignored.
 func (m *Membership) RecordContact(node *tierpb.Node) { m.directory.recordContact(node) }
 
-// IsReachable reports whether the last poll of the coordinator at an inner address was answered.
+// IsReachable reports whether the last poll of the coordinator at an internal address was answered.
 func (m *Membership) IsReachable(address string) bool { return m.directory.isReachable(address) }
 
 // UnreachableFor is how long a coordinator has not answered polls, 0 for one that does.
--- a/internal/tier/coordinator/placementcontrol/controller.go
+++ b/internal/tier/coordinator/placementcontrol/controller.go
@@ -17,7 +17,7 @@
 // # State and goroutines
 //
 // Controller.Run is one goroutine; the term, the acquisition it belongs to and the redundancy timer belong to it. It starts a
-// second one for the StallDetector, which is safe for concurrent use, as ViewSource is. VoteTransfer is called by the
+// second one for the stall detector of ViewSource; both are safe for concurrent use. VoteTransfer is called by the
 // shutdown, while Run still goes on; it takes no vote but the own and needs no lease.
 package placementcontrol
 
@@ -61,10 +61,10 @@
 type Register interface {
 	// Change replaces the newest value by what the function makes of it, nil for no change, and returns the value chosen.
 	Change(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
-	// ReplaceVoters does the same for a change of the voters, by way of joint voters.
-	ReplaceVoters(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
-	// FinishVoters completes a change of voters that was left between its two steps.
-	FinishVoters(ctx context.Context) (*tierpb.ControlState, error)
+	// Reconfigure does the same for a change of the voters, by way of joint voters.
+	Reconfigure(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
+	// LeaveJoint completes a change of voters that was left between its two steps.
+	LeaveJoint(ctx context.Context) (*tierpb.ControlState, error)
 }
 
 // Options of a Controller. All but Faults are required.
@@ -138,7 +138,7 @@
 		current.Voters = []*tierpb.VoterSet{{Nodes: next}}
 		return current
 	})
-	chosen, err := c.options.Register.ReplaceVoters(ctx, change)
+	chosen, err := c.options.Register.Reconfigure(ctx, change)
 	if err != nil {
 		return err
 	}
--- a/internal/tier/coordinator/placementcontrol/fencing.go
+++ b/internal/tier/coordinator/placementcontrol/fencing.go
@@ -63,12 +63,12 @@
 		if err := c.options.Faults.At(failpoint.PlacementDecided); err != nil {
 			return nil, err
 		}
-		claim := placement.Credentials{
+		credentials := placement.Credentials{
 			Term:       c.fencing.term,
 			LeaseOwned: c.ownsLeaseSince(c.fencing.acquisition, current),
 			ViewAge:    c.options.Now().Sub(view.Now),
 		}
-		if err := placement.CheckFence(placement.TermOf(current), claim); err != nil {
+		if err := placement.CheckFence(placement.TermOf(current), credentials); err != nil {
 			return nil, err
 		}
 		return next, nil
@@ -78,7 +78,7 @@
 // handleFailure logs why a change was not made. A holder whose term was overtaken has to acquire the lease anew; one whose
 // lease is lost has none to resign, and one whose view was old looks again.
 func (c *Controller) handleFailure(reason error) {
-	if !isFenced(reason) {
+	if !isRejectedByFence(reason) {
 		c.options.Log.Info("placement change failed", "reason", reason)
 		return
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// isFenced reports whether placement.CheckFence rejected a change.
-func isFenced(reason error) bool {
+// isRejectedByFence reports whether placement.CheckFence rejected a change.
+func isRejectedByFence(reason error) bool {
 	for _, rejection := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrStaleView} {
 		if errors.Is(reason, rejection) {
 			return true
--- a/internal/tier/coordinator/placementcontrol/transfer.go
+++ b/internal/tier/coordinator/placementcontrol/transfer.go
@@ -54,7 +54,7 @@
 func (t *VoteTransfer) replace(ctx context.Context) (next []*tierpb.Node, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	_, err = t.Register.ReplaceVoters(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+	_, err = t.Register.Reconfigure(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		if next = t.replacement(current); next == nil {
 			return nil, nil
 		}
@@ -68,6 +68,6 @@
 func (t *VoteTransfer) finish(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
-	_, err := t.Register.FinishVoters(ctx)
+	_, err := t.Register.LeaveJoint(ctx)
 	return err
 }
--- a/internal/tier/coordinator/placementcontrol/view.go
+++ b/internal/tier/coordinator/placementcontrol/view.go
@@ -15,9 +15,9 @@
 	Voters() []*tierpb.VoterSet
 	// RecentJoins returns the join requests of the last minute.
 	RecentJoins() []placement.Join
-	// Zones returns the zones of the coordinators by inner address.
+	// Zones returns the zones of the coordinators by internal address.
 	Zones() map[string]string
-	// UnreachableFor is how long the coordinator at an inner address has not answered, 0 for one that does.
+	// UnreachableFor is how long the coordinator at an internal address has not answered, 0 for one that does.
 	UnreachableFor(address string) time.Duration
 	// Stopping reports whether this process shuts down.
 	Stopping() bool
--- a/internal/tier/coordinator/register.go
+++ b/internal/tier/coordinator/register.go
@@ -22,12 +22,12 @@
 	})}
 }
 
-// ReplaceVoters changes the voters by way of joint voters.
-func (r controlRegister) ReplaceVoters(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
+// Reconfigure changes the voters by way of joint voters.
+func (r controlRegister) Reconfigure(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
 	return register.Reconfigure(ctx, r.Proposer, change)
 }
 
-// FinishVoters completes a change of voters that was left between its two steps.
-func (r controlRegister) FinishVoters(ctx context.Context) (*tierpb.ControlState, error) {
+// LeaveJoint completes a change of voters that was left between its two steps.
+func (r controlRegister) LeaveJoint(ctx context.Context) (*tierpb.ControlState, error) {
 	return register.LeaveJoint(ctx, r.Proposer)
 }
--- a/internal/tier/coordinator/serve.go
+++ b/internal/tier/coordinator/serve.go
@@ -30,7 +30,7 @@
 func serve(ctx context.Context, options options) error {
 	inner, err := net.Listen("tcp4", options.self.Address)
 	if err != nil {
-		return eris.Wrap(err, "inner listener")
+		return eris.Wrap(err, "internal listener")
 	}
 	c := newCoordinator(options)
 	server := rpc.NewServer()
--- a/internal/tier/failpoint/failpoint.go
+++ b/internal/tier/failpoint/failpoint.go
@@ -17,7 +17,8 @@
 // Point numbers one failpoint.
 type Point int
 
-// The failpoints of a change of the register, in the order in which a change passes them, except the last two.
+// The failpoints of a change of the register, in the order in which a change passes them. The points of a
+// version lie within each save, between Unsaved and Saved; the last two are those of a reconfiguration and a first start.
 const (
 	PrepareSending      Point = iota + 1 // proposer: before the first prepare is sent
 	PrepareUnsaved                       // acceptor: a prepare is granted, nothing is written
--- a/internal/tier/peers/sampler.go
+++ b/internal/tier/peers/sampler.go
@@ -26,7 +26,7 @@
 	view *View
 }
 
-// NewSampler returns a Sampler; Run starts its shuffles. Seeds returns the inner addresses (ip:port) of coordinators; it
+// NewSampler returns a Sampler; Run starts its shuffles. Seeds returns the internal addresses (ip:port) of coordinators; it
 // is called again in each round.
 func NewSampler(self *tierpb.Node, caller rpc.Caller, seeds func() []string) *Sampler {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -19,11 +19,11 @@
 	// Disk and Folder say where the acceptor keeps its state. No other component may use the folder's series.
 	Disk   storage.Disk
 	Folder string
-	// Address is the inner address of this coordinator.
+	// Address is the internal address of this coordinator.
 	Address string
 	// Bootstrap marks the first start of the whole system. It has an effect on an empty disk only.
 	Bootstrap bool
-	// Seeds are the inner addresses of the first coordinators; used with Bootstrap only.
+	// Seeds are the internal addresses of the first coordinators; used with Bootstrap only.
 	Seeds []string
 	// Failpoints stop the process in tests; nil otherwise.
 	Failpoints *failpoint.Points
--- a/internal/tier/register/acceptor_storage.go
+++ b/internal/tier/register/acceptor_storage.go
@@ -22,7 +22,8 @@
 
 // OpenAcceptor reads the state of an acceptor. On an empty disk it gets a new identity: with Bootstrap the one that
 // follows from its address, and the initial value; otherwise a unique one, without a value. The same holds, without
-// Bootstrap, where a file is damaged or missing. The error is that of the disk.
+// Bootstrap, where a file is damaged or missing. The error is that of the disk, or of a file that passes
+// its checksum and cannot be decoded.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
 	if err := options.Disk.MkdirAll(options.Folder); err != nil {
 		return nil, eris.Wrap(err, "acceptor")
--- a/internal/tier/register/identity.go
+++ b/internal/tier/register/identity.go
@@ -19,13 +19,13 @@
 // identityBytes is the length of an identity on disk, a big-endian number.
 const identityBytes = 8
 
-// InitialIdentity returns the identity of the coordinator with this inner address at the first start of the whole system.
+// InitialIdentity returns the identity of the coordinator with this internal address at the first start of the whole system.
 func InitialIdentity(address string) uint64 {
 	digest := sha256.Sum256([]byte(address))
 	return binary.BigEndian.Uint64(digest[:])&^randomIdentityBit | 1
 }
 
-// NewIdentity returns a unique identity for the node with this inner address, whose disk was found empty.
+// NewIdentity returns a unique identity for the node with this internal address, whose disk was found empty.
 func NewIdentity(address string) uint64 { return uniqueNumber(address) | randomIdentityBit }
 
 // uniqueNumber returns a number that no other process gets, nor another incarnation of this one.
--- a/internal/tier/register/proposer.go
+++ b/internal/tier/register/proposer.go
@@ -35,7 +35,7 @@
 )
 
 // ChangeFunc computes the next value from the current one, which it may alter and return. Returning the same value, nil
-// or an error leaves the value as it is. It is called once per attempt, and must recognise its own effect: an attempt
+// or an error leaves the value as it is. It may be called several times, and must recognise its own effect: an attempt
 // whose outcome was unknown may have been completed since.
 type ChangeFunc func(current *tierpb.ControlState) (*tierpb.ControlState, error)
 
--- a/internal/tier/turnstore/run.go
+++ b/internal/tier/turnstore/run.go
@@ -45,7 +45,7 @@
 	defer r.store.Close()
 	listener, err := net.Listen("tcp4", r.node.Address)
 	if err != nil {
-		return eris.Wrap(err, "inner listener")
+		return eris.Wrap(err, "internal listener")
 	}
 	server := rpc.NewServer()
 	r.store.Register(server)
