--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -16,7 +16,7 @@
 	index     *search.Index   // nil where no bounds are to be learned
 	chooser   *search.Chooser // nil where all searches have one phase
 	phased    map[*query]struct{}
-	bytesHeld int // of lot stores' answers queued in memory
+	bytesHeld int // of lot stores' answers held in memory
 	maxBytes  int // of bytesHeld; 0 for no bound
 }
 
@@ -31,7 +31,7 @@
 	Phases search.Phases // One or Two to force it, 0 for whichever is measured to be better
 	Ranges int           // number of ranges
 	Bounds int           // remembered at most, about 100 bytes each; 0 for none
-	Bytes  int           // of lot stores' answers queued in memory at most; 0 for no bound
+	Bytes  int           // of lot stores' answers held in memory at most; 0 for no bound
 }
 
 // ConfigureSearches sets how searches are executed. It must be called before Run.
--- a/internal/gatherer/net/http1/serve.go
+++ b/internal/gatherer/net/http1/serve.go
@@ -18,7 +18,7 @@
 	err error
 }
 
-// serve starts a server whose requests wait for the test on a channel.
+// serve reads the requests of one connection until it ends, and has them answered in order.
 func (s *Server) serve(c *conn) {
 	// One request may be queued behind the one being answered.
 	requests, gone, over := make(chan incoming, 1), make(chan struct{}), make(chan struct{})
--- a/internal/gatherer/net/opensearch/documents.go
+++ b/internal/gatherer/net/opensearch/documents.go
@@ -98,7 +98,7 @@
 	return j, nil
 }
 
-// document is one document of a multi-get.
+// document is one document of a multi-get or a bulk request.
 type document struct{ index, id, routing, source string }
 
 // parseDocument parses an element of a multi-get, an id or an object. What it does not have is as in defaults.
--- a/internal/tier/admission/doc.go
+++ b/internal/tier/admission/doc.go
@@ -56,9 +56,9 @@
 //     whose heartbeats are late (Suspect) has 0.3 of its weight.
 //   - A store is stalled, and in the unhealthy tier, while its oldest request has waited for its first byte for longer than the
 //     99th percentile of response times (store.stalled).
-//   - After a rejection (Saturated) a store is in backoff for its median response time, 50 to 400 ms. After a failed connection
+//   - After a rejection (Saturated) a store is in backoff for the median response time, 50 to 400 ms. After a failed connection
 //     or NotExecuted it is in backoff for 1 s (store.recordOutcome).
-//   - Requests that are not idempotent also keep away from a store that has recently lost responses (store.avoidedFor).
+//   - Requests that are neither idempotent nor streams avoid a store that has recently lost responses (store.avoidedFor).
 //
 // The weight comes back with successes, and by itself: the failure rate has a half-life of 5 s, the latency ratio of 10 s and
 // the loss rate of 20 s. An unhealthy store is tested meanwhile by idempotent requests, one at a time, as by a half-open
--- a/internal/tier/admission/tuning.go
+++ b/internal/tier/admission/tuning.go
@@ -70,7 +70,7 @@
 	// minBackoff and maxBackoff bound the time for which a store that rejected a request gets none.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// connectBackoff is the time for which a store that could not be reached gets no request.
+	// connectBackoff is the backoff from a store that could not be reached, or is another instance (NotExecuted).
 	connectBackoff = time.Second
 )
 
@@ -142,7 +142,7 @@
 	// limitRule adapts the concurrency limit: it grows while the smoothed response time is below 1.3 times the baseline, and
 	// falls by a fifth where it is above twice the baseline.
 	limitRule = tailguard.LimitRule{Min: 2, Max: 256, Near: 1.3, Far: 2, Fall: 0.8}
-	// sheddingRule sheds three times the share of misses that exceeds 1.7%, given four misses, and recovers by 15% a second.
+	// sheddingRule sheds three times the share of misses that exceeds 1.7%, given four misses; the share falls by 0.15 a second.
 	sheddingRule = tailguard.SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
 	// lossRule smooths lost responses: one loss is remembered for many successes.
 	lossRule = tailguard.FailureRule{Up: 0.3, Down: 0.02}
--- a/internal/tier/upstream/doc.go
+++ b/internal/tier/upstream/doc.go
@@ -7,7 +7,7 @@
 //     status line, which is the rest of an interrupted response followed by another one.
 //   - A response without a length that the end of its connection delimits counts as complete only after an orderly end
 //     (RFC 9112, section 6.3).
-//   - A store behind a network partition is found within a second by TCP_USER_TIMEOUT and keep-alive probes (dial.go).
+//   - A store behind a network partition is found within two seconds by TCP_USER_TIMEOUT and keep-alive probes (dial.go).
 //
 // # Usage
 //
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -15,7 +15,7 @@
 	ErrTooManyConnections = eris.New("too many connections to the store")
 	// ErrConnectionLost means that the connection was closed, reset or carried no valid response.
 	ErrConnectionLost = eris.New("connection lost")
-	// ErrDeadlineExceeded means that the request's Deadline passed.
+	// ErrDeadlineExceeded means that the request's Deadline, or ReadIdleTimeout within the body, passed.
 	ErrDeadlineExceeded = eris.New("deadline exceeded")
 	// ErrReadIdleTimeout means that the head of the response did not come within ReadIdleTimeout, before the Deadline.
 	ErrReadIdleTimeout = eris.New("read idle time-out")
