--- a/internal/tier/admission/affinity_test.go
+++ b/internal/tier/admission/affinity_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newZonedHarness returns the harness of a proxy in zone z0 that knows two stores in each of three zones.
+// newZonedHarness returns a harness for a proxy in the first of three zones, with two stores in each zone.
 func newZonedHarness(t *testing.T, engine bool) *harness {
 	t.Helper()
 	h := newHarness(t)
@@ -19,7 +19,7 @@
 	return h
 }
 
-// affinityStore returns the store that a request with this affinity is sent to, while nothing else is in flight.
+// affinityStore sends a request with this affinity and returns the store that was selected. The request succeeds at once.
 func (h *harness) affinityStore(affinity uint64) Store {
 	r := h.request()
 	r.Affinity = affinity
@@ -28,34 +28,34 @@
 	return g.Store()
 }
 
-// Requests with one affinity go to one store of a service without engines, whatever is sent in between.
-func TestAffinityKeepsToOneStoreOfAPlainService(t *testing.T) {
+// Requests with the same affinity go to the same store of a service without engines, regardless of other requests.
+func TestAffinityKeepsToOneStoreOfANonEngineService(t *testing.T) {
 	h := newZonedHarness(t, false)
 	for affinity := range uint64(20) {
-		home := h.affinityStore(affinity + 1).Instance
+		preferred := h.affinityStore(affinity + 1).Instance
 		for range 3 {
 			h.acquireNow(h.request()).Finish(Success)
-			assert.Equal(t, h.affinityStore(affinity+1).Instance, home)
+			assert.Equal(t, h.affinityStore(affinity+1).Instance, preferred)
 		}
 	}
 }
 
-// A store of a service without engines that has no spare slots passes on requests with an affinity to it.
-func TestAffinityLeavesAPlainStoreWithoutSpareSlots(t *testing.T) {
+// A store of a service without engines does not keep requests by affinity once it has no spare slots.
+func TestAffinityLeavesANonEngineStoreWithoutSpareSlots(t *testing.T) {
 	h := newZonedHarness(t, false)
 	r := h.request()
 	r.Affinity = 7
-	home := h.acquireNow(r).Store().Instance
+	preferred := h.acquireNow(r).Store().Instance
 	elsewhere := 0
 	for range 8 {
-		if h.acquireNow(r).Store().Instance != home {
+		if h.acquireNow(r).Store().Instance != preferred {
 			elsewhere++
 		}
 	}
 	assert.Assert(t, elsewhere >= 4, "%d of 8", elsewhere)
 }
 
-// Requests with an affinity stay in the proxy's zone while a store there may take them: later ones arrive there, too.
+// Requests with an affinity stay in the proxy's zone while a store there has spare capacity.
 func TestAffinityStaysInTheZone(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		h := newZonedHarness(t, engine)
@@ -66,24 +66,24 @@
 	}
 }
 
-// A proxy that has just started does not know whether stores report their load. Programs under way go on at the store
-// selected among those of all zones, and lose no cached prefix where they had it there.
+// Until the first response a proxy does not know whether stores report their load. It then selects among the stores of all
+// zones, so that programs under way when the proxy starts stay at the store that has their prefix cached.
 func TestAffinityBeforeAnyResponseIsTheSameInAllZones(t *testing.T) {
 	for affinity := range uint64(30) {
-		var homes [3]string
-		for zone := range homes {
+		var selected [3]string
+		for zone := range selected {
 			h := newZonedHarness(t, true)
 			h.core.zone = zoneOf(zone)
-			homes[zone] = h.affinityStore(affinity + 1).Instance
+			selected[zone] = h.affinityStore(affinity + 1).Instance
 		}
-		assert.Equal(t, homes[0], homes[1])
-		assert.Equal(t, homes[0], homes[2])
+		assert.Equal(t, selected[0], selected[1])
+		assert.Equal(t, selected[0], selected[2])
 	}
 }
 
-// Where stores report their load, proxies of all zones select the same store for an affinity.
+// If stores report their load, proxies of all zones select the same store for an affinity.
 func TestAffinityIsTheSameInAllZonesWhereLoadIsReported(t *testing.T) {
-	homes := map[uint64]string{}
+	selected := map[uint64]string{}
 	for zone := range 3 {
 		h := newZonedHarness(t, true)
 		h.core.zone = zoneOf(zone)
@@ -91,27 +91,27 @@
 		g.ReportLoad(0, 0, 8)
 		g.Finish(Success)
 		for affinity := range uint64(30) {
-			home := h.affinityStore(affinity + 1).Instance
+			instance := h.affinityStore(affinity + 1).Instance
 			if zone > 0 {
-				assert.Equal(t, home, homes[affinity])
+				assert.Equal(t, instance, selected[affinity])
 			}
-			homes[affinity] = home
+			selected[affinity] = instance
 		}
 	}
 }
 
-// Where the local zone's stores are above their load bound, another zone's store is selected.
+// Requests with an affinity go to another zone once the local stores are above their load bound.
 func TestAffinityLeavesTheZoneUnderLoad(t *testing.T) {
 	h := newZonedHarness(t, true)
 	r := h.request()
 	r.Affinity = 7
-	away := 0
+	otherZone := 0
 	for range 40 {
 		if h.acquireNow(r).Store().Zone != zoneOf(0) {
-			away++
+			otherZone++
 		}
 	}
-	assert.Assert(t, away >= 20, "%d of 40", away)
+	assert.Assert(t, otherZone >= 20, "%d of 40", otherZone)
 }
 
 func TestAffinityKeepsToOneStoreUpToItsLoadBound(t *testing.T) {
@@ -119,11 +119,11 @@
 	h.SetStores("s", true, 32, stores(4, 32))
 	r := h.request()
 	r.Affinity = 77
-	home := h.acquireNow(r).Store().Instance
-	assert.Equal(t, h.acquireNow(r).Store().Instance, home)
+	preferred := h.acquireNow(r).Store().Instance
+	assert.Equal(t, h.acquireNow(r).Store().Instance, preferred)
 	elsewhere := 0
 	for range 20 {
-		if h.acquireNow(r).Store().Instance != home {
+		if h.acquireNow(r).Store().Instance != preferred {
 			elsewhere++
 		}
 	}
@@ -135,25 +135,25 @@
 	h.SetStores("s", true, 32, stores(4, 32))
 	r := h.request()
 	r.Affinity = 77
-	home := h.acquireNow(r)
-	home.Finish(Success)
+	preferred := h.acquireNow(r)
+	preferred.Finish(Success)
 	lost := h.acquireNow(r)
-	assert.Equal(t, lost.Store().Instance, home.Store().Instance)
+	assert.Equal(t, lost.Store().Instance, preferred.Store().Instance)
 	lost.Finish(ResponseLost)
 	next := h.acquireNow(r)
-	assert.Assert(t, next.Store().Instance != home.Store().Instance)
+	assert.Assert(t, next.Store().Instance != preferred.Store().Instance)
 	next.Finish(Success)
-	h.clock.advance(2 * failedStoreSpan)
+	h.clock.advance(2 * failedStoreTTL)
 	later := h.request()
 	later.Affinity = 77
-	assert.Equal(t, h.acquireNow(later).Store().Instance, home.Store().Instance)
+	assert.Equal(t, h.acquireNow(later).Store().Instance, preferred.Store().Instance)
 }
 
-func TestRecentSetForgets(t *testing.T) {
+func TestRecentSetExpiresKeys(t *testing.T) {
 	var r recentSet
 	r.add(1, 0)
-	r.add(2, startedProgramsSpan)
+	r.add(2, startedProgramsTTL)
 	assert.Assert(t, r.has(1))
-	r.add(3, 2*startedProgramsSpan)
+	r.add(3, 2*startedProgramsTTL)
 	assert.Assert(t, !r.has(1) && r.has(2) && r.has(3))
 }
--- a/internal/tier/admission/core.go
+++ b/internal/tier/admission/core.go
@@ -8,18 +8,18 @@
 	"pulleygw.example/pulleygw/internal/tier/invariant"
 )
 
-// core is the state machine of all decisions. Times are durations since the Dispatcher was made. It does no I/O and reads no
-// clock. Its events are submit, abandon, recordFirstByte, finish, reassign (after service.update) and sweep.
+// core is the state machine that makes all decisions. It does no I/O and reads no clock; all times are durations since the
+// Dispatcher was created. Its events are submit, abandon, recordFirstByte, finish, reassign (after service.update) and sweep.
 type core struct {
 	zone     string
 	random   *rand.Rand
 	services map[string]*service
-	seq      uint64 // number of the last request
+	seq      uint64 // sequence number of the last request
 
-	healthChanges []HealthChange // noted by observeHealth and not reported yet
+	healthChanges []HealthChange // recorded by observeHealth, not reported yet
 }
 
-// submit decides on a new request. Afterwards it has a grant or a rejection, or it is queued.
+// submit grants, rejects or queues a new request.
 func (c *core) submit(now time.Duration, p *pendingRequest) {
 	svc := c.services[p.Service]
 	if svc == nil || len(svc.stores) == 0 {
@@ -48,14 +48,14 @@
 	s.enqueue(p)
 }
 
-// dispatch gives a request its grant for a store.
+// dispatch grants a request a slot of a store.
 func (c *core) dispatch(s *store, p *pendingRequest, now time.Duration) {
 	svc := s.service
-	c.countDecided(p, now)
+	c.countDeadline(p, now)
 	g := &Grant{
 		store: s, class: p.class, affinity: p.Affinity, snapshot: s.Store, sentAt: now,
 		unloaded: s.load(now) < unloadedShare*float64(s.capacity()),
-		targetAt: p.targetAt, counted: p.key.NoBudget || now > p.key.Deadline,
+		targetAt: p.targetAt, ignoreLateResponse: p.key.NoBudget || now > p.key.Deadline,
 	}
 	if p.Affinity != 0 {
 		svc.startedPrograms.add(p.Affinity, now)
@@ -66,7 +66,7 @@
 	p.grant = g
 }
 
-// reassign finds another store for a queued request whose own is gone or draining.
+// reassign selects another store for a queued request whose store was removed or is draining.
 func (c *core) reassign(svc *service, p *pendingRequest, now time.Duration) {
 	s, tier := c.selectStore(svc, p, now)
 	switch {
@@ -81,7 +81,7 @@
 	close(p.done)
 }
 
-// abandon takes a request whose client is gone out of its queue.
+// abandon removes a request from its queue after its context has ended.
 func (c *core) abandon(p *pendingRequest) {
 	if p.grant == nil && p.rejection == nil {
 		p.dequeue()
@@ -89,7 +89,7 @@
 	}
 }
 
-// recordFirstByte records that the first byte of a response, or all of it where it is no stream, has arrived.
+// recordFirstByte records that the first event of a stream, or the whole response if it is not a stream, has arrived.
 func (c *core) recordFirstByte(g *Grant, now time.Duration) {
 	if g.firstByte {
 		return
@@ -102,7 +102,7 @@
 	c.observeHealth(g.store, now)
 }
 
-// finish records the outcome of an attempt, and releases queued requests into its slot.
+// finish records the outcome of an attempt, frees its slot and releases queued requests.
 func (c *core) finish(g *Grant, now time.Duration, outcome Outcome) {
 	if g.finished {
 		return
--- a/internal/tier/admission/dispatcher.go
+++ b/internal/tier/admission/dispatcher.go
@@ -22,8 +22,8 @@
 	Zone string
 	// After runs f once after d, and returns a function that stops it; nil means time.AfterFunc.
 	After func(d time.Duration, f func()) (stop func() bool)
-	// OnHealthChange is called, without a lock, after a store was ejected or has returned; nil means that nobody is told.
-	// Calls of several goroutines may overlap.
+	// OnHealthChange is called after a store was ejected or has returned; it may be nil. It is called without a lock held,
+	// possibly by several goroutines at once.
 	OnHealthChange func(HealthChange)
 }
 
@@ -37,12 +37,12 @@
 
 	mu              sync.Mutex
 	core            core
-	stop            func() bool   // stops the timer; nil while none is set
+	stop            func() bool   // stops the timer; nil if no timer is set
 	timerAt         time.Duration // when the timer fires
-	timerGeneration uint64        // of the timer; one that was replaced may still fire
+	timerGeneration uint64        // of the current timer, as a replaced timer may still fire
 }
 
-// New returns a Dispatcher that knows no stores yet.
+// New returns a Dispatcher without stores.
 func New(o Options) *Dispatcher {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -62,9 +62,9 @@
 	}
 }
 
-// SetStores sets all stores of a service, which is created when it is new. What is known of an instance that stays is kept.
-// Engine says that the stores generate tokens, and slots is the number of requests that each works on at a time, for stores
-// that do not report it; 0 means 8. Requests queued for a store that is gone are assigned to another one.
+// SetStores replaces the list of stores of a service, which is created if it does not exist. The state of instances that
+// remain is kept. Engine says that the stores generate tokens. Slots is the number of requests that a store runs
+// concurrently, for stores that do not report it; 0 means 8. Requests queued for a removed store are reassigned.
 func (d *Dispatcher) SetStores(name string, engine bool, slots int, stores []Store) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -82,7 +82,7 @@
 	d.armTimer(svc, now)
 }
 
-// unlock releases the lock and then reports the changes of health that were noted under it.
+// unlock releases the lock and then reports the health changes that were recorded while it was held.
 func (d *Dispatcher) unlock() {
 	changes := d.core.takeHealthChanges()
 	d.mu.Unlock()
@@ -91,16 +91,16 @@
 	}
 }
 
-// Acquire waits until the request may be sent, and returns a Grant. A request that is not to be sent gets a *RejectedError,
-// with ClientGone where ctx ended first.
+// Acquire waits until the request may be sent and returns a Grant. If the request is rejected or ctx ends first, the error is
+// a *RejectedError.
 func (d *Dispatcher) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	d.mu.Lock()
 	now := d.sinceStart(d.now())
 	p := &pendingRequest{
-		Request: r, targetAt: d.sinceStart(r.Arrival.Add(r.LatencyTarget)), deadlineAt: math.MaxInt64, index: -1,
+		Request: r, targetAt: d.sinceStart(r.Arrival.Add(r.LatencyTarget)), timeoutAt: math.MaxInt64, index: -1,
 	}
 	if !r.Deadline.IsZero() {
-		p.deadlineAt = d.sinceStart(r.Deadline)
+		p.timeoutAt = d.sinceStart(r.Deadline)
 	}
 	d.core.submit(now, p)
 	if p.grant != nil || p.rejection != nil {
@@ -117,12 +117,12 @@
 	return d.result(p)
 }
 
-// abandon rejects a request whose context has ended.
+// abandon rejects a request whose context has ended, and gives back a grant that it got at the same time.
 func (d *Dispatcher) abandon(p *pendingRequest) {
 	d.mu.Lock()
 	defer d.unlock()
 	d.core.abandon(p)
-	if p.grant != nil { // it was granted at the same time
+	if p.grant != nil {
 		d.core.finish(p.grant, d.sinceStart(d.now()), Cancelled)
 		p.grant, p.rejection = nil, &RejectedError{Reason: ClientGone}
 	}
@@ -136,10 +136,10 @@
 	return p.grant, nil
 }
 
-// sinceStart converts a time to the core's, which is the duration since the Dispatcher was made.
+// sinceStart converts a time to the time scale of core: the duration since the Dispatcher was created.
 func (d *Dispatcher) sinceStart(t time.Time) time.Duration { return t.Sub(d.start) }
 
-// armTimer sets the timer for the queued requests of a service, unless it fires earlier anyway.
+// armTimer sets the timer to the next wake-up of a service, unless it already fires earlier.
 func (d *Dispatcher) armTimer(svc *service, now time.Duration) {
 	at := d.core.nextWakeup(svc, now)
 	if at == math.MaxInt64 || d.stop != nil && d.timerAt <= at {
@@ -153,7 +153,7 @@
 	d.timerAt, d.stop = at, d.after(at-now, func() { d.onTimer(generation) })
 }
 
-// onTimer sweeps the queues of all services.
+// onTimer sweeps the queues of all services, unless the timer that fired has been replaced.
 func (d *Dispatcher) onTimer(generation uint64) {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/tier/admission/dispatcher_test.go
+++ b/internal/tier/admission/dispatcher_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCancelledContextLeavesTheQueue(t *testing.T) {
+func TestCancelledRequestLeavesTheQueue(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	grants := h.saturate()
 	queued := h.acquireQueued(h.request())
@@ -18,7 +18,7 @@
 	assert.Assert(t, h.acquireNow(h.request()) != nil)
 }
 
-func TestFinishTwiceChangesNothing(t *testing.T) {
+func TestSecondFinishHasNoEffect(t *testing.T) {
 	h := newHarness(t, stores(1, 4)...)
 	g := h.acquireNow(h.request())
 	g.Finish(Success)
@@ -26,8 +26,8 @@
 	assert.Equal(t, h.core.services["s"].inFlight, 0)
 }
 
-// GONE: a request whose client leaves at the time at which it is granted releases its slot.
-func TestContextCancelledWhileGrantedTakesNoSlot(t *testing.T) {
+// GONE: a request that is cancelled and granted at the same time does not leak its slot.
+func TestCancellationDuringGrantReleasesTheSlot(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	for range 50 {
 		granted := h.acquireNow(h.request())
--- a/internal/tier/admission/ejection.go
+++ b/internal/tier/admission/ejection.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/metrics"
 )
 
-// This file tells operators of ejections. It decides nothing: health.go does, and a store's tier says what follows from it.
+// This file reports ejections to operators. It has no influence on selection, which follows from health.go and the tiers.
 
 var (
 	storeEjections = metrics.NewCounterVec("proxy_store_ejections_total",
@@ -16,43 +16,43 @@
 		"Times that an ejected store returned, by instance and the reason of its ejection.", "instance", "reason")
 )
 
-// EjectionReason says why a proxy passes a store over while there are others.
+// EjectionReason is why a proxy avoids a store while others are available.
 type EjectionReason string
 
-// The reasons. A store that only rejects requests for want of capacity is in backoff for less than a second and is not
-// ejected; nor is one that drains or was deregistered.
+// Reasons of an ejection. A store that only rejects requests for lack of capacity is in backoff for less than a second and
+// does not count as ejected, nor does a store that is draining or deregistered.
 const (
 	notEjected EjectionReason = ""
-	// EjectedUnreachable stores could not be connected to, or took no byte of a request.
+	// EjectedUnreachable stores could not be connected to, or received no byte of a request.
 	EjectedUnreachable EjectionReason = "unreachable"
-	// EjectedNotExecuting stores declined a request for another reason than load: another instance runs at the address.
+	// EjectedNotExecuting stores rejected a request for a reason other than load, such as another instance at the address.
 	EjectedNotExecuting EjectionReason = "not_executing"
-	// EjectedStalled stores have not sent the first byte of their oldest request within hungTailMultiple times the stall time-out.
-	// One request in a hundred takes longer than the time-out itself: its store is passed over for that moment only.
+	// EjectedStalled stores have not sent the first byte of their oldest request within hangTimeoutMultiple times the stall
+	// timeout. One request in a hundred exceeds the stall timeout itself: its store is avoided meanwhile, but not ejected.
 	EjectedStalled EjectionReason = "stalled"
 	// EjectedFailing stores fail too many attempts.
 	EjectedFailing EjectionReason = "failing"
 	// EjectedSlow stores respond much later than the other stores of the service.
 	EjectedSlow EjectionReason = "slow"
-	// EjectedSuspect stores miss heartbeats, and would not be ejected for their failures and response times alone.
+	// EjectedSuspect stores are late with their heartbeats; their failures and response times alone would not eject them.
 	EjectedSuspect EjectionReason = "suspect"
 )
 
-// HealthChange says that a store was ejected, or that an ejected one takes its share again.
+// HealthChange is the ejection of a store or the return of an ejected store.
 type HealthChange struct {
 	Service  string
 	Instance string
-	// Reason is that of the ejection, also when the store returns.
+	// Reason is the reason of the ejection, also when the store returns.
 	Reason EjectionReason
 	// Ejected is false when the store returns.
 	Ejected bool
 }
 
-// observeHealth notes whether the store was ejected, or has returned, since it was last looked at. Ejections that end with
-// time alone are noticed at the next selection.
+// observeHealth records whether the store was ejected or has returned since the last call. Returns that only time brings
+// about are noticed at the next selection.
 func (c *core) observeHealth(s *store, now time.Duration) {
-	if !s.listed || !s.inService() {
-		s.ejectedFor = notEjected // it leaves by its registration, not by its health
+	if !s.listed || !s.eligible() {
+		s.ejectedFor = notEjected // excluded because of its registered state, which is not an ejection
 		return
 	}
 	reason := s.ejectionReason(now)
@@ -71,12 +71,12 @@
 	c.healthChanges = append(c.healthChanges, change)
 }
 
-// ejectionReason returns why the store is passed over by requests that any healthy store may take.
+// ejectionReason returns why the store is ejected, or notEjected.
 func (s *store) ejectionReason(now time.Duration) EjectionReason {
 	switch {
 	case s.backoffReason != notEjected && s.inBackoff(now):
 		return s.backoffReason
-	case s.stalledFor(now, hungTailMultiple):
+	case s.stalledBeyond(now, hangTimeoutMultiple):
 		return EjectedStalled
 	case s.healthy(now):
 		return notEjected
@@ -88,7 +88,7 @@
 	return EjectedSlow
 }
 
-// takeHealthChanges returns what observeHealth has noted since the last call.
+// takeHealthChanges returns the changes that observeHealth has recorded since the last call.
 func (c *core) takeHealthChanges() []HealthChange {
 	changes := c.healthChanges
 	c.healthChanges = nil
--- a/internal/tier/admission/ejection_test.go
+++ b/internal/tier/admission/ejection_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newObservedHarness returns a harness with two stores, and the changes of health that it reports.
+// newObservedHarness returns a harness with two stores, and the health changes that its Dispatcher reports.
 func newObservedHarness(t *testing.T) (*harness, *[]HealthChange) {
 	t.Helper()
 	h := newHarness(t, stores(2, 8)...)
@@ -17,7 +17,7 @@
 	return h, changes
 }
 
-// grantFor acquires grants until one is for the store, and returns that one. The others succeed.
+// grantFor acquires grants until one is for the given store and returns it. The other requests succeed.
 func (h *harness) grantFor(instance string) *Grant {
 	h.t.Helper()
 	for range 100 {
@@ -28,12 +28,12 @@
 		h.clock.advance(time.Millisecond)
 		grant.Finish(Success)
 	}
-	h.t.Fatalf("%s is not selected", instance)
+	h.t.Fatalf("%s was not selected in 100 requests", instance)
 	return nil
 }
 
 func TestEjectionAndReturnAreReportedOnceWithTheReason(t *testing.T) {
-	for _, of := range []struct {
+	for _, test := range []struct {
 		reason EjectionReason
 		eject  func(h *harness)
 	}{
@@ -50,38 +50,38 @@
 			h.grantFor("i-1").Finish(Success)
 		}},
 	} {
-		t.Run(string(of.reason), func(t *testing.T) {
+		t.Run(string(test.reason), func(t *testing.T) {
 			h, changes := newObservedHarness(t)
-			ejections, returns := storeEjections.Value("i-0", string(of.reason)), storeReturns.Value("i-0", string(of.reason))
-			of.eject(h)
-			for range 10 { // it stays ejected, whatever else is sent
+			ejections, returns := storeEjections.Value("i-0", string(test.reason)), storeReturns.Value("i-0", string(test.reason))
+			test.eject(h)
+			for range 10 { // further requests neither return the store nor report it again
 				h.grantFor("i-1").Finish(Success)
 			}
-			expected := []HealthChange{{Service: "s", Instance: "i-0", Reason: of.reason, Ejected: true}}
+			expected := []HealthChange{{Service: "s", Instance: "i-0", Reason: test.reason, Ejected: true}}
 			assert.DeepEqual(t, *changes, expected)
-			if of.reason == EjectedStalled {
+			if test.reason == EjectedStalled {
 				for _, g := range h.core.services["s"].byInstance["i-0"].awaitingFirstByte {
 					g.Finish(Cancelled)
 				}
 			}
 			h.clock.advance(30 * time.Second)
 			h.grantFor("i-0").Finish(Success)
-			expected = append(expected, HealthChange{Service: "s", Instance: "i-0", Reason: of.reason})
+			expected = append(expected, HealthChange{Service: "s", Instance: "i-0", Reason: test.reason})
 			assert.DeepEqual(t, *changes, expected)
-			assert.Equal(t, storeEjections.Value("i-0", string(of.reason)), ejections+1)
-			assert.Equal(t, storeReturns.Value("i-0", string(of.reason)), returns+1)
+			assert.Equal(t, storeEjections.Value("i-0", string(test.reason)), ejections+1)
+			assert.Equal(t, storeReturns.Value("i-0", string(test.reason)), returns+1)
 		})
 	}
 }
 
-func TestRejectionForWantOfCapacityIsNoEjection(t *testing.T) {
+func TestSaturationIsNotAnEjection(t *testing.T) {
 	h, changes := newObservedHarness(t)
 	h.grantFor("i-0").Finish(Saturated)
 	h.grantFor("i-1").Finish(Success)
 	assert.Equal(t, len(*changes), 0, "%v", *changes)
 }
 
-func TestSlowAndSuspectStoresAreToldApart(t *testing.T) {
+func TestEjectionReasonDistinguishesSlowFromSuspect(t *testing.T) {
 	h, changes := newObservedHarness(t)
 	listed := stores(2, 8)
 	listed[0].State = Suspect
@@ -89,7 +89,7 @@
 	for range 20 {
 		h.serve(h.request(), testLatencyTarget/10)
 	}
-	assert.Equal(t, len(*changes), 0, "a suspect store without a failure serves: %v", *changes)
+	assert.Equal(t, len(*changes), 0, "a suspect store without failures must not be ejected: %v", *changes)
 	h.grantFor("i-0").Finish(StoreError)
 	h.grantFor("i-1").Finish(Success)
 	assert.Equal(t, (*changes)[0].Reason, EjectedSuspect)
@@ -110,8 +110,8 @@
 	assert.Equal(t, (*changes)[0].Reason, EjectedSlow)
 }
 
-// A store that is deregistered while it is ejected does not return.
-func TestDeregistrationIsNoReturn(t *testing.T) {
+// A store that is deregistered while it is ejected is not reported as returned.
+func TestDeregistrationIsNotReportedAsReturn(t *testing.T) {
 	h, changes := newObservedHarness(t)
 	h.grantFor("i-0").Finish(ConnectFailed)
 	h.SetStores("s", false, 0, stores(2, 8)[1:])
--- a/internal/tier/admission/fleet_simulation_test.go
+++ b/internal/tier/admission/fleet_simulation_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// The size of a simulated fleet: each of many proxies has a few requests in flight at as many stores.
+// Parameters of the simulated fleet: many proxies, each of which has only a few requests in flight.
 const (
-	simProxies        = 77
-	simStores         = 60
-	simSlots          = 8
-	simRequestRate    = 576.0 // requests per second of all proxies, 60% of the stores' capacity
-	simFirstByte      = 100 * time.Millisecond
-	simRest           = 400 * time.Millisecond
-	simLatencyTarget  = time.Second
-	simTimeout        = 3 * time.Second
-	simTurns          = 6 // of a program
-	simThinkTime      = 200 * time.Millisecond
-	simSampleInterval = 100 * time.Millisecond
-	simSweepInterval  = 20 * time.Millisecond
+	simProxies         = 77
+	simStores          = 60
+	simSlots           = 8
+	simRequestRate     = 576.0                  // requests per second of all proxies, 60% of the stores' capacity
+	simTimeToFirstByte = 100 * time.Millisecond // from the start of a request to its first byte
+	simStreamTime      = 400 * time.Millisecond // from the first byte to the end
+	simLatencyTarget   = time.Second
+	simTimeout         = 3 * time.Second
+	simTurns           = 6 // turns of a program
+	simThinkTime       = 200 * time.Millisecond
+	simSampleInterval  = 100 * time.Millisecond
+	simSweepInterval   = 20 * time.Millisecond
 )
 
 // storeFault is a fault of an engine.
 type storeFault struct {
-	zone              string  // of the callers that it affects, empty for all
-	errorShare        float64 // of the requests that it fails at once
+	zone              string  // zone of the affected proxies; empty for all
+	errorShare        float64 // share of requests that fail at once
 	hangs             bool
-	slowdown          float64 // factor on its response times; 0 for none
+	slowdown          float64 // factor on response times; 0 means none
 	refuseConnections func(now time.Duration) bool
 }
 
@@ -38,13 +38,13 @@
 	return f.errorShare > 0 || f.hangs || f.slowdown > 1 || f.refuseConnections != nil
 }
 
-// simEngine is a store that works on a number of requests at a time and lets the others wait.
+// simEngine is a store that runs up to simSlots requests concurrently and queues the others.
 type simEngine struct {
 	instance string
 	running  int
 	waiting  []*simAttempt
 	fault    storeFault
-	arrived  int // requests so far
+	arrived  int // attempts so far
 }
 
 func (e *simEngine) load() int { return e.running + len(e.waiting) }
@@ -64,7 +64,7 @@
 	random         *rand.Rand
 	now            time.Duration
 	events         eventHeap
-	number         int // of the last event
+	number         int // sequence number of the last event
 	proxies        []*core
 	byInstance     map[string]*simEngine
 	engines        []*simEngine
@@ -136,10 +136,10 @@
 	s.now = until
 }
 
-// zoneOf returns the zone of an engine, or of a proxy, by its number.
+// zoneOf returns the zone of the engine or proxy with this number.
 func zoneOf(number int) string { return fmt.Sprint("z", number%3) }
 
-// publishStores sets the stores of all proxies.
+// publishStores passes the current list of stores to all proxies.
 func (s *fleetSimulation) publishStores() {
 	var listed []Store
 	s.byInstance = make(map[string]*simEngine, len(s.engines))
@@ -171,7 +171,7 @@
 	})
 }
 
-// turn sends one turn of a program through any of the proxies, as sessions come in at all of them.
+// turn sends one turn of a program through a random proxy, as the requests of a session may arrive at any of them.
 func (s *fleetSimulation) turn(program uint64, number int) {
 	proxy := s.proxies[s.random.IntN(len(s.proxies))]
 	request := Request{Service: "s", LatencyTarget: simLatencyTarget, Streaming: true, Idempotent: true, FirstTurn: number == 1}
@@ -182,14 +182,14 @@
 }
 
 func (s *fleetSimulation) attempt(proxy *core, r Request, arrival time.Duration, number int, program uint64) {
-	p := &pendingRequest{Request: r, targetAt: arrival + r.LatencyTarget, deadlineAt: arrival + simTimeout, index: -1}
+	p := &pendingRequest{Request: r, targetAt: arrival + r.LatencyTarget, timeoutAt: arrival + simTimeout, index: -1}
 	a := &simAttempt{proxy: proxy, pending: p, turn: number, program: program}
 	proxy.submit(s.now, p)
 	s.undecided = append(s.undecided, a)
 	s.sendGranted()
 }
 
-// sendGranted sends the requests that were granted, and drops those that were rejected.
+// sendGranted sends the requests that have been granted and counts those that have been rejected.
 func (s *fleetSimulation) sendGranted() {
 	before := s.undecided
 	s.undecided = nil
@@ -234,7 +234,7 @@
 		s.after(20*time.Millisecond, func() { s.finish(a, StoreError) })
 		return
 	}
-	s.after(a.pending.deadlineAt-s.now, func() { s.cancel(a) })
+	s.after(a.pending.timeoutAt-s.now, func() { s.cancel(a) })
 	if fault.hangs {
 		return
 	}
@@ -245,28 +245,28 @@
 	s.startOn(a, fault)
 }
 
-// startOn has the attempt's engine work on it.
+// startOn makes the attempt's engine start to run it.
 func (s *fleetSimulation) startOn(a *simAttempt, fault storeFault) {
 	e := a.engine
 	e.running++
 	slowdown := max(fault.slowdown, 1) * (0.8 + 0.4*s.random.Float64())
-	first := time.Duration(slowdown * float64(simFirstByte))
+	first := time.Duration(slowdown * float64(simTimeToFirstByte))
 	s.after(first, func() {
 		if !a.finished {
 			a.proxy.recordFirstByte(a.pending.grant, s.now)
 		}
 	})
-	s.after(first+time.Duration(slowdown*float64(simRest)), func() {
+	s.after(first+time.Duration(slowdown*float64(simStreamTime)), func() {
 		e.running--
 		if !a.finished {
-			a.pending.grant.store.recordReport(s.now, e.running+1, len(e.waiting), simSlots)
+			a.pending.grant.store.recordLoadReport(s.now, e.running+1, len(e.waiting), simSlots)
 			s.finish(a, Success)
 		}
 		s.startNext(e)
 	})
 }
 
-// startNext has an engine work on the requests that wait there.
+// startNext makes an engine start waiting requests while it has free slots.
 func (s *fleetSimulation) startNext(e *simEngine) {
 	for e.running < simSlots && len(e.waiting) > 0 {
 		a := e.waiting[0]
@@ -283,7 +283,8 @@
 	}
 }
 
-// finish reports how an attempt ended: the program goes on, or the request is retried elsewhere.
+// finish reports the outcome of an attempt. After a success the program continues with its next turn; after a failure the
+// request is retried at another store.
 func (s *fleetSimulation) finish(a *simAttempt, outcome Outcome) {
 	a.finished = true
 	a.proxy.finish(a.pending.grant, s.now, outcome)
@@ -305,13 +306,13 @@
 	s.sendGranted()
 }
 
-// loadSpread sums up samples of the engines' load.
+// loadSpread accumulates samples of the engines' load.
 type loadSpread struct {
 	samples, idle int
-	unevenness    float64 // sum of the greatest load over the mean
+	ratioSum      float64 // sum over the samples of the ratio of maximum to mean load
 }
 
-func (s *fleetSimulation) measure(sum *loadSpread) {
+func (s *fleetSimulation) addSample(sum *loadSpread) {
 	total, greatest := 0, 0
 	for _, e := range s.engines {
 		total += e.load()
@@ -322,15 +323,15 @@
 	}
 	sum.samples++
 	if total > 0 {
-		sum.unevenness += float64(greatest) * float64(len(s.engines)) / float64(total)
+		sum.ratioSum += float64(greatest) * float64(len(s.engines)) / float64(total)
 	}
 }
 
-func (l *loadSpread) maxOverMean() float64 { return l.unevenness / float64(l.samples) }
+func (l *loadSpread) maxOverMean() float64 { return l.ratioSum / float64(l.samples) }
 func (l *loadSpread) idleShare() float64   { return float64(l.idle) / float64(l.samples*simStores) }
 
-// peakLoad returns the greatest load of an engine over the mean in the time that follows.
-func (s *fleetSimulation) peakLoad(e *simEngine, span time.Duration) float64 {
+// peakLoad runs the simulation for some time and returns the ratio of the engine's peak load to the mean load of all engines.
+func (s *fleetSimulation) peakLoad(e *simEngine, duration time.Duration) float64 {
 	peak, total, samples := 0, 0, 0
 	s.onSample = func() {
 		peak = max(peak, e.load())
@@ -339,36 +340,38 @@
 			samples++
 		}
 	}
-	s.run(s.now + span)
+	s.run(s.now + duration)
 	return float64(peak) / (float64(total) / float64(samples))
 }
 
-// suspectShare returns the greatest share of the healthy engines that one proxy suspects now.
-func (s *fleetSimulation) suspectShare() float64 {
+// falsePositiveShare returns the share of the faultless engines that a proxy takes for unhealthy or stalled now, at the proxy
+// where it is greatest.
+func (s *fleetSimulation) falsePositiveShare() float64 {
 	greatest := 0.0
 	for _, proxy := range s.proxies {
-		suspects, all := 0, 0
+		falsePositives, all := 0, 0
 		for _, known := range proxy.services["s"].stores {
 			if s.byInstance[known.Instance].fault.isPresent() {
 				continue
 			}
 			all++
 			if !known.healthy(s.now) || known.stalled(s.now) {
-				suspects++
+				falsePositives++
 			}
 		}
-		greatest = max(greatest, float64(suspects)/float64(all))
+		greatest = max(greatest, float64(falsePositives)/float64(all))
 	}
 	return greatest
 }
 
-// requestShares runs the simulation for a time, and returns each engine's share of the requests as a multiple of an even one.
-func (s *fleetSimulation) requestShares(span time.Duration) []float64 {
+// requestShares runs the simulation for some time and returns each engine's share of the attempts, as a multiple of an even
+// share.
+func (s *fleetSimulation) requestShares(duration time.Duration) []float64 {
 	before := make([]int, len(s.engines))
 	for i, e := range s.engines {
 		before[i] = e.arrived
 	}
-	s.run(s.now + span)
+	s.run(s.now + duration)
 	all, shares := 0, make([]float64, len(s.engines))
 	for i, e := range s.engines {
 		all += e.arrived - before[i]
--- a/internal/tier/admission/fleet_test.go
+++ b/internal/tier/admission/fleet_test.go
@@ -7,92 +7,107 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bounds of what many proxies do that each see a small part of the requests.
+// Durations and bounds of the tests of a fleet, in which each proxy sees only a small part of the requests.
 const (
-	warmUp             = 3 * time.Second
-	spreadSpan         = 6 * time.Second
-	maxSpread          = 2.6 // greatest load of an engine over the mean, averaged over time
-	maxSpreadPlain     = 3.5 // the same by round-robin alone
-	maxIdlePlain       = 0.1
-	maxIdle            = 0.05 // share of engines and moments without a request
-	maxHerd            = 4.0  // times the mean load, at one that comes back or is new; the peak of any engine is some 2.5
-	maxSuspectShare    = 0.2  // share of healthy engines that one proxy suspects at once
-	detectionSpan      = 4 * time.Second
-	ejectedShare       = 0.5  // of an even share of the requests: of an ejected store, after detectionSpan
-	oneZoneShare       = 0.8  // the same where the fault affects a third of the callers
-	failingShare       = 1.4  // of one that fails at once: each proxy sends it too little to tell, and it draws nothing either
-	maxFailedAttempts  = 0.03 // of the requests: what seven faulty stores of sixty cost, each attempt retried elsewhere
-	recoverySpan       = 15 * time.Second
-	minRecoveredShare  = 0.4 // of an even share, after recoverySpan
-	knownFaultSpan     = 6 * time.Second
-	afterRecoverySpan  = 5 * time.Second
-	faultBeforeHealing = 5 * time.Second
+	warmUp         = 3 * time.Second
+	spreadDuration = 6 * time.Second
+	// maxSpread bounds the ratio of maximum to mean load of the engines, averaged over time; maxSpreadRoundRobin is the bound
+	// without affinity.
+	maxSpread           = 2.6
+	maxSpreadRoundRobin = 3.5
+	// maxIdleShare bounds the share of engine samples without a request; maxIdleShareRoundRobin is the bound without affinity.
+	maxIdleShareRoundRobin = 0.1
+	maxIdleShare           = 0.05
+	// maxPeakLoad bounds the peak load of a new, returning or recovered store, as a multiple of the mean load. An ordinary
+	// engine peaks at about 2.5.
+	maxPeakLoad = 4.0
+	// maxFalsePositiveShare bounds the share of faultless engines that a proxy takes for unhealthy or stalled.
+	maxFalsePositiveShare = 0.2
+	// detectionTime is how long proxies may take to eject a faulty store.
+	detectionTime = 4 * time.Second
+	// maxEjectedShare, maxOneZoneShare and maxFailingShare bound the share of attempts that a faulty store gets after
+	// detectionTime, as a multiple of an even share: of a store that hangs or is slow, of one that hangs for a third of the
+	// proxies, and of one whose attempts fail at once. A single proxy sends a failing store too little to detect it soon, but
+	// the store does not attract more requests either.
+	maxEjectedShare = 0.5
+	maxOneZoneShare = 0.8
+	maxFailingShare = 1.4
+	// maxFailedAttempts bounds the failed attempts per successful request with seven faulty stores among sixty.
+	maxFailedAttempts = 0.03
+	// recoveryTime is how long a store that has become healthy may take to get minRecoveredShare of an even share.
+	recoveryTime      = 15 * time.Second
+	minRecoveredShare = 0.4
+	// ejectedDuration and recoveredDuration are how long the shares are measured after detectionTime and recoveryTime.
+	ejectedDuration   = 6 * time.Second
+	recoveredDuration = 5 * time.Second
+	faultDuration     = 5 * time.Second
 )
 
 func measureSpread(seed uint64, affinity bool) (*fleetSimulation, *loadSpread) {
 	s, sum := newFleetSimulation(seed, affinity), &loadSpread{}
 	s.run(warmUp)
-	s.onSample = func() { s.measure(sum) }
-	s.run(warmUp + spreadSpan)
+	s.onSample = func() { s.addSample(sum) }
+	s.run(warmUp + spreadDuration)
 	return s, sum
 }
 
-func TestManyProxiesSpreadOverStores(t *testing.T) {
+func TestManyProxiesSpreadLoadEvenly(t *testing.T) {
 	for seed := range uint64(2) {
-		s, affine := measureSpread(seed, true)
-		_, plain := measureSpread(seed, false)
-		t.Logf("seed %d: max/mean %.2f idle %.4f with affinity, %.2f and %.4f by round-robin only; %d succeeded, %d rejected, %d failed",
-			seed, affine.maxOverMean(), affine.idleShare(), plain.maxOverMean(), plain.idleShare(),
+		s, withAffinity := measureSpread(seed, true)
+		_, roundRobin := measureSpread(seed, false)
+		t.Logf("seed %d: with affinity max/mean %.2f, idle share %.4f; round-robin only %.2f, %.4f; %d succeeded, %d rejected, %d failed",
+			seed, withAffinity.maxOverMean(), withAffinity.idleShare(), roundRobin.maxOverMean(), roundRobin.idleShare(),
 			s.succeeded, s.rejected, s.failedAttempts)
-		assert.Assert(t, affine.maxOverMean() <= maxSpread)
-		assert.Assert(t, affine.idleShare() <= maxIdle)
-		assert.Assert(t, plain.maxOverMean() <= maxSpreadPlain)
-		assert.Assert(t, plain.idleShare() <= maxIdlePlain)
+		assert.Assert(t, withAffinity.maxOverMean() <= maxSpread)
+		assert.Assert(t, withAffinity.idleShare() <= maxIdleShare)
+		assert.Assert(t, roundRobin.maxOverMean() <= maxSpreadRoundRobin)
+		assert.Assert(t, roundRobin.idleShare() <= maxIdleShareRoundRobin)
 		assert.Equal(t, s.failedAttempts, 0)
 	}
 }
 
-func TestNoHerdFollowsAStoreThatIsNewOrComesBack(t *testing.T) {
+// Proxies must not all send their requests to a store at once when it is added, returns or recovers.
+func TestNewOrReturningStoreIsNotOverloaded(t *testing.T) {
 	for seed := range uint64(1) {
 		s := newFleetSimulation(seed, true)
 		s.run(warmUp)
-		away := s.engines[7]
+		removed := s.engines[7]
 		s.engines = append(s.engines[:7:7], s.engines[8:]...)
 		s.publishStores()
 		s.run(s.now + 2*time.Second)
-		s.engines = append(s.engines, away)
+		s.engines = append(s.engines, removed)
 		s.publishStores()
-		back := s.peakLoad(away, 2*time.Second)
+		returned := s.peakLoad(removed, 2*time.Second)
 		added := &simEngine{instance: "e-new"}
 		s.engines = append(s.engines, added)
 		s.publishStores()
 		fresh := s.peakLoad(added, 2*time.Second)
-		healed := s.engines[3]
-		healed.fault = storeFault{errorShare: 1}
-		s.run(s.now + faultBeforeHealing)
-		healed.fault = storeFault{}
-		recovered := s.peakLoad(healed, 10*time.Second)
-		t.Logf("seed %d: peak over mean %.2f come back, %.2f new, %.2f healed", seed, back, fresh, recovered)
-		assert.Assert(t, back <= maxHerd)
-		assert.Assert(t, fresh <= maxHerd)
-		assert.Assert(t, recovered <= maxHerd)
+		faulty := s.engines[3]
+		faulty.fault = storeFault{errorShare: 1}
+		s.run(s.now + faultDuration)
+		faulty.fault = storeFault{}
+		recovered := s.peakLoad(faulty, 10*time.Second)
+		t.Logf("seed %d: ratio of peak to mean load %.2f returned, %.2f new, %.2f recovered", seed, returned, fresh, recovered)
+		assert.Assert(t, returned <= maxPeakLoad)
+		assert.Assert(t, fresh <= maxPeakLoad)
+		assert.Assert(t, recovered <= maxPeakLoad)
 	}
 }
 
-// Stores that hang or are slow are passed over within detectionSpan. Failures that come at once cost an attempt each.
+// Stores that hang or are slow are avoided within detectionTime. Attempts that fail at once are retried elsewhere.
 func TestFaultyStoresAreEjectedInBoundedTimeAndReturn(t *testing.T) {
 	kinds := []struct {
 		name     string
 		fault    storeFault
-		maxShare float64 // of an even share of the requests, after detectionSpan
+		maxShare float64 // of the attempts after detectionTime, as a multiple of an even share
 	}{
-		{"hangs", storeFault{hangs: true}, ejectedShare},
-		{"slow 8x", storeFault{slowdown: 8}, ejectedShare},
-		{"hangs for its zone", storeFault{zone: zoneOf(2), hangs: true}, oneZoneShare},
-		{"fails 40%", storeFault{errorShare: 0.4}, failingShare},
-		{"fails 40% for its zone", storeFault{zone: zoneOf(4), errorShare: 0.4}, failingShare},
-		{"ready, fails all", storeFault{errorShare: 1}, failingShare},
-		{"flaps", storeFault{refuseConnections: func(now time.Duration) bool { return now/time.Second%2 == 0 }}, failingShare},
+		{"hangs", storeFault{hangs: true}, maxEjectedShare},
+		{"slow 8x", storeFault{slowdown: 8}, maxEjectedShare},
+		{"hangs for its zone", storeFault{zone: zoneOf(2), hangs: true}, maxOneZoneShare},
+		{"fails 40%", storeFault{errorShare: 0.4}, maxFailingShare},
+		{"fails 40% for its zone", storeFault{zone: zoneOf(4), errorShare: 0.4}, maxFailingShare},
+		{"ready, fails all", storeFault{errorShare: 1}, maxFailingShare},
+		{"flaps", storeFault{refuseConnections: func(now time.Duration) bool { return now/time.Second%2 == 0 }}, maxFailingShare},
 	}
 	s := newFleetSimulation(5, true)
 	s.run(warmUp)
@@ -100,24 +115,25 @@
 		s.engines[i].fault = kind.fault
 	}
 	greatest := 0.0
-	s.onSample = func() { greatest = max(greatest, s.suspectShare()) }
-	first := s.requestShares(detectionSpan)
-	known := s.requestShares(knownFaultSpan)
+	s.onSample = func() { greatest = max(greatest, s.falsePositiveShare()) }
+	detecting := s.requestShares(detectionTime)
+	ejected := s.requestShares(ejectedDuration)
 	for i := range kinds {
 		s.engines[i].fault = storeFault{}
 	}
-	s.run(s.now + recoverySpan)
-	after := s.requestShares(afterRecoverySpan)
+	s.run(s.now + recoveryTime)
+	recovered := s.requestShares(recoveredDuration)
 	for i, kind := range kinds {
-		t.Logf("%s: %.2f of an even share at first, %.2f known, %.2f after recovery", kind.name, first[i], known[i], after[i])
+		t.Logf("%s: %.2f of an even share during detection, %.2f after it, %.2f after recovery",
+			kind.name, detecting[i], ejected[i], recovered[i])
 	}
-	t.Logf("greatest share of healthy engines suspected by one proxy: %.2f; %d succeeded, %d failed attempts, %d rejected",
+	t.Logf("greatest share of false positives at a proxy: %.2f; %d succeeded, %d failed attempts, %d rejected",
 		greatest, s.succeeded, s.failedAttempts, s.rejected)
 	for i, kind := range kinds {
-		assert.Assert(t, known[i] <= kind.maxShare, kind.name)
-		assert.Assert(t, after[i] >= minRecoveredShare, kind.name)
+		assert.Assert(t, ejected[i] <= kind.maxShare, kind.name)
+		assert.Assert(t, recovered[i] >= minRecoveredShare, kind.name)
 	}
 	assert.Equal(t, s.rejected, 0)
 	assert.Assert(t, float64(s.failedAttempts) <= maxFailedAttempts*float64(s.succeeded))
-	assert.Assert(t, greatest <= maxSuspectShare)
+	assert.Assert(t, greatest <= maxFalsePositiveShare)
 }
--- a/internal/tier/admission/harness_test.go
+++ b/internal/tier/admission/harness_test.go
@@ -16,7 +16,7 @@
 
 const testLatencyTarget = 300 * time.Millisecond
 
-// fakeClock is a clock that a test advances; it fires the timers that come due.
+// fakeClock is a clock that advances only when a test calls advance.
 type fakeClock struct {
 	mu     sync.Mutex
 	now    time.Time
@@ -44,7 +44,7 @@
 	return func() bool { t.fire = nil; return true }
 }
 
-// advance moves the clock on, a millisecond at a time, and fires the timers that come due.
+// advance advances the clock in steps of a millisecond and fires the timers that become due.
 func (c *fakeClock) advance(d time.Duration) {
 	for ; d > 0; d -= time.Millisecond {
 		c.mu.Lock()
@@ -68,14 +68,14 @@
 	}
 }
 
-// harness is a Dispatcher with a fake clock and the service "s".
+// harness is a Dispatcher with a fake clock and a service named "s".
 type harness struct {
 	*Dispatcher
 	clock *fakeClock
 	t     *testing.T
 }
 
-// newHarness returns a harness whose service has these stores.
+// newHarness returns a harness whose service has the given stores.
 func newHarness(t *testing.T, stores ...Store) *harness {
 	t.Helper()
 	c := newFakeClock()
@@ -85,7 +85,7 @@
 	return h
 }
 
-// stores returns n stores in the proxy's zone.
+// stores returns n stores in the proxy's zone, named "i-0" and up.
 func stores(n, slots int) []Store {
 	list := make([]Store, n)
 	for i := range list {
@@ -94,7 +94,7 @@
 	return list
 }
 
-// Acquire is that of the Dispatcher, with its error as the rejection that it must be; nil for a grant.
+// Acquire calls Dispatcher.Acquire and returns its error as a *RejectedError, nil if the request is granted.
 func (h *harness) Acquire(ctx context.Context, r Request) (*Grant, *RejectedError) {
 	h.t.Helper()
 	grant, err := h.Dispatcher.Acquire(ctx, r)
@@ -110,7 +110,7 @@
 		Deadline: now.Add(10 * testLatencyTarget), Idempotent: true}
 }
 
-// acquireNow acquires a grant that must be given at once.
+// acquireNow acquires a grant and fails the test unless it is given at once.
 func (h *harness) acquireNow(r Request) *Grant {
 	h.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -120,7 +120,7 @@
 	return g
 }
 
-// queuedAcquire is an Acquire that waits in another goroutine.
+// queuedAcquire is a call of Acquire that is blocked in another goroutine. Its results are valid once done is closed.
 type queuedAcquire struct {
 	grant     *Grant
 	rejection *RejectedError
@@ -128,7 +128,7 @@
 	cancel    context.CancelFunc
 }
 
-// acquireQueued begins an Acquire that must be queued, and returns when it is.
+// acquireQueued calls Acquire in another goroutine and returns once the request is queued.
 func (h *harness) acquireQueued(r Request) *queuedAcquire {
 	h.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -148,21 +148,20 @@
 	return queued
 }
 
-// queuedRequests returns the number of queued requests.
 func (h *harness) queuedRequests() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.services["s"].queued
 }
 
-// serve has a request succeed after a time.
-func (h *harness) serve(r Request, took time.Duration) {
+// serve sends a request that succeeds after the given latency.
+func (h *harness) serve(r Request, latency time.Duration) {
 	g := h.acquireNow(r)
-	h.clock.advance(took)
+	h.clock.advance(latency)
 	g.Finish(Success)
 }
 
-// saturate sends requests until no store has capacity, and returns their grants.
+// saturate acquires grants until no store has capacity, and returns them.
 func (h *harness) saturate() []*Grant {
 	var grants []*Grant
 	for {
@@ -180,5 +179,4 @@
 	}
 }
 
-// init makes a violated invariant fail the tests.
 func init() { invariant.FailTests() }
--- a/internal/tier/admission/health.go
+++ b/internal/tier/admission/health.go
@@ -8,11 +8,11 @@
 	"pulleygw.example/pulleygw/internal/tier/ablation"
 )
 
-// This file holds outlier detection: what makes a store unhealthy, stalled or backed off from, and how that ends. The package
-// comment gives an overview. Which tier a store is in for a request is decided by store.tierFor.
+// This file holds outlier detection: when a store becomes unhealthy or stalled or enters backoff, and when that ends. The
+// package comment gives an overview; store.tierFor turns these conditions into tiers.
 
-// recordOutcome records how an attempt ended, for the store's health. A successful attempt's response time has been recorded
-// before, by recordLatency.
+// recordOutcome updates the store's health with the outcome of an attempt. The response time of a successful attempt has
+// already been recorded by recordLatency.
 func (s *store) recordOutcome(g *Grant, now time.Duration, outcome Outcome) {
 	svc := s.service
 	switch outcome {
@@ -40,13 +40,13 @@
 	}
 }
 
-// backOff keeps requests away from the store for a time. Reason says whether that is an ejection.
-func (s *store) backOff(now, span time.Duration, reason EjectionReason) {
-	s.backoffUntil, s.backoffReason = now+span, reason
+// backOff puts the store in backoff. A reason other than notEjected makes it an ejection.
+func (s *store) backOff(now, duration time.Duration, reason EjectionReason) {
+	s.backoffUntil, s.backoffReason = now+duration, reason
 }
 
-// recordCancelled counts an attempt that was cancelled before its first byte as a failure, where it waited for longer than
-// the stall time-out, and as a lost response where it waited for several times as long.
+// recordCancelled counts an attempt that was cancelled before its first byte as a failure if it waited for longer than the
+// stall timeout, and as a lost response too if it waited for hangTimeoutMultiple times as long.
 func (s *store) recordCancelled(g *Grant, now time.Duration) {
 	age := (now - g.sentAt).Seconds()
 	timeout := s.stallTimeout(g.class, now)
@@ -54,22 +54,22 @@
 		return
 	}
 	s.recordResult(now, false, min(cancelWeight*age/timeout, 1))
-	s.recordLoss(now, age > hungTailMultiple*timeout)
+	s.recordLoss(now, age > hangTimeoutMultiple*timeout)
 	s.service.recordFailedStore(g.affinity, s, now)
 }
 
-// recordResult records a success, or a failure that counts with a weight of up to 1, in the failure rate.
+// recordResult updates the failure rate with a success or a failure. Weight, up to 1, scales a failure.
 func (s *store) recordResult(now time.Duration, ok bool, weight float64) {
 	s.failureRate, s.failureRateAt = failureRule.Next(s.currentFailureRate(now), ok, weight), now
 }
 
-// recordLoss records whether a response was lost in the loss rate.
+// recordLoss updates the loss rate with a response that was lost or not.
 func (s *store) recordLoss(now time.Duration, lost bool) {
 	s.lossRate, s.lossRateAt = lossRule.Next(s.currentLossRate(now), !lost, 1), now
 }
 
 // recordLatency records a response time in the latency ratios and distributions, and adapts the concurrency limit. Unloaded
-// says that the request was sent while the store was unloaded.
+// says that the store was unloaded when the request was sent.
 func (s *store) recordLatency(c *latencyClass, now time.Duration, seconds float64, unloaded bool) {
 	c.refresh(now)
 	ratio := seconds / c.baseline
@@ -81,7 +81,7 @@
 		smoothing = recoverySmoothing
 	}
 	s.latencyRatio, s.latencyRatioAt = s.latencyRatio+smoothing*(ratio-s.latencyRatio), now
-	s.service.latencyRatio += fleetLatencySmoothing * (ratio - s.service.latencyRatio)
+	s.service.latencyRatio += serviceLatencySmoothing * (ratio - s.service.latencyRatio)
 	c.recordRecent(now, seconds)
 	if unloaded {
 		s.recordUnloaded(c, now, seconds)
@@ -89,18 +89,18 @@
 	s.adjustLimit(c, now)
 }
 
-// currentFailureRate returns the failure rate with its decay.
+// currentFailureRate returns the failure rate, decayed to now.
 func (s *store) currentFailureRate(now time.Duration) float64 {
 	return curve.Decay(s.failureRate, now-s.failureRateAt, failureHalfLife)
 }
 
-// currentLossRate returns the loss rate with its decay.
+// currentLossRate returns the loss rate, decayed to now.
 func (s *store) currentLossRate(now time.Duration) float64 {
 	return curve.Decay(s.lossRate, now-s.lossRateAt, lossHalfLife)
 }
 
-// weight returns the store's weight in the round-robin: 1 ordinarily, and less while it fails, is slower than the other
-// stores, is in slow start, or misses heartbeats. A slowdown that all stores have does not reduce it.
+// weight returns the store's weight in the round-robin: normally 1, and less while the store fails, is slower than the other
+// stores, is in slow start or is Suspect. A slowdown of all stores does not reduce it.
 func (s *store) weight(now time.Duration) float64 {
 	if ablation.Disabled(ablation.HealthWeights) {
 		return s.slowStartShare(now)
@@ -114,17 +114,18 @@
 	return weight
 }
 
-// healthy reports whether the store has enough of its weight. Slow start is no fault.
+// healthy reports whether the store's weight, apart from slow start, is at least healthyWeight.
 func (s *store) healthy(now time.Duration) bool {
 	return s.weight(now) >= healthyWeight*s.slowStartShare(now)
 }
 
-// stalled reports whether the oldest request without a first byte has waited for longer than the stall time-out: the store
-// may hang.
-func (s *store) stalled(now time.Duration) bool { return s.stalledFor(now, 1) }
+// stalled reports whether the store may hang: its oldest request without a first byte has waited for longer than the stall
+// timeout.
+func (s *store) stalled(now time.Duration) bool { return s.stalledBeyond(now, 1) }
 
-// stalledFor reports whether that request has waited for longer than a multiple of the stall time-out.
-func (s *store) stalledFor(now time.Duration, multiple float64) bool {
+// stalledBeyond reports whether the oldest request without a first byte has waited for longer than a multiple of the stall
+// timeout.
+func (s *store) stalledBeyond(now time.Duration, multiple float64) bool {
 	if len(s.awaitingFirstByte) == 0 || ablation.Disabled(ablation.StallDetection) {
 		return false
 	}
@@ -132,14 +133,14 @@
 	return (now - oldest.sentAt).Seconds() > multiple*s.stallTimeout(oldest.class, now)
 }
 
-// inBackoff reports whether the store rejected a request, or could not be reached, a moment ago.
+// inBackoff reports whether the store recently rejected a request or could not be reached.
 func (s *store) inBackoff(now time.Duration) bool {
 	return now < s.backoffUntil && !ablation.Disabled(ablation.Backoff)
 }
 
-// avoidedFor reports whether the store's health keeps the request away from it. An unhealthy store is tested by idempotent
-// requests in their first attempt, while no other attempt is in flight there, as by a half-open circuit breaker. A
-// request that is neither idempotent nor a stream also keeps away from a store that has recently lost responses.
+// avoidedFor reports whether the request avoids the store because of its health. Requests avoid an unhealthy store, except
+// for first attempts of idempotent requests while no other attempt is in flight there, which test it as by a half-open
+// circuit breaker. Requests that are neither idempotent nor streams also avoid a store that recently lost responses.
 func (s *store) avoidedFor(p *pendingRequest, now time.Duration) bool {
 	if !p.Idempotent && !p.Streaming && s.currentLossRate(now) > maxLossRate && !ablation.Disabled(ablation.LossAvoidance) {
 		return true
--- a/internal/tier/admission/health_test.go
+++ b/internal/tier/admission/health_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestStalledStoreIsPassedOver(t *testing.T) {
+func TestStalledStoreIsAvoided(t *testing.T) {
 	h := newHarness(t, stores(2, 8)...)
 	first := h.acquireNow(h.request())
-	h.clock.advance(testLatencyTarget) // above the tail assumed before any response
+	h.clock.advance(testLatencyTarget) // longer than the stall timeout that applies before the first response
 	for range 4 {
 		g := h.acquireNow(h.request())
 		assert.Assert(t, g.Store().Instance != first.Store().Instance)
@@ -18,7 +18,7 @@
 	first.Finish(Success)
 }
 
-func TestSaturatedStoreIsBackedOffFrom(t *testing.T) {
+func TestSaturatedStoreEntersBackoff(t *testing.T) {
 	h := newHarness(t, stores(2, 8)...)
 	g := h.acquireNow(h.request())
 	g.Finish(Saturated)
@@ -30,7 +30,7 @@
 	}
 }
 
-// A store in backoff for a failed connection is selected again when that has ended.
+// A store whose connection failed is available again after connectBackoff.
 func TestBackoffEnds(t *testing.T) {
 	h := newHarness(t, stores(2, 8)...)
 	g := h.acquireNow(h.request())
@@ -72,11 +72,11 @@
 	for range 6 {
 		seen = seen || h.acquireNow(h.request()).Store().Instance == g.Store().Instance
 	}
-	assert.Assert(t, seen, "no request was sent there")
+	assert.Assert(t, seen, "no idempotent request was sent to the store")
 }
 
-// Under a load that slows all stores alike, none is unhealthy or stalled.
-func TestLoadOnAllStoresMakesNoneSuspect(t *testing.T) {
+// Under a load that slows all stores equally, none is unhealthy or stalled.
+func TestLoadOnAllStoresMakesNoneUnhealthy(t *testing.T) {
 	h := newHarness(t, stores(3, 32)...)
 	for range 60 {
 		h.serve(h.request(), 10*time.Millisecond)
@@ -95,8 +95,8 @@
 	assert.Assert(t, svc.byInstance[granted.Store().Instance].stalled(h.sinceStart(h.clock.Now())))
 }
 
-// DENIED, LOST: stores whose heartbeats are late take requests while there is no better one.
-func TestSuspectStoresServeWhereThereIsNoOther(t *testing.T) {
+// DENIED, LOST: stores whose heartbeats are late take requests if there are no better ones.
+func TestSuspectStoresServeIfThereAreNoOthers(t *testing.T) {
 	late := stores(2, 4)
 	for i := range late {
 		late[i].State = Suspect
@@ -114,8 +114,7 @@
 	}
 }
 
-// Duty, worth: a store with late heartbeats keeps a share of the requests beside others, and has its full share again when its
-// heartbeats return.
+// A store whose heartbeats are late gets a reduced share of the requests, and its full share once it is Ready again.
 func TestSuspectStoreKeepsAReducedShare(t *testing.T) {
 	list := stores(3, 8)
 	list[0].State = Suspect
--- a/internal/tier/admission/latency.go
+++ b/internal/tier/admission/latency.go
@@ -6,21 +6,21 @@
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// latencyClass holds the response times of a service's requests that have one latency target and one kind of response.
-// Routes of one service may ask for work that takes several times longer than another's, so each class has its own.
+// latencyClass holds the response times of a service's requests that have the same latency target and are all streaming or
+// all not. Classes are kept apart because requests of different routes may take several times as long as each other.
 type latencyClass struct {
 	target    time.Duration
 	streaming bool
 	unloaded  *curve.Histogram // unloaded response times of all stores
-	recent    *curve.Histogram // response times of all stores in the last seconds, whatever the load
+	recent    *curve.Histogram // response times of all stores in the last few seconds, under any load
 
-	// What follows is read off the histograms by refresh, in seconds.
+	// The following values are derived from the histograms by refresh, in seconds.
 	upToDate   bool
-	cdf        []float64 // of unloaded; reused
+	cdf        []float64 // of unloaded; the slice is reused
 	median     float64   // of unloaded
-	tail       float64   // of unloaded
-	recentTail float64   // of recent; 0 while there are too few
-	baseline   float64   // the median, but slow to rise: a long overload must not become the baseline
+	tail       float64   // tailQuantile of unloaded
+	recentTail float64   // tailQuantile of recent; 0 if there are too few responses
+	baseline   float64   // follows the median down at once and up slowly, so that a long overload does not raise it
 	baselineAt time.Duration
 }
 
@@ -29,7 +29,7 @@
 	class     *latencyClass
 	histogram *curve.Histogram
 	upToDate  bool
-	tail      float64 // with the other stores' average mixed in
+	tail      float64 // tailQuantile, blended with the class's distribution
 }
 
 func newLatencyClass(target time.Duration, streaming bool) *latencyClass {
@@ -39,8 +39,8 @@
 	}
 }
 
-// refresh reads the class's values off its histograms, where these have changed. Before any response it assumes a uniform
-// distribution up to a share of the latency target.
+// refresh updates the derived values if the histograms have changed. Before the first response it assumes a uniform
+// distribution up to initialTailShare of the latency target.
 func (c *latencyClass) refresh(now time.Duration) {
 	if c.upToDate {
 		return
@@ -60,7 +60,7 @@
 	c.refreshBaseline(now)
 }
 
-// refreshBaseline follows the median down at once and up slowly.
+// refreshBaseline updates the baseline, which rises by no more than baselineRise per second.
 func (c *latencyClass) refreshBaseline(now time.Duration) {
 	risen := c.baseline * (1 + baselineRise*(now-c.baselineAt).Seconds())
 	if c.baseline == 0 || c.unloaded.Size(now) < curve.RecordPrior {
@@ -69,7 +69,7 @@
 	c.baseline, c.baselineAt = min(c.median, risen), now
 }
 
-// recordRecent records a response time under whatever load.
+// recordRecent records a response time, whether the store was loaded or not.
 func (c *latencyClass) recordRecent(now time.Duration, seconds float64) {
 	c.recent.Add(now, seconds)
 	c.upToDate = false
@@ -87,7 +87,7 @@
 	own.upToDate, c.upToDate = false, false
 }
 
-// latenciesOf returns the store's response times in a class, or nil before the first.
+// latenciesOf returns the store's response times in a class, or nil if there are none.
 func (s *store) latenciesOf(c *latencyClass) *storeLatencies {
 	for i := range s.latencies {
 		if s.latencies[i].class == c {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// unloadedTail returns the 99th percentile of the store's unloaded response times in seconds. A store without responses
-// counts as the others' average.
+// unloadedTail returns the 99th percentile of the store's unloaded response times, in seconds. For a store without responses
+// it returns that of all stores.
 func (s *store) unloadedTail(c *latencyClass, now time.Duration) float64 {
 	c.refresh(now)
 	own := s.latenciesOf(c)
@@ -112,8 +112,8 @@
 	return own.tail
 }
 
-// stallTimeout returns after how many seconds without a first byte a store counts as stalled. A slow store's own
-// distribution does not excuse it, and a load that all stores have does.
+// stallTimeout returns after how many seconds without a first byte a store counts as stalled. It does not grow with the
+// store's own slowness, but it does grow with recent response times of all stores.
 func (s *store) stallTimeout(c *latencyClass, now time.Duration) float64 {
 	return max(min(s.unloadedTail(c, now), c.tail), c.recentTail)
 }
--- a/internal/tier/admission/latency_test.go
+++ b/internal/tier/admission/latency_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestStoreWithoutResponsesUsesTheOthersTail(t *testing.T) {
+func TestStoreWithoutResponsesUsesTheTailOfAllStores(t *testing.T) {
 	h := newHarness(t, stores(1, 8)...)
 	for range 50 {
 		h.serve(h.request(), 20*time.Millisecond)
--- a/internal/tier/admission/load.go
+++ b/internal/tier/admission/load.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/ablation"
 )
 
-// capacity returns the number of requests that the store works on at a time: reported, configured or assumed.
+// capacity returns the number of requests that the store runs concurrently: reported, configured or assumed.
 func (s *store) capacity() int {
 	switch {
 	case s.Slots > 0:
@@ -19,7 +19,7 @@
 }
 
 // hasCapacity reports whether the store can take one more request: this proxy's attempts are below the concurrency limit,
-// and as far as the store has reported it has a free slot. During slow start both are scaled down, to no less than one.
+// and the store's estimated load leaves a free slot. During slow start both bounds are scaled down, to no less than one.
 func (s *store) hasCapacity(now time.Duration) bool {
 	share := s.slowStartShare(now)
 	if float64(s.inFlight) >= max(s.limit*share, 1) && !ablation.Disabled(ablation.ConcurrencyLimit) {
@@ -35,23 +35,22 @@
 	s.limit, s.limitDecreasedAt = rule.Next(s.limit, s.limitDecreasedAt, now, s.latencyRatio*c.baseline, c.baseline)
 }
 
-// load returns the number of requests at the store: this proxy's, and those of other callers as estimated by
-// otherCallersLoad.
+// load returns the number of requests at the store: this proxy's own, plus an estimate of other callers' requests.
 func (s *store) load(now time.Duration) float64 {
 	running, waiting := s.otherCallersLoad(now)
 	return float64(s.inFlight) + running + waiting
 }
 
-// weightedLoad returns how much work waits at the store, in requests: one whose response has not started holds up others for
-// longer than one that is being answered.
+// weightedLoad returns the work at the store, in requests. A request whose response has not started counts waitingCost times,
+// as it delays others for longer than one that is being answered.
 func (s *store) weightedLoad(now time.Duration) float64 {
 	running, waiting := s.otherCallersLoad(now)
 	awaiting := float64(len(s.awaitingFirstByte))
 	return running + float64(s.inFlight) - awaiting + waitingCost*(waiting+awaiting)
 }
 
-// otherCallersLoad estimates how many requests of other callers run and wait at the store. Its last report decays to the
-// service's baseline, as other proxies change what they send within a few responses.
+// otherCallersLoad estimates how many requests of other callers are running and waiting at the store. The last report decays
+// to the service's baseline quickly, as other proxies react to a change in load within a few responses.
 func (s *store) otherCallersLoad(now time.Duration) (running, waiting float64) {
 	if ablation.Disabled(ablation.ReportedLoad) {
 		return 0, 0
@@ -65,7 +64,8 @@
 	return running, waiting
 }
 
-// baselineLoad returns how many requests of other callers usually run and wait at a store of the service, by recent reports.
+// baselineLoad returns how many requests of other callers are running and waiting at an average store of the service,
+// according to recent reports.
 func (svc *service) baselineLoad(now time.Duration) (running, waiting float64) {
 	if ablation.Disabled(ablation.BaselineLoad) {
 		return 0, 0
@@ -74,9 +74,9 @@
 	return weight * svc.baselineRunning, weight * svc.baselineWaiting
 }
 
-// recordReport records a load report that came with a response. It still counts that response's request, and all others of
-// this proxy, which are subtracted.
-func (s *store) recordReport(now time.Duration, running, waiting, slots int) {
+// recordLoadReport records the load report of a response. Reports include this proxy's own requests, among them the one that the
+// response belongs to; they are subtracted.
+func (s *store) recordLoadReport(now time.Duration, running, waiting, slots int) {
 	if slots > 0 {
 		s.Slots = slots
 	}
@@ -90,7 +90,7 @@
 	svc.baselineWaiting += baselineSmoothing * (s.reportedWaiting - svc.baselineWaiting)
 }
 
-// recordSaturated records a rejection for want of capacity as a report that all slots are in use.
+// recordSaturated records a rejection for lack of capacity as a report that all slots are in use.
 func (s *store) recordSaturated(now time.Duration) {
 	s.reportedRunning = max(s.reportedRunning, float64(s.capacity()-s.inFlight+1))
 	s.reportedAt, s.hasReport = now, true
--- a/internal/tier/admission/queue.go
+++ b/internal/tier/admission/queue.go
@@ -9,24 +9,24 @@
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// pendingRequest is a request that is queued or being decided on.
+// pendingRequest is a request that is queued or about to be granted or rejected.
 type pendingRequest struct {
 	Request
-	class         *latencyClass
-	startsProgram bool               // it is the first request of its program
-	store         *store             // whose queue it is in
-	failedStore   *store             // it recently failed a request of the same program; nil for none
-	key           tailguard.QueueKey // order of release, with the request's deadline
-	index         int                // in the queue, -1 while it is in none
-	targetAt      time.Duration      // end of its latency target
-	deadlineAt    time.Duration      // end of its time-out
-	decided       bool               // it was counted as one that met or missed its deadline
-	grant         *Grant
-	rejection     *RejectedError
-	done          chan struct{} // closed when a queued request has a grant or a rejection; nil until it is queued
+	class           *latencyClass
+	startsProgram   bool               // it is the first request of its program
+	store           *store             // the store whose queue it is in
+	failedStore     *store             // a store that recently failed a request of the same program; nil if there is none
+	key             tailguard.QueueKey // position in the order of release, with the queueing deadline
+	index           int                // in the queue; -1 if it is in none
+	targetAt        time.Duration      // end of its latency target
+	timeoutAt       time.Duration      // Request.Deadline, as opposed to the queueing deadline in key
+	deadlineCounted bool               // it was counted as having met or missed its queueing deadline
+	grant           *Grant
+	rejection       *RejectedError
+	done            chan struct{} // closed once a queued request has a grant or a rejection; nil until it is queued
 }
 
-// requestQueue is a store's queue, a heap in the order of release.
+// requestQueue is the queue of a store: a heap (container/heap) in the order of release.
 type requestQueue []*pendingRequest
 
 func (q requestQueue) Len() int           { return len(q) }
@@ -63,7 +63,7 @@
 	heap.Push(&s.queue, p)
 }
 
-// dequeue removes the request from the queue that it is in, if any.
+// dequeue removes the request from its queue, if it is in one.
 func (p *pendingRequest) dequeue() {
 	if p.index >= 0 {
 		p.store.service.queued--
@@ -71,32 +71,32 @@
 	}
 }
 
-// countDecided counts a request that leaves its queue, or whose deadline has passed, for the miss rate. Requests that had no
-// budget when they arrived say nothing about the load and are not counted.
-func (c *core) countDecided(p *pendingRequest, now time.Duration) {
-	if p.decided || p.key.NoBudget {
+// countDeadline counts a request in the miss rate, once, when it is dispatched or its queueing deadline passes. Requests that
+// had no budget on arrival are not counted, as they say nothing about the load.
+func (c *core) countDeadline(p *pendingRequest, now time.Duration) {
+	if p.deadlineCounted || p.key.NoBudget {
 		return
 	}
-	p.decided = true
+	p.deadlineCounted = true
 	svc := c.services[p.Service]
-	svc.decided.Add(now, 1)
+	svc.deadlines.Add(now, 1)
 	if now > p.key.Deadline {
-		svc.missed.Add(now, 1)
+		svc.missedDeadlines.Add(now, 1)
 	}
 }
 
-// countLateResponse counts a request as one that missed its deadline if its response begins after the latency target, though it
-// left its queue in time. A store that was loaded when the request was sent makes it wait there: that is load that no queue of
-// this proxy shows. A late response of an unloaded store says that the store is slow, which is no reason to shed load.
+// countLateResponse counts a request as a miss if it was dispatched in time to a loaded store and its response begins after
+// the latency target: it waited at the store, and that load does not show in the queues of this proxy. A late response of an
+// unloaded store only shows that the store is slow, which is no reason to shed load.
 func (c *core) countLateResponse(g *Grant, now time.Duration) {
-	if !g.counted && !g.unloaded && now > g.targetAt {
-		g.store.service.missed.Add(now, 1)
+	if !g.ignoreLateResponse && !g.unloaded && now > g.targetAt {
+		g.store.service.missedDeadlines.Add(now, 1)
 	}
 }
 
-// releaseQueued dispatches queued requests, earliest deadline first. Available stores go first, with their own queues and
-// then with requests queued at stores that cannot take them. Last come requests that were queued at stores of a worse
-// tier for want of a better one.
+// releaseQueued dispatches queued requests, earliest deadline first, in three passes: available stores take requests from
+// their own queues; available stores with an empty queue take requests queued for other stores; and stores of a worse tier
+// that have capacity take requests that were queued there because no better store existed.
 func (c *core) releaseQueued(svc *service, now time.Duration) {
 	if svc.queued == 0 {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// dispatchFirst dispatches the first request of a store's queue.
+// dispatchFirst dispatches the request at the head of a store's queue.
 func (c *core) dispatchFirst(s *store, now time.Duration) {
 	p := heap.Pop(&s.queue).(*pendingRequest)
 	s.service.queued--
@@ -132,8 +132,8 @@
 	close(p.done)
 }
 
-// earliestQueuedFor returns the earliest of the requests at the heads of other stores' queues that the store is available
-// for, or nil.
+// earliestQueuedFor returns, of the requests at the heads of the other stores' queues, the first in the order of release for
+// which the store is available, or nil.
 func (c *core) earliestQueuedFor(svc *service, s *store, now time.Duration) *pendingRequest {
 	var earliest *pendingRequest
 	for _, other := range svc.stores {
@@ -148,34 +148,33 @@
 	return earliest
 }
 
-// sweep handles what the passage of time alone brings to queued requests: missed deadlines, requests that no response could
-// reach in time any more, and stores whose backoff has ended.
+// sweep handles time-dependent changes of queued requests: it counts missed deadlines, rejects requests whose response could
+// no longer arrive in time, and releases requests to stores whose backoff has ended.
 func (c *core) sweep(svc *service, now time.Duration) {
 	for _, s := range svc.stores {
 		for i := 0; i < len(s.queue); i++ {
 			p := s.queue[i]
 			if now > p.key.Deadline {
-				c.countDecided(p, now)
+				c.countDeadline(p, now)
 			}
 			if p.latestStart(now) <= now {
 				p.dequeue()
 				c.reject(svc, p, DeadlineUnreachable)
 				close(p.done)
-				i = -1 // the heap has changed: start again
+				i = -1 // restart, as removing an element reorders the heap
 			}
 		}
 	}
 	c.releaseQueued(svc, now)
 }
 
-// latestStart returns the time from which on a median response to the request would arrive after its end.
+// latestStart returns the time from which on even a median response would arrive too late for Request.Deadline.
 func (p *pendingRequest) latestStart(now time.Duration) time.Duration {
 	p.class.refresh(now)
-	return p.deadlineAt - curve.Duration(p.class.median)
+	return p.timeoutAt - curve.Duration(p.class.median)
 }
 
-// nextWakeup returns when sweep will have something to do for the queued requests of a service, and math.MaxInt64 while none
-// is queued.
+// nextWakeup returns when sweep next has work to do for the queued requests of a service, or math.MaxInt64 if none is queued.
 func (c *core) nextWakeup(svc *service, now time.Duration) time.Duration {
 	if svc.queued == 0 {
 		return math.MaxInt64
@@ -184,7 +183,7 @@
 	for _, s := range svc.stores {
 		for _, p := range s.queue {
 			next = min(next, p.latestStart(now))
-			if !p.decided && !p.key.NoBudget {
+			if !p.deadlineCounted && !p.key.NoBudget {
 				next = min(next, p.key.Deadline+1)
 			}
 		}
@@ -192,7 +191,7 @@
 			next = min(next, s.backoffUntil)
 		}
 	}
-	if svc.inFlight == 0 || svc.inFlight < svc.queued { // few ends of attempts will release queues
+	if svc.inFlight == 0 || svc.inFlight < svc.queued { // too few attempts that release queues as they finish
 		next = min(next, now+pollInterval)
 	}
 	return max(next, now+time.Millisecond)
--- a/internal/tier/admission/queue_test.go
+++ b/internal/tier/admission/queue_test.go
@@ -33,7 +33,7 @@
 	ahead.grant.Finish(Success)
 	<-behind.done
 	svc := h.core.services["s"]
-	assert.Equal(t, svc.missed.Sum, 0.0)
+	assert.Equal(t, svc.missedDeadlines.Sum, 0.0)
 }
 
 func TestQueuedRequestIsRejectedOnceItsDeadlineIsUnreachable(t *testing.T) {
--- a/internal/tier/admission/selection.go
+++ b/internal/tier/admission/selection.go
@@ -7,22 +7,22 @@
 	"pulleygw.example/pulleygw/internal/tier/ablation"
 )
 
-// tier says how well a store suits a request. A store is passed over while there is one of a lower tier.
+// tier ranks how suitable a store is for a request. A store is selected only if there is none of a lower tier.
 type tier int
 
 const (
 	tierAvailable tier = iota
-	tierSaturated      // healthy, without capacity: the request would be queued
-	tierUnhealthy      // unhealthy, stalled, or it recently failed the request's program
-	tierBackoff        // it rejected a request, or could not be reached, a moment ago
-	tierAttempted      // an earlier attempt of the request was sent there
-	tierExcluded       // draining or deregistered; never selected
+	tierSaturated      // healthy but without capacity: the request would be queued
+	tierUnhealthy      // unhealthy, stalled, or recently failed a request of the same program
+	tierBackoff        // recently rejected a request or could not be reached
+	tierAttempted      // already got an earlier attempt of the request
+	tierExcluded       // draining or deregistered: never selected
 )
 
 // tierFor returns the store's tier for a request.
 func (s *store) tierFor(p *pendingRequest, now time.Duration) tier {
 	switch {
-	case !s.listed || !s.inService():
+	case !s.listed || !s.eligible():
 		return tierExcluded
 	case slices.Contains(p.AttemptedInstances, s.Instance):
 		return tierAttempted
@@ -36,18 +36,18 @@
 	return tierAvailable
 }
 
-// acceptsNow reports whether a request for which the store was selected in a tier is sent at once, and not queued.
+// acceptsNow reports whether a request for which the store was selected, in the given tier, is sent at once and not queued.
 func (s *store) acceptsNow(t tier, now time.Duration) bool {
 	return t == tierAvailable || t != tierBackoff && s.hasCapacity(now)
 }
 
-// selectable reports whether the store may be sent anything now.
+// selectable reports whether requests may be sent to the store now.
 func (s *store) selectable(now time.Duration) bool {
-	return s.listed && s.inService() && !s.inBackoff(now)
+	return s.listed && s.eligible() && !s.inBackoff(now)
 }
 
-// selectStore selects the store of the best tier that ranks first, and counts its turn. It returns nil where all stores are
-// excluded.
+// selectStore selects the highest-ranked store of the best tier and records the selection for the round-robin. It returns
+// nil if all stores are excluded.
 func (c *core) selectStore(svc *service, p *pendingRequest, now time.Duration) (*store, tier) {
 	var best *store
 	bestTier, bestRank := tierExcluded, selectionRank{}
@@ -66,17 +66,17 @@
 		}
 	}
 	if best != nil {
-		svc.rotation++
-		best.lastSelected = svc.rotation
+		svc.selections++
+		best.lastSelected = svc.selections
 	}
 	return best, bestTier
 }
 
-// selectionRank orders the stores of one tier.
+// selectionRank orders the stores within a tier; its fields are compared in order.
 type selectionRank struct {
-	local    bool    // in the proxy's zone, with spare capacity
-	affinity uint64  // rendezvous hash of the request's affinity and the store; 0 for none
-	turns    float64 // selections since its last one, times its weight: weighted round-robin
+	local      bool    // in the proxy's zone, with spare capacity
+	affinity   uint64  // rendezvous hash of the request's affinity and the store; 0 if affinity does not apply
+	roundRobin float64 // weighted round-robin: number of selections since the store's last one, times its weight
 }
 
 func (r selectionRank) betterThan(other selectionRank) bool {
@@ -86,13 +86,13 @@
 	case r.affinity != other.affinity:
 		return r.affinity > other.affinity
 	}
-	return r.turns > other.turns
+	return r.roundRobin > other.roundRobin
 }
 
 // rankStore ranks a store for a request.
 func (c *core) rankStore(s *store, p *pendingRequest, now time.Duration, bounds affinityBounds) selectionRank {
-	turns := float64(s.service.rotation-s.lastSelected) + 1
-	rank := selectionRank{turns: turns * max(s.weight(now), minWeight)}
+	selectionsSince := float64(s.service.selections-s.lastSelected) + 1
+	rank := selectionRank{roundRobin: selectionsSince * max(s.weight(now), minWeight)}
 	rank.local = s.Zone == c.zone && s.hasSpareCapacity(now) && !ablation.Disabled(ablation.LocalZone)
 	if p.Affinity != 0 && s.healthy(now) && s.keepsAffinity(now, bounds.load) && !ablation.Disabled(ablation.Affinity) {
 		rank.affinity = splitMix64(p.Affinity ^ s.hash)
@@ -101,7 +101,7 @@
 	return rank
 }
 
-// hasSpareCapacity reports whether few enough of the store's slots are in use that it is preferred for its zone or affinity.
+// hasSpareCapacity reports whether the store's load is low enough for preferring it by zone or affinity.
 func (s *store) hasSpareCapacity(now time.Duration) bool {
 	return s.load(now) < spareShare*float64(s.capacity())
 }
--- a/internal/tier/admission/service.go
+++ b/internal/tier/admission/service.go
@@ -6,17 +6,17 @@
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// service is the stores of one service and what is decided for all of them together.
+// service is the state of one service and its stores.
 type service struct {
 	name         string
 	engine       bool // its stores generate tokens
-	defaultSlots int  // of a store that does not report them; 0 means unknown
+	defaultSlots int  // slots of a store that does not report them; 0 means unknown
 	stores       []*store
-	byInstance   map[string]*store // also those that are not listed any more while attempts are in flight there
+	byInstance   map[string]*store // includes stores that are no longer listed but still have attempts in flight
 	classes      []*latencyClass
-	rotation     uint64 // number of selections so far
+	selections   uint64 // number of selections so far
 	queued       int    // requests in all queues
-	inFlight     int    // attempts of this proxy at its stores
+	inFlight     int    // attempts of this proxy at all stores
 
 	failedStores    map[uint64]failedStore // by affinity
 	startedPrograms recentSet              // by affinity
@@ -26,24 +26,24 @@
 	baselineWaiting float64
 	baselineAt      time.Duration
 	responded       bool // a store has responded
-	reportsLoad     bool // a store has reported its load, which comes before the response counts
+	reportsLoad     bool // a store has reported its load; set before responded, as ReportLoad precedes ReportFirstByte
 
 	latencyRatio float64 // smoothed response time of all stores, as a multiple of their classes' baselines
-	serviceTime  float64 // smoothed time in seconds that an attempt takes up a slot; 0 before the first
+	serviceTime  float64 // smoothed time that an attempt occupies a slot, in seconds; 0 before the first response
 
 	// Load shedding; see shedding.go.
-	decided     curve.SlidingSum // requests that met or missed their deadline
-	missed      curve.SlidingSum // those of them that missed it
-	shedShare   float64          // share of new requests that is to be shed
-	shedShareAt time.Duration
-	levelShares [levelCount]float64 // smoothed share of each level in what arrives
+	deadlines       curve.SlidingSum // requests that met or missed their deadline
+	missedDeadlines curve.SlidingSum // requests that missed their deadline
+	shedShare       float64          // share of new requests to shed
+	shedShareAt     time.Duration
+	levelShares     [levelCount]float64 // smoothed share of each level in the arrivals
 }
 
 func newService(name string) *service {
 	return &service{name: name, byInstance: map[string]*store{}, failedStores: map[uint64]failedStore{}}
 }
 
-// class returns the class of requests with a latency target and kind of response.
+// class returns the latency class of requests with this latency target and kind of response, which it creates if needed.
 func (svc *service) class(target time.Duration, streaming bool) *latencyClass {
 	for _, c := range svc.classes {
 		if c.target == target && c.streaming == streaming {
@@ -55,8 +55,8 @@
 	return c
 }
 
-// update replaces the list of stores, and keeps what is known of those that stay. It returns the requests that were queued
-// for stores that are gone or draining, to be reassigned.
+// update replaces the list of stores and keeps the state of those that remain. It returns the requests that were queued for
+// removed or draining stores; the caller reassigns them.
 func (svc *service) update(now time.Duration, sinceStart func(time.Time) time.Duration, listed []Store) []*pendingRequest {
 	for _, s := range svc.stores {
 		s.listed = false
@@ -76,8 +76,8 @@
 	return svc.takeUnassigned()
 }
 
-// takeUnassigned empties the queues of stores that are gone or draining, and forgets those that are gone and have nothing in
-// flight.
+// takeUnassigned empties the queues of removed and draining stores and returns their requests. It also drops the state of
+// removed stores that have no attempts in flight.
 func (svc *service) takeUnassigned() []*pendingRequest {
 	var unassigned []*pendingRequest
 	for instance, s := range svc.byInstance {
@@ -96,7 +96,7 @@
 	return unassigned
 }
 
-// recordServiceTime records how many seconds a successful attempt took up a slot.
+// recordServiceTime records for how many seconds a successful attempt occupied a slot.
 func (svc *service) recordServiceTime(seconds float64) {
 	if svc.serviceTime == 0 {
 		svc.serviceTime = seconds
@@ -104,15 +104,16 @@
 	svc.serviceTime += latencySmoothing * (seconds - svc.serviceTime)
 }
 
-// expectedWait returns how long a request with so many ahead of it will be queued, by how fast this proxy's attempts end.
+// expectedWait estimates how long a request with this many requests ahead of it will be queued, from the rate at which this
+// proxy's attempts finish.
 func (svc *service) expectedWait(ahead int) time.Duration {
 	return curve.Duration(float64(ahead) * svc.serviceTime / float64(max(svc.inFlight, 1)))
 }
 
-// slotUsage sums the slots in use and all slots of the stores that take requests.
+// slotUsage returns the slots in use and all slots, summed over the stores that take requests.
 func (svc *service) slotUsage(now time.Duration) (used, all float64) {
 	for _, s := range svc.stores {
-		if s.inService() {
+		if s.eligible() {
 			all += float64(s.capacity()) * s.slowStartShare(now)
 			used += min(s.load(now), float64(s.capacity()))
 		}
--- a/internal/tier/admission/service_test.go
+++ b/internal/tier/admission/service_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDrainingStoreGetsNothingAndItsQueueIsReassigned(t *testing.T) {
+func TestDrainingStoreGetsNoRequestsAndItsQueueIsReassigned(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	h.saturate()
 	queued := h.acquireQueued(h.request())
@@ -17,9 +17,9 @@
 	assert.Equal(t, queued.grant.Store().Instance, "i-1")
 }
 
-// DRAIN, LOST: requests in flight at a deregistered store end as usual, it gets no more, and those queued for it are assigned to
-// other stores or rejected with a RetryAfter.
-func TestDeregisteredStoreFinishesWhatIsInFlight(t *testing.T) {
+// DRAIN, LOST: requests in flight at a deregistered store finish normally. The store gets no new requests, and those queued
+// for it are reassigned to other stores.
+func TestDeregisteredStoreFinishesRequestsInFlight(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	granted := h.acquireNow(h.request())
 	waiting := h.acquireQueued(h.request())
@@ -38,9 +38,9 @@
 	assert.Equal(t, len(h.core.services["s"].byInstance), 0)
 }
 
-// LOST: requests in flight of a service that a configuration removes end as usual, and queued ones are rejected with a
-// RetryAfter.
-func TestRemovedServiceFinishesWhatIsInFlight(t *testing.T) {
+// LOST: when a configuration removes a service, its requests in flight finish normally and its queued requests are rejected
+// with a RetryAfter.
+func TestRemovedServiceFinishesRequestsInFlight(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	granted := h.acquireNow(h.request())
 	waiting := h.acquireQueued(h.request())
--- a/internal/tier/admission/shedding.go
+++ b/internal/tier/admission/shedding.go
@@ -7,8 +7,8 @@
 	"pulleygw.example/pulleygw/internal/tier/ablation"
 )
 
-// level returns the request's shedding level, of which the highest is shed first: requests by priority, and above them the
-// first requests of programs by priority. A program under way is worth something only when all of its turns are served.
+// level returns the request's shedding level; higher levels are shed first. The levels are the priorities, followed by the
+// priorities of first requests of programs: a program under way has a value only if all of its turns are served.
 func (p *pendingRequest) level() int {
 	level := min(max(p.Priority, 0), priorityCount-1)
 	if ablation.Disabled(ablation.PriorityLevels) {
@@ -20,7 +20,7 @@
 	return level
 }
 
-// countLevel counts an arrival in its level's share.
+// countLevel updates the levels' shares with an arrival.
 func (svc *service) countLevel(level int) {
 	for i := range svc.levelShares {
 		svc.levelShares[i] -= levelSmoothing * svc.levelShares[i]
@@ -28,7 +28,7 @@
 	svc.levelShares[level] += levelSmoothing
 }
 
-// startsProgram reports whether a request is the first of its program, as far as this proxy can know.
+// startsProgram reports whether a request is the first of its program, as far as this proxy can tell.
 func (svc *service) startsProgram(r *Request) bool {
 	if ablation.Disabled(ablation.FirstTurns) {
 		return false
@@ -36,8 +36,8 @@
 	return r.FirstTurn && r.Affinity != 0 && !svc.startedPrograms.has(r.Affinity)
 }
 
-// rejectIfNeeded rejects a new request that cannot be answered in time, would be queued for too long, or is to be shed. It
-// reports whether it did.
+// rejectIfNeeded rejects a new request that cannot be answered in time, would be queued for too long or is shed. It reports
+// whether it rejected the request.
 func (c *core) rejectIfNeeded(svc *service, p *pendingRequest, now time.Duration, t tier) bool {
 	if p.latestStart(now) <= now {
 		c.reject(svc, p, DeadlineUnreachable)
@@ -46,7 +46,7 @@
 	if p.ResponseStarted {
 		return false
 	}
-	if t == tierSaturated && svc.expectedWait(svc.queued+1) > (p.deadlineAt-now)/maxWaitDivisor {
+	if t == tierSaturated && svc.expectedWait(svc.queued+1) > (p.timeoutAt-now)/maxWaitDivisor {
 		c.reject(svc, p, QueueTooLong)
 		return true
 	}
@@ -61,15 +61,15 @@
 	return true
 }
 
-// updateShedShare updates the share of new requests that is to be shed, by the miss rate.
+// updateShedShare updates and returns the share of new requests to shed, which follows from the miss rate.
 func (svc *service) updateShedShare(now time.Duration) float64 {
-	missed, decided := svc.missed.Since(now-missWindow), svc.decided.Since(now-missWindow)
-	svc.shedShare = sheddingRule.Next(svc.shedShare, now-svc.shedShareAt, missed, decided)
+	missed, total := svc.missedDeadlines.Since(now-missWindow), svc.deadlines.Since(now-missWindow)
+	svc.shedShare = sheddingRule.Next(svc.shedShare, now-svc.shedShareAt, missed, total)
 	svc.shedShareAt = now
 	return svc.shedShare
 }
 
-// busy reports whether requests are queued or enough slots are in use. Shedding would only waste capacity otherwise.
+// busy reports whether requests are queued or enough slots are in use. Otherwise shedding would only waste capacity.
 func (svc *service) busy(now time.Duration) bool {
 	if svc.queued > 0 {
 		return true
@@ -78,8 +78,8 @@
 	return used >= busyShare*all
 }
 
-// shedShareOf returns the share of a level's requests that is shed, where a share of all is to be. The highest levels go
-// first, most of theirs before any of the next. A program that is not started also saves its later requests.
+// shedShareOf returns the share of a level's requests to shed, given the share to shed of all requests. Up to maxLevelShed of
+// the highest level is shed before any of the next. Shedding the first request of a program also saves its later requests.
 func (svc *service) shedShareOf(level int, share float64) float64 {
 	total, starting := 0.0, 0.0
 	for i, s := range svc.levelShares {
@@ -98,8 +98,8 @@
 	return min(remaining/(svc.levelShares[level]*requestsSaved(level, total, starting)), max(maxLevelShed, share))
 }
 
-// requestsSaved returns how many requests the store is spared by shedding one of a level: a program's first request spares
-// all of the program's.
+// requestsSaved returns how many requests are saved by shedding one request of a level: for the first request of a program,
+// the average number of requests of a program.
 func requestsSaved(level int, total, starting float64) float64 {
 	if level < priorityCount || starting == 0 {
 		return 1
@@ -107,7 +107,7 @@
 	return total / starting
 }
 
-// reject rejects a request, with the time after which a retry is of use: the longer, the more is shed and queued.
+// reject rejects a request. Its RetryAfter grows with the share that is shed and with the expected wait in the queue.
 func (c *core) reject(svc *service, p *pendingRequest, reason RejectReason) {
 	after := minRetryAfter + curve.Duration(svc.shedShare*(maxRetryAfter-minRetryAfter).Seconds())
 	after = min(max(after, svc.expectedWait(svc.queued)), maxRetryAfter)
--- a/internal/tier/admission/shedding_test.go
+++ b/internal/tier/admission/shedding_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDeadlinesMissedInTheQueueShedLoad(t *testing.T) {
+func TestDeadlinesMissedInTheQueueCauseShedding(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	grants := h.saturate()
 	var waiting []*queuedAcquire
@@ -33,7 +33,7 @@
 	}
 }
 
-// Requests that wait at loaded stores, and not in a queue of this proxy, show the load all the same.
+// Waiting at loaded stores counts as load, although it does not show in the queues of this proxy.
 func TestLateResponsesOfLoadedStoresCountAsMisses(t *testing.T) {
 	h := newHarness(t, stores(1, 8)...)
 	svc := h.core.services["s"]
@@ -49,13 +49,13 @@
 	for _, grant := range grants {
 		grant.Finish(Success)
 	}
-	assert.Equal(t, svc.missed.Sum, float64(loaded), "those sent while the store was unloaded say nothing about the load")
+	assert.Equal(t, svc.missedDeadlines.Sum, float64(loaded), "late responses of an unloaded store must not count")
 
 	h.acquireNow(h.request()).Finish(Success)
-	assert.Equal(t, svc.missed.Sum, float64(loaded), "a response in time is no miss")
+	assert.Equal(t, svc.missedDeadlines.Sum, float64(loaded), "a response in time must not count as a miss")
 }
 
-// A request that missed its deadline in the queue, or had no budget on arrival, is not counted by its late response again.
+// A request that missed its deadline in the queue is not counted again when its response is late.
 func TestRequestIsCountedAsMissedOnce(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	svc := h.core.services["s"]
@@ -66,18 +66,18 @@
 		grant.Finish(Cancelled)
 	}
 	<-late.done
-	missed := svc.missed.Sum
+	missed := svc.missedDeadlines.Sum
 	assert.Assert(t, missed > 0)
 	h.clock.advance(testLatencyTarget)
 	late.grant.Finish(Success)
-	assert.Equal(t, svc.missed.Sum, missed)
+	assert.Equal(t, svc.missedDeadlines.Sum, missed)
 }
 
 func TestNothingIsShedWhileSlotsAreFree(t *testing.T) {
 	h := newHarness(t, stores(2, 8)...)
 	svc := h.core.services["s"]
-	svc.missed.Add(0, 50)
-	svc.decided.Add(0, 50)
+	svc.missedDeadlines.Add(0, 50)
+	svc.deadlines.Add(0, 50)
 	for range 5 {
 		h.serve(h.request(), time.Millisecond)
 	}
@@ -117,7 +117,7 @@
 	assert.Assert(t, !svc.startsProgram(&r))
 }
 
-// overload has so many requests miss their deadlines that nearly all new ones are shed.
+// overload makes so many requests miss their deadlines that nearly all new ones are shed.
 func (h *harness) overload() {
 	h.t.Helper()
 	h.saturate()
@@ -127,7 +127,7 @@
 	h.clock.advance(testLatencyTarget)
 }
 
-// LOST: a stream whose response has started waits for another store, however many new requests are shed.
+// LOST: a stream whose response has started waits for another store, even if nearly all new requests are shed.
 func TestRequestWhoseResponseHasStartedIsNotShed(t *testing.T) {
 	h := newHarness(t, stores(1, 1)...)
 	h.overload()
@@ -137,6 +137,6 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, rejection := h.Acquire(ctx, r)
-		assert.Equal(t, rejection.Reason, ClientGone, "rejected before its client left")
+		assert.Equal(t, rejection.Reason, ClientGone, "the request must be rejected only because its context has ended")
 	}
 }
