--- a/internal/tier/budget/claims.go
+++ b/internal/tier/budget/claims.go
@@ -7,15 +7,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Stages of a claim, in tierpb.BudgetEntry.Stage. A claim never goes back to an earlier stage.
+// Stages of a claim, in tierpb.BudgetEntry.Stage. A claim never returns to an earlier stage.
 const (
-	StageReserved = 0 // counts the most tokens that the turn may generate
-	StageSettled  = 1 // counts the tokens that it has generated; 0 if the claim was withdrawn
+	StageReserved = 0 // counts the maximum number of tokens that the turn may generate
+	StageSettled  = 1 // counts the tokens that the turn has generated, or 0 if the claim was withdrawn
 )
 
 // Merge merges entries into those of a program, which are sorted by request, and returns whether anything has changed. It
 // is commutative, associative and idempotent (the claims are a state-based CRDT), so replicas that have merged the same
-// entries are equal, whatever the order. Entries are never modified.
+// entries are equal, regardless of the order. Entries are never modified.
 func Merge(into *tierpb.ProgramBudget, entries []*tierpb.BudgetEntry) bool {
 	changed := false
 	for _, entry := range entries {
@@ -33,8 +33,8 @@
 	return changed
 }
 
-// join returns the least upper bound of two entries of one request: the later stage, the greater number of tokens within
-// it, and Confirmed if either is. It returns known itself if entry adds nothing.
+// join returns the least upper bound of two entries of the same request: the entry of the later stage, or with more tokens
+// if the stages are equal, and Confirmed if either is. It returns known itself if entry adds nothing.
 func join(known, entry *tierpb.BudgetEntry) *tierpb.BudgetEntry {
 	newest := known
 	if entry.Stage > known.Stage || entry.Stage == known.Stage && entry.Tokens > known.Tokens {
@@ -59,10 +59,10 @@
 	return true
 }
 
-// Total returns the number of tokens that all claims of a program count together, saturated at the largest uint64.
-func Total(budget *tierpb.ProgramBudget) uint64 {
+// Total returns the sum of the tokens of all claims of a program, saturated at the largest uint64.
+func Total(known *tierpb.ProgramBudget) uint64 {
 	total := uint64(0)
-	for _, entry := range budget.GetEntries() {
+	for _, entry := range known.GetEntries() {
 		total = saturatingAdd(total, entry.Tokens)
 	}
 	return total
@@ -77,9 +77,9 @@
 	}
 }
 
-// hasPriority returns whether a claim fits the budget together with the settled claims and those reserved ones that come
-// before it in the order of their requests. Of concurrent claims that do not fit together, those with priority wait for
-// the others to be withdrawn.
+// hasPriority returns whether a claim fits into the budget together with all settled claims and the reserved claims whose
+// request ids sort before its own. If concurrent claims do not all fit into the budget, those with priority wait until the
+// others are withdrawn.
 func hasPriority(known *tierpb.ProgramBudget, claim *tierpb.BudgetEntry, budget uint64) bool {
 	total := claim.Tokens
 	for _, entry := range known.Entries {
@@ -95,7 +95,7 @@
 	return slices.ContainsFunc(known.Entries, (*tierpb.BudgetEntry).GetConfirmed)
 }
 
-// isSettled returns whether a request's claim was settled or withdrawn.
+// isSettled returns whether the claim of a request was settled or withdrawn.
 func isSettled(known *tierpb.ProgramBudget, request string) bool {
 	at, found := find(known, request)
 	return found && known.Entries[at].Stage >= StageSettled
@@ -108,7 +108,7 @@
 	return a + b
 }
 
-// find returns the index of a request's entry, or the index at which to insert it.
+// find returns the index of a request's entry and true, or the index at which to insert it and false.
 func find(known *tierpb.ProgramBudget, request string) (int, bool) {
 	return slices.BinarySearchFunc(known.Entries, request,
 		func(entry *tierpb.BudgetEntry, request string) int { return strings.Compare(entry.Request, request) })
--- a/internal/tier/budget/client.go
+++ b/internal/tier/budget/client.go
@@ -12,23 +12,26 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Errors of Reserve. After either the turn must not be run.
+// Errors of Reserve. After either error the turn must not be run.
 var (
-	ErrExhausted = eris.New("the program's budget is spent")
-	ErrUncertain = replica.ErrUncertain // no quorum answered in time, the claim was settled or withdrawn before, or an invariant failed
+	// ErrExhausted means that the claim does not fit into the program's budget.
+	ErrExhausted = eris.New("the program's budget is exhausted")
+	// ErrUncertain means that no quorum answered in time, that the claim had already been settled or withdrawn, or that an
+	// invariant was violated.
+	ErrUncertain = replica.ErrUncertain
 )
 
-// Bounds of the client.
+// Limits of a Client.
 const (
-	defaultTimeout           = 1500 * time.Millisecond // of a Reserve whose context has no deadline
-	settleTimeout            = 10 * time.Second        // after this a claim is left as it is
-	maxConcurrentSettlements = 1024                    // further claims stay at their most
+	defaultTimeout           = 1500 * time.Millisecond // of Reserve, if the context has no deadline
+	settleTimeout            = 10 * time.Second        // after which the claim stays as it is
+	maxConcurrentSettlements = 1024                    // claims in excess of it are not settled and keep their maximum
 )
 
-// Options of a Client.
+// Options are the options of a Client.
 type Options = replica.Options
 
-// Client reserves and settles claims on programs' budgets. It is safe for concurrent use.
+// Client reserves and settles claims on the budgets of programs. It is safe for concurrent use.
 type Client struct {
 	replicas        *replica.Client
 	settlementSlots chan struct{} // holds one value for each settlement in progress
@@ -43,8 +46,8 @@
 	}
 }
 
-// Settle sets the claim of a turn that ended to the tokens that it has generated. It does not wait for the stores; if they
-// cannot be reached, the claim stays at its most.
+// Settle sets the claim of a turn that has ended to the number of tokens generated. It does not wait for the turn stores; if
+// they cannot be reached, the claim keeps its maximum.
 func (c *Client) Settle(program, request string, usedTokens uint64) {
 	select {
 	case c.settlementSlots <- struct{}{}:
@@ -60,14 +63,14 @@
 	})
 }
 
-// Withdraw withdraws the claim of a turn that did not run. It does not wait for the stores.
+// Withdraw withdraws the claim of a turn that was not run. It does not wait for the turn stores.
 func (c *Client) Withdraw(program, request string) { c.Settle(program, request, 0) }
 
-// Wait waits for the settlements in progress.
+// Wait waits until all settlements in progress have ended.
 func (c *Client) Wait() { c.settlements.Wait() }
 
-// write stores a claim on a write quorum and merges what the members know of the program into known. It returns whether
-// the quorum consists of the members of the highest rank.
+// write stores a claim on a write quorum and merges the members' claims of the program into known. It returns whether the
+// quorum consisted of the highest-ranked members.
 func (c *Client) write(
 	ctx context.Context, known *tierpb.ProgramBudget, claim *tierpb.BudgetEntry,
 ) (topRanked bool, err error) {
@@ -90,7 +93,7 @@
 	return outcome.TopRanked, err
 }
 
-// read merges what a read quorum knows of the program into known.
+// read merges the claims of the program on a read quorum into known.
 func (c *Client) read(ctx context.Context, known *tierpb.ProgramBudget) error {
 	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.BudgetReply]{
 		Key:              known.Program,
@@ -106,7 +109,8 @@
 	return err
 }
 
-// mergeInto returns a function that merges the claims of each reply; all replies of the quorum are awaited.
+// mergeInto returns an OnReply function that merges the claims of each reply. It returns false, so that the call waits for the
+// whole quorum.
 func mergeInto(known *tierpb.ProgramBudget) func(*tierpb.BudgetReply) bool {
 	return func(reply *tierpb.BudgetReply) bool {
 		Merge(known, reply.GetBudget().GetEntries())
--- a/internal/tier/budget/doc.go
+++ b/internal/tier/budget/doc.go
@@ -1,7 +1,8 @@
-// Package budget enforces the token budgets of programs: the rules on claims, and the proxy's client of the turn stores.
+// Package budget enforces the token budgets of programs. It holds the rules for claims, and the client that proxies use to
+// store them on the turn stores.
 //
-// Before a turn runs, it reserves a claim on its program's budget for the most tokens that it may generate; when it has
-// ended, the claim is settled at the number it has generated. Claims are replicated on the program's replica set and merged
-// as a state-based CRDT (Shapiro et al., "Conflict-free Replicated Data Types", 2011). Client.Reserve describes why
-// concurrent claims never exceed the budget together.
+// Before a turn runs, the proxy reserves a claim on the program's budget for the maximum number of tokens that the turn may
+// generate. When the turn has ended, the claim is settled: it is set to the number of tokens that were generated. Claims are
+// replicated on the program's replica set and merged as a state-based CRDT (Shapiro et al., "Conflict-free Replicated Data
+// Types", 2011). Client.reserve explains why concurrent claims never exceed the budget in total.
 package budget
--- a/internal/tier/budget/reserve.go
+++ b/internal/tier/budget/reserve.go
@@ -10,16 +10,16 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// How concurrent claims that do not fit the budget together are resolved.
+// Parameters of resolveContention.
 const (
-	contentionDelay  = 15 * time.Millisecond // at least, before the claims are read again
-	contentionJitter = 30 * time.Millisecond // at most, added to the delay
-	contentionReads  = 4                     // after these the claim is given up
+	contentionDelay  = 15 * time.Millisecond // minimum delay before the claims are read again
+	contentionJitter = 30 * time.Millisecond // maximum random addition to the delay
+	contentionReads  = 4                     // reads after which the claim is withdrawn
 )
 
-// Reserve claims the most tokens that a turn may generate. On nil the claim is durable and all claims of the program
-// together are within its budget. On any error the turn must not be run, and the claim is withdrawn in the background:
-// ErrExhausted if it does not fit the budget, ErrUncertain otherwise.
+// Reserve claims the maximum number of tokens that a turn may generate. If it returns nil, the claim is durable and all claims
+// of the program together are within its budget. If it returns an error, the turn must not be run, and the claim is withdrawn
+// in the background. The error is ErrExhausted if the claim does not fit into the budget, and ErrUncertain otherwise.
 func (c *Client) Reserve(ctx context.Context, program string, budget uint64, request string, maxTokens uint64) error {
 	ctx, cancel := replica.WithDefaultTimeout(ctx, defaultTimeout)
 	defer cancel()
@@ -30,11 +30,11 @@
 	return err
 }
 
-// reserve needs a single write in the common case. The first write goes to the members of the highest rank of the
-// program's replica set, which are the same for all callers: of any claims that are written there, the one that arrives
-// last at one of these members sees all the others in the replies. A claim whose first write has another quorum, because
-// members fail or change, is written again as confirmed and then read: of any such claims, the one whose confirming write
-// ended last sees all the others. A claim that sees a confirmed one is confirmed too.
+// reserve needs a single write in the common case. That write goes to the highest-ranked members of the program's replica
+// set, which are the same for all callers. Of all claims that are written there, the one that arrives last at any one of
+// these members sees all the others in the replies. If the first write has another quorum, because members failed or the
+// membership changed, the claim is written again as confirmed and the claims are then read. Of all claims confirmed in this
+// way, the one whose confirming write ended last sees all the others. A claim that sees a confirmed claim is confirmed as well.
 func (c *Client) reserve(ctx context.Context, program string, budget uint64, request string, maxTokens uint64) error {
 	claim := &tierpb.BudgetEntry{Request: request, Tokens: maxTokens, Stage: StageReserved}
 	known := &tierpb.ProgramBudget{Program: program}
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// resolveContention returns nil once all known claims fit the budget. Concurrent claims that do not fit together are
-// ordered by priority: the one that has it reads again while the others are withdrawn. A claim that was withdrawn or
-// settled before counts nothing or too little, and must not be granted again.
+// resolveContention returns nil once all known claims fit into the budget. If concurrent claims do not all fit, a claim with
+// priority reads again until the others are withdrawn, and a claim without priority returns ErrExhausted. A claim that was
+// already settled or withdrawn must not be granted again, as it counts fewer tokens than the turn may generate.
 func (c *Client) resolveContention(
 	ctx context.Context, known *tierpb.ProgramBudget, claim *tierpb.BudgetEntry, budget uint64,
 ) error {
