--- a/internal/tier/turns/cache.go
+++ b/internal/tier/turns/cache.go
@@ -10,7 +10,7 @@
 // recordOverhead is the approximate memory use of a cached record besides its contents, in bytes.
 const recordOverhead = 256
 
-// cache is an LRU cache of turn records, bounded by their approximate size. Records never change, so entries are never
+// cache is an LRU cache of turn records, bounded by their approximate size. Records are immutable, so entries are never
 // stale. It is safe for concurrent use.
 type cache struct {
 	mu       sync.Mutex
@@ -38,7 +38,7 @@
 	}
 }
 
-// get returns a record, nil if it is not cached.
+// get returns a record, or nil if it is not cached.
 func (c *cache) get(id string) *tierpb.TurnRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/turns/cache_test.go
+++ b/internal/tier/turns/cache_test.go
@@ -17,7 +17,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		c.put(record(id))
 	}
-	assert.Equal(t, c.get("a").Id, "a") // b is the least recently used one now
+	assert.Equal(t, c.get("a").Id, "a") // b is now the least recently used record
 	c.put(record("d"))
 	assert.Assert(t, c.get("b") == nil)
 	for _, id := range []string{"a", "c", "d"} {
@@ -26,7 +26,7 @@
 	assert.Equal(t, c.bytes, c.maxBytes)
 }
 
-func TestCacheDoesNotKeepARecordBeyondItsBound(t *testing.T) {
+func TestCacheDoesNotKeepARecordLargerThanItsBound(t *testing.T) {
 	c := newCache(recordOverhead)
 	c.put(&tierpb.TurnRecord{Id: "a"})
 	assert.Assert(t, c.get("a") == nil)
--- a/internal/tier/turns/client.go
+++ b/internal/tier/turns/client.go
@@ -1,8 +1,8 @@
-// Package turns saves and reads the records of conversation turns on the turn stores, for the proxy.
+// Package turns is the proxy's client for saving and reading records of conversation turns on the turn stores.
 //
 // A record is written once, to a write quorum of its replica set, and never changes. Each record names the turn that it
-// continues, so a conversation is read by following a chain of records from its last turn. Records that were saved or read
-// lately are cached.
+// continues, so a conversation is read by following the chain of records back from its last turn. Recently saved or read
+// records are cached.
 package turns
 
 import (
@@ -17,20 +17,22 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Errors of the client.
+// Errors of a Client.
 var (
-	ErrNotFound  = eris.New("no such turn")
-	ErrUncertain = replica.ErrUncertain // no quorum answered in time; a record that was to be saved may be stored
+	// ErrNotFound means that the turn does not exist.
+	ErrNotFound = eris.New("no such turn")
+	// ErrUncertain means that no quorum answered in time. A record passed to Save may still be stored.
+	ErrUncertain = replica.ErrUncertain
 )
 
-// Bounds of the client.
+// Limits of a Client.
 const (
 	defaultTimeout    = 2 * time.Second // of a call whose context has no deadline
 	defaultCacheBytes = 8 << 20
-	maxChainLength    = 10_000
+	maxChainLength    = 10_000 // records
 )
 
-// Options of a Client.
+// Options are the options of a Client.
 type Options = replica.Options
 
 // Client saves and reads turn records. It is safe for concurrent use.
@@ -40,7 +42,7 @@
 	extensionSlots chan struct{} // holds one value for each extension call in progress
 }
 
-// NewClient returns a client. If Options.CacheBytes is not positive, the cache is bounded by defaultCacheBytes.
+// NewClient returns a client. If Options.CacheBytes is not positive, defaultCacheBytes applies.
 func NewClient(options Options) *Client {
 	if options.CacheBytes <= 0 {
 		options.CacheBytes = defaultCacheBytes
@@ -52,11 +54,11 @@
 	}
 }
 
-// Ready returns whether any turn store is known. Before that nothing can be saved.
+// Ready returns whether any turn store is known. Until then no turn can be saved.
 func (c *Client) Ready() bool { return len(c.replicas.Membership().GetCurrent()) > 0 }
 
-// Save stores a record. When it returns nil, the record is synced on a write quorum, so that the loss of as many machines
-// as are tolerated does not lose it. It returns ErrUncertain otherwise.
+// Save stores a record. If it returns nil, the record is synced to disk on a write quorum, so it survives the loss of as many
+// machines as the configured tolerance. It returns ErrUncertain otherwise.
 func (c *Client) Save(ctx context.Context, record *tierpb.TurnRecord) error {
 	ctx, cancel := replica.WithDefaultTimeout(ctx, defaultTimeout)
 	defer cancel()
@@ -73,12 +75,12 @@
 		return err
 	}
 	c.cache.put(record)
-	c.extend(record)
+	c.extendRetention(record)
 	return nil
 }
 
-// Chain returns a turn and all turns that it continues, oldest first. It returns ErrNotFound if there is no such turn, and
-// ErrUncertain if no quorum answered or a part of the chain cannot be read now.
+// Chain returns a turn and all turns before it in the conversation, oldest first. It returns ErrNotFound if the turn does not
+// exist, and ErrUncertain if no quorum answered or a part of the chain cannot be read now.
 func (c *Client) Chain(ctx context.Context, id string) ([]*tierpb.TurnRecord, error) {
 	ctx, cancel := replica.WithDefaultTimeout(ctx, defaultTimeout)
 	defer cancel()
@@ -105,8 +107,8 @@
 	return chain, nil
 }
 
-// read reads a turn and the turns before it that the same store has, newest first. It returns none if a read quorum does
-// not have the turn.
+// read reads a turn and the turns before it that the same store holds, newest first. It returns none if no member of a read
+// quorum has the turn.
 func (c *Client) read(ctx context.Context, id string) ([]*tierpb.TurnRecord, error) {
 	var found []*tierpb.TurnRecord
 	_, err := replica.CallQuorum(ctx, c.replicas, replica.Operation[*tierpb.GetChainReply]{
@@ -129,7 +131,8 @@
 	return found, err
 }
 
-// linkedPrefix returns the records from the one with the given id on, as far as each continues the next.
+// linkedPrefix returns the longest prefix of the records that is a chain: the first record has the given id, and each record
+// continues the one that follows it in the slice.
 func linkedPrefix(records []*tierpb.TurnRecord, id string) []*tierpb.TurnRecord {
 	for i, record := range records {
 		if record.Id != id {
--- a/internal/tier/turns/extend.go
+++ b/internal/tier/turns/extend.go
@@ -9,20 +9,20 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of extensions of retention.
+// Limits of retention extensions.
 const (
-	extendTimeout           = 3 * time.Second
-	maxConcurrentExtensions = 64 // calls; further extensions are dropped
-	// extensionMargin is how much longer than their own retention records count as kept. It is less than the grace
-	// period of a minute that stores add.
+	extensionTimeout        = 3 * time.Second
+	maxConcurrentExtensions = 64 // calls in progress; further extensions are dropped
+	// extensionMargin is how long past its retention a record is assumed to be kept. Stores keep records for a grace period of
+	// a minute, so this is on the safe side.
 	extensionMargin = 20 * time.Second
 )
 
-// extend extends the retention of the turns that a saved turn continues to that of the saved turn, so that a conversation
-// is kept as long as its last turn. Stores do this themselves for the records that they hold together, and keep every
-// record for some time past its retention, so only chains that grow for longer than that need calls. It does not wait for
+// extendRetention extends the retention of all turns before a saved turn to that of the saved turn, so that a conversation is
+// kept as long as its last turn. Stores extend it themselves if they hold both records, and keep each record for a grace
+// period past its retention, so calls are needed only for conversations that go on for longer than that. It does not wait for
 // the calls.
-func (c *Client) extend(last *tierpb.TurnRecord) {
+func (c *Client) extendRetention(last *tierpb.TurnRecord) {
 	expiresUnixMs := last.EndedUnixMs + int64(last.RetentionMs)
 	ids := c.expiringBefore(last, expiresUnixMs)
 	if len(ids) == 0 {
@@ -36,15 +36,15 @@
 		}
 		go func() {
 			defer func() { <-c.extensionSlots }()
-			ctx, cancel := context.WithTimeout(context.Background(), extendTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), extensionTimeout)
 			defer cancel()
 			_ = c.replicas.Caller().Call(ctx, address, rpc.MethodPutTurns, request, &tierpb.PutTurnsReply{})
 		}()
 	}
 }
 
-// expiringBefore returns the ids of the turns before the last one whose own retention, with the margin, ends before the
-// given time in Unix milliseconds; as far as they are in the cache.
+// expiringBefore returns the ids of the turns before the last one whose retention plus extensionMargin ends before the given
+// time in Unix milliseconds. It follows the chain only as far as it is cached.
 func (c *Client) expiringBefore(last *tierpb.TurnRecord, unixMs int64) []string {
 	var ids []string
 	for id := last.Previous; id != "" && len(ids) < maxChainLength; {
@@ -60,7 +60,7 @@
 	return ids
 }
 
-// extensionRequests returns a request for each member of the turns' replica sets, by address.
+// extensionRequests returns a request for each member of the turns' replica sets, keyed by the member's address.
 func (c *Client) extensionRequests(ids []string, untilUnixMs int64) map[string]*tierpb.PutTurnsRequest {
 	membership := c.replicas.Membership()
 	requests := make(map[string]*tierpb.PutTurnsRequest)
