--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks, in production code, conditions that the tier's guarantees rest on. A violation is counted
-// by name and logged with the value found and the value expected; the process continues, or rejects what it cannot
-// prove. In tests a violation panics: each package that checks an invariant calls FailTests from its tests.
+// Package invariant checks, in production code, conditions on which the tier's guarantees depend. A violation is counted by
+// name and logged with the found and the expected value. The process continues; the caller of Check may reject the request.
+// In the tests of packages that check invariants a violation panics (FailTests).
 package invariant
 
 import (
@@ -13,40 +13,39 @@
 	"pulleygw.example/pulleygw/internal/tier/metrics"
 )
 
-// Message is the log line of a violation. The soak test fails if it finds one.
+// Message is the message of the log line for a violation. The soak test fails if it finds one.
 const Message = "invariant violated"
 
-// logInterval is the shortest time between two log lines about one invariant.
+// logInterval is the minimum time between two log lines about the same invariant.
 const logInterval = time.Second
 
 var violations = metrics.NewCounterVec("invariant_violations_total", "Violations of invariants, by name.", "invariant")
 
 var state struct {
 	mu     sync.Mutex
-	log    hclog.Logger // of the process's role; nil before SetLogger
+	log    hclog.Logger // nil before SetLogger
 	panics bool
-	logged map[string]time.Time
+	logged map[string]time.Time // time of the last log line, by name
 }
 
-// SetLogger sets the logger that violations are written to. Without one they are only counted.
+// SetLogger sets the logger for violations. Without a logger they are only counted.
 func SetLogger(log hclog.Logger) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.log = log
 }
 
-// FailTests makes every violation panic. Tests call it before anything else runs.
+// FailTests makes every violation panic. It is called from init functions in test files.
 func FailTests() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.panics = true
 }
 
-// Name identifies an invariant; docs/guarantees.md lists them.
+// Name identifies an invariant. The invariants are listed in docs/guarantees.md.
 type Name string
 
-// Check records a violation of an invariant unless it holds, with the value found and the value expected, and returns
-// holds.
+// Check counts and logs a violation of the invariant unless holds is true. It returns holds.
 func Check(holds bool, name Name, found, expected any) bool {
 	if !holds {
 		recordViolation(name, found, expected)
@@ -54,7 +53,7 @@
 	return holds
 }
 
-// Violations is how often an invariant was violated in this process.
+// Violations returns how often an invariant was violated in this process.
 func Violations(name Name) uint64 { return violations.Value(string(name)) }
 
 func recordViolation(name Name, found, expected any) {
