--- a/internal/tier/peers/network_test.go
+++ b/internal/tier/peers/network_test.go
@@ -11,10 +11,10 @@
 // network is a simulated set of processes that shuffle in rounds.
 type network struct {
 	views map[string]*View
-	order []string
+	order []string // addresses, in the order in which processes shuffle
 	seeds []string
-	// side partitions the network if it is not nil: shuffles across sides fail.
-	side func(address string) int
+	// partitionOf, if not nil, partitions the network: shuffles between different partitions fail.
+	partitionOf func(address string) int
 }
 
 const coordinatorsInTest = 3
@@ -44,7 +44,7 @@
 }
 
 func (n *network) reaches(from, to string) bool {
-	return n.views[to] != nil && (n.side == nil || n.side(from) == n.side(to))
+	return n.views[to] != nil && (n.partitionOf == nil || n.partitionOf(from) == n.partitionOf(to))
 }
 
 func (n *network) run(rounds int) {
@@ -63,7 +63,8 @@
 	}
 }
 
-// reachable returns the number of live processes that are connected to one by entries of views, in either direction.
+// reachable returns the number of live processes that are connected to the given one by entries of views, in either
+// direction.
 func (n *network) reachable(from string) int {
 	neighbours := make(map[string][]string)
 	for address, view := range n.views {
--- a/internal/tier/peers/repeated_shuffle_test.go
+++ b/internal/tier/peers/repeated_shuffle_test.go
@@ -9,9 +9,9 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// TestRepeatedLateAndLostShufflesDoNoHarm: requests arrive twice and rounds late, and replies are lost. Views stay within
-// their bounds, hold no process twice and not their own, and the graph stays connected.
-func TestRepeatedLateAndLostShufflesDoNoHarm(t *testing.T) {
+// Some requests arrive a second time, several rounds late, and some replies are lost. Views must stay within their size,
+// contain no process twice and not their own, and the graph must stay connected.
+func TestViewsTolerateRepeatedLateAndLostShuffles(t *testing.T) {
 	n := newNetwork(40)
 	random := rand.New(rand.NewPCG(1, 1))
 	type delayed struct {
--- a/internal/tier/peers/sampler.go
+++ b/internal/tier/peers/sampler.go
@@ -10,14 +10,14 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times of a Sampler. The intervals are jittered, so that processes do not shuffle in step.
+// Intervals and timeouts of a Sampler. Intervals are jittered so that processes do not shuffle in lockstep.
 const (
 	meanShuffleInterval = 2 * time.Second
 	maxInitialDelay     = 200 * time.Millisecond // before the first shuffle
-	shuffleTimeout      = 500 * time.Millisecond // without a reply, after which the peer counts as dead
+	shuffleTimeout      = 500 * time.Millisecond // after which a peer that does not reply counts as dead
 )
 
-// Sampler keeps a View up to date by shuffles with peers. It is safe for concurrent use.
+// Sampler keeps a View up to date by shuffling with peers. It is safe for concurrent use.
 type Sampler struct {
 	caller rpc.Caller
 	seeds  func() []string
@@ -26,17 +26,17 @@
 	view *View
 }
 
-// NewSampler returns a Sampler; Run starts its shuffles. Seeds returns the internal addresses (ip:port) of coordinators; it
-// is called again in each round.
+// NewSampler returns a Sampler; Run starts shuffling. Seeds returns the internal addresses (ip:port) of coordinators and is
+// called once per round.
 func NewSampler(self *tierpb.Node, caller rpc.Caller, seeds func() []string) *Sampler {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Sampler{caller: caller, seeds: seeds, view: NewView(self, random)}
 }
 
-// Serve registers the Sampler as the server's handler of shuffles.
+// Serve registers the handler for shuffles of other processes.
 func (s *Sampler) Serve(server *rpc.Server) { rpc.Handle(server, rpc.MethodShuffle, s.handle) }
 
-// Run starts shuffles until ctx ends.
+// Run shuffles periodically until ctx ends.
 func (s *Sampler) Run(ctx context.Context) {
 	timer := time.NewTimer(rand.N(maxInitialDelay))
 	defer timer.Stop()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Nodes returns the known processes of a role, the one with the youngest entry first.
+// Nodes returns the known processes with a role, sorted by the age of their entries, youngest first.
 func (s *Sampler) Nodes(role tierpb.Role) []*tierpb.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/peers/view.go
+++ b/internal/tier/peers/view.go
@@ -7,21 +7,21 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Parameters of the algorithm. Ages are in rounds of the process that holds the entry.
+// Parameters of the algorithm. The age of an entry is counted in rounds of the process that holds it.
 const (
 	viewSize               = 12 // peers of any role
-	shuffleSize            = 5  // entries that a shuffle sends, the sender's own included
+	shuffleSize            = 5  // entries that a shuffle sends, including the sender's own
 	maxCoordinators        = 8  // coordinators remembered outside the view
-	coordinatorsPerShuffle = 2  // freshest coordinators that a shuffle carries besides its entries
-	seedInterval           = 8  // rounds, of which one goes to a seed
-	maxAge                 = 30 // above which an entry is neither sent nor merged
+	coordinatorsPerShuffle = 2  // youngest coordinators that a shuffle carries in addition
+	seedInterval           = 8  // in rounds; every seedInterval-th round goes to a seed
+	maxAge                 = 30 // in rounds; older entries are neither sent nor merged
 )
 
-// View is a process's partial view of the tier. It does no I/O, its randomness is passed in, and its rounds are its
-// clock. It is not safe for concurrent use.
+// View is a process's partial view of the tier. It does no I/O, uses the random source it is given, and measures time in
+// rounds. It is not safe for concurrent use.
 //
-// Each StartShuffle is to be followed by CompleteShuffle or AbortShuffle. HandleShuffle may be called at any time, also
-// in between. Shuffles that are repeated, late or lost do no harm.
+// Each StartShuffle must be followed by CompleteShuffle or AbortShuffle. HandleShuffle may be called at any time, even in
+// between. A View tolerates shuffles that are repeated, late or lost.
 type View struct {
 	self         *tierpb.Node
 	random       *rand.Rand
@@ -30,18 +30,18 @@
 	round        int
 }
 
-// Shuffle is an exchange of entries that this process has started.
+// Shuffle is an exchange of entries started by this process.
 type Shuffle struct {
-	Address string // ip:port of the peer to send the request to
+	Address string // ip:port of the peer to which the request is sent
 	Request *tierpb.ShuffleRequest
 	sent    []*tierpb.PeerEntry
 }
 
-// NewView returns an empty view. Self is what others learn of this process.
+// NewView returns an empty view. Self describes this process to its peers.
 func NewView(self *tierpb.Node, random *rand.Rand) *View { return &View{self: self, random: random} }
 
-// StartShuffle starts a round: it ages all entries and removes the peer that is to be asked, the oldest one or now and
-// then a seed. It returns nil if no peer is known.
+// StartShuffle starts a round: it ages all entries, selects the oldest peer or, every seedInterval rounds, a seed, and removes
+// the selected peer from the view. It returns nil if no peer is known.
 func (v *View) StartShuffle(seeds []string) *Shuffle {
 	v.round++
 	for _, entry := range v.entries {
@@ -73,15 +73,16 @@
 	return reply
 }
 
-// CompleteShuffle merges the peer's reply.
+// CompleteShuffle merges the peer's reply into the view.
 func (v *View) CompleteShuffle(shuffle *Shuffle, reply *tierpb.ShuffleReply) {
 	v.merge(reply.Entries, shuffle.sent)
 }
 
-// AbortShuffle ends a shuffle without a reply. The peer stays out of the view; a coordinator is still remembered.
+// AbortShuffle ends a shuffle without a reply. The peer stays removed from the view; a coordinator is still remembered outside
+// it.
 func (v *View) AbortShuffle(shuffle *Shuffle) { v.remove(shuffle.Address) }
 
-// Nodes returns the known processes of a role, the one with the youngest entry first.
+// Nodes returns the known processes with a role, sorted by the age of their entries, youngest first.
 func (v *View) Nodes(role tierpb.Role) []*tierpb.Node {
 	var found []*tierpb.PeerEntry
 	for _, entry := range append(slices.Clone(v.coordinators), v.entries...) {
@@ -103,7 +104,7 @@
 
 func byAge(a, b *tierpb.PeerEntry) int { return int(a.Age) - int(b.Age) }
 
-// selectPeer returns the address of the peer to shuffle with, empty if none is known.
+// selectPeer returns the address of the peer to shuffle with, or "" if none is known.
 func (v *View) selectPeer(seeds []string) string {
 	if len(seeds) > 0 && (len(v.entries) == 0 || v.round%seedInterval == 0) {
 		if seed := seeds[v.random.IntN(len(seeds))]; seed != v.self.Address {
@@ -130,11 +131,11 @@
 	return sampled[:min(count, len(sampled))]
 }
 
-// outgoing copies entries for a message, with the freshest coordinators and without entries above maxAge.
+// outgoing copies the sampled entries and the youngest coordinators for a message, without entries older than maxAge.
 func (v *View) outgoing(sampled []*tierpb.PeerEntry) []*tierpb.PeerEntry {
 	outgoing := make([]*tierpb.PeerEntry, 0, len(sampled)+coordinatorsPerShuffle+1)
-	freshest := v.coordinators[:min(coordinatorsPerShuffle, len(v.coordinators))]
-	for _, entry := range append(slices.Clone(sampled), freshest...) {
+	youngest := v.coordinators[:min(coordinatorsPerShuffle, len(v.coordinators))]
+	for _, entry := range append(slices.Clone(sampled), youngest...) {
 		if entry.Age <= maxAge {
 			outgoing = append(outgoing, clone(entry))
 		}
@@ -142,7 +143,7 @@
 	return outgoing
 }
 
-// merge adds received entries: to free slots of the view first, then in place of the entries that were sent.
+// merge adds received entries to the view: first to free slots, then in place of the entries that were sent.
 func (v *View) merge(received, sent []*tierpb.PeerEntry) {
 	for _, entry := range received {
 		if !v.isUsable(entry) {
@@ -166,7 +167,8 @@
 	return entry.GetNode().GetAddress() != "" && entry.Node.Address != v.self.Address && entry.Age <= maxAge
 }
 
-// refresh keeps the younger of two entries of one peer and reports whether the peer was among the entries.
+// refresh replaces the entry of the received entry's peer, if the received one is younger. It reports whether there is an
+// entry of that peer.
 func refresh(entries []*tierpb.PeerEntry, received *tierpb.PeerEntry) bool {
 	for i, known := range entries {
 		if known.Node.Address != received.Node.Address {
@@ -180,8 +182,8 @@
 	return false
 }
 
-// replace puts an entry in the place of the first sent one that is still in the view, and returns the sent ones after
-// it.
+// replace puts an entry in the place of the first sent entry that is still in the view, and returns the sent entries after
+// that one.
 func (v *View) replace(sent []*tierpb.PeerEntry, entry *tierpb.PeerEntry) []*tierpb.PeerEntry {
 	for i, old := range sent {
 		if index := slices.Index(v.entries, old); index >= 0 {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// rememberCoordinator keeps the freshest coordinators, outside the view.
+// rememberCoordinator adds an entry to the remembered coordinators and keeps the youngest maxCoordinators of them.
 func (v *View) rememberCoordinator(entry *tierpb.PeerEntry) {
 	if !refresh(v.coordinators, entry) {
 		v.coordinators = append(v.coordinators, clone(entry))
--- a/internal/tier/peers/view_test.go
+++ b/internal/tier/peers/view_test.go
@@ -65,16 +65,16 @@
 			continue
 		}
 		found := view.Nodes(tierpb.Role_ROLE_COORDINATOR)
-		assert.Assert(t, len(found) > 0 && found[0].Address == node.Address, "not in the view of %s", address)
+		assert.Assert(t, len(found) > 0 && found[0].Address == node.Address, "%s does not know the new coordinator", address)
 	}
 }
 
 func TestPartitionHeals(t *testing.T) {
 	n := newNetwork(200)
 	n.run(40)
-	n.side = func(address string) int { return slices.Index(n.order, address) % 2 }
+	n.partitionOf = func(address string) int { return slices.Index(n.order, address) % 2 }
 	n.run(150)
-	n.side = nil
+	n.partitionOf = nil
 	n.run(40)
 	assert.Equal(t, n.reachable(n.order[0]), 200)
 	across := 0
