--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -1,6 +1,6 @@
 // Package invariant checks, in production code, conditions on which the tier's guarantees depend. A violation is counted by
 // name and logged with the found and the expected value. The process continues; the caller of Check may reject the request.
-// In the tests of packages that check invariants a violation panics (FailTests).
+// In the tests of packages that check invariants a violation panics.
 package invariant
 
 import (
