--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -29,7 +29,7 @@
 // Reasons why an attempt gave no usable response, in addition to the errors of package upstream.
 var (
 	errDeclined        = eris.New("store did not execute the request")
-	errInvalidResponse = eris.New("invalid response: unsigned, encoded, or a status of the not-executed guarantee without its header")
+	errInvalidResponse = eris.New("invalid response: unsigned, content-encoded, or status 408, 429 or 503 without X-Not-Executed")
 )
 
 // attemptOutcome tells how to proceed after an attempt.
@@ -71,8 +71,8 @@
 	}
 }
 
-// retryable reports whether the request may be sent to another store. A request that certainly has not been executed may
-// be. A request that may have been executed is retried only if it is idempotent and its route allows another attempt.
+// retryable reports whether the request may be sent to another store. That is always allowed, up to maxDeclines, while the
+// request certainly has not been executed. Afterwards it must be idempotent and its route must allow another attempt.
 func (x *exchange) retryable(ctx context.Context) bool {
 	if x.isDone(ctx) || x.declined > maxDeclines {
 		return false
@@ -95,7 +95,7 @@
 func (x *exchange) attempt(ctx context.Context, grant *admission.Grant) attemptOutcome {
 	if !x.sendAllowed() {
 		grant.Finish(admission.Cancelled)
-		x.declined = maxDeclines + 1
+		x.declined = maxDeclines + 1 // prevents further attempts
 		return attemptRetry
 	}
 	store := grantedStore(grant)
--- a/internal/tier/proxy/harness_test.go
+++ b/internal/tier/proxy/harness_test.go
@@ -29,7 +29,7 @@
 
 // receivedRequest is one request as a fake store received it.
 type receivedRequest struct {
-	store   string
+	store   string // id of the store
 	method  string
 	uri     string
 	header  http.Header
--- a/internal/tier/proxy/last_attempt_test.go
+++ b/internal/tier/proxy/last_attempt_test.go
@@ -7,7 +7,7 @@
 )
 
 // The attempt is marked as the last one if the request must not be executed twice or its route allows no further attempt.
-// Otherwise package upstream might send it on an idle connection that the store has closed, and the request would be lost.
+// For such an attempt package upstream avoids idle connections that the store may have closed.
 func TestLastAttemptIsMarked(t *testing.T) {
 	for path, attempts := range map[string][]bool{"/i/x": {false, true}, "/r/x": {false, true}, "/n/x": {true, true}, "/s/x": {true, true}} {
 		tp := newTestProxy(t, longTimeout, nil, nil)
--- a/internal/tier/proxy/priority_metric.go
+++ b/internal/tier/proxy/priority_metric.go
@@ -8,7 +8,7 @@
 )
 
 // requestsByPriority shows whether requests of a more urgent priority are served less often than less urgent ones of the
-// same service, which operators are charged for.
+// same service, which is costly for operators.
 var requestsByPriority = metrics.NewCounterVec("proxy_requests_by_priority_total",
 	"Requests of clients by service, priority of the route (0 is the most urgent) and whether they were served within the latency target.",
 	"service", "priority", "served")
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -23,7 +23,7 @@
 	shutdownAnswerTimeout  = 200 * time.Millisecond  // time to send responses to cancelled requests
 	settlementTimeout      = 200 * time.Millisecond  // time to settle budgets afterwards
 	drainPollInterval      = 100 * time.Millisecond
-	minIdleBeforeClose     = 100 * time.Millisecond // the client may be sending another request, whose response will ask it to close the connection
+	minIdleBeforeClose     = 100 * time.Millisecond // a next request may be on its way; its response asks for the close
 	headerTimeoutSlack     = time.Second
 	idleTimeoutSlack       = 5 * time.Second
 	headerBytesSlack       = 4 << 10  // the handler checks the configured limit
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -24,7 +24,7 @@
 var (
 	errEventTooLarge       = eris.New("event exceeds the size limit")
 	errReservationExceeded = eris.New("stream exceeds its reservation")
-	errSequenceGap         = eris.New("resumed stream does not continue at the last event")
+	errSequenceGap         = eris.New("resumed stream does not continue after the last forwarded event")
 	errTruncatedEvent      = eris.New("stream ended within an event or before the first one")
 )
 
