--- a/internal/tier/proxy/body.go
+++ b/internal/tier/proxy/body.go
@@ -57,8 +57,8 @@
 	return buffer, nil
 }
 
-// bodyReadDeadline returns the time by which the client must have sent the request body. It is never later than the
-// request's own deadline, so that a request with an incomplete body is answered in time.
+// bodyReadDeadline returns the time by which the client must have sent the request body. It is no later than the
+// request's own deadline if its route is known, so that a request with an incomplete body is answered in time.
 func (s *snapshot) bodyReadDeadline(r *http.Request, limits configuration.Limits, arrival time.Time) time.Time {
 	const headerTimeoutMultiple = 2 // the configured limit is for the header; a body may take longer
 	allowed := headerTimeoutMultiple * limits.HeaderTimeout
@@ -84,7 +84,7 @@
 func headerBytes(r *http.Request) int {
 	const (
 		fieldOverhead       = 4  // ": " and CRLF
-		requestLineOverhead = 16 // protocol version, separators and the name of the Host header
+		requestLineOverhead = 16 // approximately the rest of the request line
 	)
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineOverhead
 	for name, values := range r.Header {
--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -245,8 +245,8 @@
 	return response.Header[headerSignature] != nil && (encoding == "" || strings.EqualFold(encoding, "identity"))
 }
 
-// discardBody reads and discards a short body so that the connection can be reused. A body of more than maxReads buffers
-// is left unread.
+// discardBody reads and discards a short body so that the connection can be reused. The rest of
+// a longer body is left unread.
 func discardBody(response *upstream.Response) {
 	const maxReads = 16
 	var buffer [512]byte
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -220,7 +220,7 @@
 	return current.configuration.Limits
 }
 
-// readinessRouter serves the readiness endpoint that load balancers check.
+// readinessRouter serves the readiness endpoint.
 func (p *Proxy) readinessRouter() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -17,7 +17,7 @@
 const (
 	defaultGracePeriod     = 8 * time.Second
 	readinessHeaderTimeout = 2 * time.Second
-	maxDrainDelay          = 2500 * time.Millisecond // load balancers check readiness every second and react to two failures
+	maxDrainDelay          = 2500 * time.Millisecond // the platform checks readiness every second and reacts to two failures
 	drainDelayDivisor      = 3                       // the drain delay is at most this fraction of the grace period
 	shutdownMargin         = 500 * time.Millisecond  // pending requests are cancelled this long before the end of the grace period
 	shutdownAnswerTimeout  = 200 * time.Millisecond  // time to send responses to cancelled requests
