--- a/internal/tier/modelcheck/seeded_test.go
+++ b/internal/tier/modelcheck/seeded_test.go
@@ -20,7 +20,7 @@
 	},
 	{
 		name: "restart forgets that an accept implies a prepare", file: "register/acceptor_storage.go",
-		old:     "\t\tstate.prepared = state.accepted // an accept is a prepare, too, and does not write the other file\n",
+		old:     "\t\tstate.prepared = state.accepted // an accept implies a prepare and does not write preparedFile\n",
 		changed: "",
 	},
 	{
@@ -85,8 +85,8 @@
 	},
 	{
 		name: "proposer id reused after a restart", file: "register/proposer.go",
-		old:     "number: uniqueNumber(owner)}",
-		changed: "number: hashNumber(owner, time.Time{}, nil)}",
+		old:     "id: uniqueID(owner)}",
+		changed: "id: hashID(owner, time.Time{}, nil)}",
 	},
 	{
 		name: "restarted lessor grants without waiting for the longest TTL", file: "lease/lessor.go",
--- a/internal/tier/register/acceptor_storage.go
+++ b/internal/tier/register/acceptor_storage.go
@@ -10,23 +10,23 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Names of the series of an acceptor's folder.
+// Names of the series in an acceptor's folder.
 const (
 	identityFile = "identity"
 	preparedFile = "promise" // the highest prepared proposal number, under the name that older builds gave it
 	acceptedFile = "accepted"
-	// completeFile holds the identity for which the files of the prepared proposal number and of the accepted value have
-	// been written, so that their absence is a loss. Older builds do not write it and ignore it.
+	// completeFile holds the identity for which both preparedFile and acceptedFile have been written: if one of them is
+	// missing, it was lost. Older builds neither write nor read this file.
 	completeFile = "complete"
 )
 
-// OpenAcceptor reads the state of an acceptor. On an empty disk it gets a new identity: with Bootstrap the one that
-// follows from its address, and the initial value; otherwise a unique one, without a value. The same holds, without
-// Bootstrap, where a file is damaged or missing. The error is that of the disk, or of a file that passes
-// its checksum and cannot be decoded.
+// OpenAcceptor reads the state of an acceptor from disk. If the disk is empty, the acceptor gets a new identity: with
+// Bootstrap the one derived from its address, and the initial value; otherwise a unique one, and no value. If a file is
+// corrupted, or one that this identity has written is missing, it gets a unique identity and no value even with Bootstrap.
+// OpenAcceptor fails if the disk fails, or if a file passes its checksum but cannot be decoded.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
 	if err := options.Disk.MkdirAll(options.Folder); err != nil {
-		return nil, eris.Wrap(err, "acceptor")
+		return nil, eris.Wrap(err, "create the acceptor's folder")
 	}
 	acceptor := &Acceptor{failpoints: options.Failpoints, semaphore: make(chan struct{}, 1)}
 	acceptor.semaphore <- struct{}{}
@@ -43,15 +43,15 @@
 	}
 	payload, found := identity.Newest()
 	lost := identity.Corrupted() || acceptor.preparedSeries.Corrupted() || acceptor.acceptedSeries.Corrupted() ||
-		acceptor.isMissingFiles(payload, complete)
+		acceptor.hasMissingFiles(payload, complete)
 	if err := acceptor.loadOrInitialize(options, identity, found, lost); err != nil {
 		return nil, err
 	}
 	return acceptor, acceptor.writeMissingFiles(complete)
 }
 
-// loadOrInitialize loads the state that was found, or initializes a new identity where there is none or some of it is
-// lost.
+// loadOrInitialize loads the state from disk, or initializes the acceptor with a new identity if there is no state or some
+// of it is lost.
 func (a *Acceptor) loadOrInitialize(options AcceptorOptions, identity *storage.Series, found, lost bool) error {
 	if payload, _ := identity.Newest(); found && !lost {
 		return a.load(payload)
@@ -59,8 +59,8 @@
 	return a.initialize(options, identity, lost)
 }
 
-// isMissingFiles reports whether a file is missing that this identity has written.
-func (a *Acceptor) isMissingFiles(identity []byte, complete *storage.Series) bool {
+// hasMissingFiles reports whether a file that this identity has written is missing.
+func (a *Acceptor) hasMissingFiles(identity []byte, complete *storage.Series) bool {
 	written, found := complete.Newest()
 	if !found || !bytes.Equal(written, identity) {
 		return false
@@ -70,8 +70,8 @@
 	return !prepared || !accepted
 }
 
-// writeMissingFiles writes those of both files that were never needed yet, then records that they exist: from then on a
-// missing file is a lost one.
+// writeMissingFiles writes preparedFile and acceptedFile if they do not exist yet, then records in completeFile that they
+// do. From then on a missing file means that it was lost.
 func (a *Acceptor) writeMissingFiles(complete *storage.Series) error {
 	identity := encodeIdentity(a.identity)
 	if written, found := complete.Newest(); found && bytes.Equal(written, identity) {
@@ -91,7 +91,7 @@
 	return complete.Save(identity)
 }
 
-// load decodes the state that was found.
+// load decodes the state on disk.
 func (a *Acceptor) load(identity []byte) error {
 	var err error
 	if a.identity, err = decodeIdentity(identity); err != nil {
@@ -107,7 +107,7 @@
 			state.accepted = stored.Proposal
 		}
 		state.value = stored.Value
-		state.prepared = state.accepted // an accept is a prepare, too, and does not write the other file
+		state.prepared = state.accepted // an accept implies a prepare and does not write preparedFile
 	}
 	if payload, found := a.preparedSeries.Newest(); found {
 		prepared := &tierpb.ProposalNumber{}
@@ -122,12 +122,13 @@
 	return nil
 }
 
-// initialize gives the acceptor a new identity. The identity is saved last: without it nothing else on disk counts.
+// initialize gives the acceptor a new identity. The identity is saved last, because the other files are ignored without
+// it: an interrupted initialization starts over.
 func (a *Acceptor) initialize(options AcceptorOptions, identity *storage.Series, lost bool) error {
 	a.fresh = true
 	for _, series := range []*storage.Series{identity, a.preparedSeries, a.acceptedSeries} {
 		if err := series.Clear(); err != nil {
-			return eris.Wrap(err, "acceptor")
+			return eris.Wrap(err, "clear the acceptor's files")
 		}
 	}
 	state := &acceptorState{prepared: &tierpb.ProposalNumber{}, accepted: &tierpb.ProposalNumber{}}
--- a/internal/tier/register/acceptor_test.go
+++ b/internal/tier/register/acceptor_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func TestInitialIdentityFollowsFromTheAddress(t *testing.T) {
+func TestInitialIdentityIsDerivedFromTheAddress(t *testing.T) {
 	machine := standaloneMachine(1)
 	first := openOn(t, machine, true)
 	assert.Equal(t, first.Identity(), InitialIdentity(machine.Address()))
@@ -26,12 +26,12 @@
 	assert.Assert(t, wiped.AcceptedValue() == nil)
 }
 
-func TestUniqueNumbersDifferIfOneOfTheirSourcesFails(t *testing.T) {
+func TestUniqueIDsDifferIfOneSourceRepeats(t *testing.T) {
 	at, random := time.Unix(1000, 0), []byte("random")
-	number := hashNumber("one", at, random)
-	assert.Assert(t, number != hashNumber("other", at, random))
-	assert.Assert(t, number != hashNumber("one", at.Add(1), random))
-	assert.Assert(t, number != hashNumber("one", at, []byte("another")))
+	id := hashID("one", at, random)
+	assert.Assert(t, id != hashID("other", at, random))
+	assert.Assert(t, id != hashID("one", at.Add(1), random))
+	assert.Assert(t, id != hashID("one", at, []byte("another")))
 	assert.Assert(t, NewIdentity("one") != InitialIdentity("one"))
 }
 
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestValueOfAFailedSaveNeverReappears: the failed save may have left the value on disk. Once a prepare was granted
-// without reporting it, it must not appear after a restart.
+// TestValueOfAFailedSaveNeverReappears: a failed save may still have left the value on disk. Once a prepare was granted
+// without reporting that value, the value must not appear after a restart.
 func TestValueOfAFailedSaveNeverReappears(t *testing.T) {
 	for _, failing := range []failpoint.Point{failpoint.VersionSynced, failpoint.VersionRenamed, failpoint.VersionFolderSynced, failpoint.VersionRemoved} {
 		machine := standaloneMachine(uint64(failing))
@@ -109,7 +109,7 @@
 	assert.Equal(t, passed, 4)
 }
 
-func TestDamagedFileLeadsToANewIdentity(t *testing.T) {
+func TestCorruptedFileLeadsToANewIdentity(t *testing.T) {
 	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
 		machine := standaloneMachine(1)
 		acceptor := openOn(t, machine, true)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestMissingFileLeadsToANewIdentity: an acceptor whose file of the prepared number or of the accepted value is missing
-// has forgotten what it replied to others, like one whose file is damaged.
+// TestMissingFileLeadsToANewIdentity: an acceptor that lost the file of the prepared number or of the accepted value no
+// longer knows what it promised to proposers, as if the file were corrupted.
 func TestMissingFileLeadsToANewIdentity(t *testing.T) {
 	for _, series := range []string{identityFile, preparedFile, acceptedFile} {
 		for _, bootstrap := range []bool{true, false} {
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestFolderOfAnOlderBuildIsCompleted: older builds did not record which files exist. Their folders are read as they are, and
-// from then on a missing file counts as lost.
+// TestFolderOfAnOlderBuildIsCompleted: older builds did not record which files exist, so a file that is missing from their
+// folders was never written. It is written at the first start, and from then on a missing file counts as lost.
 func TestFolderOfAnOlderBuildIsCompleted(t *testing.T) {
 	for _, unwritten := range []string{preparedFile, acceptedFile, "none"} {
 		machine := standaloneMachine(1)
--- a/internal/tier/register/change_cost_test.go
+++ b/internal/tier/register/change_cost_test.go
@@ -13,11 +13,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// TestChangeCost logs the cost of a change and of a read of a large value, and bounds the number of syncs: a prepare and
-// an accept take two syncs each, of the file and of the folder.
+// TestChangeCost logs what a change and a read of a large value cost, and bounds the number of syncs. On each voter a
+// prepare and an accept sync the file and the folder once each.
 func TestChangeCost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 3)
+		c := newReliableCluster(t, 3, 3)
 		change := func(generation uint64) {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
@@ -34,8 +34,8 @@
 		t.Logf("change of a value of %d bytes: %s", size, cost)
 		assert.Equal(t, cost.disk.FileSyncs, 2*3)
 		assert.Equal(t, cost.disk.FolderSyncs, 2*3)
-		assert.Assert(t, cost.disk.BytesWritten < 3*(size+500), "a prepare does not rewrite the value")
-		assert.Assert(t, cost.network < 2*(size+1000), "the value is sent to each other voter once, and not returned")
+		assert.Assert(t, cost.disk.BytesWritten < 3*(size+500), "a prepare must not rewrite the value")
+		assert.Assert(t, cost.network < 2*(size+1000), "the value must be sent to each other voter only once, and not returned")
 		cost = c.measure(func() { c.members[0].mustRead() })
 		t.Logf("read: %s", cost)
 		assert.Equal(t, cost.disk, simulation.DiskStats{})
@@ -43,7 +43,7 @@
 	})
 }
 
-// cost counts what was written, synced and sent.
+// cost counts the bytes written, syncs and bytes sent of an operation.
 type cost struct {
 	disk    simulation.DiskStats
 	network int
@@ -55,9 +55,9 @@
 }
 
 func (c *cluster) measure(operation func()) cost {
-	before := c.total()
+	before := c.totalCost()
 	operation()
-	after := c.total()
+	after := c.totalCost()
 	return cost{
 		disk: simulation.DiskStats{
 			BytesWritten: after.disk.BytesWritten - before.disk.BytesWritten,
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *cluster) total() (sum cost) {
+func (c *cluster) totalCost() (sum cost) {
 	for _, m := range c.members {
 		used := m.machine.Disk.Stats()
 		sum.disk.BytesWritten += used.BytesWritten
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -17,7 +17,7 @@
 
 const folder = "data"
 
-// cluster is a set of coordinators in a simulated network. It runs in a synctest bubble.
+// cluster is a set of coordinators in a simulated network. It runs in a synctest bubble, so time is simulated.
 type cluster struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -34,15 +34,15 @@
 	mu       sync.Mutex
 	acceptor *Acceptor
 	proposer *Proposer
-	known    *tierpb.ControlState // newest chosen value that this process knows
-	stop     func(failpoint.Point) bool
+	known    *tierpb.ControlState       // newest chosen value that this process knows
+	stop     func(failpoint.Point) bool // reports whether the process stops at a failpoint; nil for never
 }
 
-// newCluster bootstraps count coordinators, of which the first are the seeds.
-func newCluster(t *testing.T, seed uint64, seeds, count int, traits simulation.LinkConditions) *cluster {
+// newCluster bootstraps count coordinators. The first ones, as many as seeds says, are the seeds and thus the voters.
+func newCluster(t *testing.T, seed uint64, seeds, count int, conditions simulation.LinkConditions) *cluster {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
-	c := &cluster{t: t, random: random, network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 2)), traits)}
+	c := &cluster{t: t, random: random, network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 2)), conditions)}
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d:7380", i+1)
 		if i < seeds {
@@ -54,12 +54,12 @@
 	for _, m := range c.members {
 		m.start(true)
 	}
-	t.Cleanup(c.end)
+	t.Cleanup(c.stopAll)
 	return c
 }
 
-// end lets every goroutine of the bubble return.
-func (c *cluster) end() {
+// stopAll kills all processes and waits until every goroutine of the bubble has returned.
+func (c *cluster) stopAll() {
 	for _, m := range c.members {
 		m.machine.Kill()
 		m.machine.Thaw()
@@ -67,7 +67,7 @@
 	<-time.After(time.Minute)
 }
 
-// start starts a new incarnation on whatever the disk holds, and reports whether it completed its start.
+// start starts a new process on the machine's disk as it is, and reports whether the acceptor could be opened.
 func (m *member) start(bootstrap bool) bool {
 	incarnation := m.machine.Start()
 	points := &failpoint.Points{ShouldStop: func(point failpoint.Point) bool { return m.stopsAt(incarnation, point) }}
@@ -92,7 +92,7 @@
 	return true
 }
 
-// stopsAt stops the incarnation that passes a failpoint where the test says so.
+// stopsAt reports whether a process stops at a failpoint, and stops its incarnation if the test asks for it.
 func (m *member) stopsAt(incarnation *simulation.Incarnation, point failpoint.Point) bool {
 	select {
 	case <-incarnation.Ended():
@@ -121,7 +121,7 @@
 	return m.known
 }
 
-// learn updates the known value, as a watch would.
+// learn updates the known value if the given one is newer, as a watch would.
 func (m *member) learn(state *tierpb.ControlState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,8 +148,8 @@
 
 func (c *cluster) jitter(longest time.Duration) time.Duration { return longest / 2 }
 
-// put changes the configuration from one generation to the next, as an operator does, and returns the current
-// generation.
+// put changes the configuration from one generation to another, as an operator does, and returns the generation that is
+// then current.
 func (m *member) put(limit time.Duration, from, to uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -157,7 +157,7 @@
 	return chosen.GetConfiguration().GetGeneration(), err
 }
 
-// errConflict stands for the answer 412.
+// errConflict stands for the HTTP status 412, Precondition Failed.
 var errConflict = fmt.Errorf("another generation is current")
 
 func putFunc(from, to uint64) ChangeFunc {
@@ -182,8 +182,8 @@
 	return m.currentProposer().Read(ctx)
 }
 
-// describe logs the state of every member.
-func (c *cluster) describe() {
+// logStates logs the state of every member.
+func (c *cluster) logStates() {
 	sets := func(state *tierpb.ControlState) (text string) {
 		for _, set := range state.GetVoters() {
 			text += "["
@@ -198,7 +198,7 @@
 		state := m.currentAcceptor().state.Load()
 		c.t.Logf("%s/%x prepared %v accepted %v %s", m.machine.Address(), m.currentAcceptor().Identity(), state.prepared,
 			state.accepted, sets(state.value))
-		c.t.Logf("    knows %s; proposer newest %s", sets(m.newestKnown()), sets(m.currentProposer().newest))
+		c.t.Logf("    known: %s; newest of the proposer: %s", sets(m.newestKnown()), sets(m.currentProposer().newest))
 	}
 }
 
@@ -207,7 +207,7 @@
 	m.cluster.t.Helper()
 	state, err := m.read(20 * time.Second)
 	if err != nil {
-		m.cluster.describe()
+		m.cluster.logStates()
 	}
 	assert.NilError(m.cluster.t, err, "read at %s", m.machine.Address())
 	return state
@@ -221,11 +221,12 @@
 	assert.Equal(m.cluster.t, generation, to)
 }
 
-// calm are links without faults.
-var calm = simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 2 * time.Millisecond}
+// reliableLinks are links without faults.
+var reliableLinks = simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 2 * time.Millisecond}
 
-// share makes the newest chosen value, or an accepted one where none is known, known to all members, as watches would.
-func (c *cluster) share() {
+// shareNewestState makes the newest chosen value known to all members, as watches would. A member that still knows none
+// gets an accepted value.
+func (c *cluster) shareNewestState() {
 	for _, m := range c.members {
 		for _, other := range c.members {
 			if state := other.newestKnown(); state != nil {
@@ -238,10 +239,10 @@
 	}
 }
 
-// newCalmCluster bootstraps a cluster with calm links and a fixed seed.
-func newCalmCluster(t *testing.T, seeds, count int) *cluster {
+// newReliableCluster bootstraps a cluster with reliable links and a fixed random seed.
+func newReliableCluster(t *testing.T, seeds, count int) *cluster {
 	t.Helper()
-	return newCluster(t, 1, seeds, count, calm)
+	return newCluster(t, 1, seeds, count, reliableLinks)
 }
 
 // partition cuts the links between two groups.
@@ -254,7 +255,7 @@
 	}
 }
 
-// changeVoters replaces the third voter by the fourth member.
+// changeVoters replaces the third voter with the fourth member.
 func (c *cluster) changeVoters(m *member) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -274,8 +275,8 @@
 	assert.Equal(c.t, len(state.Voters), 1)
 }
 
-// revive restarts all processes, and lets those with empty disks learn what is known.
-func (c *cluster) revive() {
+// restartAll restarts all processes that have stopped, and shares the newest state with those whose disks are empty.
+func (c *cluster) restartAll() {
 	for _, m := range c.members {
 		m.machine.Thaw()
 		for !m.machine.Running() {
@@ -283,5 +284,5 @@
 		}
 	}
 	<-time.After(5 * time.Second)
-	c.share()
+	c.shareNewestState()
 }
--- a/internal/tier/register/conflicting_changes_test.go
+++ b/internal/tier/register/conflicting_changes_test.go
@@ -16,7 +16,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// send sends a configuration change as an operator does; nil is an acknowledgement and errConflict a rejection.
+// send sends a configuration change as an operator does. It returns nil for an acknowledgement and errConflict for a
+// rejection.
 func (m *member) send(limit time.Duration, sent changelog.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -44,13 +45,13 @@
 	completeBetween   reconfiguration = "voters replaced between the changes"
 )
 
-// competition is one way in which two changes to the same generation compete.
+// competition is one scenario in which two changes compete that are based on the same generation.
 type competition struct {
-	reached         int // bit mask of the members that the accepts of the first change reach before it is abandoned
-	unreachable     int // voter that the second operator's coordinator cannot reach; 3 for none
-	identical       bool
+	reached         int  // bit mask of the members that the accepts of the first change reach before it times out
+	unreachable     int  // index of the voter that the second operator's coordinator cannot reach; 3 for none
+	identical       bool // both operators send the same change
 	lateAccepts     bool // the first change's accepts are retried at all members while the second one is in flight
-	diskLost        bool // one of the members reached loses its disk after the second operator was answered
+	diskLost        bool // a member that the accepts reached loses its disk after the reply to the second operator
 	reconfiguration reconfiguration
 }
 
@@ -59,17 +60,18 @@
 		r.reached, r.unreachable, r.identical, r.lateAccepts, r.diskLost, r.reconfiguration)
 }
 
-// Endings of a competition.
+// Outcomes of a competition.
 const (
 	firstCommitted     = "first committed"
 	secondCommitted    = "second committed"
 	identicalCommitted = "both committed, identical"
 )
 
-// TestAbandonedAcceptsCompeteWithAnotherChange tries all ways in which the accepts of a change that timed out reach
-// some acceptors, and a second change to the same generation completes or overwrites it.
+// TestAbandonedAcceptsCompeteWithAnotherChange: a change times out after its accepts have reached some acceptors. A second
+// change that is based on the same generation completes the first one or overwrites it, and both operators get consistent
+// replies. The test tries all sets of acceptors that the accepts may reach.
 func TestAbandonedAcceptsCompeteWithAnotherChange(t *testing.T) {
-	endings := map[string]int{}
+	outcomeCounts := map[string]int{}
 	for _, reconfiguration := range []reconfiguration{noReconfiguration, jointBefore, jointBetween, completeBetween} {
 		for number := range 16 * 4 * 2 * 2 * 2 {
 			r := competition{
@@ -83,28 +85,28 @@
 			if r.diskLost && (r.reached == 0 || r.lateAccepts) {
 				continue
 			}
-			if r.reached&8 != 0 && reconfiguration != jointBefore { // only then is the fourth member a voter
+			if r.reached&8 != 0 && reconfiguration != jointBefore { // the fourth member is a voter only in jointBefore
 				continue
 			}
 			if testing.Short() && number%3 != 0 {
 				continue
 			}
-			synctest.Test(t, func(t *testing.T) { endings[r.run(t)]++ })
+			synctest.Test(t, func(t *testing.T) { outcomeCounts[r.run(t)]++ })
 			if t.Failed() {
 				t.Fatalf("%s", r)
 			}
 		}
 	}
-	t.Logf("%v", endings)
-	for _, end := range []string{firstCommitted, secondCommitted, identicalCommitted} {
-		assert.Assert(t, endings[end] > 0, "no case ended with: %s", end)
+	t.Logf("%v", outcomeCounts)
+	for _, expected := range []string{firstCommitted, secondCommitted, identicalCommitted} {
+		assert.Assert(t, outcomeCounts[expected] > 0, "no case had the outcome: %s", expected)
 	}
 }
 
-// run plays one competition and returns how it ended.
+// run runs the scenario and returns its outcome.
 func (r competition) run(t *testing.T) string {
 	t.Helper()
-	c := newCluster(t, 1, 3, 5, calm)
+	c := newCluster(t, 1, 3, 5, reliableLinks)
 	abandoning, competing := c.members[4], c.members[0]
 	first := changelog.NewChange(0, 7, []byte("one"))
 	second := changelog.NewChange(0, 7, []byte("two"))
@@ -127,11 +129,11 @@
 	}
 	c.network.Heal()
 	<-time.After(3 * time.Second)
-	c.revive()
+	c.restartAll()
 	return r.verifyRetries(t, c, first, second, secondResult)
 }
 
-// reconfigure has a coordinator change the voters, or stop between the two steps.
+// reconfigure lets a coordinator change the voters. Unless completeBetween is tested, it stops between the two steps.
 func (r competition) reconfigure(c *cluster) {
 	manager := c.members[2]
 	if r.reconfiguration != completeBetween {
@@ -141,7 +143,7 @@
 	manager.stopWhen(nil)
 }
 
-// sendAndAbandon sends a change whose accepts reach some members only and whose replies are lost.
+// sendAndAbandon sends a change whose accepts reach only some members and whose replies are lost.
 func (r competition) sendAndAbandon(c *cluster, abandoning *member, sent changelog.Change) {
 	abandoning.stopWhen(func(point failpoint.Point) bool {
 		for i, m := range c.members[:4] {
@@ -160,7 +162,8 @@
 	}
 }
 
-// verifyRetries has both operators retry their changes at every coordinator, and returns how the competition ended.
+// verifyRetries lets both operators retry their changes at every coordinator, checks that the replies agree, and returns
+// the outcome.
 func (r competition) verifyRetries(t *testing.T, c *cluster, first, second changelog.Change, secondResult error) string {
 	t.Helper()
 	outcomes := map[string]bool{}
@@ -173,14 +176,14 @@
 			assert.Assert(t, r.identical || (one == nil) != (other == nil), "at %d: %v and %v", i, one, other)
 			outcomes[fmt.Sprintf("%v/%v", one, other)] = true
 			if secondResult == nil || errors.Is(secondResult, errConflict) {
-				assert.Equal(t, other, secondResult, "the second operator was answered differently before, attempt %d", attempt)
+				assert.Equal(t, other, secondResult, "the second operator got a different reply before, attempt %d", attempt)
 			}
 		}
 	}
 	assert.Equal(t, len(outcomes), 1, "coordinators disagree: %v", outcomes)
 	switch {
 	case r.identical:
-		assert.Assert(t, outcomes["<nil>/<nil>"], "identical changes are one")
+		assert.Assert(t, outcomes["<nil>/<nil>"], "an identical change must be acknowledged like the first")
 		return identicalCommitted
 	case outcomes["<nil>/"+errConflict.Error()]:
 		return firstCommitted
--- a/internal/tier/register/doc.go
+++ b/internal/tier/register/doc.go
@@ -1,7 +1,7 @@
 // Package register implements a replicated compare-and-swap register that holds the control state of the whole system
 // as one value. The algorithm is CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs",
 // arXiv:1802.07000, 2018): single-decree Paxos in which every change runs a prepare and an accept phase on the newest
-// value. There is no log and no elected leader; any node with a Proposer may change the value.
+// value. There is no log and no elected leader; any node that has a Proposer may change the value.
 //
 // # Usage
 //
@@ -11,8 +11,8 @@
 //	acceptor.Serve(server)
 //	proposer := register.NewProposer(register.ProposerOptions{Caller: caller, Local: acceptor})
 //
-// A change is a function from the current value to the next one. It may be called once per attempt, and must recognise
-// its own effect, because an attempt with an unknown outcome may have been completed by another proposer since:
+// A change is a function from the current value to the next one. It is called once per attempt and must recognise its
+// own effect, because another proposer may have completed an earlier attempt whose outcome was unknown:
 //
 //	chosen, err := proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 //		if alreadyApplied(current) {
@@ -22,39 +22,40 @@
 //		return current, nil
 //	})
 //
-// Proposer.Read returns a value that was current at some moment of the call, usually in one round trip without a write
-// to any disk.
+// Proposer.Read returns a value that was current at some point during the call, usually in one round trip and without
+// a disk write.
 //
 // # Guarantees
 //
-// Changes and reads are linearizable. Change returns nil only once the value that it returns is chosen, that is,
-// accepted by a majority of every voter set that counts for it. ErrUncertain means that the change may be in force now
-// or later; ErrUnavailable means that it is not and will not be. An error of the change function is returned only once
-// the value on which the function decided is known to be chosen.
+// Changes and reads are linearizable. Change returns without an error only once the returned value is chosen, that is,
+// accepted by a majority of each voter set involved. ErrUncertain means that the change may have taken effect or may
+// still take effect; ErrUnavailable means that it has not and never will. An error of the change function is returned
+// only once the value that was passed to the function is known to be chosen.
 //
 // # Voters
 //
-// The value names its own voters, so that a change of voters is an ordinary change. Voters are replaced in two steps by
-// joint consensus (D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6):
-// first the old and the new set are in force together and a quorum needs a majority of each, then the old set is dropped.
-// See Reconfigure and LeaveJoint. ControlState.Epoch counts the changes of voters, ControlState.Version all changes.
+// The value contains its own voters, so replacing voters is an ordinary change. It takes two steps, by joint consensus
+// (D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6): first the old and
+// the new voter set are both in force and a quorum needs a majority of each, then the old set is dropped. See Reconfigure
+// and LeaveJoint. ControlState.Epoch counts the changes of voters, ControlState.Version counts all changes.
 //
 // # Durability
 //
-// An acceptor answers only what is on its disk, synced:
+// An acceptor syncs its state to disk before it replies:
 //
-//   - a granted prepare: the proposal number is saved before the reply, because it promises to reject lower ones;
-//   - an accept: the value and its proposal number are saved before the reply and before local readers see the value;
-//   - a save that failed may still have left its bytes on disk. Before the next prepare is granted the known state is
-//     written again, so that no unacknowledged value can reappear after a restart behind the proposer's back.
+//   - Prepare: the proposal number is saved before the prepare is granted, because the grant promises to reject lower
+//     numbers.
+//   - Accept: the value and its proposal number are saved before the reply is sent and before local readers see the value.
+//   - A failed save may still have left its bytes on disk. The known state is written again before the next prepare is
+//     granted; otherwise a value that was never acknowledged, and that no reply mentioned, could reappear after a restart.
 //
-// A prepare with proposal number zero is a query: it promises nothing and touches no disk.
+// A prepare with proposal number zero is a query: it promises nothing and does not access the disk.
 //
 // # Lost disks
 //
-// Every acceptor votes under an identity that is stored with its state. An acceptor whose disk is empty, damaged or
-// misses a file draws a new identity and answers requests for the old one with WrongIdentity: it has forgotten what it
-// promised and accepted, so it must not vote as the node that it was. It becomes a voter again by a change of voters.
-// Only at the first start of the whole system do identities and the initial value follow from the seed addresses alone,
-// so that all coordinators agree on them without communication.
+// Every acceptor votes under an identity that is stored with its state. An acceptor whose disk is empty or corrupted, or
+// lacks a file, generates a new identity and replies WrongIdentity to requests for the old one: it has lost what it
+// promised and accepted, so it must not vote under the old identity. A change of voters makes it a voter again. Only at
+// the first start of the cluster are identities and the initial value derived from the seed addresses alone, so that
+// all coordinators agree on them without communication.
 package register
--- a/internal/tier/register/duplicate_messages_test.go
+++ b/internal/tier/register/duplicate_messages_test.go
@@ -10,15 +10,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// delivery is one message of a proposal in flight to an acceptor.
+// delivery is one message of a proposal, a prepare or an accept, that reaches an acceptor.
 type delivery struct {
 	counter uint64
 	accept  bool
 }
 
-// TestDuplicateAndLateMessages: prepares and accepts of several proposals reach an acceptor twice, late and in any order, with
-// restarts in between. Prepared numbers never decrease, an accepted value is never reverted, a proposal number has one value,
-// and a duplicate request gets the same reply as the first or is rejected.
+// TestDuplicateAndLateMessages: prepares and accepts of several proposals reach an acceptor repeatedly, late and in any
+// order, with restarts in between. The prepared number never decreases, an accepted value is never reverted to an older
+// one, and a duplicate request gets the same reply as the first one or is rejected.
 func TestDuplicateAndLateMessages(t *testing.T) {
 	const proposals, seeds = 4, 200
 	for seed := range uint64(seeds) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestDuplicateAcceptIsAcknowledgedAgain: a duplicate accept gets the same reply, and one for another identity is rejected.
+// TestDuplicateAcceptIsAcknowledgedAgain: a duplicate accept gets the same reply. One for another identity is rejected.
 func TestDuplicateAcceptIsAcknowledgedAgain(t *testing.T) {
 	acceptor := openOn(t, standaloneMachine(1), true)
 	assert.Assert(t, acceptor.prepareFor(5).Prepared)
--- a/internal/tier/register/failpoints_test.go
+++ b/internal/tier/register/failpoints_test.go
@@ -13,11 +13,11 @@
 	"pulleygw.example/pulleygw/internal/tier/failpoint"
 )
 
-// fault is the fault that happens at a failpoint.
+// fault is a kind of fault that is injected at a failpoint.
 type fault struct {
 	name string
-	// hit is called with the member that passed the failpoint, which is killed already.
-	hit func(c *cluster, victim *member)
+	// inject injects the fault. The victim is the member that has passed the failpoint; its process is already killed.
+	inject func(c *cluster, victim *member)
 }
 
 var faults = []fault{
@@ -44,20 +44,21 @@
 		for _, m := range c.members {
 			m.machine.PowerLoss()
 		}
-		c.other(victim).machine.Wipe()
+		c.otherSeed(victim).machine.Wipe()
 	}},
 }
 
-// other returns a seed other than the member.
-func (c *cluster) other(than *member) *member {
+// otherSeed returns a seed that is not the given member.
+func (c *cluster) otherSeed(than *member) *member {
 	if c.members[1] == than {
 		return c.members[2]
 	}
 	return c.members[1]
 }
 
-// TestFaultAtEveryFailpoint stops a process, the proposer's or a voter's, at each failpoint with each kind of fault. What
-// was acknowledged before or then is kept, and a retry of the same change is acknowledged.
+// TestFaultAtEveryFailpoint stops a process, that of the proposer or of another voter, at each failpoint with each kind of
+// fault. An acknowledged change must not be lost, one reported as not executed must not take effect, and a retry of the
+// same change must be acknowledged.
 func TestFaultAtEveryFailpoint(t *testing.T) {
 	for point := failpoint.PrepareSending; point <= failpoint.LastRegisterPoint; point++ {
 		for _, fault := range faults {
@@ -72,23 +73,23 @@
 
 func testFault(t *testing.T, point failpoint.Point, fault fault, victim int) {
 	t.Helper()
-	c := newCluster(t, uint64(point), 3, 4, calm)
+	c := newCluster(t, uint64(point), 3, 4, reliableLinks)
 	c.members[0].mustPut(0, 1)
 	<-time.After(time.Second) // accepts in flight have arrived
-	happened := c.arm(c.members[victim], point, fault)
+	happened := c.injectAt(c.members[victim], point, fault)
 	_, err := c.members[0].put(2*time.Second, 1, 2)
 	if voters := c.changeVoters(c.members[0]); voters != nil {
-		t.Logf("change of voters: %v", voters)
+		t.Logf("changing the voters: %v", voters)
 	}
 	c.members[victim].stopWhen(nil)
-	c.revive()
+	c.restartAll()
 	assert.Assert(t, happened() || err == nil)
 	generation := c.members[3].mustRead().Configuration.Generation
 	switch {
 	case err == nil:
 		assert.Equal(t, generation, uint64(2), "acknowledged, but lost")
 	case errors.Is(err, ErrUnavailable):
-		assert.Equal(t, generation, uint64(1), "in force, although reported as not executed")
+		assert.Equal(t, generation, uint64(1), "took effect, although reported as not executed")
 	default:
 		assert.ErrorIs(t, err, ErrUncertain)
 	}
@@ -97,9 +98,9 @@
 	assert.Equal(t, c.members[1].mustRead().Configuration.Generation, uint64(2))
 }
 
-// arm makes a fault happen when a member passes a failpoint for the first time. The returned function reports whether it
+// injectAt injects a fault when a member passes a failpoint for the first time. The returned function reports whether that
 // has happened.
-func (c *cluster) arm(victim *member, point failpoint.Point, fault fault) (happened func() bool) {
+func (c *cluster) injectAt(victim *member, point failpoint.Point, fault fault) (happened func() bool) {
 	var mu sync.Mutex
 	done := false
 	victim.stopWhen(func(passed failpoint.Point) bool {
@@ -110,7 +111,7 @@
 		}
 		done = true
 		victim.machine.Kill()
-		fault.hit(c, victim)
+		fault.inject(c, victim)
 		return true
 	})
 	return func() bool {
--- a/internal/tier/register/faults_test.go
+++ b/internal/tier/register/faults_test.go
@@ -16,23 +16,23 @@
 
 func TestFrozenProposerResumesWithAnOutdatedProposal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 4)
-		sleeper := c.members[3]
-		sleeper.stopWhen(func(point failpoint.Point) bool {
+		c := newReliableCluster(t, 3, 4)
+		frozen := c.members[3]
+		frozen.stopWhen(func(point failpoint.Point) bool {
 			if point == failpoint.PrepareDone {
-				sleeper.machine.Freeze()
+				frozen.machine.Freeze()
 			}
 			return false
 		})
 		results := make(chan error, 1)
 		go func() {
-			_, err := sleeper.put(time.Minute, 0, 1)
+			_, err := frozen.put(time.Minute, 0, 1)
 			results <- err
 		}()
 		<-time.After(100 * time.Millisecond)
-		sleeper.stopWhen(nil)
+		frozen.stopWhen(nil)
 		c.members[0].mustPut(0, 2)
-		sleeper.machine.Thaw()
+		frozen.machine.Thaw()
 		assert.ErrorIs(t, <-results, errConflict)
 		assert.Equal(t, c.members[1].mustRead().Configuration.Generation, uint64(2))
 	})
@@ -40,7 +40,7 @@
 
 func TestChangeWithLostReplyIsAcknowledgedOnRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 4)
+		c := newReliableCluster(t, 3, 4)
 		proposer := c.members[3]
 		proposer.stopWhen(func(point failpoint.Point) bool {
 			if point == failpoint.AcceptSending { // accepts arrive, their replies do not
@@ -57,14 +57,14 @@
 		assert.ErrorIs(t, err, errConflict)
 		c.members[1].mustPut(1, 2)
 		_, err = c.members[2].put(5*time.Second, 0, 1)
-		assert.NilError(t, err, "committed, also behind a later version")
+		assert.NilError(t, err, "the change was committed, before a later one")
 	})
 }
 
 func TestOneWayPartitionOfOneVoter(t *testing.T) {
 	for _, receives := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCalmCluster(t, 3, 3)
+			c := newReliableCluster(t, 3, 3)
 			isolated := c.members[2].machine.Address()
 			for _, m := range c.members[:2] {
 				c.network.Partition(m.machine.Address(), isolated, !receives)
@@ -72,7 +72,7 @@
 			}
 			c.members[0].mustPut(0, 1)
 			_, err := c.members[2].put(2*time.Second, 0, 9)
-			assert.Assert(t, err != nil && !errors.Is(err, errConflict), "without a quorum the outcome is unknown: %v", err)
+			assert.Assert(t, err != nil && !errors.Is(err, errConflict), "without a quorum there can be no definite result: %v", err)
 			c.network.Heal()
 			<-time.After(5 * time.Second)
 			generation := c.members[2].mustRead().Configuration.Generation
@@ -85,18 +85,18 @@
 func TestSlowOrDeadVoterDoesNotDelayAChange(t *testing.T) {
 	faults := map[string]func(*member){
 		"frozen":    func(m *member) { m.machine.Freeze() },
-		"dark":      func(m *member) { m.machine.PowerLoss() },
+		"no power":  func(m *member) { m.machine.PowerLoss() },
 		"slow disk": func(m *member) { m.machine.Disk.SetFault(simulation.DiskFault{SyncDelay: 3 * time.Second}) },
 	}
 	for name, setFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCalmCluster(t, 3, 3)
+				c := newReliableCluster(t, 3, 3)
 				setFault(c.members[2])
 				began := time.Now() // simulated time, in which only simulated delays count
 				c.members[0].mustPut(0, 1)
 				elapsed := time.Since(began)
-				assert.Assert(t, elapsed < 4*2*calm.MaxDelay, "both phases took %s", elapsed)
+				assert.Assert(t, elapsed < 4*2*reliableLinks.MaxDelay, "both phases took %s", elapsed)
 			})
 		})
 	}
@@ -104,7 +104,7 @@
 
 func TestConflictIsBasedOnAChosenValue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 4)
+		c := newReliableCluster(t, 3, 4)
 		writer := c.members[3]
 		writer.stopWhen(func(point failpoint.Point) bool {
 			if point == failpoint.AcceptSending { // only one acceptor gets the value
@@ -125,13 +125,13 @@
 		assert.ErrorIs(t, err, errConflict)
 		survivor.machine.Wipe()
 		c.members[2].start(false)
-		assert.Equal(t, c.members[1].mustRead().Configuration.GetGeneration(), uint64(1), "the conflict was based on a value that is lost")
+		assert.Equal(t, c.members[1].mustRead().Configuration.GetGeneration(), uint64(1), "the conflict was based on a value that was lost later")
 	})
 }
 
 func TestConcurrentProposersAllComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 5)
+		c := newReliableCluster(t, 3, 5)
 		results := make(chan error, len(c.members))
 		for i, m := range c.members {
 			go func() {
@@ -161,14 +161,14 @@
 func TestFullOrFailingDiskOfOneVoterIsTolerated(t *testing.T) {
 	for _, fault := range []simulation.DiskFault{{Full: true}, {SyncFails: true}} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCalmCluster(t, 3, 3)
+			c := newReliableCluster(t, 3, 3)
 			faulty := c.members[2]
 			faulty.machine.Disk.SetFault(fault)
 			c.members[0].mustPut(0, 1)
 			faulty.mustPut(1, 2) // as proposer, with the other two as voters
 			number := &tierpb.ProposalNumber{Counter: 1000, Proposer: 1}
 			request := &tierpb.PrepareRequest{Identity: faulty.currentAcceptor().Identity(), Proposal: number}
-			assert.Assert(t, !faulty.currentAcceptor().Prepare(request).Prepared, "a prepare that is not on disk")
+			assert.Assert(t, !faulty.currentAcceptor().Prepare(request).Prepared, "a prepare was granted that is not on disk")
 			faulty.machine.Disk.SetFault(simulation.DiskFault{})
 			assert.Assert(t, faulty.currentAcceptor().Prepare(request).Prepared)
 			c.members[1].machine.PowerLoss()
@@ -179,7 +179,7 @@
 
 func TestAllProcessesKilledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 3)
+		c := newReliableCluster(t, 3, 3)
 		c.members[0].mustPut(0, 1)
 		for round := range 5 {
 			for _, m := range c.members {
@@ -189,17 +189,17 @@
 					m.machine.PowerLoss()
 				}
 			}
-			c.revive()
+			c.restartAll()
 			c.members[round%3].mustPut(uint64(round+1), uint64(round+2))
 		}
 	})
 }
 
-// TestSlowDisksOfAllVotersAreWaitedFor: each phase takes longer than a call's time-out, and a new proposal number for
-// each retry would only add work for the disks.
-func TestSlowDisksOfAllVotersAreWaitedFor(t *testing.T) {
+// TestChangeSucceedsOnSlowDisksOfAllVoters: on slow disks each phase takes longer than the timeout of a call. Retries must keep
+// the proposal number, because each new number would mean more disk writes.
+func TestChangeSucceedsOnSlowDisksOfAllVoters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 3)
+		c := newReliableCluster(t, 3, 3)
 		for _, m := range c.members {
 			m.machine.Disk.SetFault(simulation.DiskFault{SyncDelay: 450 * time.Millisecond})
 		}
@@ -210,10 +210,10 @@
 
 func TestLostMessageIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 4)
-		traits := calm
-		traits.LossRate = 0.4
-		c.network.SetConditions(traits)
+		c := newReliableCluster(t, 3, 4)
+		conditions := reliableLinks
+		conditions.LossRate = 0.4
+		c.network.SetConditions(conditions)
 		for generation := range uint64(20) {
 			c.members[3].mustPut(generation, generation+1)
 		}
@@ -222,10 +222,10 @@
 
 func TestSingleVoterKeepsItsValue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 1, 1)
+		c := newReliableCluster(t, 1, 1)
 		c.members[0].mustPut(0, 1)
 		c.members[0].machine.PowerLoss()
-		c.revive()
+		c.restartAll()
 		assert.Equal(t, c.members[0].mustRead().Configuration.Generation, uint64(1))
 		c.members[0].mustPut(1, 2)
 	})
--- a/internal/tier/register/folder_size_test.go
+++ b/internal/tier/register/folder_size_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// countingDisk counts what an acceptor reads and writes when it starts.
+// countingDisk counts the disk operations of an acceptor when it starts.
 type countingDisk struct {
 	storage.Disk
 	lists, reads, bytes, written int
@@ -34,11 +34,11 @@
 	return s.Disk.Create(path)
 }
 
-// TestAcceptorDiskAndStartCostDoNotGrow logs and bounds the files of an acceptor and the cost of its start after hundreds
-// and thousands of changes of 350 routes.
+// TestAcceptorDiskAndStartCostDoNotGrow logs and bounds the size of an acceptor's files and the cost of its start, after 500
+// and after 5000 changes of a configuration of 350 routes.
 func TestAcceptorDiskAndStartCostDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, 1, 1, calm)
+		c := newCluster(t, 1, 1, 1, reliableLinks)
 		m := c.members[0]
 		value := &tierpb.ControlState{Voters: InitialState(c.seeds).Voters, Configuration: &tierpb.Configuration{}}
 		for change := uint64(1); change <= 5000; change++ {
--- a/internal/tier/register/helpers_test.go
+++ b/internal/tier/register/helpers_test.go
@@ -14,10 +14,10 @@
 
 var testSeeds = []string{"10.0.0.1:7380", "10.0.0.2:7380", "10.0.0.3:7380"}
 
-// standaloneMachine returns a machine of which only the disk is used.
+// standaloneMachine returns a machine without a running network, for tests that need only its disk.
 func standaloneMachine(seed uint64) *simulation.Machine {
 	random := rand.New(rand.NewPCG(seed, 0))
-	return simulation.NewNetwork(random, calm).NewMachine(testSeeds[0], random)
+	return simulation.NewNetwork(random, reliableLinks).NewMachine(testSeeds[0], random)
 }
 
 func openOn(t *testing.T, machine *simulation.Machine, bootstrap bool) *Acceptor {
@@ -53,7 +53,7 @@
 	return a.Accept(&tierpb.AcceptRequest{Identity: a.identity, Proposal: proposalNumber(counter), Value: valueOf(generation)})
 }
 
-// largeConfiguration is about as long as a configuration of 350 routes.
+// largeConfiguration returns a configuration about as long as one of 350 routes.
 func largeConfiguration(generation uint64) *tierpb.Configuration {
 	route := []byte(`{"name":"r-%d","hostname":"host%d.example","pathPrefix":"/prefix%d/","kind":"streaming","timeoutMs":5000,` +
 		`"targetLatencyMs":250,"priority":0,"backend":"service-a","maxAttempts":2,"retained":true,"retentionS":60.0,` +
--- a/internal/tier/register/linearizability_model_test.go
+++ b/internal/tier/register/linearizability_model_test.go
@@ -12,7 +12,7 @@
 	from, to uint64
 }
 
-// outcome is the answer to an operation.
+// outcome is the result of an operation as the client sees it.
 type outcome struct {
 	generation  uint64
 	conflict    bool
@@ -20,23 +20,23 @@
 	notExecuted bool
 }
 
-// registerModel is a compare-and-swap register of generations. A change with an unknown outcome may take effect
-// at any time until the end of the history; one that was abandoned before a value was sent never does.
+// registerModel is a compare-and-swap register whose values are generations. A change with an unknown outcome may take
+// effect at any time until the end of the history; a change that failed before a value was sent never does.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		current, request, answer := state.(uint64), input.(operation), output.(outcome)
+		current, request, result := state.(uint64), input.(operation), output.(outcome)
 		switch {
-		case answer.notExecuted:
+		case result.notExecuted:
 			return true, current
 		case request.read:
-			return answer.unknown || answer.generation == current, current
-		case answer.unknown:
+			return result.unknown || result.generation == current, current
+		case result.unknown:
 			if current == request.from {
 				return true, request.to
 			}
 			return true, current
-		case answer.conflict:
+		case result.conflict:
 			return current != request.from, current
 		}
 		return current == request.from, request.to
--- a/internal/tier/register/linearizability_test.go
+++ b/internal/tier/register/linearizability_test.go
@@ -25,10 +25,10 @@
 	seedCount = flag.Int("seeds", 60, "number of random schedules")
 )
 
-// Simulated time of a random schedule with faults, and of the recovery afterwards.
+// Simulated time for which a random schedule injects faults, and the bound of the recovery afterwards.
 const (
-	faultTime    = 20 * time.Second
-	recoveryTime = 60 * time.Second
+	faultDuration   = 20 * time.Second
+	recoveryTimeout = 60 * time.Second
 )
 
 // schedule is one random run of operations and faults.
@@ -36,12 +36,12 @@
 	*cluster
 	mu         sync.Mutex
 	history    []porcupine.Operation
-	next       uint64 // next generation to put
-	newest     uint64 // generation seen last
+	next       uint64 // generation of the last change sent
+	newest     uint64 // generation of the last successful operation
 	wiped      identitySet
-	wipedAt    time.Time
+	wipedAt    time.Time // time of the last wipe
 	planned    []plannedVoters
-	recovering bool
+	recovering bool // failpoints no longer stop processes
 }
 
 // plannedVoters is a voter set that a proposer may be about to propose.
@@ -50,20 +50,20 @@
 	nodes []*tierpb.Node
 }
 
-// planTime bounds how long a plan may be in flight.
-const planTime = 20 * time.Second
+// planTimeout bounds how long a planned voter set may still be proposed.
+const planTimeout = 20 * time.Second
 
-// wipeInterval is the minimum time between two disk losses: a machine counts as lost until it has caught up.
+// wipeInterval is the minimum time between two disk losses, in which the wiped machine can catch up.
 const wipeInterval = 5 * time.Second
 
-// TestRandomSchedulesAreLinearizable runs changes, reads and changes of voters during kills, losses of power and
-// disks, partitions, freezes and full disks, and checks that every history is linearizable.
+// TestRandomSchedulesAreLinearizable runs changes, reads and changes of voters during kills, power losses, disk losses,
+// partitions, freezes and full disks, and checks that every history is linearizable.
 func TestRandomSchedulesAreLinearizable(t *testing.T) {
 	count := *seedCount
 	if testing.Short() {
 		count = min(count, 40)
 	}
-	var sum tally
+	var sum scheduleStats
 	for i := range count {
 		seed := *firstSeed + uint64(i)
 		synctest.Test(t, func(t *testing.T) { runSchedule(t, seed, &sum) })
@@ -74,15 +74,15 @@
 	t.Logf("%d schedules: %+v", count, sum)
 }
 
-// tally counts what happened in the schedules, so that a run in which nothing happens is noticed.
-type tally struct {
+// scheduleStats counts what happened in the schedules. The log shows whether the faults and operations really took place.
+type scheduleStats struct {
 	Done, Conflicts, Unknown, Unavailable, Reads int
 	Kills, PowerLosses, Wipes, Replaced, Stops   int
 	Versions, Epochs                             uint64
 	Undecided                                    int // histories that porcupine could not decide in time
 }
 
-func runSchedule(t *testing.T, seed uint64, sum *tally) {
+func runSchedule(t *testing.T, seed uint64, sum *scheduleStats) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
@@ -91,16 +91,16 @@
 	}()
 	random := rand.New(rand.NewPCG(seed, 0))
 	count := 3 + random.IntN(4)
-	traits := simulation.LinkConditions{
+	conditions := simulation.LinkConditions{
 		MinDelay: 500 * time.Microsecond, MaxDelay: 10 * time.Millisecond,
 		LossRate: random.Float64() * 0.1, LateRate: random.Float64() * 0.1, MaxLateDelay: 3 * time.Second, DuplicateRate: random.Float64() * 0.1,
 	}
-	s := &schedule{cluster: newCluster(t, seed, 3, count, traits), wiped: identitySet{}}
+	s := &schedule{cluster: newCluster(t, seed, 3, count, conditions), wiped: identitySet{}}
 	s.random = random
 	if random.IntN(2) == 0 {
 		s.stopAtFailpoints(sum, random.Float64()*0.01)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), faultTime)
+	ctx, cancel := context.WithTimeout(t.Context(), faultDuration)
 	defer cancel()
 	var clients sync.WaitGroup
 	for i := range 2 + random.IntN(4) {
@@ -118,7 +118,7 @@
 }
 
 // stopAtFailpoints stops processes at random failpoints.
-func (s *schedule) stopAtFailpoints(sum *tally, share float64) {
+func (s *schedule) stopAtFailpoints(sum *scheduleStats, share float64) {
 	for i, m := range s.members {
 		random := rand.New(rand.NewPCG(uint64(i), math.Float64bits(share)))
 		var mu sync.Mutex
@@ -137,7 +137,7 @@
 }
 
 // runClient puts and reads at random members until ctx ends.
-func (s *schedule) runClient(ctx context.Context, number int, random *rand.Rand, sum *tally) {
+func (s *schedule) runClient(ctx context.Context, number int, random *rand.Rand, sum *scheduleStats) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(random.IntN(300)) * time.Millisecond)
 		m := s.members[random.IntN(len(s.members))]
@@ -147,26 +147,26 @@
 	}
 }
 
-func (s *schedule) operate(number int, m *member, random *rand.Rand, sum *tally) {
+func (s *schedule) operate(number int, m *member, random *rand.Rand, sum *scheduleStats) {
 	limit := time.Duration(200+random.IntN(3000)) * time.Millisecond
 	request := operation{read: random.IntN(3) == 0}
 	if !request.read {
 		request.from, request.to = s.nextGenerations(random)
 	}
 	called := time.Now()
-	var answer outcome
+	var result outcome
 	var err error
 	if request.read {
 		var state *tierpb.ControlState
 		state, err = m.read(limit)
-		answer.generation = state.GetConfiguration().GetGeneration()
+		result.generation = state.GetConfiguration().GetGeneration()
 	} else {
-		answer.generation, err = m.put(limit, request.from, request.to)
+		result.generation, err = m.put(limit, request.from, request.to)
 	}
-	s.record(number, request, answer, err, called, sum)
+	s.record(number, request, result, err, called, sum)
 }
 
-// nextGenerations returns the generations of a change, mostly on top of the newest.
+// nextGenerations returns the generations of the next change. Most changes are based on the newest generation.
 func (s *schedule) nextGenerations(random *rand.Rand) (from, to uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,37 +178,37 @@
 	return from, s.next
 }
 
-func (s *schedule) record(number int, request operation, answer outcome, err error, called time.Time, sum *tally) {
+func (s *schedule) record(number int, request operation, result outcome, err error, called time.Time, sum *scheduleStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := time.Now().UnixNano()
 	switch {
 	case err == nil && request.read:
 		sum.Reads++
-		s.newest = answer.generation
+		s.newest = result.generation
 	case err == nil:
 		sum.Done++
 		s.newest = request.to
 	case errors.Is(err, errConflict):
-		answer.conflict = true
+		result.conflict = true
 		sum.Conflicts++
 	case errors.Is(err, ErrUncertain):
-		answer.unknown = true
+		result.unknown = true
 		ended = math.MaxInt64
 		sum.Unknown++
 	case errors.Is(err, ErrUnavailable):
-		answer.notExecuted = true
+		result.notExecuted = true
 		sum.Unavailable++
 	default:
 		assert.NilError(s.t, err)
 	}
 	s.history = append(s.history, porcupine.Operation{
-		ClientId: number, Input: request, Call: called.UnixNano(), Output: answer, Return: ended,
+		ClientId: number, Input: request, Call: called.UnixNano(), Output: result, Return: ended,
 	})
 }
 
-// replaceVoters changes voters, as placement lease holders do, sometimes two at once.
-func (s *schedule) replaceVoters(ctx context.Context, random *rand.Rand, sum *tally) {
+// replaceVoters changes voters as placement lease holders do, sometimes two of them concurrently.
+func (s *schedule) replaceVoters(ctx context.Context, random *rand.Rand, sum *scheduleStats) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
 		m := s.members[random.IntN(len(s.members))]
@@ -234,7 +234,7 @@
 	}
 }
 
-// planVoters chooses voters and records the choice, so that no disk is wiped on which it relies.
+// planVoters chooses voters and records the choice, so that wipe spares the disks on which it relies.
 func (s *schedule) planVoters(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,18 +243,18 @@
 	return nodes
 }
 
-// nextVoters replaces one voter, a wiped one where there is one. At times it adds or drops two, so that the number stays
-// odd.
+// nextVoters returns voters in which one is replaced, preferably a wiped one. Sometimes it adds or drops two, so that the
+// number stays odd.
 func (s *schedule) nextVoters(state *tierpb.ControlState, random *rand.Rand) []*tierpb.Node {
 	set := state.Voters[len(state.Voters)-1].Nodes
 	nodes := append([]*tierpb.Node{}, set...)
-	present := identitySet{}
+	alreadyVoters := identitySet{}
 	for _, node := range nodes {
-		present.add(node.Identity)
+		alreadyVoters.add(node.Identity)
 	}
 	var fresh []*tierpb.Node
 	for _, m := range s.members {
-		if node := m.node(); m.machine.Running() && !present.has(node.Identity) {
+		if node := m.node(); m.machine.Running() && !alreadyVoters.has(node.Identity) {
 			fresh = append(fresh, node)
 		}
 	}
@@ -275,7 +275,7 @@
 }
 
 // injectFaults injects random faults until ctx ends.
-func (s *schedule) injectFaults(ctx context.Context, sum *tally) {
+func (s *schedule) injectFaults(ctx context.Context, sum *scheduleStats) {
 	for ctx.Err() == nil {
 		<-time.After(time.Duration(s.random.IntN(800)) * time.Millisecond)
 		m := s.members[s.random.IntN(len(s.members))]
@@ -315,8 +315,8 @@
 	}
 }
 
-// failAll kills all processes, or cuts all power, at the same moment; one disk may be lost with it.
-func (s *schedule) failAll(sum *tally) {
+// failAll kills all processes, or cuts the power of all machines, at the same moment. One disk may be lost as well.
+func (s *schedule) failAll(sum *scheduleStats) {
 	powerLoss := s.random.IntN(2) == 0
 	for _, m := range s.members {
 		if powerLoss {
@@ -339,7 +339,7 @@
 	}
 }
 
-// thawAndStart lets some members, or all, run again.
+// thawAndStart thaws and restarts all members, or a random half of them.
 func (s *schedule) thawAndStart(all bool) {
 	for _, m := range s.members {
 		if !all && s.random.IntN(2) == 0 {
@@ -352,8 +352,9 @@
 	}
 }
 
-// wipe empties a disk if every voter set that any member has accepted keeps a majority of its identities.
-func (s *schedule) wipe(m *member, sum *tally) {
+// wipe empties a disk, unless the last wipe was too recent or a voter set that any member knows, has accepted or plans would
+// lose its majority.
+func (s *schedule) wipe(m *member, sum *scheduleStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lostIdentity := m.currentAcceptor().Identity()
@@ -370,7 +371,7 @@
 	}
 	for _, plan := range s.planned {
 		set := []*tierpb.VoterSet{{Nodes: plan.nodes}}
-		if time.Since(plan.at) < planTime && !HasQuorum(set, func(identity uint64) bool { return !lost(identity) }) {
+		if time.Since(plan.at) < planTimeout && !HasQuorum(set, func(identity uint64) bool { return !lost(identity) }) {
 			return
 		}
 	}
@@ -380,13 +381,13 @@
 	m.machine.Wipe()
 }
 
-// recoverAll ends all faults; the register must then be readable and changeable everywhere.
-func (s *schedule) recoverAll(sum *tally) {
+// recoverAll ends all faults. Every member must then be able to read and change the register.
+func (s *schedule) recoverAll(sum *scheduleStats) {
 	s.mu.Lock()
 	s.recovering = true
 	s.mu.Unlock()
 	s.network.Heal()
-	s.network.SetConditions(calm)
+	s.network.SetConditions(reliableLinks)
 	for _, m := range s.members {
 		m.machine.Disk.SetFault(simulation.DiskFault{})
 		m.machine.Thaw()
@@ -394,8 +395,8 @@
 			m.start(false)
 		}
 	}
-	<-time.After(5 * time.Second) // operations in flight complete
-	s.share()
+	<-time.After(5 * time.Second) // operations in flight end
+	s.shareNewestState()
 	s.finalPut(sum)
 	first := s.members[0].mustRead()
 	for i, m := range s.members {
@@ -408,9 +409,9 @@
 	sum.Epochs += first.Epoch
 }
 
-// finalPut puts a generation on top of the current one. An earlier change with an unknown outcome may still take effect
-// before it, and none after it.
-func (s *schedule) finalPut(sum *tally) {
+// finalPut makes one last change. An earlier change with an unknown outcome may still take effect before it, and none can
+// after it.
+func (s *schedule) finalPut(sum *scheduleStats) {
 	m := s.members[len(s.members)-1]
 	for range 10 {
 		from := m.mustRead().Configuration.GetGeneration()
@@ -423,7 +424,7 @@
 		}
 		assert.ErrorIs(s.t, err, errConflict)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), recoveryTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recoveryTimeout)
 	defer cancel()
 	_, err := LeaveJoint(ctx, m.currentProposer())
 	assert.NilError(s.t, err)
--- a/internal/tier/register/observed.go
+++ b/internal/tier/register/observed.go
@@ -4,9 +4,9 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// startState returns the newest state that this process knows; its voters are asked first. The choice decides nothing:
-// the replies name the voters that count.
-func (p *Proposer) startState() *tierpb.ControlState {
+// newestKnownState returns the newest state that this process knows, whose voters are contacted first. It is safe if that
+// state is outdated, because the replies contain the voters in force.
+func (p *Proposer) newestKnownState() *tierpb.ControlState {
 	if p.options.KnownState != nil {
 		p.observe(p.options.KnownState())
 	}
@@ -16,8 +16,8 @@
 	return p.newest
 }
 
-// observePrepared records the result of a prepare phase. A phase to which only a lagging acceptor replied finds an older
-// value than is known.
+// observePrepared records the result of a prepare phase. The result may be older than what is already known, if only lagging
+// acceptors replied.
 func (p *Proposer) observePrepared(prepared prepareResult) {
 	p.observe(prepared.value)
 	p.counter = max(p.counter, prepared.accepted.GetCounter())
@@ -47,12 +47,12 @@
 	}
 }
 
-// isEpochChosen reports whether some value with the voters of this epoch is known to be chosen.
+// isEpochChosen reports whether any value with the voters of this epoch is known to be chosen.
 func (p *Proposer) isEpochChosen(epoch uint64) bool {
 	return p.chosen != nil && p.chosen.GetEpoch() == epoch
 }
 
-// isNewer orders states by epoch and version.
+// isNewer compares states by epoch, then by version.
 func isNewer(state, than *tierpb.ControlState) bool {
 	if state.GetEpoch() != than.GetEpoch() {
 		return state.GetEpoch() > than.GetEpoch()
--- a/internal/tier/register/preemption_test.go
+++ b/internal/tier/register/preemption_test.go
@@ -8,20 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPreemptedProposerDoesNotWaitForAnUnreachableVoter: a proposer whose counter lags is rejected by one voter for a higher
-// proposal number, while another does not reply. It retries with a higher number instead of waiting for the reply.
+// TestPreemptedProposerDoesNotWaitForAnUnreachableVoter: one voter rejects a proposer whose counter lags, because it has
+// prepared a higher proposal number, while another voter does not reply. The proposer must retry with a higher number
+// instead of waiting for that reply.
 func TestPreemptedProposerDoesNotWaitForAnUnreachableVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 3)
-		behind, witness, ahead := c.members[0], c.members[1], c.members[2]
-		c.network.Partition(ahead.machine.Address(), behind.machine.Address(), true)
+		c := newReliableCluster(t, 3, 3)
+		lagging, common, leading := c.members[0], c.members[1], c.members[2]
+		c.network.Partition(leading.machine.Address(), lagging.machine.Address(), true)
 		for generation := range uint64(3) {
-			ahead.mustPut(generation, generation+1)
+			leading.mustPut(generation, generation+1)
 		}
-		c.network.Partition(ahead.machine.Address(), witness.machine.Address(), true)
-		assert.Assert(t, behind.currentAcceptor().HighestPrepared().GetCounter() < witness.currentAcceptor().HighestPrepared().GetCounter())
+		c.network.Partition(leading.machine.Address(), common.machine.Address(), true)
+		assert.Assert(t, lagging.currentAcceptor().HighestPrepared().GetCounter() < common.currentAcceptor().HighestPrepared().GetCounter())
 		began := time.Now()
-		behind.mustPut(3, 4)
+		lagging.mustPut(3, 4)
 		assert.Assert(t, time.Since(began) < defaultCallTimeout/4, "took %s", time.Since(began))
 	})
 }
--- a/internal/tier/register/prepare.go
+++ b/internal/tier/register/prepare.go
@@ -7,54 +7,54 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// rejectedWaitDivisor divides the call time-out into the time that a prepare phase goes on waiting for the remaining
-// voters after a rejection: a proposal with a higher number will be granted what this one was refused.
+// rejectedWaitDivisor divides the call timeout into the time for which a prepare phase still waits for the remaining voters
+// after a rejection. The wait is short because a retry with a higher proposal number can succeed.
 const rejectedWaitDivisor = 10
 
 // prepareResult is the result of a prepare phase.
 type prepareResult struct {
-	quorum           bool                   // a quorum of the voters of value has prepared the proposal
-	chosen           bool                   // a quorum of them holds value by one and the same proposal number
-	value            *tierpb.ControlState   // accepted at the highest proposal number among the granted prepares
-	accepted         *tierpb.ProposalNumber // that proposal number
-	highestRejection uint64                 // highest counter found in rejections, 0 without any
+	quorum           bool                   // a quorum of the voters in value has prepared the proposal
+	chosen           bool                   // a quorum of these voters has accepted value under the same proposal number
+	value            *tierpb.ControlState   // accepted under the highest proposal number among the granted prepares
+	accepted         *tierpb.ProposalNumber // the proposal number of value
+	highestRejection uint64                 // highest proposal counter named in a rejection; 0 without rejections
 }
 
-// prepareAnswer is the result of one prepare call.
-type prepareAnswer struct {
+// prepareResponse is the result of one prepare call.
+type prepareResponse struct {
 	from  uint64               // identity
-	reply *tierpb.PrepareReply // nil where the call failed
+	reply *tierpb.PrepareReply // nil if the call failed
 }
 
 // prepareTracker counts the replies to prepares.
 type prepareTracker struct {
-	initialVoters    []*tierpb.VoterSet // of the state whose voters were asked first
+	initialVoters    []*tierpb.VoterSet // contacted first
 	contacted        identitySet
-	rejected         identitySet // have prepared a higher proposal number, or cannot save one
-	pending          identitySet // contacted and not answered
-	prepared         map[uint64]*tierpb.ProposalNumber
-	best             *tierpb.PrepareReply // with a value, at the highest proposal number
+	rejected         identitySet                       // have prepared a higher proposal number, or could not save this one
+	pending          identitySet                       // contacted, without a response so far
+	prepared         map[uint64]*tierpb.ProposalNumber // accepted proposal numbers in granted prepares, by identity
+	best             *tierpb.PrepareReply              // the one whose value has the highest proposal number
 	highestRejection uint64
 }
 
-// prepare asks the voters of a state, and those that the replies name, to prepare this proposal. It returns once a quorum
-// of the voters of the value with the highest proposal number has done so, or none is possible; it does not wait for
-// slower voters.
+// prepare asks the voters in a state, and then the voters in the values that they return, to prepare this proposal. The
+// quorum counts among the voters in the value with the highest proposal number. prepare returns once there is a quorum or
+// none is possible; it does not wait for slower voters.
 func (p *proposal) prepare(ctx context.Context, start *tierpb.ControlState) prepareResult {
 	ctx, cancel := context.WithTimeout(ctx, callsPerPhase*p.callTimeout)
 	defer cancel()
-	answers := make(chan prepareAnswer)
+	responses := make(chan prepareResponse)
 	tracker := &prepareTracker{
 		initialVoters: start.GetVoters(), contacted: identitySet{}, rejected: identitySet{}, pending: identitySet{},
 		prepared: map[uint64]*tierpb.ProposalNumber{},
 	}
-	p.sendPrepares(ctx, tracker, start, answers)
+	p.sendPrepares(ctx, tracker, start, responses)
 	var rejectedTimeout <-chan time.Time
 	for len(tracker.pending) > 0 {
 		select {
-		case answer := <-answers:
-			if isNewBest := tracker.record(answer); isNewBest {
-				p.sendPrepares(ctx, tracker, tracker.best.Value, answers)
+		case response := <-responses:
+			if isNewBest := tracker.record(response); isNewBest {
+				p.sendPrepares(ctx, tracker, tracker.best.Value, responses)
 			}
 		case <-rejectedTimeout:
 			return tracker.result()
@@ -64,16 +64,16 @@
 		if rejectedTimeout == nil && tracker.highestRejection > 0 {
 			rejectedTimeout = time.After(p.callTimeout / rejectedWaitDivisor)
 		}
-		if tracker.isDecided() {
+		if tracker.isDone() {
 			return tracker.result()
 		}
 	}
 	return tracker.result()
 }
 
-// sendPrepares sends a prepare to each voter of a state that has not been contacted yet.
+// sendPrepares sends a prepare to each voter in a state that has not been contacted yet.
 func (p *proposal) sendPrepares(
-	ctx context.Context, tracker *prepareTracker, state *tierpb.ControlState, answers chan<- prepareAnswer,
+	ctx context.Context, tracker *prepareTracker, state *tierpb.ControlState, responses chan<- prepareResponse,
 ) {
 	for _, node := range VoterNodes(state) {
 		if tracker.contacted.has(node.GetIdentity()) {
@@ -84,26 +84,26 @@
 		go func() {
 			reply := p.callPrepare(ctx, node)
 			select {
-			case answers <- prepareAnswer{from: node.GetIdentity(), reply: reply}:
+			case responses <- prepareResponse{from: node.GetIdentity(), reply: reply}:
 			case <-ctx.Done():
 			}
 		}()
 	}
 }
 
-// record counts an answer and reports whether it carries a value of a higher proposal number than all before.
-func (t *prepareTracker) record(answer prepareAnswer) (isNewBest bool) {
-	delete(t.pending, answer.from)
-	reply := answer.reply
+// record counts a response and reports whether it has a value with a higher proposal number than all earlier responses.
+func (t *prepareTracker) record(response prepareResponse) (isNewBest bool) {
+	delete(t.pending, response.from)
+	reply := response.reply
 	if reply == nil || reply.WrongIdentity {
 		return false
 	}
 	if !reply.Prepared {
-		t.rejected.add(answer.from)
+		t.rejected.add(response.from)
 		t.highestRejection = max(t.highestRejection, reply.GetHighestPrepared().GetCounter())
 		return false
 	}
-	t.prepared[answer.from] = reply.Accepted
+	t.prepared[response.from] = reply.Accepted
 	if len(reply.GetValue().GetVoters()) == 0 {
 		return false
 	}
@@ -119,10 +119,10 @@
 	return found
 }
 
-// isDecided reports whether there is a quorum, or none is possible any more. While no value is known, rejections by the
-// initial voters can make a quorum impossible. Replies of another identity cannot, because a slower voter may name the
-// nodes that replaced them.
-func (t *prepareTracker) isDecided() bool {
+// isDone reports whether there is a quorum, or a quorum is no longer possible. While no value is known, only rejections by
+// the initial voters can make a quorum impossible. WrongIdentity replies cannot, because a slower voter may still return a
+// value that contains the nodes that replaced these voters.
+func (t *prepareTracker) isDone() bool {
 	if t.best == nil {
 		return len(t.rejected) > 0 &&
 			!HasQuorum(t.initialVoters, func(identity uint64) bool { return !t.rejected.has(identity) })
--- a/internal/tier/register/proposal.go
+++ b/internal/tier/register/proposal.go
@@ -9,11 +9,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// callsPerPhase bounds the calls to a voter that does not reply in time. The proposal number stays the same, so a slow
-// disk does the work once, and the retry gets the reply when that is done.
+// callsPerPhase bounds the calls to a voter that does not reply in time. A retry has the same proposal number, so a slow
+// disk writes it only once, and the retry gets the reply as soon as that write is done.
 const callsPerPhase = 3
 
-// proposal is one proposal number of a proposer: a prepare phase, and an accept phase if it succeeds.
+// proposal runs the phases of one proposal number: a prepare phase and, if that succeeds, an accept phase.
 type proposal struct {
 	proposer    *Proposer
 	number      *tierpb.ProposalNumber
@@ -21,8 +21,8 @@
 	cached      acceptedValue
 }
 
-// acceptedValue is a value with the proposal number at which it was accepted. Voters need not send a value again that
-// the proposer has, for a proposal number has one value only.
+// acceptedValue is a value with the proposal number under which it was accepted. A proposer caches one, so that voters need
+// not send the same value again: a proposal number has only one value.
 type acceptedValue struct {
 	number *tierpb.ProposalNumber
 	value  *tierpb.ControlState
@@ -32,7 +32,7 @@
 	return &proposal{proposer: p, number: number, callTimeout: p.options.CallTimeout, cached: p.cachedValue}
 }
 
-// local returns the acceptor of this process where it is the node, otherwise nil.
+// local returns the acceptor of this process if it is the given node, otherwise nil.
 func (p *proposal) local(node *tierpb.Node) *Acceptor {
 	if local := p.proposer.options.Local; local != nil && local.Identity() == node.GetIdentity() {
 		return local
@@ -68,7 +68,8 @@
 	return reply
 }
 
-// call retries a call that times out until ctx ends; the RPC client has given up the silent connection by then.
+// call makes a call and repeats it after each timeout until ctx ends. The RPC client has closed an unresponsive connection
+// by the time of the retry.
 func (p *proposal) call(ctx context.Context, node *tierpb.Node, method rpc.Method, request, reply rpc.Message) error {
 	for {
 		limited, cancel := context.WithTimeout(ctx, p.callTimeout)
@@ -80,7 +81,7 @@
 	}
 }
 
-// isHigher reports whether a proposal number is above another; nil is the lowest.
+// isHigher reports whether a proposal number is higher than another; nil is the lowest.
 func isHigher(number, than *tierpb.ProposalNumber) bool {
 	if number.GetCounter() != than.GetCounter() {
 		return number.GetCounter() > than.GetCounter()
--- a/internal/tier/register/quorum.go
+++ b/internal/tier/register/quorum.go
@@ -10,8 +10,8 @@
 func (set identitySet) add(identity uint64)      { set[identity] = struct{}{} }
 func (set identitySet) has(identity uint64) bool { _, found := set[identity]; return found }
 
-// HasQuorum reports whether the identities for which has is true are a majority of each voter set. No voter sets have
-// no quorum.
+// HasQuorum reports whether the identities for which has returns true are a majority of each voter set. It is false if
+// there are no voter sets.
 func HasQuorum(voters []*tierpb.VoterSet, has func(identity uint64) bool) bool {
 	if len(voters) == 0 {
 		return false
@@ -30,7 +30,7 @@
 	return true
 }
 
-// VoterNodes returns the members of all voter sets of a state, each identity once, in the order of the sets.
+// VoterNodes returns the nodes in all voter sets of a state, each identity once, in the order of the sets.
 func VoterNodes(state *tierpb.ControlState) []*tierpb.Node {
 	var nodes []*tierpb.Node
 	seen := identitySet{}
@@ -45,7 +45,7 @@
 	return nodes
 }
 
-// IsVoter reports whether a state has an identity in one of its voter sets.
+// IsVoter reports whether one of the voter sets of a state contains an identity.
 func IsVoter(state *tierpb.ControlState, identity uint64) bool {
 	for _, node := range VoterNodes(state) {
 		if node.GetIdentity() == identity {
@@ -55,7 +55,7 @@
 	return false
 }
 
-// sameMembers reports whether two voter sets have the same identities.
+// sameMembers reports whether two voter sets contain the same identities.
 func sameMembers(one, other *tierpb.VoterSet) bool {
 	members := identitiesOf(one)
 	others := identitySet{}
--- a/internal/tier/register/read.go
+++ b/internal/tier/register/read.go
@@ -6,9 +6,9 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Read returns a value that was current at some moment of the call. Where a quorum of voters holds one and the same
-// accepted value, one round trip without a write to any disk is enough; otherwise the value is proposed again as it is.
-// The errors are those of Change.
+// Read returns a value that was current at some point during the call. If a quorum of voters has accepted the same value,
+// that takes one round trip and no disk write; otherwise the value is proposed again unchanged. The errors are those of
+// Change.
 func (p *Proposer) Read(ctx context.Context) (*tierpb.ControlState, error) {
 	if value := p.readChosen(ctx); value != nil {
 		return value, nil
@@ -16,8 +16,8 @@
 	return p.Change(ctx, func(*tierpb.ControlState) (*tierpb.ControlState, error) { return nil, nil })
 }
 
-// readChosen queries the voters without a prepare: a value that a quorum holds by one and the same proposal number is
-// chosen, and no value that was chosen before the call is newer. It returns nil where there is none.
+// readChosen queries the voters without a prepare. A value that a quorum has accepted under the same proposal number is
+// chosen, and no value that was chosen before the call is newer. It returns nil if there is no such value.
 func (p *Proposer) readChosen(ctx context.Context) *tierpb.ControlState {
 	if !p.lock(ctx) {
 		return nil
@@ -26,10 +26,10 @@
 	return p.readChosenLocked(ctx)
 }
 
-// readChosenLocked is readChosen for a caller that has locked the proposer.
+// readChosenLocked does the work of readChosen. The caller has locked the proposer.
 func (p *Proposer) readChosenLocked(ctx context.Context) *tierpb.ControlState {
 	query := p.newProposal(&tierpb.ProposalNumber{})
-	found := query.prepare(ctx, p.startState())
+	found := query.prepare(ctx, p.newestKnownState())
 	p.observePrepared(found)
 	if !found.chosen {
 		return nil
@@ -38,16 +38,16 @@
 	return found.value
 }
 
-// readDecided returns a chosen value on which a change is decided already, nil where none is known. The state that this
-// process knows tells first whether it is worth a round trip to query what is chosen now.
-func (p *Proposer) readDecided(ctx context.Context, isDecided func(*tierpb.ControlState) bool) *tierpb.ControlState {
-	if isDecided == nil || p.options.KnownState == nil {
+// readFinal returns a chosen value for which the result of a change is already final, nil if there is none. It queries the
+// voters only if the result is final for the state that this process knows.
+func (p *Proposer) readFinal(ctx context.Context, isFinal func(*tierpb.ControlState) bool) *tierpb.ControlState {
+	if isFinal == nil || p.options.KnownState == nil {
 		return nil
 	}
-	if known := p.options.KnownState(); known == nil || !isDecided(known) {
+	if known := p.options.KnownState(); known == nil || !isFinal(known) {
 		return nil
 	}
-	if value := p.readChosenLocked(ctx); value != nil && isDecided(value) {
+	if value := p.readChosenLocked(ctx); value != nil && isFinal(value) {
 		return value
 	}
 	return nil
--- a/internal/tier/register/reconfigure.go
+++ b/internal/tier/register/reconfigure.go
@@ -7,11 +7,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ChooseVotersFunc computes the next voters from the current state, of which the last voter set counts. Nil, or the same
-// voters, leaves them as they are.
+// ChooseVotersFunc computes the next voters from the current state, in which the last voter set is the newest. If it
+// returns nil or the same voters, nothing changes.
 type ChooseVotersFunc func(current *tierpb.ControlState) []*tierpb.Node
 
-// ChangeVoters makes the chosen nodes the voters and changes nothing else; see Reconfigure.
+// ChangeVoters replaces the voters with those that choose returns, and changes nothing else; see Reconfigure.
 func ChangeVoters(ctx context.Context, proposer *Proposer, choose ChooseVotersFunc) (*tierpb.ControlState, error) {
 	return Reconfigure(ctx, proposer, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		nodes := choose(current.CloneVT())
@@ -23,11 +23,12 @@
 	})
 }
 
-// Reconfigure applies a change that also replaces the voters: first the old and the new set are in force together, then
-// the new one alone. The new set must keep a majority of the old one, so that a choice that was based on outdated
-// knowledge cannot bring dead voters back; otherwise the error is ErrTransition. A reconfiguration that another proposer
-// has left incomplete is completed first, so the function finds one voter set only. Where it leaves that set as it is, or
-// returns an error, the value does not change. After a failure between the steps anybody may call LeaveJoint.
+// Reconfigure applies a change that also replaces the voters: first the old and the new voter set are both in force, then
+// only the new one. The new set must contain a majority of the old one, so that a choice that is based on outdated
+// knowledge cannot bring dead voters back; otherwise the error is ErrUnsafeVoterChange. A reconfiguration that another
+// proposer has left incomplete is completed first, so the change function always gets a single voter set. If it leaves
+// that set unchanged or returns an error, the value does not change. After a failure between the two steps any proposer
+// may call LeaveJoint to complete the reconfiguration.
 func Reconfigure(ctx context.Context, proposer *Proposer, change ChangeFunc) (*tierpb.ControlState, error) {
 	if _, err := LeaveJoint(ctx, proposer); err != nil {
 		return nil, err
@@ -47,8 +48,8 @@
 	return LeaveJoint(ctx, proposer)
 }
 
-// LeaveJoint drops the old voters where the voters are joint, once the joint value is chosen. It changes nothing
-// otherwise.
+// LeaveJoint completes a reconfiguration: if the value has an old and a new voter set, the old one is dropped once that
+// value is chosen. Otherwise it changes nothing.
 func LeaveJoint(ctx context.Context, proposer *Proposer) (*tierpb.ControlState, error) {
 	return proposer.Change(ctx, func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		if !isJoint(current) {
@@ -61,32 +62,33 @@
 
 func isJoint(state *tierpb.ControlState) bool { return len(state.GetVoters()) > 1 }
 
-// enterJoint applies a change and puts the voters that it chooses beside the present ones.
-func enterJoint(present *tierpb.VoterSet, current *tierpb.ControlState, change ChangeFunc) (*tierpb.ControlState, error) {
+// enterJoint applies a change and returns a value with two voter sets, the existing one and that of the change. It returns
+// nil if the change leaves the voters as they are.
+func enterJoint(existing *tierpb.VoterSet, current *tierpb.ControlState, change ChangeFunc) (*tierpb.ControlState, error) {
 	next, err := change(current)
-	if err != nil || len(next.GetVoters()) != 1 || sameMembers(present, next.Voters[0]) {
+	if err != nil || len(next.GetVoters()) != 1 || sameMembers(existing, next.Voters[0]) {
 		return nil, err
 	}
-	next.Voters = []*tierpb.VoterSet{present, next.Voters[0]}
+	next.Voters = []*tierpb.VoterSet{existing, next.Voters[0]}
 	return next, nil
 }
 
-// numberSuccessor checks the voters of the value that is to follow another, and sets its version and epoch.
-func numberSuccessor(current, next *tierpb.ControlState) (*tierpb.ControlState, error) {
+// setVersionAndEpoch sets the version and epoch of the next value. It fails if the change of voters is unsafe.
+func setVersionAndEpoch(current, next *tierpb.ControlState) (*tierpb.ControlState, error) {
 	next.Version = current.GetVersion() + 1
 	next.Epoch = current.GetEpoch()
 	if sameVoters(current.GetVoters(), next.GetVoters()) {
 		return next, nil
 	}
 	if !isSafeStep(current.GetVoters(), next.GetVoters()) {
-		return nil, ErrTransition
+		return nil, ErrUnsafeVoterChange
 	}
 	next.Epoch++
 	return next, nil
 }
 
-// isSafeStep reports whether voters may follow others in one change: one set may be joined by another that keeps a
-// majority of it, and of two sets the first may be dropped.
+// isSafeStep reports whether a single change may replace the voter sets in from with those in to. A second set may be added
+// if it contains a majority of the first, and the first of two sets may be dropped.
 func isSafeStep(from, to []*tierpb.VoterSet) bool {
 	switch {
 	case len(from) == 1 && len(to) == 2:
@@ -97,9 +99,9 @@
 	return false
 }
 
-// leavesJoint reports whether a step drops the old voters. It may be proposed only once the joint voters are known to be
-// chosen: on the ground of a joint value that one acceptor alone holds, the old and the new voters could each choose a
-// value of their own.
+// leavesJoint reports whether a change drops the old voters. Such a change may be proposed only once a value with both
+// voter sets is known to be chosen. If only a single acceptor held that value, the old voters, who do not know it, and the
+// new voters could choose different values.
 func leavesJoint(current, next *tierpb.ControlState) bool {
 	return len(current.GetVoters()) == 2 && len(next.GetVoters()) == 1
 }
@@ -116,7 +118,8 @@
 	return true
 }
 
-// sameContent reports whether a value equals another one except for version and epoch, which it sets to the other's.
+// sameContent reports whether two values are equal apart from version and epoch. It sets the version and epoch of next to
+// those of current.
 func sameContent(next, current *tierpb.ControlState) bool {
 	next.Version, next.Epoch = current.GetVersion(), current.GetEpoch()
 	return next.EqualVT(current)
--- a/internal/tier/register/reconfigure_test.go
+++ b/internal/tier/register/reconfigure_test.go
@@ -14,7 +14,7 @@
 
 func TestWipedVoterRejoinsUnderANewIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 3)
+		c := newReliableCluster(t, 3, 3)
 		c.members[0].mustPut(0, 1)
 		old := c.members[2].currentAcceptor().Identity()
 		c.members[2].machine.Wipe()
@@ -25,7 +25,7 @@
 		assert.Assert(t, acceptor.Prepare(&tierpb.PrepareRequest{Identity: old, Proposal: number}).WrongIdentity)
 		assert.Assert(t, acceptor.Accept(&tierpb.AcceptRequest{Identity: old, Proposal: number, Value: InitialState(c.seeds)}).WrongIdentity)
 		_, err := c.members[2].read(time.Second)
-		assert.ErrorIs(t, err, ErrUnavailable, "it knows nothing yet")
+		assert.ErrorIs(t, err, ErrUnavailable, "it does not know any voters yet")
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		state, err := ChangeVoters(ctx, c.members[0].currentProposer(), func(current *tierpb.ControlState) []*tierpb.Node {
@@ -38,10 +38,11 @@
 	})
 }
 
-// TestAllVotersReplacedOneByOne ends with voters none of which is a seed, and the old ones lost for good.
+// TestAllVotersReplacedOneByOne replaces every seed by another voter and wipes its disk. The register must stay available
+// with none of the first voters left.
 func TestAllVotersReplacedOneByOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 6)
+		c := newReliableCluster(t, 3, 6)
 		c.members[0].mustPut(0, 1)
 		for i := range 3 {
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -61,13 +62,13 @@
 
 func TestUnsafeChangesOfVotersAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 6)
+		c := newReliableCluster(t, 3, 6)
 		foreign := &tierpb.VoterSet{Nodes: []*tierpb.Node{c.members[3].node(), c.members[4].node(), c.members[0].node()}}
 		steps := map[string]func(*tierpb.ControlState){
-			"at once":        func(state *tierpb.ControlState) { state.Voters = []*tierpb.VoterSet{foreign} },
-			"without most":   func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign) },
-			"three sets":     func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign, foreign) },
-			"without voters": func(state *tierpb.ControlState) { state.Voters = nil },
+			"in one step":       func(state *tierpb.ControlState) { state.Voters = []*tierpb.VoterSet{foreign} },
+			"majority replaced": func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign) },
+			"three sets":        func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign, foreign) },
+			"no voters":         func(state *tierpb.ControlState) { state.Voters = nil },
 		}
 		for name, step := range steps {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -76,21 +77,22 @@
 				return state, nil
 			})
 			cancel()
-			assert.ErrorIs(t, err, ErrTransition, name)
+			assert.ErrorIs(t, err, ErrUnsafeVoterChange, name)
 		}
 		assert.Equal(t, c.members[1].mustRead().Epoch, uint64(1))
 	})
 }
 
-// TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen sends a joint value to one acceptor only. If the old voters were
-// dropped because of it, two of the new ones and two of the old ones could each choose a change of their own.
-func TestOldVotersAreDroppedOnlyOnceTheJointOnesAreChosen(t *testing.T) {
+// TestOldVotersAreDroppedOnlyOnceTheJointValueIsChosen: the value with the old and the new voters reaches only one acceptor.
+// If a proposer dropped the old voters on the basis of that value, two new and two old voters could each choose a
+// different change.
+func TestOldVotersAreDroppedOnlyOnceTheJointValueIsChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCalmCluster(t, 3, 6)
-		first, second, third, joiner := c.members[0], c.members[1], c.members[2], c.members[3]
+		c := newReliableCluster(t, 3, 6)
+		first, second, third, newVoter := c.members[0], c.members[1], c.members[2], c.members[3]
 		acceptsReachOnlyFirst := func(proposer *member) {
 			proposer.stopWhen(func(point failpoint.Point) bool {
-				for _, m := range []*member{second, joiner} {
+				for _, m := range []*member{second, newVoter} {
 					c.network.Partition(proposer.machine.Address(), m.machine.Address(), point == failpoint.AcceptSending)
 				}
 				c.network.Partition(proposer.machine.Address(), third.machine.Address(), true)
@@ -108,18 +110,18 @@
 		assert.Assert(t, err != nil)
 		c.members[5].machine.Kill()
 		<-time.After(2 * time.Second)
-		partition(c, []*member{first, joiner}, []*member{second, third})
-		joiner.learn(first.currentAcceptor().AcceptedValue())
-		_, joinerErr := joiner.put(3*time.Second, 0, 1)
+		partition(c, []*member{first, newVoter}, []*member{second, third})
+		newVoter.learn(first.currentAcceptor().AcceptedValue())
+		_, newVoterErr := newVoter.put(3*time.Second, 0, 1)
 		_, secondErr := second.put(3*time.Second, 0, 2)
-		assert.Assert(t, joinerErr != nil || secondErr != nil, "both sides chose a change")
+		assert.Assert(t, newVoterErr != nil || secondErr != nil, "both sides of the partition chose a change")
 	})
 }
 
-func TestFewSeedsGrowInOneChange(t *testing.T) {
+func TestFewSeedsGrowToFiveVotersInOneChange(t *testing.T) {
 	for seeds := 1; seeds <= 3; seeds++ {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCalmCluster(t, seeds, 5)
+			c := newReliableCluster(t, seeds, 5)
 			c.members[4].mustPut(0, 1)
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
--- a/internal/tier/register/restart_test.go
+++ b/internal/tier/register/restart_test.go
@@ -12,7 +12,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// directCaller calls acceptors by address without a callers.
+// directCaller maps addresses to acceptors and calls them directly, without a network.
 type directCaller map[string]*Acceptor
 
 func (d directCaller) Call(_ context.Context, address string, method rpc.Method, request, reply rpc.Message) error {
@@ -20,15 +20,15 @@
 	if acceptor == nil {
 		return rpc.ErrUnreachable
 	}
-	var answer rpc.Message
+	var response rpc.Message
 	switch method {
 	case rpc.MethodPrepare:
-		answer = acceptor.Prepare(request.(*tierpb.PrepareRequest))
+		response = acceptor.Prepare(request.(*tierpb.PrepareRequest))
 	case rpc.MethodAccept:
-		answer = acceptor.Accept(request.(*tierpb.AcceptRequest))
+		response = acceptor.Accept(request.(*tierpb.AcceptRequest))
 	}
-	data := make([]byte, answer.SizeVT())
-	if _, err := answer.MarshalToSizedBufferVT(data); err != nil {
+	data := make([]byte, response.SizeVT())
+	if _, err := response.MarshalToSizedBufferVT(data); err != nil {
 		return err
 	}
 	return reply.UnmarshalVT(data)
