--- a/internal/tier/lease/attempt.go
+++ b/internal/tier/lease/attempt.go
@@ -10,10 +10,10 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// attempt is one request to all voters, to grant or to release the lease.
+// attempt is one round of requests to all voters, to grant or to release the lease.
 type attempt struct {
 	sequence uint64
-	expires  time.Time // end of the grants that it brings
+	expires  time.Time // when the grants of this attempt end for the candidate
 }
 
 // attemptResult is the result of an attempt.
@@ -21,65 +21,67 @@
 	attempt
 	quorum    bool
 	granted   int           // number of grants
-	remaining time.Duration // of the longest lease of another holder, or grace period
+	remaining time.Duration // the longest time until another holder's lease or a lessor's grace period ends
 }
 
-type answer struct {
+// voterResponse is the result of one call to a voter.
+type voterResponse struct {
 	from  uint64             // identity
-	reply *tierpb.LeaseReply // nil where the call failed
+	reply *tierpb.LeaseReply // nil if the call failed
 }
 
-// callVoters makes one attempt. It calls all voters at once and returns at the first quorum, or when all have answered or
-// timed out. Later grants are recorded all the same. A candidate with some grants that can have no quorum any more does not
-// wait for voters that do not answer: another candidate needs those grants.
+// callVoters makes one attempt. It calls all voters concurrently and returns as soon as there is a quorum, or when all have
+// replied or timed out. Grants that arrive later are still recorded. If the candidate has some grants but a quorum is no
+// longer possible, callVoters does not wait for the remaining voters, because another candidate may need those grants.
 func (c *Candidate) callVoters(ctx context.Context, voters []*tierpb.VoterSet, release bool) attemptResult {
 	ctx, cancel := context.WithTimeout(ctx, c.options.TTL/callTimeoutDivisor)
 	begun := c.beginAttempt(voters)
 	nodes := register.VoterNodes(&tierpb.ControlState{Voters: voters})
-	answers := make(chan answer, len(nodes))
+	responses := make(chan voterResponse, len(nodes))
 	calls := &sync.WaitGroup{}
 	for _, node := range nodes {
 		calls.Go(func() {
 			reply := c.call(ctx, node, begun.sequence, release)
 			c.recordGrant(node.GetIdentity(), reply, begun)
-			answers <- answer{from: node.GetIdentity(), reply: reply}
+			responses <- voterResponse{from: node.GetIdentity(), reply: reply}
 		})
 	}
 	go func() {
 		calls.Wait()
 		cancel()
 	}()
-	return collectAnswers(begun, voters, answers, len(nodes), release)
+	return collectResponses(begun, voters, responses, len(nodes), release)
 }
 
-// collectAnswers reads up to count answers until the result of the attempt is decided.
-func collectAnswers(begun attempt, voters []*tierpb.VoterSet, answers <-chan answer, count int, release bool) attemptResult {
+// collectResponses reads up to count responses, until the result of the attempt is known.
+func collectResponses(begun attempt, voters []*tierpb.VoterSet, responses <-chan voterResponse, count int, release bool) attemptResult {
 	result := attemptResult{attempt: begun}
 	granted, denied := make(map[uint64]bool), make(map[uint64]bool)
 	for range count {
-		got := <-answers
+		response := <-responses
 		switch {
-		case got.reply.GetGranted():
-			granted[got.from] = true
+		case response.reply.GetGranted():
+			granted[response.from] = true
 			result.granted++
-		case got.reply != nil:
-			denied[got.from] = true
-			result.remaining = max(result.remaining, time.Duration(got.reply.RemainingMs)*time.Millisecond)
+		case response.reply != nil:
+			denied[response.from] = true
+			result.remaining = max(result.remaining, time.Duration(response.reply.RemainingMs)*time.Millisecond)
 		}
 		if register.HasQuorum(voters, func(identity uint64) bool { return granted[identity] }) {
 			result.quorum = true
 			return result
 		}
-		hopeless := !register.HasQuorum(voters, func(identity uint64) bool { return !denied[identity] })
-		if hopeless && (release || result.granted > 0) {
+		quorumImpossible := !register.HasQuorum(voters, func(identity uint64) bool { return !denied[identity] })
+		if quorumImpossible && (release || result.granted > 0) {
 			return result
 		}
 	}
 	return result
 }
 
-// beginAttempt numbers an attempt. Its grants end a margin before the lessors end them, counted from before the requests
-// are sent. A lease that the present voters do not grant is over: one that they grant may be another candidate's.
+// beginAttempt returns a new attempt. For the candidate its grants end earlier than for the lessors, by a margin, and their
+// time counts from before the requests are sent. A lease that the given voters no longer grant ends here, because they may
+// grant it to another candidate.
 func (c *Candidate) beginAttempt(voters []*tierpb.VoterSet) attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/lease/doc.go
+++ b/internal/tier/lease/doc.go
@@ -1,7 +1,7 @@
-// Package lease elects at most one holder of a singleton role at a time. A lease is granted for a limited time by a
-// majority of the voters of the register, and its holder stops before the grants expire, by its own monotonic clock.
+// Package lease elects at most one holder of a singleton role at a time. A majority of the voters of the register grants
+// the lease for a limited time, and the holder stops before the grants expire, according to its own monotonic clock.
 // The scheme is that of C. Gray and D. Cheriton ("Leases: An Efficient Fault-Tolerant Mechanism for Distributed File
-// Cache Consistency", 1989) with a quorum of lessors in place of a single one.
+// Cache Consistency", 1989) with a quorum of lessors instead of a single one.
 //
 // # Usage
 //
@@ -12,23 +12,23 @@
 //	candidate := lease.NewCandidate(lease.CandidateOptions{Role: "placement", Self: identity, Caller: caller, Voters: voters})
 //	go candidate.Run(ctx)
 //
-// The holder asks OwnsLease, or OwnsLeaseOf with the voters of the value that it is about to change, right before each
-// action. Acquisition tells whether the lease was held without interruption between two such moments.
+// The holder calls OwnsLease, or OwnsLeaseOf with the voters of the value that it is about to change, immediately before
+// each action. If Acquisition returns the same number at two such moments, the lease was held without interruption.
 //
 // # Safety
 //
-// No two candidates own the lease of a role by the same voter sets at the same time, because:
+// For the same voter sets, no two candidates own the lease of a role at the same time, because:
 //
-//   - a candidate needs grants of a majority of each voter set, and two majorities of a set share a lessor;
-//   - a lessor grants a role to one holder until the grant expires or is released by that holder;
-//   - a candidate counts a grant from before it sent the request, and by an eighth of the TTL shorter than the lessor, which
-//     counts from the receipt. This holds as long as the clocks of two machines do not differ in rate by more than that
-//     eighth; the clocks need not agree on the time of day;
-//   - a lessor keeps nothing on disk. After a start it grants nothing for MaxTTL, the longest time for which a forgotten
-//     grant may still be valid. A lessor whose disk was lost has another identity, which no voter set names;
-//   - requests carry a sequence number that rises with each attempt, so that a delayed release cannot end a later grant,
-//     and grants of attempts from before a resignation are ignored.
+//   - A candidate needs grants of a majority of each voter set, and any two majorities of a set have a lessor in common.
+//   - A lessor grants a role to one holder until the grant expires or that holder releases it.
+//   - A lessor counts the TTL of a grant from the receipt of the request. The candidate counts it from before it sent the
+//     request, and reduces it by an eighth. So its grant ends first, as long as the clock rates of two machines differ by
+//     less than that eighth; the clocks need not agree on the time of day.
+//   - A lessor stores nothing on disk. After a start it grants nothing for MaxTTL, the longest time for which a grant from
+//     before the start may still be valid. A lessor whose disk was lost has a new identity, which is in no voter set.
+//   - Requests have a sequence number that increases with each attempt, so a delayed release cannot end a later grant, and
+//     grants of attempts that began before a resignation are ignored.
 //
-// A process may be suspended between the check and the action. Where that matters the action carries a fencing token as
-// well; see placement.Term.
+// A process may be suspended between the check and the action. If that matters, the action needs a fencing token as well;
+// see placement.Term.
 package lease
--- a/internal/tier/lease/election_test.go
+++ b/internal/tier/lease/election_test.go
@@ -16,17 +16,17 @@
 
 const role = "placement"
 
-// election is a set of machines that are voters and candidates, in a synctest bubble.
+// election is a set of machines, each with a lessor and a candidate, in a synctest bubble.
 type election struct {
-	mu         sync.Mutex
-	network    *simulation.Network
-	machines   []*simulation.Machine
-	lessors    []*Lessor
-	candidates []*Candidate
-	voters     []*tierpb.VoterSet
-	stale      map[int][]*tierpb.VoterSet // voters that single candidates know instead
-	runs       sync.WaitGroup
-	cancels    []context.CancelFunc
+	mu          sync.Mutex
+	network     *simulation.Network
+	machines    []*simulation.Machine
+	lessors     []*Lessor
+	candidates  []*Candidate
+	voters      []*tierpb.VoterSet
+	staleVoters map[int][]*tierpb.VoterSet // outdated voters, by the index of a candidate that knows these instead
+	runs        sync.WaitGroup
+	cancels     []context.CancelFunc
 }
 
 // lossRate is the fraction of messages that the network loses.
@@ -39,8 +39,8 @@
 
 func newLossyElection(t *testing.T, seed uint64, count int, lost float64) *election {
 	t.Helper()
-	traits := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond, LossRate: lost}
-	e := &election{network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 0)), traits)}
+	conditions := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond, LossRate: lost}
+	e := &election{network: simulation.NewNetwork(rand.New(rand.NewPCG(seed, 0)), conditions)}
 	set := &tierpb.VoterSet{}
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d:1", i+1)
@@ -54,7 +54,7 @@
 	for i := range count {
 		e.start(i, 0)
 	}
-	t.Cleanup(e.end)
+	t.Cleanup(e.stopAll)
 	return e
 }
 
@@ -76,19 +76,19 @@
 func (e *election) votersKnownTo(i int) []*tierpb.VoterSet {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if known, found := e.stale[i]; found {
+	if known, found := e.staleVoters[i]; found {
 		return known
 	}
 	return e.voters
 }
 
-// setVoters makes machines the voters; the uninformed candidates keep the old ones.
+// setVoters makes these machines the voters. The uninformed candidates still know the old voters.
 func (e *election) setVoters(machines []int, uninformed ...int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stale = make(map[int][]*tierpb.VoterSet)
+	e.staleVoters = make(map[int][]*tierpb.VoterSet)
 	for _, i := range uninformed {
-		e.stale[i] = e.voters
+		e.staleVoters[i] = e.voters
 	}
 	set := &tierpb.VoterSet{}
 	for _, i := range machines {
@@ -97,13 +97,13 @@
 	e.voters = []*tierpb.VoterSet{set}
 }
 
-// stop kills a process, which releases nothing.
+// stop kills a process, which does not release its lease.
 func (e *election) stop(i int) {
 	e.machines[i].Kill()
 	e.cancels[i]()
 }
 
-func (e *election) end() {
+func (e *election) stopAll() {
 	for i, machine := range e.machines {
 		machine.Thaw()
 		e.cancels[i]()
@@ -121,8 +121,8 @@
 	return numbers
 }
 
-// watch checks for some time that there is at most one holder, and returns the last one.
-func (e *election) watch(t *testing.T, duration time.Duration) (seen []int) {
+// checkHolders checks for some time that there is at most one holder, and returns the holder at the end, if any.
+func (e *election) checkHolders(t *testing.T, duration time.Duration) (seen []int) {
 	t.Helper()
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += 10 * time.Millisecond {
 		<-time.After(10 * time.Millisecond)
@@ -132,16 +132,16 @@
 	return seen
 }
 
-// watchUntilHeld is watch until the lease is held.
-func (e *election) watchUntilHeld(t *testing.T, limit time.Duration) (seen []int) {
+// waitForHolder does the same, but returns as soon as there is a holder.
+func (e *election) waitForHolder(t *testing.T, limit time.Duration) (seen []int) {
 	t.Helper()
 	for elapsed := time.Duration(0); elapsed < limit && len(seen) == 0; elapsed += 10 * time.Millisecond {
-		seen = e.watch(t, 10*time.Millisecond)
+		seen = e.checkHolders(t, 10*time.Millisecond)
 	}
 	return seen
 }
 
-// includeIf returns a list of the number if the condition holds.
+// includeIf returns a list that contains the number if the condition is true, otherwise an empty one.
 func includeIf(condition bool, number int) []int {
 	if !condition {
 		return nil
--- a/internal/tier/lease/late_messages_test.go
+++ b/internal/tier/lease/late_messages_test.go
@@ -11,17 +11,17 @@
 	"pulleygw.example/pulleygw/internal/tier/simulation"
 )
 
-// TestDuplicateAndLateRequestsNeverLeadToTwoHolders: a third of the requests is duplicated, a third delayed by up to two TTLs
-// and so reordered, during restarts, freezes and releases.
+// TestDuplicateAndLateRequestsNeverLeadToTwoHolders: a third of the requests is duplicated, and a third is delayed by up to
+// two TTLs and thus reordered, during restarts, freezes and releases.
 func TestDuplicateAndLateRequestsNeverLeadToTwoHolders(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 11))
 			e := newElection(t, seed, 3)
-			calm := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}
-			traits := calm
-			traits.DuplicateRate, traits.LateRate, traits.MaxLateDelay = 0.33, 0.33, 2*MaxTTL
-			e.network.SetConditions(traits)
+			reliable := simulation.LinkConditions{MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}
+			conditions := reliable
+			conditions.DuplicateRate, conditions.LateRate, conditions.MaxLateDelay = 0.33, 0.33, 2*MaxTTL
+			e.network.SetConditions(conditions)
 			for range 30 {
 				i := random.IntN(len(e.machines))
 				switch random.IntN(4) {
@@ -34,18 +34,18 @@
 					e.machines[i].Thaw()
 				case 3: // releases the lease
 					e.cancels[i]()
-					e.watch(t, 10*time.Millisecond)
+					e.checkHolders(t, 10*time.Millisecond)
 					e.machines[i].Thaw()
 					e.stop(i)
 					e.start(i, MaxTTL)
 				}
-				e.watch(t, time.Duration(random.IntN(1500))*time.Millisecond)
+				e.checkHolders(t, time.Duration(random.IntN(1500))*time.Millisecond)
 			}
-			e.network.SetConditions(calm)
+			e.network.SetConditions(reliable)
 			for _, machine := range e.machines {
 				machine.Thaw()
 			}
-			assert.Equal(t, len(e.watch(t, 5*MaxTTL)), 1)
+			assert.Equal(t, len(e.checkHolders(t, 5*MaxTTL)), 1)
 		})
 	}
 }
--- a/internal/tier/lease/lessor.go
+++ b/internal/tier/lease/lessor.go
@@ -9,34 +9,34 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// MaxTTL bounds the time for which a lease is granted. It is also the grace period in which a restarted lessor grants
-// nothing, because it does not know what it granted before.
+// MaxTTL bounds the time for which a lease is granted. It is also the grace period for which a restarted lessor grants
+// nothing, because it does not know what it granted before the restart.
 const MaxTTL = 2 * time.Second
 
 // Lessor grants leases on behalf of one voter. It keeps its grants in memory only. It is safe for concurrent use.
 type Lessor struct {
 	identity   uint64
-	grantsFrom time.Time // end of the grace period
+	grantsFrom time.Time // when the grace period ends
 	mu         sync.Mutex
 	grants     map[string]grant // by role
 }
 
-// grant is a lease that was granted.
+// grant is a lease that this lessor has granted.
 type grant struct {
 	holder   uint64 // identity
-	sequence uint64 // highest sequence number of the requests granted
+	sequence uint64 // highest sequence number of the granted requests
 	expires  time.Time
 }
 
-// NewLessor returns the lessor of the voter with this identity. It grants nothing during the grace period, which is
-// MaxTTL except at the first start of the whole system, where nothing can have been granted before.
+// NewLessor returns the lessor of the voter with this identity. It grants nothing during the grace period. That is MaxTTL,
+// or 0 at the first start of the cluster, before which nothing can have been granted.
 func NewLessor(identity uint64, gracePeriod time.Duration) *Lessor {
 	return &Lessor{identity: identity, grantsFrom: time.Now().Add(gracePeriod), grants: make(map[string]grant)}
 }
 
-// Handle grants, renews or releases a lease. A reply that does not grant it has the current holder and the time until its
-// lease expires, or the rest of the grace period without a holder, or neither if the request is malformed or meant for
-// another identity.
+// Handle grants, renews or releases a lease. A reply that denies the lease contains the current holder and the remaining time
+// of its lease, or only the rest of the grace period. A reply without both means that the request is malformed or meant
+// for another identity, or that it was a release.
 func (l *Lessor) Handle(request *tierpb.LeaseRequest) *tierpb.LeaseReply {
 	now := time.Now()
 	l.mu.Lock()
@@ -53,7 +53,7 @@
 	case found && current.holder != request.GetHolder():
 		return &tierpb.LeaseReply{Holder: current.holder, RemainingMs: milliseconds(current.expires.Sub(now))}
 	case request.GetRelease():
-		if request.GetSequence() > current.sequence { // not one that was sent before the grant and delayed
+		if request.GetSequence() > current.sequence { // otherwise the release was delayed: it was sent before the grant
 			delete(l.grants, request.GetRole())
 		}
 		return &tierpb.LeaseReply{}
@@ -74,7 +74,7 @@
 	})
 }
 
-// milliseconds rounds up, so that a wait for the result is long enough.
+// milliseconds rounds a duration up, so that a wait of the result is long enough.
 func milliseconds(duration time.Duration) uint32 {
 	return uint32((duration + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/tier/lease/lessor_test.go
+++ b/internal/tier/lease/lessor_test.go
@@ -24,16 +24,16 @@
 		rejected := request(2, false)
 		assert.Assert(t, !rejected.Granted && rejected.Holder == 1 && rejected.RemainingMs == 1000)
 		assert.Assert(t, !request(2, true).Granted)
-		assert.Assert(t, !request(2, false).Granted, "only the holder can release a lease")
+		assert.Assert(t, !request(2, false).Granted, "a release by another holder must be ignored")
 		late := &tierpb.LeaseRequest{Role: role, Holder: 1, Identity: 7, Release: true}
 		assert.Assert(t, !lessor.Handle(late).Granted)
-		assert.Assert(t, !request(2, false).Granted, "a release sent before the grant is ignored")
+		assert.Assert(t, !request(2, false).Granted, "a release sent before the grant must be ignored")
 		assert.Assert(t, !request(1, true).Granted)
 		assert.Assert(t, request(2, false).Granted)
 		<-time.After(time.Second)
-		assert.Assert(t, request(1, false).Granted, "an expired lease is free")
+		assert.Assert(t, request(1, false).Granted, "an expired lease must be available")
 		other := &tierpb.LeaseRequest{Role: "other", Holder: 2, TtlMs: 1000, Identity: 7}
-		assert.Assert(t, lessor.Handle(other).Granted, "roles are independent")
+		assert.Assert(t, lessor.Handle(other).Granted, "roles must be independent")
 		other.Identity = 8
 		assert.Assert(t, !lessor.Handle(other).Granted, "the request is for another lessor")
 		long := lessor.Handle(&tierpb.LeaseRequest{Role: "long", Holder: 2, TtlMs: 1 << 30, Identity: 7})
@@ -41,7 +41,8 @@
 	})
 }
 
-// TestWipedLessorAtTheSameAddressGrantsNothing: its new identity is not a voter's.
+// TestWipedLessorAtTheSameAddressGrantsNothing: a request for the old identity of a lessor whose disk was wiped is denied,
+// because the lessor no longer knows what it granted.
 func TestWipedLessorAtTheSameAddressGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wiped := NewLessor(20, 0)
