--- a/internal/tier/placement/fence_test.go
+++ b/internal/tier/placement/fence_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, CheckFence(term, Credentials{Term: term}), ErrLeaseLost)
 }
 
-func TestTermIsRaisedAndStamped(t *testing.T) {
+func TestNextTermIsSetInTheState(t *testing.T) {
 	state := &tierpb.ControlState{}
 	assert.Equal(t, TermOf(state), Term{})
 	assert.Equal(t, TermOf(nil), Term{})
--- a/internal/tier/placement/membership.go
+++ b/internal/tier/placement/membership.go
@@ -7,17 +7,18 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times for which joining turn stores are collected, so that one change of the membership has all of them.
+// Times for which joining turn stores are collected, so that a single change of the membership adds all of them. A batch is
+// complete when no other turn store has joined for the quiet period, or at the latest after the maximum wait since the first.
 const (
-	initialQuietPeriod  = 700 * time.Millisecond  // no new turn store for so long: the initial members are complete
-	initialMaxWait      = 1500 * time.Millisecond // the same, since the first turn store
-	initialWaitIfFew    = 4 * time.Second         // the same, if they are too few to go on after Tolerance losses
-	initialWaitIfFewest = 7 * time.Second         // the same, if Tolerance losses would leave none of them
-	joinQuietPeriod     = 300 * time.Millisecond  // no new joining turn store for so long: those that wait become members
-	joinMaxWait         = time.Second             // the same, since the first of them
+	initialQuietPeriod       = 700 * time.Millisecond  // for the initial members
+	initialMaxWait           = 1500 * time.Millisecond // for the initial members
+	initialWaitBelowRequired = 4 * time.Second         // both, for fewer initial members than View.requiredMembers
+	initialWaitBelowQuorum   = 7 * time.Second         // both, if the tolerated losses would leave none of the initial members
+	joinQuietPeriod          = 300 * time.Millisecond  // for turn stores that join later
+	joinMaxWait              = time.Second             // for turn stores that join later
 )
 
-// Reasons for a change of the turn stores.
+// Reasons for a change of the turn stores, as they appear in the log.
 const (
 	ReasonInitialStores       = "initial turn stores"
 	ReasonFewInitialStores    = "initial turn stores, fewer than the fault tolerance requires"
@@ -28,13 +29,13 @@
 	ReasonRetirementCompleted = "retirement completed"
 )
 
-// NextStores computes the next membership of the turn stores. It alters and returns the state, with the reason of the
-// change. The reason is empty, and the state unchanged, if there is nothing to do.
+// NextStores computes the next membership of the turn stores. It modifies the state and returns it with the reason of the
+// change. If there is nothing to do, the reason is empty and the state is unchanged.
 func NextStores(current *tierpb.ControlState, view *View) (next *tierpb.ControlState, reason string) {
 	if current.Stores == nil {
 		current.Stores = &tierpb.StoreMembership{}
 	}
-	if reason := finishMigration(current, view); reason != "" {
+	if reason := endMigrationIfDone(current, view); reason != "" {
 		return current, reason
 	}
 	if completeRetirements(current, view) {
@@ -56,28 +57,28 @@
 	return current, reason
 }
 
-// nextMembers returns the members that should follow the current ones, and the reason; the reason is empty if the current
-// ones should stay.
+// nextMembers returns the members that should replace the current ones, and the reason. The reason is empty if the members
+// should stay the same.
 func nextMembers(current *tierpb.ControlState, view *View) (members []*tierpb.Node, reason string) {
-	present := current.Stores.Current
+	existing := current.Stores.Current
 	joining := joiningStores(current, view)
-	if len(present) == 0 {
+	if len(existing) == 0 {
 		return initialMembers(joining, view)
 	}
 	if len(joining) > 0 && isBatchComplete(joining, view, joinQuietPeriod, joinMaxWait) {
-		next, additional := replaceMembers(present, joining, view)
+		next, additional := replaceMembers(existing, joining, view)
 		if !isMigrating(current.Stores, view) {
 			next = append(next, additional...)
 		}
-		if !slices.Equal(next, present) {
+		if !slices.Equal(next, existing) {
 			return next, ReasonStoresJoined
 		}
 	}
-	return removeUnreachable(present, view)
+	return removeUnreachable(existing, view)
 }
 
-// initialMembers returns the first members of a deployment. Fewer than the tolerated losses require are accepted late, once
-// no more have come for long: a deployment that has no more is served all the same, with as many copies as possible.
+// initialMembers returns the first members of a deployment. Fewer members than the fault tolerance requires are accepted
+// only after a longer wait for more. A deployment that has no more turn stores then works with as many copies as possible.
 func initialMembers(joining []Join, view *View) (members []*tierpb.Node, reason string) {
 	switch {
 	case len(joining) == 0:
@@ -88,9 +89,9 @@
 		}
 		return nil, ""
 	}
-	wait := initialWaitIfFew
+	wait := initialWaitBelowRequired
 	if len(joining) <= view.Tolerance {
-		wait = initialWaitIfFewest
+		wait = initialWaitBelowQuorum
 	}
 	if isBatchComplete(joining, view, wait, wait) {
 		return nodesOf(joining), ReasonFewInitialStores
@@ -98,7 +99,8 @@
 	return nil, ""
 }
 
-// joiningStores returns the turn stores that run, are no members and are not retired.
+// joiningStores returns the running turn stores that may become members: they are not members yet, not retired or draining,
+// and not replaced by another turn store.
 func joiningStores(current *tierpb.ControlState, view *View) []Join {
 	var joining []Join
 	for _, join := range view.Joins {
@@ -114,7 +116,8 @@
 	return joining
 }
 
-// hasSuccessor reports whether another turn store of the same name runs that was first seen later: it replaces this one.
+// hasSuccessor reports whether a turn store has been replaced: another one with the same name is running and was first seen
+// later.
 func hasSuccessor(join Join, view *View) bool {
 	node := join.Request.Node
 	return slices.ContainsFunc(view.Joins, func(other Join) bool {
@@ -124,8 +127,8 @@
 	})
 }
 
-// isBatchComplete reports whether none of the joining nodes was first seen within the quiet period, or the first of them
-// was seen maxWait ago.
+// isBatchComplete reports whether the last of the joining nodes was first seen at least quietPeriod ago, or the first of
+// them at least maxWait ago.
 func isBatchComplete(joining []Join, view *View, quietPeriod, maxWait time.Duration) bool {
 	first, last := joining[0].FirstSeen, joining[0].FirstSeen
 	for _, join := range joining {
@@ -139,10 +142,10 @@
 	return view.Now.Sub(last) >= quietPeriod || view.Now.Sub(first) >= maxWait
 }
 
-// replaceMembers puts joining nodes in the places of members of their name or address, then of unreachable members. The
-// remaining ones, which would make the membership larger, are returned separately.
-func replaceMembers(present []*tierpb.Node, joining []Join, view *View) (next, additional []*tierpb.Node) {
-	next = slices.Clone(present)
+// replaceMembers replaces members by joining nodes: first members with the same name or address, then unreachable members.
+// The remaining joining nodes, which would enlarge the membership, are returned separately.
+func replaceMembers(existing []*tierpb.Node, joining []Join, view *View) (next, additional []*tierpb.Node) {
+	next = slices.Clone(existing)
 	var others []*tierpb.Node
 	for _, join := range joining {
 		if index := indexOfPredecessor(next, join.Request.Node); index >= 0 {
@@ -161,12 +164,13 @@
 	return next, additional
 }
 
-// removeUnreachable removes members that have been unreachable for long, if enough stay. More unreachable ones than may be
-// lost at once are a sign that this process is partitioned from them.
-func removeUnreachable(present []*tierpb.Node, view *View) (members []*tierpb.Node, reason string) {
-	next := slices.Clone(present)
+// removeUnreachable removes members that have been unreachable for longer than the removal timeout, if enough members
+// remain. It removes none if more members are unreachable than may be lost at once, because it is then more likely that
+// this process is partitioned from them.
+func removeUnreachable(existing []*tierpb.Node, view *View) (members []*tierpb.Node, reason string) {
+	next := slices.Clone(existing)
 	unreachable := 0
-	for _, member := range present {
+	for _, member := range existing {
 		duration := view.storeUnreachableFor(member.Identity)
 		if duration > storeTimeout {
 			unreachable++
@@ -175,7 +179,7 @@
 			next = withoutIdentity(next, member.Identity)
 		}
 	}
-	if len(next) == len(present) || len(next) < view.requiredMembers() || unreachable > view.Tolerance {
+	if len(next) == len(existing) || len(next) < view.requiredMembers() || unreachable > view.Tolerance {
 		return nil, ""
 	}
 	return next, ReasonStoreRemoved
@@ -185,8 +189,8 @@
 	return slices.DeleteFunc(nodes, func(node *tierpb.Node) bool { return node.Identity == identity })
 }
 
-// longestUnreachableStore returns the index of the member that has been unreachable for the longest time, -1 if none has
-// been for longer than storeTimeout.
+// longestUnreachableStore returns the index of the member that has been unreachable for the longest time and for longer than
+// storeTimeout, -1 if there is none.
 func longestUnreachableStore(nodes []*tierpb.Node, view *View) int {
 	index, longest := -1, storeTimeout
 	for i, node := range nodes {
--- a/internal/tier/placement/membership_test.go
+++ b/internal/tier/placement/membership_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFewTurnStoresStartLate: a deployment may have fewer turn stores than its fault tolerance requires. It waits for more
-// before it starts.
+// TestFewTurnStoresStartLate: a deployment may have fewer turn stores than its fault tolerance requires. It starts with
+// these, but only after it has waited longer for more.
 func TestFewTurnStoresStartLate(t *testing.T) {
 	for _, c := range []struct {
 		stores, tolerance int
 		begin             time.Duration
-	}{{3, 2, initialWaitIfFew}, {4, 2, initialWaitIfFew}, {2, 2, initialWaitIfFewest}, {1, 1, initialWaitIfFewest}, {2, 1, initialWaitIfFew}} {
+	}{{3, 2, initialWaitBelowRequired}, {4, 2, initialWaitBelowRequired}, {2, 2, initialWaitBelowQuorum}, {1, 1, initialWaitBelowQuorum}, {2, 1, initialWaitBelowRequired}} {
 		s := newScenario()
 		s.view.Tolerance = c.tolerance
 		var numbers []int
@@ -27,8 +27,8 @@
 		assert.Equal(t, s.step(), ReasonFewInitialStores, "%+v", c)
 		assert.Equal(t, len(s.state.Stores.Current), c.stores)
 		s.join(9, joinQuietPeriod)
-		assert.Equal(t, s.step(), ReasonStoresJoined, "one that joins later")
-		assert.Equal(t, len(s.state.Stores.Previous), c.stores, "their records migrate")
+		assert.Equal(t, s.step(), ReasonStoresJoined, "another one joins later")
+		assert.Equal(t, len(s.state.Stores.Previous), c.stores, "the records of the first members must migrate")
 	}
 }
 
@@ -37,9 +37,9 @@
 	s.join(1, 0)
 	s.join(2, 0)
 	s.advance(2*time.Second, 1, 2)
-	assert.Equal(t, s.step(), "", "too few")
+	assert.Equal(t, s.step(), "", "too few members")
 	s.join(3, 0)
-	assert.Equal(t, s.step(), ReasonInitialStores, "the first joined long ago")
+	assert.Equal(t, s.step(), ReasonInitialStores, "the maximum wait since the first one is over")
 	s.expectMembers(t, []uint64{1, 2, 3}, []uint64{})
 
 	s = newScenario()
@@ -47,7 +47,7 @@
 	s.join(2, 0)
 	s.join(3, 0)
 	s.advance(500*time.Millisecond, 1, 2, 3)
-	assert.Equal(t, s.step(), "", "another one may join")
+	assert.Equal(t, s.step(), "", "the quiet period is not over")
 	s.join(4, 0)
 	s.advance(initialQuietPeriod, 1, 2, 3, 4)
 	assert.Equal(t, s.step(), ReasonInitialStores)
@@ -84,7 +84,7 @@
 	assert.Equal(t, s.step(), ReasonStoresJoined)
 	s.expectMembers(t, []uint64{1, 4, 3}, []uint64{1, 2, 3})
 	s.advance(time.Second, 1, 2, 3, 4) // the unreachable one resumes with its old identity
-	assert.Equal(t, s.step(), "", "records migrate, and no member has to be replaced")
+	assert.Equal(t, s.step(), "", "no member has to be replaced, so the join waits for the migration")
 	s.reportCopied(1, 2, 3)
 	assert.Equal(t, s.step(), ReasonMigrationCompleted)
 	assert.Equal(t, s.step(), ReasonStoresJoined)
@@ -97,7 +97,7 @@
 	s.advance(2*time.Second, 1, 2, 3)
 	assert.Equal(t, s.step(), "")
 	s.advance(2*time.Second, 1, 2)
-	assert.Equal(t, s.step(), "", "one of the others is unreachable, too")
+	assert.Equal(t, s.step(), "", "a second member is unreachable")
 	s.advance(time.Millisecond, 1, 2, 3)
 	assert.Equal(t, s.step(), ReasonStoreRemoved)
 	s.expectMembers(t, []uint64{1, 2, 3}, []uint64{1, 2, 3, 4})
@@ -105,14 +105,14 @@
 	s = newScenario(1, 2, 3, 4)
 	s.view.CatchUpTimeout = 3 * time.Second
 	s.advance(2*time.Second, 1, 2, 3)
-	assert.Equal(t, s.step(), ReasonStoreRemoved, "sooner with a shorter catch-up time-out")
+	assert.Equal(t, s.step(), ReasonStoreRemoved, "a shorter catch-up timeout removes it earlier")
 
 	s = newScenario(1, 2, 3)
 	s.advance(time.Hour, 1, 2)
-	assert.Equal(t, s.step(), "", "too few would be left")
+	assert.Equal(t, s.step(), "", "too few members would remain")
 }
 
-// TestReasonTexts pins the texts that operators find in the log.
+// TestReasonTexts pins the texts of the reasons, because operators search the log for them.
 func TestReasonTexts(t *testing.T) {
 	for reason, text := range map[string]string{
 		ReasonInitialStores:       "initial turn stores",
@@ -127,8 +127,9 @@
 	}
 }
 
-// TestOnlyTheLastIdentityOfAMachineBecomesAMember: a machine that was wiped while it waited is one store, not two. The
-// model checker found the dead identity among the members, and a later migration that waited for its report forever.
+// TestOnlyTheLastIdentityOfAMachineBecomesAMember: a turn store whose disk is wiped while it waits to become a member must
+// not be added under both identities. The model checker found a dead identity among the members, and a later migration that
+// waited for its report forever.
 func TestOnlyTheLastIdentityOfAMachineBecomesAMember(t *testing.T) {
 	s := newScenario(1, 2, 3)
 	before, after := store(4), store(4)
--- a/internal/tier/placement/retirement.go
+++ b/internal/tier/placement/retirement.go
@@ -8,11 +8,12 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// drainingUnreachableFor is for how long the voters of a draining machine count as unreachable: longer than any other one.
+// drainingUnreachableFor is how long the voters on a draining machine count as unreachable. It is longer than for any other
+// voter, so they are replaced first.
 const drainingUnreachableFor = 24 * time.Hour
 
-// withDrainingUnreachable returns a view in which the coordinators on draining machines count as unreachable, so that their
-// votes are transferred: once a retirement is completed the machine is removed with everything that runs on it.
+// withDrainingUnreachable returns a view in which the coordinators on draining machines count as unreachable, so that they
+// are replaced as voters: when a retirement is completed, the machine is removed with everything that runs on it.
 func withDrainingUnreachable(current *tierpb.ControlState, view *View) *View {
 	var hosts []netip.Addr
 	for _, retirement := range current.GetRetirements() {
@@ -33,8 +34,9 @@
 	return &changed
 }
 
-// completeRetirements marks the retirements whose store is no member and whose machine has no voter, and reports whether
-// there was any. While records migrate none is marked: the machine may be the one whose loss the migration makes good.
+// completeRetirements completes the retirements whose turn store is not a member and whose machine has no voter, and reports
+// whether there were any. During a migration it completes none: the retiring machine may be the replacement of a lost
+// one, and that loss is no longer counted once the retirement is completed.
 func completeRetirements(current *tierpb.ControlState, view *View) bool {
 	if len(current.GetStores().GetPrevious()) > 0 {
 		return false
@@ -53,8 +55,8 @@
 	return completed
 }
 
-// retireSameName retires the other stores of a retired machine: a store whose disk was lost while it drained waits under
-// another identity, and the machine is about to be removed.
+// retireSameName retires the other identities of a retired turn store, because its machine is about to be removed: a store
+// whose disk was lost while it was draining sends join requests under a new identity.
 func retireSameName(current *tierpb.ControlState, name string, view *View) {
 	for _, join := range view.Joins {
 		node := join.Request.Node
@@ -70,7 +72,7 @@
 	return slices.ContainsFunc(current.Retirements, func(known *tierpb.Retirement) bool { return known.Identity == identity })
 }
 
-// isExcluded reports whether a turn store may not become a member, because it is retired or its machine is draining.
+// isExcluded reports whether a turn store must not become a member, because it is retired or its machine is draining.
 func isExcluded(current *tierpb.ControlState, node *tierpb.Node) bool {
 	for _, retirement := range current.Retirements {
 		if retirement.Identity == node.Identity || retirement.Node == node.Name && !retirement.Completed {
@@ -91,16 +93,16 @@
 	return false
 }
 
-// storeHost returns the machine of a turn store, the zero address if the store is unknown.
+// storeHost returns the host of a turn store, the zero address if the store is unknown.
 func (v *View) storeHost(identity uint64) netip.Addr {
-	join, known := v.join(identity)
+	join, known := v.findJoin(identity)
 	if !known {
 		return netip.Addr{}
 	}
 	return hostOf(join.Request.Node.Address)
 }
 
-// hostOf returns the host of an address with a port, the zero address if it has none.
+// hostOf returns the host of an address, the zero address if the address is not an IP address with a port.
 func hostOf(address string) netip.Addr {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -9,13 +9,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func TestVoteIsTransferredFromADrainingMachine(t *testing.T) {
-	s := newSharedScenario()
+func TestVoterOnADrainingMachineIsReplaced(t *testing.T) {
+	s := newColocatedScenario()
 	assert.DeepEqual(t, identities(NextVoters(s.state, s.view)), []uint64{14, 12, 13})
 }
 
-func TestDrainingMachineGetsNoVote(t *testing.T) {
-	s := newSharedScenario()
+func TestCoordinatorOnADrainingMachineDoesNotBecomeAVoter(t *testing.T) {
+	s := newColocatedScenario()
 	s.state.Retirements[0] = &tierpb.Retirement{Node: "store-4", Identity: 4}
 	reachable := s.view.VoterUnreachableFor
 	s.view.VoterUnreachableFor = func(address string) time.Duration {
@@ -27,8 +27,8 @@
 	assert.Assert(t, NextVoters(s.state, s.view) == nil)
 }
 
-func TestRetirementIsCompletedOnceTheVoteIsTransferred(t *testing.T) {
-	s := newSharedScenario()
+func TestRetirementIsCompletedOnceTheVoterIsReplaced(t *testing.T) {
+	s := newColocatedScenario()
 	_, reason := NextStores(s.state, s.view)
 	assert.Equal(t, reason, "")
 	assert.Assert(t, !s.state.Retirements[0].Completed)
@@ -38,8 +38,8 @@
 	assert.Assert(t, s.state.Retirements[0].Completed)
 }
 
-func TestRetirementIsNotMarkedWhileRecordsMigrate(t *testing.T) {
-	s := newSharedScenario()
+func TestCompleteRetirementsWaitsForTheMigration(t *testing.T) {
+	s := newColocatedScenario()
 	s.state.Voters = nil
 	s.state.Stores.Previous = append(s.state.Stores.Previous, s.view.Joins[0].Request.Node)
 	assert.Assert(t, !completeRetirements(s.state, s.view))
@@ -51,23 +51,23 @@
 	s.state.Stores.Previous = append(s.state.Stores.Current, store(4))
 	s.state.Stores.Epoch = 2
 	s.state.Retirements = []*tierpb.Retirement{{Node: "store-4", Identity: 4}}
-	assert.Equal(t, s.step(), "", "it still joins")
+	assert.Equal(t, s.step(), "", "a draining store must not be added, although it sends join requests")
 	wiped := store(4)
 	wiped.Identity = 40
 	s.joinAs(wiped, time.Second)
-	assert.Equal(t, s.step(), "", "its machine drains, under any identity")
+	assert.Equal(t, s.step(), "", "nor under another identity")
 	s.reportCopied(1, 2, 3)
-	assert.Equal(t, s.step(), "", "the draining one runs and has not reported")
+	assert.Equal(t, s.step(), "", "the draining store runs and has not reported")
 	s.reportCopied(4)
 	assert.Equal(t, s.step(), ReasonMigrationCompleted)
 	assert.Assert(t, s.state.Retirements[0].Completed)
 	s.view.Joins = s.view.Joins[:4]
-	assert.Equal(t, s.step(), "", "it joins until it is stopped")
+	assert.Equal(t, s.step(), "", "a retired store must not be added, although it sends join requests until it stops")
 	s.expectMembers(t, []uint64{1, 2, 3}, []uint64{})
 }
 
-// TestRetirementIsNotCompletedWhileRecordsMigrate: a store that was added during a migration holds no record alone, but its
-// machine may replace a lost one, and nobody counts that loss once the retirement is completed.
+// TestRetirementIsNotCompletedWhileRecordsMigrate: a store that was added during a migration has no records that others do
+// not have, but it may be the replacement of a lost one. That loss is no longer counted once the retirement is completed.
 func TestRetirementIsNotCompletedWhileRecordsMigrate(t *testing.T) {
 	s := newScenario(1, 2, 3, 4)
 	s.wipe(4, 40)
@@ -81,8 +81,8 @@
 	assert.Assert(t, s.state.Retirements[0].Completed)
 }
 
-// TestStoreWipedWhileDrainingIsRetired: a machine whose disk is lost while it drains joins under another identity, and is to
-// be removed.
+// TestStoreWipedWhileDrainingIsRetired: a store whose disk is lost while it drains sends join requests under a new identity.
+// That identity must be retired as well, because the machine is about to be removed.
 func TestStoreWipedWhileDrainingIsRetired(t *testing.T) {
 	s := newScenario(1, 2, 3)
 	s.state.Stores.Epoch = 2
--- a/internal/tier/placement/scenario_test.go
+++ b/internal/tier/placement/scenario_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// scenario is a control state and the lease holder's view.
+// scenario is a control state and the view of the lease holder.
 type scenario struct {
 	state *tierpb.ControlState
 	view  *View
@@ -38,7 +38,7 @@
 	}
 }
 
-// join adds a join request that a turn store sent so long ago, its first one.
+// join adds the first join request of a turn store, which it sent some time ago.
 func (s *scenario) join(number int, ago time.Duration) { s.joinAs(store(number), ago) }
 
 func (s *scenario) joinAs(node *tierpb.Node, ago time.Duration) {
@@ -47,7 +47,7 @@
 	s.view.Joins = append(s.view.Joins, Join{Request: request, FirstSeen: at, LastSeen: at})
 }
 
-// advance lets time pass, in which the nodes with these numbers repeat their join requests.
+// advance advances the time. The nodes with these numbers have repeated their join requests in the meantime.
 func (s *scenario) advance(duration time.Duration, numbers ...int) {
 	s.view.Now = s.view.Now.Add(duration)
 	for i := range s.view.Joins {
@@ -59,7 +59,7 @@
 	}
 }
 
-// reportCopied lets members report that their records are on the current members.
+// reportCopied lets members report that their records have been copied to the current members.
 func (s *scenario) reportCopied(numbers ...int) {
 	for i := range s.view.Joins {
 		for _, number := range numbers {
@@ -70,7 +70,7 @@
 	}
 }
 
-// step applies the next step and returns its reason.
+// step applies the next change of the turn stores and returns its reason, empty if there is none.
 func (s *scenario) step() string {
 	next, reason := NextStores(s.state.CloneVT(), s.view)
 	if reason != "" {
@@ -94,7 +94,8 @@
 	assert.DeepEqual(t, identities(s.state.Stores.Previous), previous)
 }
 
-// wipe lets a store lose its disk and join under another identity. What it had reported stays known.
+// wipe lets a store lose its disk and send a join request under another identity. The last join request of the earlier
+// identity has expired, but remains in the view with what it reported.
 func (s *scenario) wipe(number, identity int) {
 	for i := range s.view.Joins {
 		if s.view.Joins[i].Request.Node.Identity == uint64(number) {
@@ -107,9 +108,9 @@
 	s.joinAs(node, joinQuietPeriod)
 }
 
-// newSharedScenario has machines that run a turn store and a coordinator each. The first three vote, and machine 1 is
-// draining and holds no records any more.
-func newSharedScenario() *scenario {
+// newColocatedScenario returns a scenario with four machines that run a turn store and a coordinator each. The first three
+// coordinators are voters. Machine 1 is draining and no longer has any records.
+func newColocatedScenario() *scenario {
 	s := newScenario()
 	voters := &tierpb.VoterSet{}
 	for number := 1; number <= 4; number++ {
@@ -137,8 +138,8 @@
 	return node
 }
 
-// newVotersScenario has the voters 1 to count, and standbys that send join requests. The map has how long an address is
-// unreachable.
+// newVotersScenario returns a state with the voters 1 to count, and a view with join requests of standbys. The returned map
+// sets how long an address has been unreachable.
 func newVotersScenario(count, tolerance int, standbys ...int) (*tierpb.ControlState, *View, map[string]time.Duration) {
 	s := newScenario()
 	s.view.Tolerance = tolerance
--- a/internal/tier/placement/tenure.go
+++ b/internal/tier/placement/tenure.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// Tenure is one acquisition of the lease by a holder, and the term that it raised for it. A tenure whose term was overtaken is
-// over for good: its holder presents that term no more, and acquires the lease anew. It is not safe for concurrent use.
+// Tenure is the period from an acquisition of the lease to its loss, with the term that the holder committed for it. Once the
+// term is superseded by a newer one, the tenure is over for good: the holder must not present that term again, and must
+// acquire the lease anew. A Tenure is not safe for concurrent use.
 type Tenure struct {
-	acquisition uint64 // number of the acquisition; 0 for none
+	acquisition uint64 // number of the lease's acquisition; 0 for none
 	term        Term
-	overtaken   bool
+	superseded  bool
 }
 
-// NewTenure returns the tenure of an acquisition of the lease for which the holder has raised the term.
+// NewTenure returns the tenure for an acquisition of the lease and the term that the holder has committed for it.
 func NewTenure(acquisition uint64, term Term) Tenure {
 	return Tenure{acquisition: acquisition, term: term}
 }
 
-// Acquisition is the number of the acquisition of the lease, 0 for none.
+// Acquisition returns the number of the lease's acquisition, 0 for none.
 func (t *Tenure) Acquisition() uint64 { return t.acquisition }
 
-// Term is the fencing token that the holder presents.
+// Term returns the fencing token that the holder presents.
 func (t *Tenure) Term() Term { return t.term }
 
-// Overtaken reports whether the holder has learned of a newer term than its own.
-func (t *Tenure) Overtaken() bool { return t.overtaken }
+// Overtaken reports whether the holder has observed a newer term than its own.
+func (t *Tenure) Overtaken() bool { return t.superseded }
 
-// Observe takes in the term of a chosen value that the holder has seen. An older one says nothing: the value may be old.
+// Observe processes the term of a chosen value. A newer term supersedes the tenure; an older one is ignored, because the
+// value may be outdated.
 func (t *Tenure) Observe(newest Term) {
 	if newest.Number > t.term.Number || newest.Number == t.term.Number && newest.Holder != t.term.Holder {
-		t.overtaken = true
+		t.superseded = true
 	}
 }
 
-// Check decides whether a change of this tenure may follow a value with this term, as CheckFence does, and remembers whether
-// the tenure was overtaken. LeaseOwned and viewAge are those of Credentials.
+// Check decides, like CheckFence, whether a change of this tenure may follow a value with the term current. It also observes
+// that term, so a tenure that was fenced once stays fenced. LeaseOwned and viewAge are as in Credentials.
 func (t *Tenure) Check(current Term, leaseOwned bool, viewAge time.Duration) error {
-	if t.overtaken {
+	if t.superseded {
 		return ErrFenced
 	}
 	t.Observe(current)
--- a/internal/tier/placement/tenure_test.go
+++ b/internal/tier/placement/tenure_test.go
@@ -6,21 +6,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOvertakenTenureStaysOvertaken(t *testing.T) {
+func TestSupersededTenureStaysSuperseded(t *testing.T) {
 	own := Term{Number: 3, Holder: 7}
 	tenure := NewTenure(2, own)
 	tenure.Observe(Term{Number: 2, Holder: 8})
-	assert.Assert(t, !tenure.Overtaken(), "an old value was seen")
+	assert.Assert(t, !tenure.Overtaken(), "an older term must be ignored")
 	assert.NilError(t, tenure.Check(own, true, 0))
 	assert.Equal(t, tenure.Check(own, false, 0), ErrLeaseLost)
 	assert.Equal(t, tenure.Check(own, true, MaxViewAge+1), ErrStaleView)
-	assert.Assert(t, !tenure.Overtaken(), "the lease or the view was at fault")
+	assert.Assert(t, !tenure.Overtaken(), "a lost lease or a stale view must not end the tenure")
 	assert.Equal(t, tenure.Check(Term{Number: 4, Holder: 8}, true, 0), ErrFenced)
 	assert.Assert(t, tenure.Overtaken())
-	assert.Equal(t, tenure.Check(own, true, 0), ErrFenced, "its term is presented no more")
+	assert.Equal(t, tenure.Check(own, true, 0), ErrFenced, "a superseded tenure must not present its term again")
 }
 
-func TestTenureIsOvertakenByWhatIsObserved(t *testing.T) {
+func TestTenureIsSupersededByANewerTerm(t *testing.T) {
 	for newest, overtaken := range map[Term]bool{
 		{Number: 3, Holder: 7}: false,
 		{Number: 2, Holder: 9}: false,
--- a/internal/tier/placement/view.go
+++ b/internal/tier/placement/view.go
@@ -7,47 +7,49 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// JoinTTL is how long a join request counts: a node whose last one is older is not taken for running.
+// JoinTTL is how long a join request is valid: a node whose last request is older does not count as running.
 const JoinTTL = 1300 * time.Millisecond
 
-// Time-outs after which an unreachable node is replaced or removed.
+// Timeouts after which an unreachable node is replaced or removed.
 const (
-	voterTimeout           = 1200 * time.Millisecond // a voter is replaced, if there is a standby
-	storeTimeout           = 1500 * time.Millisecond // a turn store is replaced, if another one joins
+	voterTimeout           = 1200 * time.Millisecond // a voter is replaced if there is a standby
+	storeTimeout           = 1500 * time.Millisecond // a turn store is replaced if another one joins
 	maxStoreRemovalTimeout = 2500 * time.Millisecond // a turn store is removed without replacement
 )
 
-// A turn store is removed after 3/5 of the catch-up time-out, where that is less than maxStoreRemovalTimeout.
+// A turn store is removed after this fraction of the catch-up timeout, if that is less than maxStoreRemovalTimeout.
 const (
 	removalNumerator   = 3
 	removalDenominator = 5
 )
 
-// Join is the last join request of a node, which nodes repeat as a heartbeat.
+// Join is the last join request of a node. Nodes repeat these requests as heartbeats.
 type Join struct {
 	Request   *tierpb.JoinRequest
 	FirstSeen time.Time // of this identity
 	LastSeen  time.Time
 }
 
-// View is the lease holder's own knowledge of the cluster.
+// View is what the lease holder itself knows of the cluster.
 type View struct {
-	// Now is the time for which a decision is made.
+	// Now is the time of the decision.
 	Now time.Time
-	// ListeningSince is since when this process has listened without interruption. No node counts as unreachable for longer:
-	// a process that was suspended has heard nobody.
+	// ListeningSince is the time since which this process has received requests without interruption. No node counts as
+	// unreachable for longer than that, because a process that was suspended has received no requests from anyone.
 	ListeningSince time.Time
 	// Tolerance is the number of members that may be lost at once.
 	Tolerance int
-	// CatchUpTimeout bounds the time in which a new machine catches up; 0 means that there is no bound.
+	// CatchUpTimeout bounds the time that a new machine takes to catch up; 0 means that there is no bound.
 	CatchUpTimeout time.Duration
-	// Joins has the join request of each node known, at most one for each identity.
+	// Joins contains the last join request of each known node, at most one per identity.
 	Joins []Join
-	// VoterUnreachableFor returns how long the coordinator at an address, voter or not, has not replied; 0 if it replies.
+	// VoterUnreachableFor returns for how long the coordinator at an address has not replied, 0 if it replies. The
+	// coordinator need not be a voter.
 	VoterUnreachableFor func(address string) time.Duration
-	// FailureDomain returns the zone or region of a node that may be lost as a whole, empty for none; may be nil.
+	// FailureDomain returns the failure domain of a node, that is, the zone or region that may be lost as a whole, empty for
+	// none; may be nil.
 	FailureDomain func(node *tierpb.Node) string
-	// MembershipSeen is when this process learned of the newest membership of the turn stores.
+	// MembershipSeen is the time at which this process learned of the newest membership of the turn stores.
 	MembershipSeen time.Time
 }
 
@@ -58,7 +60,7 @@
 	return v.FailureDomain(node)
 }
 
-// countInDomain returns how many of the nodes are in a failure domain.
+// countInDomain returns the number of nodes that are in a failure domain.
 func (v *View) countInDomain(domain string, nodes []*tierpb.Node) int {
 	count := 0
 	for _, node := range nodes {
@@ -69,11 +71,11 @@
 	return count
 }
 
-// requiredMembers returns the number of members that tolerate the loss of Tolerance of them.
+// requiredMembers returns the number of members that is needed to tolerate the loss of Tolerance of them.
 func (v *View) requiredMembers() int { return 2*v.Tolerance + 1 }
 
-// storeRemovalTimeout returns how long a turn store may be unreachable before it is removed: well before the catch-up time
-// of its successor has passed.
+// storeRemovalTimeout returns how long a turn store may be unreachable before it is removed without replacement. That is
+// well before the catch-up timeout of a successor would end.
 func (v *View) storeRemovalTimeout() time.Duration {
 	if v.CatchUpTimeout <= 0 {
 		return maxStoreRemovalTimeout
@@ -81,9 +83,9 @@
 	return max(storeTimeout, min(maxStoreRemovalTimeout, v.CatchUpTimeout*removalNumerator/removalDenominator))
 }
 
-// isRunning reports whether a node sent a join request within JoinTTL, and no other identity has sent one from its address
-// since: that one found the disk empty. The last request of each counts, because the first request of an earlier
-// incarnation may be read late.
+// isRunning reports whether a node has sent a join request within JoinTTL, and no other identity has sent one from its
+// address since then, as a node does whose disk was lost. The last requests of both are compared, because the first request
+// of an earlier identity may be read late.
 func (v *View) isRunning(join Join) bool {
 	return v.Now.Sub(join.LastSeen) <= JoinTTL && !v.isSuperseded(join)
 }
@@ -98,8 +100,8 @@
 	})
 }
 
-// join returns the join request of an identity.
-func (v *View) join(identity uint64) (join Join, found bool) {
+// findJoin returns the join request of an identity.
+func (v *View) findJoin(identity uint64) (join Join, found bool) {
 	for _, join := range v.Joins {
 		if join.Request.Node.Identity == identity {
 			return join, true
@@ -108,10 +110,11 @@
 	return Join{}, false
 }
 
-// storeUnreachableFor returns how long ago the last join request of a turn store was seen.
+// storeUnreachableFor returns how long ago the last join request of a turn store was seen, but at most the time since
+// ListeningSince.
 func (v *View) storeUnreachableFor(identity uint64) time.Duration {
 	listened := v.Now.Sub(v.ListeningSince)
-	if join, found := v.join(identity); found {
+	if join, found := v.findJoin(identity); found {
 		return min(v.Now.Sub(join.LastSeen), listened)
 	}
 	return listened
@@ -122,8 +125,8 @@
 	return slices.IndexFunc(nodes, func(node *tierpb.Node) bool { return node.Identity == identity })
 }
 
-// indexOfPredecessor returns the index of the member that a joining node replaces: the one of the same name or address.
-// It is -1 if there is none.
+// indexOfPredecessor returns the index of the member that a joining node replaces, that is, one with the same name or
+// address, -1 if there is none.
 func indexOfPredecessor(members []*tierpb.Node, joining *tierpb.Node) int {
 	return slices.IndexFunc(members, func(member *tierpb.Node) bool {
 		return member.Address == joining.Address || member.Name == joining.Name && joining.Name != ""
--- a/internal/tier/placement/voters.go
+++ b/internal/tier/placement/voters.go
@@ -6,8 +6,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// NextVoters returns the voters that should replace the present ones, nil if there is nothing to do. While voters are joint
-// it returns the new ones, because an incomplete change has to be completed first.
+// NextVoters returns the voters that should replace the current ones, nil if there is nothing to do. If a change of voters is
+// incomplete, so that there are two voter sets, it returns the new set, because that change has to be completed first.
 func NextVoters(current *tierpb.ControlState, view *View) []*tierpb.Node {
 	sets := current.GetVoters()
 	if len(sets) == 0 {
@@ -25,7 +25,7 @@
 			grown = append(grown, standby)
 		}
 	}
-	if len(grown)%2 == 0 && len(grown) > len(next) { // an even number tolerates no more losses than one less
+	if len(grown)%2 == 0 && len(grown) > len(next) { // an even number of voters tolerates no more losses than one voter less
 		grown = grown[:len(grown)-1]
 	}
 	if !replaced && len(grown) == len(voters) {
@@ -34,18 +34,18 @@
 	return grown
 }
 
-// spreadVoters moves one vote out of a failure domain whose loss would leave no majority; nil if that is impossible or
-// unnecessary.
+// spreadVoters replaces one voter by a standby in another failure domain, if the loss of the voter's failure domain would
+// leave no majority. It returns nil if that is unnecessary or impossible.
 func spreadVoters(voters []*tierpb.Node, view *View) []*tierpb.Node {
-	tolerable := minority(voters)
+	maxPerDomain := minority(voters)
 	for index, voter := range voters {
-		crowded := view.failureDomain(voter)
-		if crowded == "" || view.countInDomain(crowded, voters) <= tolerable {
+		domain := view.failureDomain(voter)
+		if domain == "" || view.countInDomain(domain, voters) <= maxPerDomain {
 			continue
 		}
 		for _, standby := range standbys(voters, view) {
 			target := view.failureDomain(standby)
-			if target != "" && view.countInDomain(target, voters) < tolerable {
+			if target != "" && view.countInDomain(target, voters) < maxPerDomain {
 				next := slices.Clone(voters)
 				next[index] = standby
 				return next
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// replaceVoters puts standbys in the places of voters whose disk is lost, which cannot come back, then of unreachable ones.
-// A majority of the old voters stays, as the register requires.
+// replaceVoters replaces voters by standbys: first voters whose disk was lost, because they cannot come back, then
+// unreachable ones. A majority of the old voters remains, as the register requires.
 func replaceVoters(voters []*tierpb.Node, view *View) (next []*tierpb.Node, replaced bool) {
 	next = slices.Clone(voters)
 	replaceable := minority(voters)
@@ -78,11 +78,11 @@
 	return next, replaced
 }
 
-// minority returns the largest number of voters without which the others are a majority.
+// minority returns the largest number of voters that may be missing while the others are still a majority.
 func minority(voters []*tierpb.Node) int { return (len(voters) - 1) / 2 }
 
-// indexOfPredecessorVoter returns the index of the voter that a standby replaces, -1 if there is none. A voter of the same
-// name that replies at another address is no predecessor: both run.
+// indexOfPredecessorVoter returns the index of the voter that a standby replaces, -1 if there is none. A voter with the same
+// name that still replies at another address is not replaced, because both are running.
 func indexOfPredecessorVoter(voters []*tierpb.Node, standby *tierpb.Node, view *View) int {
 	index := indexOfPredecessor(voters, standby)
 	if index >= 0 && voters[index].Address != standby.Address && view.VoterUnreachableFor(voters[index].Address) == 0 {
@@ -91,8 +91,8 @@
 	return index
 }
 
-// ReplaceDrainingVoter returns the voters with a standby in the place of one that shuts down, nil if that one has no vote,
-// no standby is available, or a change of voters is incomplete. It replaces no other voter.
+// ReplaceDrainingVoter returns the voters with a standby instead of the node that is shutting down. It returns nil if that
+// node is not a voter, no standby is available, or a change of voters is incomplete. It replaces no other voter.
 func ReplaceDrainingVoter(current *tierpb.ControlState, view *View, draining uint64) []*tierpb.Node {
 	sets := current.GetVoters()
 	if len(sets) != 1 {
@@ -109,8 +109,8 @@
 	return next
 }
 
-// standbys returns the coordinators that run, reply and have no vote, those of the failure domains with the fewest voters
-// first.
+// standbys returns the coordinators that are running, reply and are not voters, sorted by the number of voters in their
+// failure domain, lowest first.
 func standbys(voters []*tierpb.Node, view *View) []*tierpb.Node {
 	var nodes []*tierpb.Node
 	for _, join := range view.Joins {
@@ -128,8 +128,8 @@
 	return nodes
 }
 
-// longestUnreachableVoter returns the index of the voter that has been unreachable for the longest time, -1 if none has
-// been for longer than voterTimeout.
+// longestUnreachableVoter returns the index of the voter that has been unreachable for the longest time and for longer than
+// voterTimeout, -1 if there is none.
 func longestUnreachableVoter(voters []*tierpb.Node, view *View) int {
 	index, longest := -1, voterTimeout
 	for i, voter := range voters {
--- a/internal/tier/placement/voters_test.go
+++ b/internal/tier/placement/voters_test.go
@@ -24,26 +24,26 @@
 	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.3"] = 2*time.Second, 5*time.Second
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 4})
 	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.3"] = 0, time.Second
-	assert.Assert(t, NextVoters(state, view) == nil, "unreachable for a moment only")
+	assert.Assert(t, NextVoters(state, view) == nil, "unreachable for less than the timeout")
 }
 
-func TestStandbyWithExpiredJoinIsNoReplacement(t *testing.T) {
+func TestStandbyWithExpiredJoinIsNotUsed(t *testing.T) {
 	state, view, unreachableFor := newVotersScenario(3, 1, 4)
 	unreachableFor["10.0.0.1"] = 5 * time.Second
 	view.Now = view.Now.Add(2 * time.Second)
 	assert.Assert(t, NextVoters(state, view) == nil)
 }
 
-func TestStandbyThatDoesNotReplyIsNoReplacement(t *testing.T) {
+func TestStandbyThatDoesNotReplyIsNotUsed(t *testing.T) {
 	state, view, unreachableFor := newVotersScenario(3, 2, 4)
 	unreachableFor["10.0.0.1"], unreachableFor["10.0.0.4"] = 5*time.Second, time.Millisecond
-	assert.Assert(t, NextVoters(state, view) == nil, "its join requests arrive, requests to it do not")
+	assert.Assert(t, NextVoters(state, view) == nil, "the standby sends join requests, but does not reply to requests")
 }
 
 func TestWipedVoterReplacesItself(t *testing.T) {
 	state, view, _ := newVotersScenario(3, 1)
 	wiped := coordinator(2)
-	wiped.Identity, wiped.Name = 20, "" // the first voters are known by address only
+	wiped.Identity, wiped.Name = 20, "" // only the addresses of the first voters are known
 	view.Joins = append(view.Joins, Join{Request: &tierpb.JoinRequest{Node: wiped}, FirstSeen: start, LastSeen: start})
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 20, 3})
 }
@@ -57,7 +57,7 @@
 
 func TestNumberOfVotersStaysOdd(t *testing.T) {
 	state, view, _ := newVotersScenario(3, 2, 4)
-	assert.Assert(t, NextVoters(state, view) == nil, "four tolerate no more losses than three")
+	assert.Assert(t, NextVoters(state, view) == nil, "four voters tolerate no more losses than three")
 	state, view, _ = newVotersScenario(1, 1, 2, 3)
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 3})
 }
@@ -87,8 +87,8 @@
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{5, 2, 4})
 }
 
-// TestWipedVoterIsReplacedBeforeAnUnreachableOne: a wiped voter is lost for certain, an unreachable one may come back. Only one
-// may be replaced.
+// TestWipedVoterIsReplacedBeforeAnUnreachableOne: only one voter may be replaced in a step. A wiped voter is certainly lost,
+// whereas an unreachable one may come back.
 func TestWipedVoterIsReplacedBeforeAnUnreachableOne(t *testing.T) {
 	state, view, unreachableFor := newVotersScenario(3, 1, 4)
 	wiped := coordinator(3)
@@ -98,8 +98,8 @@
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 2, 30})
 }
 
-// TestVoterWipedTwiceIsReplacedByItsLastIdentity: a disk is wiped twice within JoinTTL, so that the join of the identity in
-// between has not expired.
+// TestVoterWipedTwiceIsReplacedByItsLastIdentity: a disk is wiped twice within JoinTTL, so the join request of the second of
+// its three identities has not expired.
 func TestVoterWipedTwiceIsReplacedByItsLastIdentity(t *testing.T) {
 	for _, order := range [][]uint64{{20, 21}, {21, 20}} {
 		state, view, _ := newVotersScenario(3, 1)
@@ -112,28 +112,28 @@
 		next := NextVoters(state, view)
 		assert.DeepEqual(t, identities(next), []uint64{1, 21, 3})
 		state.Voters[0].Nodes = next
-		assert.Assert(t, NextVoters(state, view) == nil, "the identity in between does not come back")
+		assert.Assert(t, NextVoters(state, view) == nil, "the second identity must not become a voter")
 	}
 }
 
-// TestReplacementOfTheSameNameWaitsUntilTheOldOneStops: a planned replacement of the same name starts while the old machine
-// runs. They must not replace each other in turn.
+// TestReplacementOfTheSameNameWaitsUntilTheOldOneStops: in a planned replacement, a coordinator of the same name starts while
+// the old one is still running. The two must not replace each other in turn.
 func TestReplacementOfTheSameNameWaitsUntilTheOldOneStops(t *testing.T) {
 	state, view, unreachableFor := newVotersScenario(3, 1, 4)
 	for _, join := range view.Joins {
 		join.Request.Node.Name = coordinator(2).Name
 	}
-	assert.Assert(t, NextVoters(state, view) == nil, "both run")
+	assert.Assert(t, NextVoters(state, view) == nil, "both are running")
 	assert.DeepEqual(t, identities(ReplaceDrainingVoter(state, view, 2)), []uint64{1, 4, 3})
 	unreachableFor["10.0.0.2"] = time.Millisecond
 	assert.DeepEqual(t, identities(NextVoters(state, view)), []uint64{1, 4, 3})
 }
 
-func TestDrainingVoterTransfersOneVoteOnly(t *testing.T) {
+func TestReplaceDrainingVoterReplacesNoOtherVoter(t *testing.T) {
 	state, view, unreachableFor := newVotersScenario(5, 2, 6, 7)
 	unreachableFor["10.0.0.1"] = 5 * time.Second
 	assert.DeepEqual(t, identities(ReplaceDrainingVoter(state, view, 3)), []uint64{1, 2, 6, 4, 5})
-	assert.Assert(t, ReplaceDrainingVoter(state, view, 6) == nil, "no voter")
+	assert.Assert(t, ReplaceDrainingVoter(state, view, 6) == nil, "not a voter")
 	state, view, _ = newVotersScenario(3, 1)
 	assert.Assert(t, ReplaceDrainingVoter(state, view, 3) == nil, "no standby")
 	state, view, _ = newVotersScenario(3, 1, 4)
