--- a/internal/tier/replica/call_quorum.go
+++ b/internal/tier/replica/call_quorum.go
@@ -7,44 +7,44 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times and bounds of a quorum operation.
+// Delays and limits of a quorum operation.
 const (
-	hedgeDelay     = 40 * time.Millisecond  // after this without a quorum, the remaining members are called too
-	retryBackoff   = 60 * time.Millisecond  // before members that failed are called again
+	hedgeDelay     = 40 * time.Millisecond  // without a quorum after this delay, the remaining members are called too
+	retryBackoff   = 60 * time.Millisecond  // before the next attempt, in which members that failed are called again
 	callTimeout    = 700 * time.Millisecond // of one call to one member
-	responseBuffer = 16                     // responses that calls can deliver without waiting
+	responseBuffer = 16                     // responses that calls can deliver without blocking
 )
 
-// Reply is the reply of a turn store.
+// Reply is the reply of a turn store to any operation.
 type Reply interface {
 	GetHeader() *tierpb.StoreReplyHeader
 }
 
-// Operation is a call to members of a key's replica sets, of which a quorum must answer.
+// Operation is a call to the members of a key's replica sets, of which a quorum must reply.
 type Operation[R Reply] struct {
 	Key    string
 	Quorum Quorum
-	// Call calls one member. The request must carry the header.
+	// Call calls one member. The request must contain the header.
 	Call func(ctx context.Context, address string, header *tierpb.StoreRequestHeader) (R, error)
-	// OnReply is called with each reply that counts, from a single goroutine; returning true ends the operation
-	// successfully before the quorum is complete. May be nil.
+	// OnReply is called with each reply that counts towards the quorum, from a single goroutine. If it returns true, the
+	// operation succeeds at once, even without a quorum. May be nil.
 	OnReply func(R) bool
 	// Ranked prefers members by their rank for the key, which is the same for all callers, instead of by latency.
 	Ranked bool
-	// SingleMembership discards the replies received under an older membership: a read quorum is valid only within one
-	// membership, whereas a write that a member has synced stays there.
+	// SingleMembership discards replies that were received under an older membership. A read needs it, because a read quorum
+	// is valid only within one membership; a write does not, because a write that a member has synced remains there.
 	SingleMembership bool
 }
 
-// Outcome describes which quorum an operation has reached.
+// Outcome describes the quorum that an operation has reached.
 type Outcome struct {
-	// TopRanked is true if the key had a single replica set throughout and its members of the highest rank are in the
-	// quorum. All callers that get true have the same quorum.
+	// TopRanked is true if the key had the same single replica set throughout, and the quorum contains the highest-ranked
+	// members of that set. All callers that get true have the same quorum.
 	TopRanked bool
 }
 
-// CallQuorum runs an operation until a quorum of the replica set has answered; of both replica sets while the membership
-// changes. It returns ErrUncertain if ctx ends before.
+// CallQuorum runs an operation until a quorum of the replica set has replied, or a quorum of both replica sets while the
+// membership changes. It returns ErrUncertain if ctx ends first.
 func CallQuorum[R Reply](ctx context.Context, client *Client, operation Operation[R]) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,27 +59,27 @@
 	return Outcome{TopRanked: err == nil && call.changes == 0 && call.tracker.isTopRanked(call.acked)}, err
 }
 
-// response is the outcome of a call to one member.
+// response is the result of a call to one member.
 type response[R Reply] struct {
 	member  *tierpb.Node
-	changes int // the quorumCall's when the member was called
+	changes int // quorumCall.changes when the member was called
 	reply   R
 	err     error
 	latency time.Duration
 }
 
-// quorumCall is one run of an operation. A single goroutine uses it; calls report through responses.
+// quorumCall is one run of an operation. Only one goroutine uses it; the goroutines of the calls send to responses.
 type quorumCall[R Reply] struct {
 	client     *Client
 	operation  Operation[R]
 	membership *tierpb.StoreMembership
-	changes    int // of the membership since the start
+	changes    int // number of membership changes since the start
 	tracker    quorumTracker
 	candidates []*tierpb.Node // all members of the replica sets, preferred ones first
 	responses  chan response[R]
-	acked      identities
-	called     identities // in this attempt
-	inFlight   int        // calls without a response, those of earlier attempts included
+	acked      identities // members that have acknowledged
+	called     identities // members called in this attempt
+	inFlight   int        // calls without a response, including those of earlier attempts
 }
 
 // run makes attempts until one succeeds or ctx ends.
@@ -105,7 +105,7 @@
 	if newest.GetEpoch() < q.membership.GetEpoch() {
 		newest = q.membership
 	}
-	if q.membership != nil && haveDifferentSets(newest, q.membership) {
+	if q.membership != nil && mayHaveDifferentSets(newest, q.membership) {
 		q.changes++
 		if q.operation.SingleMembership {
 			clear(q.acked)
@@ -117,9 +117,10 @@
 	q.called = make(identities, len(q.candidates))
 }
 
-// haveDifferentSets returns whether replica sets may differ between two memberships. Dropping the previous members at the
-// end of a rebalance keeps the epoch: current members that answered before it may have lacked records of the previous ones.
-func haveDifferentSets(a, b *tierpb.StoreMembership) bool {
+// mayHaveDifferentSets reports whether replica sets may differ between two memberships. It also compares the previous
+// members, because they are dropped at the end of a migration without a new epoch, and current members that replied before
+// that may have lacked records of the previous ones.
+func mayHaveDifferentSets(a, b *tierpb.StoreMembership) bool {
 	return a.GetEpoch() != b.GetEpoch() || len(a.GetPrevious()) != len(b.GetPrevious())
 }
 
@@ -136,10 +137,10 @@
 	return members
 }
 
-// attempt calls members under one membership. It returns true when the operation has succeeded, and false when a store
-// knows a newer membership or when all members have been called without success.
+// attempt calls members under one membership. It returns true if the operation has succeeded, and false if a store knows a
+// newer membership or all members have been called without success.
 func (q *quorumCall[R]) attempt(ctx context.Context) (bool, error) {
-	// Members that have acknowledged or are expected to, because they were called and have not failed.
+	// Members that have acknowledged, or that were called and may still acknowledge.
 	expected := make(identities, len(q.candidates))
 	for identity := range q.acked {
 		expected[identity] = true
@@ -170,7 +171,7 @@
 	return false, nil
 }
 
-// callPreferred calls the fewest candidates that would complete the quorums if all expected members acknowledge.
+// callPreferred calls only as many candidates as the quorums need if all expected members acknowledge, preferred ones first.
 func (q *quorumCall[R]) callPreferred(ctx context.Context, expected identities) {
 	for _, member := range q.candidates {
 		if q.tracker.allHaveQuorum(expected) {
@@ -212,15 +213,15 @@
 	}()
 }
 
-// result is what a response means for the operation.
+// result is the effect of a response on the operation.
 type result int
 
 const (
-	resultAcked           result = iota // counts towards the quorum, which is not complete
+	resultAcked           result = iota // the response counts towards the quorum, which is not complete yet
 	resultSucceeded                     // the operation has succeeded
-	resultFailed                        // does not count; another member may be called
-	resultStaleMembership               // a store knows a newer membership
-	resultDiscarded                     // of an older membership
+	resultFailed                        // the response does not count; another member may be called instead
+	resultStaleMembership               // the store knows a newer membership
+	resultDiscarded                     // the call was made under an older membership
 )
 
 func (q *quorumCall[R]) handle(got response[R]) result {
@@ -258,17 +259,17 @@
 			return resultStaleMembership
 		}
 		return resultFailed
-	case tierpb.StoreStatus_STORE_BEHIND: // it learns the membership shortly, so this is no fault of the member
+	case tierpb.StoreStatus_STORE_BEHIND: // the store will learn of the membership soon, so it is not recorded as a failure
 		return resultFailed
 	}
 	q.client.recordFailure(got.member.Identity)
 	return resultFailed
 }
 
-// waitBackoff waits before the next attempt, unless a newer membership is known already.
+// waitBackoff waits before the next attempt, unless a newer membership is already known.
 func (q *quorumCall[R]) waitBackoff(ctx context.Context) error {
 	newest := q.client.Membership()
-	if newest.GetEpoch() >= q.membership.GetEpoch() && haveDifferentSets(newest, q.membership) {
+	if newest.GetEpoch() >= q.membership.GetEpoch() && mayHaveDifferentSets(newest, q.membership) {
 		return nil
 	}
 	select {
--- a/internal/tier/replica/member_stats.go
+++ b/internal/tier/replica/member_stats.go
@@ -8,16 +8,16 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// How members are preferred.
+// Parameters of the order in which members are preferred.
 const (
-	failureBackoff   = 2 * time.Second        // a member that failed is called last for this long
-	slowBackoff      = 500 * time.Millisecond // likewise one that had not answered when the hedged calls were made
-	latencySmoothing = 8                      // the mean latency moves by one part in this many at each reply
+	failureBackoff   = 2 * time.Second        // a member that failed is called last for this time
+	slowBackoff      = 500 * time.Millisecond // the same for a member that had not replied when hedged calls were made
+	latencySmoothing = 8                      // a reply changes the mean latency by the difference divided by this
 	crossZonePenalty = 20 * time.Millisecond  // added to the mean latency of a member in another zone
-	backoffPenalty   = time.Hour              // added while a member is in backoff: more than any latency
+	backoffPenalty   = time.Hour              // added while a member is in backoff; larger than any latency
 )
 
-// memberStats is what a client remembers of a member.
+// memberStats is what a client knows of a member's recent performance.
 type memberStats struct {
 	backoffUntil time.Time
 	meanLatency  time.Duration // exponentially weighted; 0 before the first reply
@@ -51,7 +51,7 @@
 	c.statsOf(identity).backoffUntil = c.options.Now().Add(failureBackoff)
 }
 
-// recordSlow puts the called members that have not acknowledged in time into backoff.
+// recordSlow starts the backoff of members that were called and have not acknowledged in time.
 func (c *Client) recordSlow(called, acked identities) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// byPreference sorts members: members in backoff last, the others in their given order if ranked, otherwise by mean
-// latency with a penalty for other zones.
+// byPreference returns the members in the order in which they are called. Members in backoff are last. The others keep their
+// given order if ranked is true; otherwise they are sorted by mean latency, with a penalty for other zones.
 func (c *Client) byPreference(members []*tierpb.Node, ranked bool) []*tierpb.Node {
 	type candidate struct {
 		node *tierpb.Node
--- a/internal/tier/replica/placement.go
+++ b/internal/tier/replica/placement.go
@@ -7,16 +7,16 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Constants of the hash functions: FNV-1a and the finalizer of SplitMix64. They are part of the protocol between all
-// processes and must not change.
+// Constants of the hash functions, FNV-1a and the finalizer of SplitMix64. All processes must compute the same hashes, so
+// the constants must not change.
 const (
-	fnvOffset   = 14695981039346656037
-	fnvPrime    = 1099511628211
-	splitMixOne = 0xbf58476d1ce4e5b9
-	splitMixTwo = 0x94d049bb133111eb
+	fnvOffset           = 14695981039346656037
+	fnvPrime            = 1099511628211
+	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
+	splitMixMultiplier2 = 0x94d049bb133111eb
 )
 
-// Hash returns the hash of a key that its placement is computed from. It is the same in all processes.
+// Hash returns the hash of a key, from which Score is computed. It is the same in all processes.
 func Hash(key string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := 0; i < len(key); i++ {
@@ -25,16 +25,16 @@
 	return hash
 }
 
-// Score returns the rank of a member for a key: the members with the highest scores form the replica set.
+// Score returns the score of a member for a key. Members rank by score, and the highest-ranked ones form the replica set.
 func Score(keyHash, identity uint64) uint64 {
 	mixed := keyHash ^ (identity * fnvPrime)
-	mixed = (mixed ^ mixed>>30) * splitMixOne
-	mixed = (mixed ^ mixed>>27) * splitMixTwo
+	mixed = (mixed ^ mixed>>30) * splitMixMultiplier1
+	mixed = (mixed ^ mixed>>27) * splitMixMultiplier2
 	return mixed ^ mixed>>31
 }
 
-// Sets returns the replica sets of a key: that of the current members and, while the membership changes, that of the
-// previous members. It returns nil if no members are known.
+// Sets returns the replica sets of a key: the one among the current members and, while the membership changes, the one among
+// the previous members. It returns nil if no members are known.
 func Sets(membership *tierpb.StoreMembership, key string, tolerance int) [][]*tierpb.Node {
 	if len(membership.GetCurrent()) == 0 {
 		return nil
@@ -46,9 +46,9 @@
 	return sets
 }
 
-// Set returns the replica set of a key among some members, by rendezvous hashing; the member of the highest rank is
-// first. No failure domain (a zone, or a region where whole regions may be lost) has a second member in the set while
-// another has none. The result depends only on the members, not on their order.
+// Set returns the replica set of a key among the given members, by rendezvous hashing, with the highest-ranked member first.
+// A failure domain (a zone, or a region if whole regions may be lost) has a second member in the set only if every domain
+// has one. The result does not depend on the order of the members.
 func Set(members []*tierpb.Node, key string, size int) []*tierpb.Node {
 	ranked := rank(members, Hash(key))
 	if len(ranked) <= size {
@@ -57,7 +57,7 @@
 	return spreadOverDomains(ranked, size)
 }
 
-// rank returns the members by descending score.
+// rank returns the members sorted by descending score.
 func rank(members []*tierpb.Node, keyHash uint64) []*tierpb.Node {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b *tierpb.Node) int {
@@ -66,8 +66,8 @@
 	return ranked
 }
 
-// spreadOverDomains chooses members in the order of their rank, in rounds in which each failure domain contributes at
-// most one.
+// spreadOverDomains chooses members in the order of their rank, in rounds. In each round at most one member per failure
+// domain is chosen.
 func spreadOverDomains(ranked []*tierpb.Node, size int) []*tierpb.Node {
 	chosen := make([]*tierpb.Node, 0, size)
 	isChosen := make([]bool, len(ranked))
@@ -86,7 +86,7 @@
 	return chosen
 }
 
-// domainOf returns the failure domain of a member: what may be lost as a whole.
+// domainOf returns the failure domain of a member, which is its zone unless a domain is set.
 func domainOf(member *tierpb.Node) string {
 	if member.Domain != "" {
 		return member.Domain
@@ -98,12 +98,12 @@
 	return slices.ContainsFunc(nodes, func(node *tierpb.Node) bool { return domainOf(node) == domain })
 }
 
-// Contains returns whether a set has the member with this identity.
+// Contains reports whether a set contains the member with this identity.
 func Contains(set []*tierpb.Node, identity uint64) bool {
 	return slices.ContainsFunc(set, func(node *tierpb.Node) bool { return node.Identity == identity })
 }
 
-// SameMembers returns whether two replica sets have the same members, in whatever order.
+// SameMembers reports whether two replica sets have the same members, in any order.
 func SameMembers(a, b []*tierpb.Node) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/tier/replica/placement_test.go
+++ b/internal/tier/replica/placement_test.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func members(count, zones int) []*tierpb.Node {
+func testNodes(count, zones int) []*tierpb.Node {
 	nodes := make([]*tierpb.Node, count)
 	for i := range nodes {
 		nodes[i] = &tierpb.Node{Identity: uint64(1000 + i*77), Zone: fmt.Sprintf("zone%d", i%zones)}
@@ -19,7 +19,7 @@
 }
 
 func TestSetSpreadsOverZones(t *testing.T) {
-	nodes := members(9, 3)
+	nodes := testNodes(9, 3)
 	for i := range 200 {
 		set := Set(nodes, fmt.Sprintf("key%d", i), 3)
 		zones := map[string]bool{}
@@ -31,7 +31,7 @@
 }
 
 func TestSetHasSecondMembersInZonesIfZonesAreFew(t *testing.T) {
-	nodes := members(9, 2)
+	nodes := testNodes(9, 2)
 	for i := range 200 {
 		set := Set(nodes, fmt.Sprintf("key%d", i), 5)
 		count := map[string]int{}
@@ -60,8 +60,8 @@
 }
 
 func TestSetIsIndependentOfTheOrderOfMembers(t *testing.T) {
-	nodes := members(7, 3)
-	shuffled := members(7, 3)
+	nodes := testNodes(7, 3)
+	shuffled := testNodes(7, 3)
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 100 {
 		random.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
@@ -74,12 +74,12 @@
 }
 
 func TestSetOfFewMembersHasAllOfThem(t *testing.T) {
-	assert.Equal(t, len(Set(members(2, 1), "key", 3)), 2)
+	assert.Equal(t, len(Set(testNodes(2, 1), "key", 3)), 2)
 	assert.Equal(t, len(Set(nil, "key", 3)), 0)
 }
 
 func TestKeysSpreadEvenlyOverMembers(t *testing.T) {
-	nodes := members(6, 3)
+	nodes := testNodes(6, 3)
 	count := map[uint64]int{}
 	for i := range 6000 {
 		for _, node := range Set(nodes, fmt.Sprintf("%016x", i), 3) {
@@ -87,6 +87,6 @@
 		}
 	}
 	for identity, keys := range count {
-		assert.Assert(t, keys > 2500 && keys < 3500, "%d has %d of 18000 replicas", identity, keys)
+		assert.Assert(t, keys > 2500 && keys < 3500, "member %d has %d of 18000 replicas", identity, keys)
 	}
 }
--- a/internal/tier/replica/quorum_test.go
+++ b/internal/tier/replica/quorum_test.go
@@ -20,15 +20,15 @@
 }
 
 func TestTrackerNeedsAQuorumOfEachSet(t *testing.T) {
-	nodes := members(6, 3)
+	nodes := testNodes(6, 3)
 	tracker := &quorumTracker{sets: [][]*tierpb.Node{nodes[:3], nodes[3:]}, tolerance: 1, quorum: WriteQuorum}
 	acked := identities{nodes[0].Identity: true, nodes[1].Identity: true, nodes[3].Identity: true}
 	assert.Assert(t, !tracker.complete(acked))
-	assert.Assert(t, !tracker.isUseful(nodes[2], acked), "its set has a quorum")
+	assert.Assert(t, !tracker.isUseful(nodes[2], acked), "its set already has a quorum")
 	assert.Assert(t, tracker.isUseful(nodes[5], acked))
 	acked[nodes[5].Identity] = true
 	assert.Assert(t, tracker.complete(acked))
-	assert.Assert(t, !tracker.isTopRanked(acked), "two sets")
+	assert.Assert(t, !tracker.isTopRanked(acked), "there are two sets")
 }
 
 func TestTrackerWithoutMembershipIsIncomplete(t *testing.T) {
@@ -37,7 +37,7 @@
 }
 
 func TestQuorumIsTopRankedOnlyWithTheMembersOfTheHighestRank(t *testing.T) {
-	nodes := members(3, 3)
+	nodes := testNodes(3, 3)
 	tracker := &quorumTracker{sets: [][]*tierpb.Node{nodes}, tolerance: 1, quorum: WriteQuorum}
 	assert.Assert(t, tracker.isTopRanked(identities{nodes[0].Identity: true, nodes[1].Identity: true}))
 	assert.Assert(t, !tracker.isTopRanked(identities{nodes[0].Identity: true, nodes[2].Identity: true}))
