--- a/internal/tier/changelog/changelog.go
+++ b/internal/tier/changelog/changelog.go
@@ -8,44 +8,45 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
 	MaxRecentChanges = 512 // changes in the control state itself
-	SegmentLength    = 256 // changes of a segment
-	MaxSegments      = 256 // segments that the control state references; changes of older ones are compacted
+	SegmentLength    = 256 // changes in a segment
+	MaxSegments      = 256 // segments that the control state references; changes in older segments are compacted
 )
 
-// Change is a configuration change that an operator sent.
+// Change is a configuration change that an operator sends.
 type Change struct {
-	IfMatch    uint64 // generation on which it is based
-	Generation uint64 // its own generation
-	Digest     []byte // of the body, DigestSize bytes long
+	IfMatch    uint64 // the generation on which the change is based
+	Generation uint64 // the generation of the change itself
+	Digest     []byte // digest of the body, DigestSize bytes long
 }
 
-// NewChange returns the change of a configuration body.
+// NewChange returns a change with the digest of a configuration body.
 func NewChange(ifMatch, generation uint64, body []byte) Change {
 	return Change{IfMatch: ifMatch, Generation: generation, Digest: digestOf(body)}
 }
 
-// Outcome is what is known of a change.
+// Outcome is what is known about the outcome of a change.
 type Outcome uint8
 
-// The outcomes. The first three are certain, the others unknown.
+// The outcomes. The first three are definite; with the others, it is unknown whether the change was committed.
 const (
-	Applicable     Outcome = iota // it is based on the current generation and may be committed
-	Committed                     // it was committed
-	Rejected                      // it was not committed and cannot be any more
-	SegmentMissing                // it is in a segment that is not available here at present
-	Compacted                     // it is based on a generation from before the log begins
+	Applicable     Outcome = iota // based on the current generation, so it can be committed
+	Committed                     // was committed
+	Rejected                      // was not committed and can never be
+	SegmentMissing                // may be in a segment that is currently not available here
+	Compacted                     // based on a generation older than the log
 )
 
-// Segments finds segments of older changes.
+// Segments provides the segments of older changes.
 type Segments interface {
 	// Segment returns the segment with this digest, nil if it is not available.
 	Segment(digest []byte) *tierpb.ChangeSegment
 }
 
-// Classify returns what a control state and the segments that it references tell of a change.
+// Classify returns what is known about the outcome of a change, according to a control state and the segments that it
+// references.
 func Classify(state *tierpb.ControlState, segments Segments, change Change) Outcome {
 	generation := state.GetConfiguration().GetGeneration()
 	switch {
@@ -73,19 +74,20 @@
 	if index == len(recent) || recent[index].IfMatch != change.IfMatch {
 		return Rejected
 	}
-	return compare(change, recent[index].Generation, recent[index].Digest)
+	return compareWithCommitted(change, recent[index].Generation, recent[index].Digest)
 }
 
-// compare returns the outcome of a change, given the one that was committed on top of its If-Match.
-func compare(change Change, generation uint64, digest []byte) Outcome {
+// compareWithCommitted returns the outcome of a change, given the generation and digest of the change that was committed for
+// its If-Match.
+func compareWithCommitted(change Change, generation uint64, digest []byte) Outcome {
 	if change.Generation == generation && bytes.Equal(change.Digest, digest) {
 		return Committed
 	}
 	return Rejected
 }
 
-// Append adds a change that a control state commits. The oldest of the recent changes become a segment when there are too
-// many of them.
+// Append adds a committed change to a control state. If there are then too many recent changes, the oldest of them become
+// a segment.
 func Append(state *tierpb.ControlState, committed Change) {
 	state.CommittedChanges = append(state.CommittedChanges, &tierpb.CommittedChange{
 		IfMatch: committed.IfMatch, Generation: committed.Generation, Digest: committed.Digest,
@@ -101,8 +103,8 @@
 	}
 }
 
-// NextSegment returns the segment that the oldest of the recent changes will become, nil while there are too few. It is
-// known long before the control state drops these changes, so that all coordinators have it by then.
+// NextSegment returns the segment that the oldest of the recent changes will become, nil while they are too few. The segment
+// is known long before the control state drops these changes, so all coordinators have it by then.
 func NextSegment(state *tierpb.ControlState) *tierpb.ChangeSegment {
 	if len(state.GetCommittedChanges()) < SegmentLength {
 		return nil
--- a/internal/tier/changelog/classify_test.go
+++ b/internal/tier/changelog/classify_test.go
@@ -9,8 +9,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// TestClassifyAgreesWithACompleteLog compares the outcomes with a list of all committed changes: each of these is
-// recognized, and any other one rejected.
+// TestClassifyAgreesWithACompleteLog compares the outcomes with a list of all committed changes: each of these must be
+// recognized, and any other change must be rejected.
 func TestClassifyAgreesWithACompleteLog(t *testing.T) {
 	for _, count := range []int{1, SegmentLength, SegmentLength + 1, MaxRecentChanges, MaxRecentChanges + 1, MaxRecentChanges + SegmentLength + 1, 5000} {
 		random := rand.New(rand.NewPCG(uint64(count), 1))
@@ -29,7 +29,7 @@
 		for ifMatch := range current {
 			if _, known := byIfMatch[ifMatch]; !known {
 				unknown := NewChange(ifMatch, ifMatch+1, nil)
-				assert.Equal(t, Classify(r.state, r.segments, unknown), Rejected, "on top of a generation that never existed")
+				assert.Equal(t, Classify(r.state, r.segments, unknown), Rejected, "based on a generation that never existed")
 			}
 		}
 		assert.Equal(t, Classify(r.state, r.segments, NewChange(current, current+1, nil)), Applicable)
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestMissingSegmentLeavesTheOutcomeUnknown: neither a missing segment nor compaction ever leads to a rejection.
+// TestMissingSegmentLeavesTheOutcomeUnknown: if the segment of a change is missing or compacted, the change must not be
+// rejected, because it may have been committed.
 func TestMissingSegmentLeavesTheOutcomeUnknown(t *testing.T) {
 	r := newRecorder()
 	r.commitMany(3*SegmentLength+MaxRecentChanges, rand.New(rand.NewPCG(1, 1)))
@@ -75,8 +76,9 @@
 	assert.Equal(t, Classify(r.state, r.segments, r.committed[oldest]), Committed)
 }
 
-// TestChangesOfAnOlderLayoutStayKnown: a control state with more recent changes than are kept now.
-func TestChangesOfAnOlderLayoutStayKnown(t *testing.T) {
+// TestChangesOfAnOlderLayoutAreRecognized: a control state that an older build wrote may contain more recent changes than
+// MaxRecentChanges. These must still be recognized, also after they were moved to segments.
+func TestChangesOfAnOlderLayoutAreRecognized(t *testing.T) {
 	r := newRecorder()
 	for generation := uint64(1); generation <= 1024; generation++ {
 		sent := NewChange(generation-1, generation, nil)
--- a/internal/tier/changelog/doc.go
+++ b/internal/tier/changelog/doc.go
@@ -1,27 +1,28 @@
 // Package changelog records which configuration changes were committed, so that a change that is sent again is recognized
-// and gets the same answer as before.
+// and gets the same reply as before.
 //
-// Changes are committed one on top of the other: the If-Match of each is the generation of the one before. So at most one
-// change was ever committed on top of a generation. A change is known not to have been committed if another one was
-// committed on top of its If-Match, or none was although later ones were.
+// Each committed change is based on the one before: its If-Match is the generation of its predecessor. So at most one change
+// can be committed for each If-Match. A change was certainly not committed if another change was committed for its If-Match,
+// or if no change was committed for its If-Match although the current generation is higher.
 //
 // # Layout
 //
-// The control state itself holds the most recent changes (ControlState.CommittedChanges) and references to segments of
-// older ones (ControlState.OlderChanges). A segment has SegmentLength changes, never changes once complete, and is named by
-// its digest. Coordinators keep segments beside the register in a SegmentStore and fetch missing ones from each other, so
-// that the value of the register stays small. Changes from before the oldest referenced segment are compacted.
+// The control state itself contains the most recent changes (ControlState.CommittedChanges) and references to segments of
+// older ones (ControlState.OlderChanges). A segment consists of SegmentLength changes, is immutable, and is identified by
+// its digest. To keep the value of the register small, coordinators store segments outside the register, in a SegmentStore,
+// and fetch missing ones from each other. Changes older than the oldest referenced segment are compacted: they are no
+// longer known.
 //
 // # Usage
 //
-// Within a change of the register:
+// In a change function of the register:
 //
 //	switch changelog.Classify(current, segments, change) {
 //	case changelog.Applicable:
 //		apply(current, change)
 //		changelog.Append(current, change)
 //	case changelog.Committed:
-//		// acknowledge again
+//		// acknowledge the change again
 //	case changelog.Rejected:
 //		// conflict: not committed, and never will be
 //	default:
--- a/internal/tier/changelog/recorder_test.go
+++ b/internal/tier/changelog/recorder_test.go
@@ -7,12 +7,12 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// memorySegments holds segments as a SegmentStore does, without a disk.
+// memorySegments holds segments by digest, like a SegmentStore, but without a disk.
 type memorySegments map[string]*tierpb.ChangeSegment
 
 func (m memorySegments) Segment(digest []byte) *tierpb.ChangeSegment { return m[string(digest)] }
 
-// recorder commits changes and remembers all of them.
+// recorder commits changes to a control state and keeps a list of all of them.
 type recorder struct {
 	state     *tierpb.ControlState
 	segments  memorySegments
--- a/internal/tier/changelog/segment.go
+++ b/internal/tier/changelog/segment.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// DigestSize is the length in bytes of the digests of bodies and segments, which are truncated SHA-256.
+// DigestSize is the length in bytes of the digests of bodies and segments, which are truncated SHA-256 hashes.
 const DigestSize = 16
 
 func digestOf(data []byte) []byte {
@@ -15,8 +15,8 @@
 	return sum[:DigestSize]
 }
 
-// newSegment encodes consecutive changes: the If-Match of the first, and of each change its digest and the step to its
-// generation, which is the If-Match of the next.
+// newSegment encodes consecutive changes as a segment: the If-Match of the first change, and for each change its digest and
+// the difference between its generation and its If-Match. The generation of a change is the If-Match of the next one.
 func newSegment(committed []*tierpb.CommittedChange) *tierpb.ChangeSegment {
 	segment := &tierpb.ChangeSegment{First: committed[0].IfMatch}
 	for _, change := range committed {
@@ -26,7 +26,7 @@
 	return segment
 }
 
-// segmentDigest returns the digest by which a segment is named.
+// segmentDigest returns the digest that identifies a segment.
 func segmentDigest(segment *tierpb.ChangeSegment) []byte {
 	encoded := make([]byte, segment.SizeVT())
 	if _, err := segment.MarshalToSizedBufferVT(encoded); err != nil {
@@ -35,13 +35,13 @@
 	return digestOf(encoded)
 }
 
-// isComplete reports whether each change of a segment has its digest.
+// isComplete reports whether a segment has a digest for each change.
 func isComplete(segment *tierpb.ChangeSegment) bool {
 	return len(segment.GetDigests()) == len(segment.GetSteps())*DigestSize
 }
 
-// findSegment returns the reference of the segment that a change with this If-Match would be in, nil if the change is older
-// than all of them.
+// findSegment returns the reference to the segment that would contain a change with this If-Match, nil if the change is older
+// than all segments.
 func findSegment(refs []*tierpb.ChangeSegmentRef, ifMatch uint64) *tierpb.ChangeSegmentRef {
 	after := sort.Search(len(refs), func(i int) bool { return refs[i].First > ifMatch })
 	if after == 0 {
@@ -54,7 +54,7 @@
 	ifMatch := segment.First
 	for index, step := range segment.Steps {
 		if ifMatch == change.IfMatch {
-			return compare(change, ifMatch+step, segment.Digests[index*DigestSize:(index+1)*DigestSize])
+			return compareWithCommitted(change, ifMatch+step, segment.Digests[index*DigestSize:(index+1)*DigestSize])
 		}
 		ifMatch += step
 	}
--- a/internal/tier/changelog/segment_store.go
+++ b/internal/tier/changelog/segment_store.go
@@ -10,13 +10,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// seriesName is the name of the store's files in its folder. It is a former name of the configuration changes, and part of
-// the format on disk.
+// seriesName is the name of the store's files in its folder, part of the format on disk. Configuration changes used to be
+// called orders.
 const seriesName = "orders"
 
-// SegmentStore keeps the segments that control states reference, on disk and in memory. Segments that are missing after a
-// loss of its disk come from other coordinators; until then changes of these segments are classified as SegmentMissing. It
-// is safe for concurrent use.
+// SegmentStore keeps the segments that control states reference, on disk and in memory. After a disk loss the missing
+// segments are fetched from other coordinators; until then, changes in these segments are classified as SegmentMissing. A
+// SegmentStore is safe for concurrent use.
 type SegmentStore struct {
 	saveMu sync.Mutex // held while the disk is written
 	series *storage.Series
@@ -24,10 +24,10 @@
 
 	mu       sync.Mutex
 	segments map[string]*tierpb.ChangeSegment // by digest
-	observed uint64                           // 1 + If-Match of the first change of the segment observed last; 0 for none
+	observed uint64                           // 1 + If-Match of the first change in the last observed segment; 0 for none
 }
 
-// OpenSegmentStore reads the segments in a folder. A file that is incomplete counts as missing.
+// OpenSegmentStore reads the segments in a folder. An incomplete file counts as missing.
 func OpenSegmentStore(disk storage.Disk, folder string) (*SegmentStore, error) {
 	stored := &tierpb.ChangeSegments{}
 	series, found, err := storage.OpenMessage(disk, folder, seriesName, stored)
@@ -45,7 +45,7 @@
 	return store, nil
 }
 
-// add adds a complete segment to memory.
+// add adds a segment in memory, unless it is incomplete.
 func (s *SegmentStore) add(segment *tierpb.ChangeSegment) {
 	if !isComplete(segment) {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// Observe adds the segment that a chosen control state is about to reference, in memory only. It is cheap if there is
-// nothing new.
+// Observe adds, in memory only, the segment that a chosen control state will reference next. It is cheap if that segment
+// was already added.
 func (s *SegmentStore) Observe(state *tierpb.ControlState) {
 	if len(state.GetCommittedChanges()) < SegmentLength || s.isObserved(state.CommittedChanges[0].IfMatch) {
 		return
@@ -83,7 +83,7 @@
 	return s.segments[string(digest)]
 }
 
-// Missing returns the digests of segments that a control state references and that are not here, oldest first.
+// Missing returns the digests of the segments that a control state references and the store does not have, oldest first.
 func (s *SegmentStore) Missing(state *tierpb.ControlState) [][]byte {
 	var missing [][]byte
 	for _, ref := range state.GetOlderChanges() {
@@ -94,9 +94,9 @@
 	return missing
 }
 
-// Reconcile brings the store in line with a control state: it adds those of the fetched segments that the state references
-// and the one that it is about to reference, drops those from before the log begins, and saves the rest if it has changed.
-// The error is that of the disk; the segments are available from memory all the same.
+// Reconcile updates the store to match a control state: it adds the fetched segments that the state references and the
+// segment that it will reference next, drops segments older than the log, and saves the segments if they have changed. The
+// error is that of the disk; the segments are still available in memory.
 func (s *SegmentStore) Reconcile(state *tierpb.ControlState, fetched []*tierpb.ChangeSegment) error {
 	s.saveMu.Lock()
 	defer s.saveMu.Unlock()
--- a/internal/tier/changelog/segment_store_test.go
+++ b/internal/tier/changelog/segment_store_test.go
@@ -36,7 +36,7 @@
 	for _, digest := range empty.Missing(r.state) {
 		fetched = append(fetched, store.Segment(digest))
 	}
-	fetched[0].Digests[0] ^= 1 // corrupted in transit
+	fetched[0].Digests[0] ^= 1 // as if corrupted in transit
 	assert.NilError(t, empty.Reconcile(r.state, fetched))
 	assert.Equal(t, len(empty.Missing(r.state)), 1)
 	assert.Equal(t, Classify(r.state, empty, r.committed[0]), SegmentMissing)
