--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -33,7 +33,7 @@
 // use: one request at a time writes to disk, and queries never wait.
 type Acceptor struct {
 	identity       uint64
-	fresh          bool
+	hasNewIdentity bool
 	failpoints     *failpoint.Points
 	preparedSeries *storage.Series
 	acceptedSeries *storage.Series
@@ -55,7 +55,7 @@
 func (a *Acceptor) Identity() uint64 { return a.identity }
 
 // Fresh reports whether the acceptor got a new identity at this start, because its disk was empty or its state was lost.
-func (a *Acceptor) Fresh() bool { return a.fresh }
+func (a *Acceptor) Fresh() bool { return a.hasNewIdentity }
 
 // AcceptedValue returns the accepted value, nil if there is none. The value is not necessarily chosen. The caller must not
 // modify it.
--- a/internal/tier/register/acceptor_storage.go
+++ b/internal/tier/register/acceptor_storage.go
@@ -26,7 +26,7 @@
 // OpenAcceptor fails if the disk fails, or if a file passes its checksum but cannot be decoded.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
 	if err := options.Disk.MkdirAll(options.Folder); err != nil {
-		return nil, eris.Wrap(err, "create the acceptor's folder")
+		return nil, eris.Wrap(err, "acceptor")
 	}
 	acceptor := &Acceptor{failpoints: options.Failpoints, semaphore: make(chan struct{}, 1)}
 	acceptor.semaphore <- struct{}{}
@@ -125,10 +125,10 @@
 // initialize gives the acceptor a new identity. The identity is saved last, because the other files are ignored without
 // it: an interrupted initialization starts over.
 func (a *Acceptor) initialize(options AcceptorOptions, identity *storage.Series, lost bool) error {
-	a.fresh = true
+	a.hasNewIdentity = true
 	for _, series := range []*storage.Series{identity, a.preparedSeries, a.acceptedSeries} {
 		if err := series.Clear(); err != nil {
-			return eris.Wrap(err, "clear the acceptor's files")
+			return eris.Wrap(err, "acceptor")
 		}
 	}
 	state := &acceptorState{prepared: &tierpb.ProposalNumber{}, accepted: &tierpb.ProposalNumber{}}
