--- a/internal/tier/placement/tenure_test.go
+++ b/internal/tier/placement/tenure_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestTenureIsSupersededByANewerTerm(t *testing.T) {
-	for newest, overtaken := range map[Term]bool{
+	for newest, superseded := range map[Term]bool{
 		{Number: 3, Holder: 7}: false,
 		{Number: 2, Holder: 9}: false,
 		{Number: 3, Holder: 8}: true,
@@ -29,6 +29,6 @@
 	} {
 		tenure := NewTenure(1, Term{Number: 3, Holder: 7})
 		tenure.Observe(newest)
-		assert.Equal(t, tenure.Overtaken(), overtaken, "%v", newest)
+		assert.Equal(t, tenure.Overtaken(), superseded, "%v", newest)
 	}
 }
