--- a/internal/gatherer/decision/actions.go
+++ b/internal/gatherer/decision/actions.go
@@ -2,51 +2,52 @@
 
 import "time"
 
-// Action is something that the host is to do, in order, at the time of the step that returned it.
+// Action is something that the host must do. It carries out the actions of a step in order and without delay.
 type Action interface{ action() }
 
-// Send starts an attempt. Attempts of a subquery are numbered from 0 in the order of their Sends. Sends of one step
-// to one server may share a call.
+// Send starts an attempt. The attempts of a subquery are numbered from 0 in the order of their Sends. Sends of one
+// step to the same server may share a call.
 type Send struct {
 	Subquery SubqueryID
 	Server   ServerID
 	Limit    time.Duration // the attempt's time-out
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel cancels an attempt. Its Outcome follows as for any attempt.
 type Cancel struct {
 	Subquery SubqueryID
 	Attempt  int
 }
 
-// Answer answers a query from the subqueries that are done. Final is false for the first of two steps.
+// Answer answers a query from the subqueries that are done. It ends the query if Final, and the first of two steps
+// otherwise.
 type Answer struct {
 	Query           QueryID
 	Complete, Final bool
 }
 
-// Reject ends a query and guarantees that a retry is harmless, best after RetryAfter.
+// Reject ends a query without an answer. A retry by the client is harmless, and should wait for RetryAfter.
 type Reject struct {
 	Query      QueryID
 	RetryAfter time.Duration
 }
 
-// Fail ends a query and guarantees nothing.
+// Fail ends a query without an answer. The query may have taken effect, so that a retry may repeat it.
 type Fail struct{ Query QueryID }
 
-// HealthCheck asks whether a server is reachable, without waiting in its queue.
+// HealthCheck checks whether a server is reachable, bypassing its queue. A HealthChecked event reports the result.
 type HealthCheck struct{ Server ServerID }
 
-// CloseIdle closes the connections to a server that have nothing in flight. The next Send opens a new one.
+// CloseIdle closes the connections to a server that have nothing in flight, so that the next Send opens a new one.
 type CloseIdle struct{ Server ServerID }
 
-// WakeAt asks for a Wake event at the first opportunity at or after At.
+// WakeAt requests a Wake event at At, or as soon after it as possible.
 type WakeAt struct{ At time.Duration }
 
-// Subscribe subscribes to the changes of the server list from now on.
+// Subscribe subscribes to changes of the server list.
 type Subscribe struct{}
 
-// Log is a line for on-call staff.
+// Log writes a log line for on-call staff.
 type Log struct{ Text string }
 
 func (Send) action() {}
--- a/internal/gatherer/decision/decision.go
+++ b/internal/gatherer/decision/decision.go
@@ -1,27 +1,28 @@
-// Package decision is the interface of the decision module, package policy: its settings, the events that a host
-// reports to it, the actions that it wants carried out, and the records that a successor takes over. It holds types
-// and the check of settings and decides nothing.
+// Package decision declares the interface of the scheduler in package policy: its settings, the events that the host
+// reports to it, the actions that it returns, and the records that it hands over to a successor. Besides these types
+// it holds only the validation of settings.
 //
-// A query asks one subquery of each of its shards. An attempt is one sending of a subquery to a server, which is a
-// replica of the shard. Times are the host's clock: they start at any value above 0 and never go back.
+// A query has one subquery for each of its shards. An attempt is one sending of a subquery to a server that is a
+// replica of the shard. Times are those of the host's clock, which starts at any value above 0 and never goes back.
 package decision
 
 import "time"
 
-// QueryID identifies a query. It is chosen by the host and opaque here.
+// QueryID identifies a query. The host chooses it; the scheduler takes it as opaque.
 type QueryID uint64
 
-// SubqueryID identifies a subquery. It is chosen by the host and opaque here.
+// SubqueryID identifies a subquery. The host chooses it; the scheduler takes it as opaque.
 type SubqueryID uint64
 
-// ServerID identifies a server. It is chosen by the host and opaque here; 0 is no server.
+// ServerID identifies a server. The host chooses it; the scheduler takes it as opaque. 0 stands for no server.
 type ServerID uint32
 
-// Record is what a scheduler has learned of a server, to be handed to a successor. Times are ages, as clocks differ.
+// Record is what a scheduler has learned about a server, for a successor. It holds ages in place of times, as the
+// clocks of two processes differ.
 type Record struct {
 	Server           ServerID
-	Answers          []float64     // latencies by bucket of the histogram, faded to now
-	Latency, Failing float64       // smoothed latency in seconds, 0 for none, and smoothed failure rate, 0 to 1
-	Cap              float64       // how many subqueries may be in flight there
-	SlowStartAge     time.Duration // since the server was last seen to restart, -1 for never
+	Answers          []float64     // decayed number of answers in each bucket of the latency histogram
+	Latency, Failing float64       // smoothed latency in seconds, 0 for none; smoothed failure rate, 0 to 1
+	Cap              float64       // concurrency cap: how many subqueries may be in flight at the server
+	SlowStartAge     time.Duration // since the server was last seen to restart; -1 for never
 }
--- a/internal/gatherer/decision/events.go
+++ b/internal/gatherer/decision/events.go
@@ -5,22 +5,22 @@
 // Status is how an attempt ended.
 type Status uint8
 
-// The ways an attempt may end.
+// The ways in which an attempt may end.
 const (
 	OK            Status = iota
 	Error                // the server answered with an error; the attempt may have run
-	Rejected             // the server had no capacity; the attempt never ran
-	TimedOut             // no answer in time; the attempt may have run
-	ConnectFailed        // no connection; the attempt never ran
+	Rejected             // the server rejected it for lack of capacity; the attempt never ran
+	TimedOut             // no answer within the time-out; the attempt may have run
+	ConnectFailed        // no connection could be opened; the attempt never ran
 	Reset                // the connection broke; the attempt may have run
-	Cancelled            // the attempt may have run
-	NotSent              // the attempt never left the host
+	Cancelled            // the scheduler cancelled it; the attempt may have run
+	NotSent              // the host did not send it; the attempt never ran
 )
 
 // ServerState is the state of a server in the server list.
 type ServerState uint8
 
-// The states of a server. Only a ready one is sent anything new.
+// The states of a server. Only ready servers are sent new attempts.
 const (
 	Deregistered ServerState = iota
 	Ready
@@ -31,35 +31,35 @@
 type ServerInfo struct {
 	ID      ServerID
 	Zone    int // failure domain
-	Cell    int // place in the ring: the server holds shards by its cell, see Settings.Cells
+	Cell    int // determines which shards the server holds, see Settings.Cells
 	State   ServerState
-	Nominal float64       // capacity relative to other servers; 0 counts as 1
-	Started time.Duration // clock time of its last start; 0 for long ago
+	Nominal float64       // capacity relative to other servers; 0 means 1
+	Started time.Duration // when it was last started; 0 for long ago
 }
 
-// ListKind says how a ServerList is to be read.
+// ListKind is the kind of the entries of a ServerList.
 type ListKind uint8
 
 // The kinds of server lists.
 const (
-	Delta      ListKind = iota // only the entries that have changed
+	Delta      ListKind = iota // the changed entries only
 	FullList                   // the entire list
-	Cached                     // the entire list as last seen, perhaps stale
-	ListFailed                 // a call failed or the subscription broke; no entries
+	Cached                     // the entire list from a cache, which may be stale
+	ListFailed                 // none: a call for the list failed, or the subscription broke
 )
 
-// Event is something that happened. The events of one step are in order of arrival.
+// Event is something that the host reports. The events of one step are in order of arrival.
 type Event interface{ event() }
 
-// QueryArrived reports a new query. As many SubqueryArrived as Subqueries says follow it.
+// QueryArrived reports a new query. A SubqueryArrived follows for each of its Subqueries.
 type QueryArrived struct {
 	ID            QueryID
 	Class, Tenant int
-	Key           uint64        // hash of what it asks for; a retry of the client has the same
-	Remaining     time.Duration // until the client times out
-	Subqueries    int
-	// Phased queries have two steps, led by a planner: Planned says what is sent in the first, and how many
-	// subqueries the second has. Fetch is how many are expected.
+	Key           uint64        // hash of the request; a retry by the client has the same
+	Remaining     time.Duration // time until the client times out
+	Subqueries    int           // number of subqueries, of the first step if there are two
+	// A phased query has two steps, which a planner controls: Planned events determine which subqueries of the first
+	// step are sent and how many subqueries the second step has. Fetch is the expected number of the latter.
 	Phased bool
 	Fetch  int
 }
@@ -69,21 +69,22 @@
 	ID     SubqueryID
 	Query  QueryID
 	Shard  int
-	Weight float64  // its fraction of the answer; those of a step add up to 1
-	Later  bool     // of a phased query's first step: not sent before Planned requests it
-	Prefer ServerID // chosen where it is as good as others; 0 for none
-	Used   int      // attempts already made for the shard in the first step
+	Weight float64  // its fraction of the answer; the weights of a step add up to 1
+	Later  bool     // in the first step of a phased query: not sent until a Planned event requests it
+	Prefer ServerID // server to prefer if it is as good as others; 0 for none
+	Used   int      // attempts already made for the same shard in the first step
 }
 
-// Planned reports what a phased query's planner decided: subqueries of the first step to Request, subqueries to Skip
-// as they cannot change the result, which count as done, and after the first Answer how many subqueries to Fetch.
+// Planned reports a decision of a phased query's planner. Request lists subqueries of the first step to send. Skip
+// lists subqueries that cannot change the result, which count as done. Fetch is the number of subqueries of the
+// second step, set once the first step has been answered.
 type Planned struct {
 	Query         QueryID
 	Request, Skip []SubqueryID
 	Fetch         int
 }
 
-// Outcome reports how one attempt ended. Each Send gets exactly one.
+// Outcome reports how an attempt ended. There is exactly one for each Send.
 type Outcome struct {
 	Subquery SubqueryID
 	Server   ServerID
@@ -92,10 +93,10 @@
 	Latency  time.Duration
 }
 
-// ClientDisconnected reports that a query's client has disconnected. Its subqueries end with it.
+// ClientDisconnected reports that the client of a query has disconnected. It ends the query and its subqueries.
 type ClientDisconnected struct{ Query QueryID }
 
-// ServerList reports changes of the server list.
+// ServerList reports the server list, its changes, or a failure to get them.
 type ServerList struct {
 	Kind    ListKind
 	Servers []ServerInfo
@@ -107,18 +108,18 @@
 	OK     bool
 }
 
-// SettingsChanged replaces the settings. Cells, Width and the numbers of known classes must stay. Queries in flight
-// keep the class that they arrived under.
+// SettingsChanged replaces the settings. Cells, Width and the indices of existing classes must not change. Queries in
+// progress keep the class settings that they arrived under.
 type SettingsChanged struct{ Settings Settings }
 
-// Learned reports what another scheduler has learned of servers that are already listed, and its PerSecond: how many
-// subqueries per second all servers together answered it.
+// Learned reports what another scheduler has learned about servers that are already listed. PerSecond is how many
+// subqueries per second all servers together answered for it.
 type Learned struct {
 	Records   []Record
 	PerSecond float64
 }
 
-// Wake reports that the time of a WakeAt has come.
+// Wake reports that the time of the last WakeAt has come.
 type Wake struct{}
 
 func (QueryArrived) event() {}
--- a/internal/gatherer/decision/settings.go
+++ b/internal/gatherer/decision/settings.go
@@ -6,69 +6,69 @@
 	"time"
 )
 
-// Effect says what a repeated execution of a subquery does.
+// Effect is the effect of executing a subquery more than once.
 type Effect uint8
 
 // The effects of a class.
 const (
 	Idempotent    Effect = iota // repeats are harmless
 	Deduplicated                // servers drop repeats within Class.Window
-	NotIdempotent               // a repeat would take effect twice
+	NotIdempotent               // a repeat takes effect again
 )
 
 // Class describes one class of query.
 type Class struct {
-	LatencyTarget time.Duration // an answer within this earns the full Value
-	Deadline      time.Duration // the time-out of a client over all its retries; 0 if not known
+	LatencyTarget time.Duration // a complete answer within this has the full Value
+	Deadline      time.Duration // time-out of a client over all its retries; 0 if not known
 	Value         float64       // value of a complete answer, relative to other classes
 	Effect        Effect
-	Window        time.Duration // Deduplicated: repeats are dropped this long after the first attempt
+	Window        time.Duration // Deduplicated: how long after the first attempt servers drop repeats
 	Need          float64       // fraction of the subqueries' weight that makes a complete answer
-	Floor         float64       // least fraction of the subqueries' weight for any answer
-	Fetch         int           // subqueries of a second step, 0 for no second step
-	MaxAttempts   int           // most attempts for one subquery, the first included; 0 for what Settings says
+	Floor         float64       // least fraction of the subqueries' weight for a partial answer
+	Fetch         int           // largest number of subqueries of the second step; 0 for a single step
+	MaxAttempts   int           // most attempts for one subquery, including the first; 0 for Settings.MaxAttempts
 }
 
 // Tenant describes one tenant of the service.
 type Tenant struct {
-	PerSecond float64 // queries per second, over all instances, that are within its quota
+	PerSecond float64 // quota in queries per second over all instances
 }
 
-// Rules are the parameters of the rules that the operator sets.
+// Rules are the parameters of scheduling rules that the operator sets.
 type Rules struct {
-	PollWithin       time.Duration // with Settings.Polling: without a subscription, poll the list at least this often
+	PollWithin       time.Duration // with Settings.Polling: longest time between polls of the list while not subscribed
 	StartCapacity    float64       // fraction of its capacity that a server starts with
-	SlowStart        time.Duration // a started server has its full capacity after this
-	OverloadMultiple float64       // sent more than this multiple of its capacity ...
-	OverloadSpan     time.Duration // ... for this long, a server in slow start fails
-	BudgetOn         bool          // whether retries and hedged requests are rationed
-	BudgetFree       float64       // further attempts allowed in any span, whatever the traffic
-	BudgetRatio      float64       // and this many for each query and subquery received in the span
+	SlowStart        time.Duration // time until a started server has its full capacity
+	OverloadMultiple float64       // a server in slow start fails if it is sent more than this multiple of its capacity ...
+	OverloadSpan     time.Duration // ... for this long
+	BudgetOn         bool          // whether further attempts are rationed by the retry budget below
+	BudgetFree       float64       // further attempts allowed in any span, independent of traffic
+	BudgetRatio      float64       // further attempts allowed in addition for each query and subquery received in the span
 	BudgetSpan       time.Duration
 }
 
-// Settings are what the operator configures.
+// Settings are the settings of a scheduler.
 type Settings struct {
-	Instances      int           // schedulers that share the servers, this one included
-	Tick           time.Duration // time between steps
-	Polling        bool          // the server list answers only when asked
-	Cells          int           // shard s is held by the servers of cells s to s+Width-1, modulo Cells
+	Instances      int           // schedulers that share the servers, including this one
+	Tick           time.Duration // least time between steps
+	Polling        bool          // the server list has to be polled or subscribed to
+	Cells          int           // the replicas of shard s are the servers of cells s to s+Width-1, modulo Cells
 	Width          int
 	Batch          int           // most subqueries in one call
-	CallCost       time.Duration // work that a call costs the server beside its subqueries; 0 for none
-	MaxAttempts    int           // attempts for one subquery where its class says nothing, the first included
+	CallCost       time.Duration // work of a server per call, in addition to its subqueries; 0 for none
+	MaxAttempts    int           // most attempts for one subquery, including the first, unless its class sets them
 	Hedging        bool          // a subquery may have two attempts in flight
 	Cancel         bool          // attempts may be cancelled
 	HealthChecks   bool          // servers answer health checks
-	MaxRetryAfter  time.Duration // longest back-off that a client obeys
+	MaxRetryAfter  time.Duration // longest RetryAfter that clients obey
 	OverQuotaValue float64       // value of a query beyond its tenant's quota
-	Connections    int           // connections that the host may hold to all servers together; 0 for no bound
+	Connections    int           // most connections that the host may hold to all servers together; 0 for no limit
 	Classes        []Class
 	Tenants        []Tenant
 	Rules          Rules
 }
 
-// WithDefaults returns the settings with MaxAttempts set in each class.
+// WithDefaults returns a copy of the settings in which every class has its MaxAttempts set.
 func (set Settings) WithDefaults() Settings {
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
@@ -79,7 +79,7 @@
 	return set
 }
 
-// Check returns an error that names a field no scheduler could work with.
+// Check returns an error that names the first invalid field, or nil.
 func (set Settings) Check() error {
 	switch {
 	case len(set.Classes) == 0:
@@ -97,7 +97,7 @@
 	}
 	for i, c := range set.Classes {
 		if c.LatencyTarget <= 0 || c.Need <= 0 || c.Need > 1 || c.Floor <= 0 || c.Floor > c.Need || c.Fetch < 0 || c.MaxAttempts < 0 {
-			return fmt.Errorf("settings: Classes[%d] has an impossible LatencyTarget, Need, Floor, Fetch or MaxAttempts", i)
+			return fmt.Errorf("settings: Classes[%d]: latency target, fraction of a complete or partial answer, Fetch or MaxAttempts is out of range", i)
 		}
 	}
 	return nil
--- a/internal/shared/tailguard/tailguard.go
+++ b/internal/shared/tailguard/tailguard.go
@@ -1,21 +1,22 @@
-// Package tailguard holds the rules of TF-EDFQ (TailGuard) that every admission stage shares: the request deadline,
-// the order of release, the concurrency limit, load shedding by the miss rate, and a server's weight. They are pure functions;
-// the callers keep the statistics, the queues and the clock. Source: Wang et al., "TailGuard: Tail Latency SLO Guaranteed Task
-// Scheduling for Data-Intensive User-Facing Applications".
+// Package tailguard holds the rules of TF-EDFQ (TailGuard) that all admission stages share: the deadline of a request, the
+// order of a queue, the concurrency limit, load shedding by the miss rate, and the weight of a server. The rules are pure
+// functions; the callers keep the statistics, the queues and the clock. Source: Wang et al., "TailGuard: Tail Latency SLO
+// Guaranteed Task Scheduling for Data-Intensive User-Facing Applications".
 package tailguard
 
 import (
 	"time"
 )
 
-// QueueKey is a queued request's position in the order of release.
+// QueueKey is the sort key of a queued request.
 type QueueKey struct {
 	Deadline time.Duration
-	NoBudget bool   // it had no positive budget when its deadline was set
-	Seq      uint64 // order of arrival
+	NoBudget bool   // the deadline had already passed when it was set
+	Seq      uint64 // sequence number of arrival
 }
 
-// Before reports whether a is released before b: earliest deadline first, requests without budget ahead of all.
+// Before reports whether a leaves the queue before b: first the requests without budget, and of each kind the earliest
+// deadline first.
 func (a QueueKey) Before(b QueueKey) bool {
 	switch {
 	case a.NoBudget != b.NoBudget:
@@ -26,23 +27,25 @@
 	return a.Seq < b.Seq
 }
 
-// Stamp returns the deadline of a request: the end of its latency target minus the unloaded tail in seconds, of which at most
-// a share of the remaining time is subtracted. NoBudget is true where no positive budget is left.
+// Stamp returns the deadline by which a request must leave the queue: the end of its latency target minus the tail latency
+// of unloaded servers, in seconds. At most a share of the remaining time is subtracted. NoBudget is true if the deadline is
+// not after now.
 func Stamp(now, targetAt time.Duration, tail, share float64) (deadline time.Duration, noBudget bool) {
 	tail = min(tail, share*max(targetAt-now, 0).Seconds())
 	deadline = targetAt - time.Duration(tail*float64(time.Second))
 	return deadline, deadline <= now
 }
 
-// LimitRule adapts how many requests may be in flight at a server, by how its response times compare with a baseline.
+// LimitRule adapts the concurrency limit of a server, by additive increase and multiplicative decrease, to the ratio of its
+// response time and a baseline.
 type LimitRule struct {
-	Min, Max  float64
-	Near, Far float64 // multiples of the baseline: below Near the limit grows, above Far it falls
-	Fall      float64 // factor of a fall, at most once per response time
+	Min, Max  float64 // bounds of the limit
+	Near, Far float64 // multiples of the baseline: below the first the limit rises, above the second it falls
+	Fall      float64 // factor by which the limit falls, at most once per response time
 }
 
-// Next returns the limit after a response, and when it last fell. Latency is the server's smoothed response time in seconds
-// and base its baseline.
+// Next returns the limit after a response, and when the limit last fell. Latency is the server's smoothed response time and
+// base its baseline, both in seconds.
 func (r LimitRule) Next(limit float64, fellAt, now time.Duration, latency, base float64) (float64, time.Duration) {
 	switch {
 	case latency < r.Near*base:
@@ -53,15 +56,17 @@
 	return limit, fellAt
 }
 
-// SheddingRule turns the miss rate into the share of new requests that are shed.
+// SheddingRule derives the share of new requests to shed from the miss rate: the fraction of requests that miss their
+// deadline.
 type SheddingRule struct {
-	Share float64 // threshold of the miss rate
-	Least float64 // misses that count as evidence
-	Gain  float64 // share shed for each share of misses above the threshold
-	Fall  float64 // per second: how fast the share shed falls
+	Share float64 // miss rate above which requests are shed
+	Least float64 // least number of misses that count as evidence
+	Gain  float64 // share to shed per unit of the miss rate above that
+	Fall  float64 // largest decrease of the share to shed per second
 }
 
-// Next returns the share to shed, by the last one and the time since, and by the misses among the decided requests.
+// Next returns the share of requests to shed. Refused is the last share and since the time since it was computed. Decided is
+// the number of requests known to have met or missed their deadline, and missed the number of those that missed it.
 func (r SheddingRule) Next(refused float64, since time.Duration, missed, decided float64) float64 {
 	target := 0.0
 	if missed >= r.Least {
@@ -70,13 +75,13 @@
 	return max(target, refused-r.Fall*since.Seconds())
 }
 
-// FailureRule smooths a server's failure rate.
+// FailureRule is the exponential smoothing of a server's failure rate.
 type FailureRule struct {
-	Up   float64 // step of a failure towards 1
-	Down float64 // step of a success towards 0
+	Up   float64 // smoothing factor of a failure, which moves the rate towards 1
+	Down float64 // smoothing factor of a success, which moves the rate towards 0
 }
 
-// Next returns the failure rate after one more outcome, where weight scales a failure.
+// Next returns the failure rate after another outcome. Weight scales the effect of a failure.
 func (r FailureRule) Next(failing float64, ok bool, weight float64) float64 {
 	if ok {
 		return failing - r.Down*failing
@@ -84,15 +89,15 @@
 	return failing + r.Up*weight*(1-failing)
 }
 
-// Weight returns a server's weight: 1 ordinarily, and less while it fails, is slow or in slow start. Slow is its response time
-// as a multiple of the longest ordinary one, and slowStart the share of its capacity that it has.
+// Weight returns the weight of a server: 1 if it is healthy and warm, and less if it fails, is slow or is in slow start. Slow
+// is its response time as a multiple of the longest that is not slow, and slowStart the share of its capacity that it has.
 func Weight(failureRate, slow, slowStart float64) float64 {
 	successRate := 1 - failureRate
 	return successRate * successRate * successRate / max(slow*slow, 1) * slowStart
 }
 
-// SlowStartShare returns the share of its capacity that a server has at an age: it grows linearly from first to 1 at the end of
-// the slow start.
+// SlowStartShare returns the share of its capacity that a server has at the given age. It grows linearly from first, at age
+// 0, to 1 at the end of the ramp.
 func SlowStartShare(first float64, age, ramp time.Duration) float64 {
 	if ramp <= 0 || age >= ramp {
 		return 1
