--- a/internal/gatherer/mem/pool.go
+++ b/internal/gatherer/mem/pool.go
@@ -5,18 +5,18 @@
 // Conn is a connection in a Pool.
 type Conn interface {
 	comparable
-	Capacity() int // subqueries that it could still take
+	Capacity() int // how many more subqueries it can take
 	Load() int     // subqueries in flight on it
-	Ready() int    // higher is better: established before still connecting; 0 if unusable
+	Ready() int    // 0 if unusable; higher for an established connection than for one still being established
 }
 
-// Pool is the open connections to one server. It is not safe for concurrent use: its owner's lock guards it.
+// Pool is the set of connections to one server. It is not safe for concurrent use: its owner's lock guards it.
 type Pool[C Conn] struct{ conns []C }
 
 // Add adds a new connection.
 func (p *Pool[C]) Add(c C) { p.conns = append(p.conns, c) }
 
-// Remove removes a connection and reports whether it was there.
+// Remove removes a connection and reports whether it was in the pool.
 func (p *Pool[C]) Remove(c C) bool {
 	i := slices.Index(p.conns, c)
 	if i >= 0 {
@@ -25,8 +25,9 @@
 	return i >= 0
 }
 
-// Pick chooses a connection with capacity for n subqueries: of the readiest the least loaded, and of those the one that
-// has been idle longest, as a server that closes a connection right behind an answer has done so by then.
+// Pick chooses a connection with capacity for n subqueries: the least loaded one of the highest readiness, and among
+// equals the least recently picked. If a server closes connections right after an answer, a connection that has been
+// idle for longer has had time to notice.
 func (p *Pool[C]) Pick(n int) (best C, ok bool) {
 	at := -1
 	for i, c := range p.conns {
@@ -46,5 +47,5 @@
 // All returns the connections.
 func (p *Pool[C]) All() []C { return slices.Clone(p.conns) }
 
-// Len is the number of connections.
+// Len returns the number of connections.
 func (p *Pool[C]) Len() int { return len(p.conns) }
--- a/internal/gatherer/mem/servers.go
+++ b/internal/gatherer/mem/servers.go
@@ -8,9 +8,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Server is one lot store as the server list last described it.
+// Server is one lot store as last described by the server list.
 type Server struct {
-	ID             decision.ServerID // assigned here, never used twice
+	ID             decision.ServerID // assigned by Servers and never reused
 	Name           string
 	Addr           string
 	Zone           int
@@ -21,26 +21,26 @@
 	deregisteredAt time.Time
 }
 
-// Servers is the server list, with the bans that operators set. A banned server is shown as draining at best, whatever
-// the list says meanwhile. Servers is not safe for concurrent use: one goroutine owns it.
+// Servers is the server list with the bans that operators set. A banned server that the list has as ready is returned
+// as draining. Servers is not safe for concurrent use: one goroutine owns it.
 type Servers struct {
-	byName   map[string]*Server
-	lastID   decision.ServerID
-	banned   map[string]struct{}
-	attached map[string]time.Time // when a ban was lifted: the server is in slow start from then
+	byName     map[string]*Server
+	lastID     decision.ServerID
+	banned     map[string]struct{}
+	unbannedAt map[string]time.Time // when the ban of a server was lifted, from when on it is in slow start
 }
 
-// NewServers returns an empty list.
+// NewServers returns an empty list without bans.
 func NewServers() *Servers {
-	return &Servers{byName: map[string]*Server{}, banned: map[string]struct{}{}, attached: map[string]time.Time{}}
+	return &Servers{byName: map[string]*Server{}, banned: map[string]struct{}{}, unbannedAt: map[string]time.Time{}}
 }
 
-// keepDeregistered is how long a deregistered server keeps its ID, so that one listed again is recognised. It is longer
-// than anything may be in flight there.
-const keepDeregistered = 2 * time.Minute
+// deregisteredRetention is how long a deregistered server keeps its ID, which it gets back if it is listed again. It is
+// longer than any attempt may be in flight.
+const deregisteredRetention = 2 * time.Minute
 
-// Apply applies an update of the list and returns the changed entries with their IDs. With a full list, they include an
-// entry for each server that is missing from it and was not deregistered before.
+// Apply applies an update of the list and returns the changed entries with their IDs. A full list deregisters each
+// server that it does not contain; the result has an entry for each of these.
 func (l *Servers) Apply(full bool, entries []Server, now time.Time) []Server {
 	named := map[string]bool{}
 	var changed []Server
@@ -64,31 +64,33 @@
 			s.State, s.deregisteredAt = decision.Deregistered, now
 			changed = append(changed, l.visible(s))
 		}
-		if s.State == decision.Deregistered && now.Sub(s.deregisteredAt) > keepDeregistered {
+		if s.State == decision.Deregistered && now.Sub(s.deregisteredAt) > deregisteredRetention {
 			delete(l.byName, name)
 		}
 	}
-	maps.DeleteFunc(l.attached, func(name string, at time.Time) bool { return l.byName[name] == nil && now.Sub(at) > keepDeregistered })
+	maps.DeleteFunc(l.unbannedAt, func(name string, at time.Time) bool {
+		return l.byName[name] == nil && now.Sub(at) > deregisteredRetention
+	})
 	return changed
 }
 
-// visible is a server with its ban applied.
+// visible returns a server as seen by the scheduler, with its ban or the end of its ban applied.
 func (l *Servers) visible(s *Server) Server {
 	x := *s
-	if _, is := l.banned[s.Name]; is && x.State == decision.Ready {
+	if _, ok := l.banned[s.Name]; ok && x.State == decision.Ready {
 		x.State = decision.Draining
 	}
-	if at := l.attached[s.Name]; at.After(x.Started) {
+	if at := l.unbannedAt[s.Name]; at.After(x.Started) {
 		x.Started = at
 	}
 	return x
 }
 
-// Ban bans a server until Unban, and returns the changed entries. It returns false for an unknown name. A second ban
-// changes nothing.
+// Ban bans a server until Unban and returns the changed entries, none if it is banned already. It returns false for an
+// unknown name.
 func (l *Servers) Ban(name string) (changed []Server, ok bool) {
 	s := l.byName[name]
-	if _, is := l.banned[name]; is {
+	if _, banned := l.banned[name]; banned {
 		return nil, true
 	}
 	if s == nil {
@@ -98,15 +100,16 @@
 	return []Server{l.visible(s)}, true
 }
 
-// Unban ends the ban of a server, listed or not, and returns the changed entries. The server counts as started at that
-// time and gets a new ID: what was learned of its old process, and what is still in flight there, is not the new one's.
+// Unban lifts the ban of a server, listed or not, and returns the changed entries. It returns false for a name that is
+// neither banned nor known. The server counts as started at that time and gets a new ID, so that neither the records of
+// its old process nor attempts still in flight there are taken for those of the new one.
 func (l *Servers) Unban(name string, at time.Time) (changed []Server, ok bool) {
 	s := l.byName[name]
-	if _, is := l.banned[name]; !is {
+	if _, banned := l.banned[name]; !banned {
 		return nil, s != nil
 	}
 	delete(l.banned, name)
-	l.attached[name] = at
+	l.unbannedAt[name] = at
 	if s == nil {
 		return nil, true
 	}
@@ -117,20 +120,21 @@
 	return []Server{old, l.visible(s)}, true
 }
 
-// Bans returns the banned names, and when the bans of others were lifted.
-func (l *Servers) Bans() (out []string, back map[string]time.Time) {
-	return slices.Sorted(maps.Keys(l.banned)), maps.Clone(l.attached)
+// Bans returns the names of the banned servers, and when the bans of others were lifted.
+func (l *Servers) Bans() (banned []string, lifted map[string]time.Time) {
+	return slices.Sorted(maps.Keys(l.banned)), maps.Clone(l.unbannedAt)
 }
 
-// Inherit adopts another process's bans. The list must be applied afterwards.
-func (l *Servers) Inherit(out []string, back map[string]time.Time) {
-	for _, name := range out {
+// Inherit adds the bans of another process. The server list must be applied afterwards for them to take effect.
+func (l *Servers) Inherit(banned []string, lifted map[string]time.Time) {
+	for _, name := range banned {
 		l.banned[name] = struct{}{}
 	}
-	maps.Copy(l.attached, back)
+	maps.Copy(l.unbannedAt, lifted)
 }
 
-// Listed returns every known server as discovery describes it, without bans, and those lately deregistered.
+// Listed returns every known server as the server list describes it: bans are not applied, and lately deregistered
+// servers are included.
 func (l *Servers) Listed() (all []Server) {
 	for _, s := range l.byName {
 		all = append(all, *s)
@@ -138,7 +142,7 @@
 	return all
 }
 
-// All returns every server that is not deregistered.
+// All returns every server that is not deregistered, with bans applied.
 func (l *Servers) All() []Server {
 	var all []Server
 	for _, s := range l.byName {
