--- a/internal/gatherer/mem/cluster/candidates.go
+++ b/internal/gatherer/mem/cluster/candidates.go
@@ -5,15 +5,15 @@
 	"pulleygw.example/pulleygw/internal/gatherer/spread"
 )
 
-// CollectCandidates collects the candidates of a choice: the replicas of the subqueries' shards that are able to take
-// one, each with how many of the subqueries it could take in a call.
+// CollectCandidates sets Candidates to the replicas of the subqueries' shards for which able is true. It sets the Cover
+// of each to the number of the subqueries that the replica could take in one call.
 func (st *State) CollectCandidates(subs []*Subquery, able func(*Server) bool) {
 	st.Choice, st.Candidates = st.Choice+1, st.Candidates[:0]
 	for _, sub := range subs {
 		for _, s := range st.Replicas[sub.Shard%st.Settings.Cells] {
 			if s.Choice != st.Choice {
-				s.Choice, s.Cover, s.Able = st.Choice, 0, able(s)
-				if s.Able {
+				s.Choice, s.Cover, s.Eligible = st.Choice, 0, able(s)
+				if s.Eligible {
 					st.Candidates = append(st.Candidates, s)
 				}
 			}
@@ -24,15 +24,16 @@
 	}
 }
 
-// SelectSubset puts into reserve the servers that this scheduler needs least: of each shard's ready and warm replicas
-// those beyond the subset size that the host's connections and the number of instances allow, ranked by the random
-// tie-break that each scheduler draws for itself. Warmth is the fraction of its capacity that a server has.
+// SelectSubset selects the servers that this scheduler uses and puts the others into reserve. Of each shard's replicas
+// that are ready and warm it keeps a subset, ranked by the tie-break that each scheduler draws at random. Package
+// spread derives the size of the subset from the host's connections, the number of instances and the permitted
+// unevenness. Warmth returns the fraction of its capacity that a server has.
 func (st *State) SelectSubset(uneven float64, warmth func(*Server) float64) {
 	servers, replicas := 0, 1
 	for _, list := range st.Replicas {
 		replicas = max(replicas, len(list))
 	}
-	for _, s := range st.Order {
+	for _, s := range st.SortedServers {
 		if s.Listed {
 			servers++
 		}
@@ -43,13 +44,13 @@
 		cell := make([]spread.Replica, len(list))
 		for i, s := range list {
 			cell[i] = spread.Replica{Rank: s.TieBreak, Usable: s.State == decision.Ready && warmth(s) >= 1}
-			s.Reserve = s.Reserve || cell[i].Usable
+			s.InReserve = s.InReserve || cell[i].Usable
 		}
 		for i, keep := range spread.Select(cell, size) {
 			kept[list[i]] = kept[list[i]] || keep
 		}
 	}
 	for s := range kept {
-		s.Reserve = s.Reserve && !kept[s]
+		s.InReserve = s.InReserve && !kept[s]
 	}
 }
--- a/internal/gatherer/mem/cluster/list.go
+++ b/internal/gatherer/mem/cluster/list.go
@@ -9,36 +9,36 @@
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// Back-off of failed calls for the server list, where it has to be polled.
+// Back-off from the server list after failed calls, if the list has to be polled.
 const (
-	pollBackoffFirst = 500 * time.Millisecond // doubled with each failure
-	pollBackoffMax   = 4 * time.Second
+	initialPollBackoff = 500 * time.Millisecond // doubled by each failure, including the first
+	maxPollBackoff     = 4 * time.Second
 )
 
-// ListReceived records the result of a call for the server list, and reports whether it has entries.
+// ListReceived records whether a call for the server list succeeded, and reports whether there are entries to apply.
 func (st *State) ListReceived(kind decision.ListKind) bool {
 	if kind == decision.ListFailed {
-		st.Subscribed, st.PollBackoff = false, min(2*st.PollBackoff, pollBackoffMax)
+		st.Subscribed, st.PollBackoff = false, min(2*st.PollBackoff, maxPollBackoff)
 		st.PollAt = st.Now + curve.Duration(curve.Seconds(st.PollBackoff)*(0.5+st.RNG.Float64()/2))
 		st.SetFlag(&st.ListFailing, true, "list failing=%v")
 		return false
 	}
 	if kind != decision.Cached {
-		st.Subscribed, st.PollBackoff = true, pollBackoffFirst
+		st.Subscribed, st.PollBackoff = true, initialPollBackoff
 		st.SetFlag(&st.ListFailing, false, "list failing=%v")
 	}
 	return true
 }
 
-// RenewSubscription subscribes to the server list where that is due.
+// RenewSubscription subscribes to the server list if that is due.
 func (st *State) RenewSubscription() {
-	if !st.Unsubscribed() || st.Now < st.PollAt {
+	if !st.NeedsSubscription() || st.Now < st.PollAt {
 		return
 	}
 	st.Emit(decision.Subscribe{})
-	st.PollAt = st.Now + pollBackoffMax
+	st.PollAt = st.Now + maxPollBackoff
 	if w := st.Settings.Rules.PollWithin / 2; w > 0 {
-		st.PollAt = min(st.PollAt, st.Now+w) // the operator counts us as informed after this time
+		st.PollAt = min(st.PollAt, st.Now+w) // the operator takes the list as known here after PollWithin
 	}
 }
 
@@ -47,11 +47,12 @@
 	return (s.Cell-shard%st.Settings.Cells+st.Settings.Cells)%st.Settings.Cells < st.Settings.Width
 }
 
-// Apply applies an update of the server list. Change is called with each entry before it takes effect.
-func (st *State) Apply(e decision.ServerList, change func(*Server, decision.ServerInfo)) {
+// ApplyServerList applies an update of the server list. It calls change for each entry with the server as it was
+// before.
+func (st *State) ApplyServerList(e decision.ServerList, change func(*Server, decision.ServerInfo)) {
 	old := map[decision.ServerID]bool{}
 	if e.Kind != decision.Delta {
-		for _, s := range st.Order {
+		for _, s := range st.SortedServers {
 			old[s.ID], s.Listed = s.Listed, false
 		}
 	}
@@ -64,9 +65,9 @@
 		}
 		s := st.Servers[i.ID]
 		if s == nil {
-			s = &Server{Record: curve.NewRecord()}
+			s = &Server{Latencies: curve.NewRecord()}
 			st.Servers[i.ID] = s
-			st.Order = append(st.Order, s)
+			st.SortedServers = append(st.SortedServers, s)
 			s.Started = -1
 		}
 		s.Listed = s.Listed || old[i.ID]
@@ -75,8 +76,8 @@
 		s.ServerInfo, s.Listed = i, i.State != decision.Deregistered
 	}
 	st.Reindex()
-	for _, s := range st.Order {
-		if !s.Listed || s.State != decision.Ready { // nothing new is sent there: what is queued goes elsewhere
+	for _, s := range st.SortedServers {
+		if !s.Listed || s.State != decision.Ready { // it is sent nothing new, so its queue is reassigned
 			for len(s.Queue) > 0 {
 				sub := s.Dequeue()
 				sub.Server = nil
@@ -85,23 +86,23 @@
 	}
 }
 
-// Reindex sorts the servers and lists, for each cell, those that hold the shards that begin there.
+// Reindex sorts the servers by ID and rebuilds the lists of replicas by cell and of servers by zone.
 func (st *State) Reindex() {
-	slices.SortFunc(st.Order, func(a, b *Server) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(st.SortedServers, func(a, b *Server) int { return int(int64(a.ID) - int64(b.ID)) })
 	for i := range st.Replicas {
 		st.Replicas[i] = st.Replicas[i][:0]
 	}
 	for i := range st.Zones {
 		st.Zones[i].Servers = st.Zones[i].Servers[:0]
 	}
-	for _, s := range st.Order {
+	for _, s := range st.SortedServers {
 		for len(st.Zones) <= s.Zone {
 			st.Zones = append(st.Zones, Zone{Number: len(st.Zones)})
 		}
 		if z := &st.Zones[s.Zone]; s.Listed && s.State == decision.Ready {
 			z.Servers = append(z.Servers, s)
 		}
-		s.Reserve = false
+		s.InReserve = false
 		for j := 0; s.Listed && j < st.Settings.Width; j++ {
 			first := (s.Cell - j + st.Settings.Cells) % st.Settings.Cells
 			st.Replicas[first] = append(st.Replicas[first], s)
@@ -109,15 +110,15 @@
 	}
 }
 
-// Unsubscribed reports whether the server list has to be polled and is not subscribed to.
-func (st *State) Unsubscribed() bool { return st.Settings.Polling && !st.Subscribed }
+// NeedsSubscription reports whether the server list has to be subscribed to and is not.
+func (st *State) NeedsSubscription() bool { return st.Settings.Polling && !st.Subscribed }
 
-// Prune bounds the memory of a long-lived process: it drops the servers off the list and the fingerprints without
-// any activity since unused, and the counts from before received.
+// Prune bounds the memory of a long-lived process. It drops unlisted servers and fingerprints without activity since
+// unused, and the counts of received queries from before received.
 func (st *State) Prune(unused, received time.Duration) {
 	st.Received.Since(received)
 	maps.DeleteFunc(st.Poisoned, func(_ uint64, at time.Duration) bool { return at < unused })
-	st.Order = slices.DeleteFunc(st.Order, func(s *Server) bool {
+	st.SortedServers = slices.DeleteFunc(st.SortedServers, func(s *Server) bool {
 		old := !s.Listed && len(s.InFlight) == 0 && len(s.Queue) == 0 &&
 			s.LatencyAt < unused && s.CrashedAt < unused && s.ListedAt < unused
 		if old {
--- a/internal/gatherer/mem/cluster/query.go
+++ b/internal/gatherer/mem/cluster/query.go
@@ -13,39 +13,39 @@
 // Query is a query in progress.
 type Query struct {
 	decision.QueryArrived
-	Spec          *decision.Class
-	ArrivedAt     time.Duration
-	GivesUpAt     time.Duration // when the client times out
-	TargetAt      time.Duration // arrival and latency target, never after GivesUpAt
-	Current       []*Subquery   // of the current step
-	All           []*Subquery   // of both steps
-	Step          int           // 1 or 2
-	Awaited       int           // subqueries of this step, those still to arrive included
-	Admitted      bool
-	FirstComplete bool          // the first step ended with a complete answer
-	FirstWeight   float64       // weight that the first step ended with
-	Proven        bool          // a subquery has been answered: the query is no poison
-	Crashes       int           // crashes at which it was in flight; those of one round of sends count once
-	CrashedAt     time.Duration // the last of them
-	Ended         bool
+	Spec              *decision.Class
+	ArrivedAt         time.Duration
+	ClientTimeoutAt   time.Duration // when the client times out
+	TargetAt          time.Duration // end of the latency target, never after ClientTimeoutAt
+	Current           []*Subquery   // subqueries of the current step that have arrived
+	All               []*Subquery   // subqueries of both steps that have arrived
+	Step              int           // 1 or 2
+	StepSize          int           // number of subqueries of the current step, including those still to arrive
+	Admitted          bool
+	FirstStepComplete bool          // whether the answer of the first step was complete
+	FirstStepWeight   float64       // total weight of the subqueries that were answered in the first step
+	Proven            bool          // a subquery has been answered, so the query is no poison
+	Crashes           int           // crashes while it was in flight; those of attempts sent at the same time count once
+	CrashedAt         time.Duration // when Crashes was last incremented
+	Ended             bool
 }
 
 // Subquery is one shard's part of a query.
 type Subquery struct {
 	decision.SubqueryArrived
 	Parent             *Query
-	Server             *Server // whose queue it is in, or that was chosen last
-	tailguard.QueueKey         // in the order of release
+	Server             *Server // the server in whose queue it is, or that it was last sent to
+	tailguard.QueueKey         // its position in the queue
 	QueueIndex         int     // index in the server's queue, -1 when not queued
-	Late               bool    // counted as a missed deadline
-	Spare              bool    // not sent unless others are late or lost
-	Replaced           bool    // a spare was sent in its place
-	Strength           float64 // total weight of its shard's replicas, to choose among spares
-	Done               bool
+	MissCounted        bool    // counted as a missed deadline
+	Spare              bool    // withheld until others are late or have failed
+	SpareRequested     bool    // late, and a spare has been requested in its place
+	ReplicaWeight      float64 // total weight of its shard's replicas, to choose among spares
+	Done               bool    // answered, or skipped by the planner
 	Attempts           []*Attempt
-	MayRun             time.Duration // send time of the first attempt that may have run, -1 for none
+	FirstRunAt         time.Duration // send time of the first attempt that may have run, -1 for none
 	Failed             bool          // can no longer be answered
-	Cheap              bool          // its last attempt failed fast: another one is hardly any load
+	CheapRetry         bool          // its last attempt failed fast, so that another one adds hardly any load
 }
 
 // Attempt is one sending of a subquery.
@@ -54,43 +54,46 @@
 	Server         *Server
 	Number         int // from 0
 	SentAt         time.Duration
-	InFlightAtSend int  // subqueries of ours in flight at the server when it was sent
-	NotRun         bool // known never to have run
-	Idle           bool // sent on a connection that had been idle
-	Live           bool // in flight
-	Rerouted       bool // cancelled to be sent elsewhere
+	InFlightAtSend int  // other attempts in flight at the server when it was sent, without those of the same step
+	NeverRan       bool // known never to have run
+	OnIdleConn     bool // sent on a connection that had been idle
+	InFlight       bool // sent and not ended
+	Rerouted       bool // cancelled in order to send the subquery to another server
 }
 
-// InTurn reports whether the attempt's server has answered since it was sent, but nothing that was sent later.
-func (a *Attempt) InTurn() bool {
+// AwaitsTurn reports whether the attempt's server answers in order and has not reached the attempt: it has answered
+// something since the attempt was sent, but nothing that was sent later.
+func (a *Attempt) AwaitsTurn() bool {
 	return a.Server.AnsweredAt > a.SentAt && a.Server.AnsweredSentAt <= a.SentAt
 }
 
-// Forget drops a subquery with no attempt in flight.
+// Forget drops a subquery unless an attempt of it is in flight.
 func (st *State) Forget(sub *Subquery) {
-	if !AnyLive(sub) {
+	if !AnyInFlight(sub) {
 		delete(st.Subqueries, sub.ID)
 	}
 }
 
-// Fingerprint is a hash of what a query asks for. A retry of the client has the same.
+// Fingerprint returns a hash of the request and of the shards of a query. A retry by the client has the same.
 func Fingerprint(q *Query) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, q.Class, q.Key) // a hash does not fail
+	_, _ = fmt.Fprint(h, q.Class, q.Key) // writing to a hash does not fail
 	for _, sub := range q.Current {
 		_, _ = fmt.Fprint(h, " ", sub.Shard)
 	}
 	return h.Sum64()
 }
 
-// Pending reports whether a subquery of the query is queued, or in flight since from or later.
-func Pending(q *Query, from time.Duration) bool {
+// AnyPending reports whether a subquery of the query is queued, or has an attempt in flight that was sent at or after
+// from.
+func AnyPending(q *Query, from time.Duration) bool {
 	return slices.ContainsFunc(q.All, func(sub *Subquery) bool {
-		return sub.QueueIndex >= 0 || slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.Live && a.SentAt >= from })
+		return sub.QueueIndex >= 0 || slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.InFlight && a.SentAt >= from })
 	})
 }
 
-// End removes a query from the tables. Outcomes still to come are recorded for their servers only.
+// End ends a query and removes it from the tables. Outcomes of attempts still in flight are recorded for their servers
+// only.
 func (st *State) End(q *Query) {
 	if q == nil { // it has ended already
 		return
@@ -103,9 +106,9 @@
 	}
 }
 
-// Launch records an attempt of the subquery at the server.
-func (st *State) Launch(sub *Subquery, s *Server, idle bool) {
-	a := &Attempt{Subquery: sub, Server: s, Number: len(sub.Attempts), SentAt: st.Now, Live: true, Idle: idle}
+// AddAttempt records a new attempt of the subquery at the server. Idle is true if its connection had been idle.
+func (st *State) AddAttempt(sub *Subquery, s *Server, idle bool) {
+	a := &Attempt{Subquery: sub, Server: s, Number: len(sub.Attempts), SentAt: st.Now, InFlight: true, OnIdleConn: idle}
 	for _, o := range s.InFlight {
 		if o.SentAt < st.Now {
 			a.InFlightAtSend++
@@ -113,30 +116,30 @@
 	}
 	sub.Attempts = append(sub.Attempts, a)
 	sub.Server = s
-	if sub.MayRun < 0 {
-		sub.MayRun = st.Now
+	if sub.FirstRunAt < 0 {
+		sub.FirstRunAt = st.Now
 	}
 	s.InFlight = append(s.InFlight, a)
 	s.SentAt = st.Now
 }
 
-// Unassigned lists those of the subqueries that have not ended and are neither queued nor in flight.
+// Unassigned returns the subqueries that need a replica: not ended or withheld, and neither queued nor in flight.
 func Unassigned(subs []*Subquery) (unassigned []*Subquery) {
 	for _, sub := range subs {
-		if sub.QueueIndex < 0 && !sub.Done && !sub.Failed && !sub.Spare && !AnyLive(sub) {
+		if sub.QueueIndex < 0 && !sub.Done && !sub.Failed && !sub.Spare && !AnyInFlight(sub) {
 			unassigned = append(unassigned, sub)
 		}
 	}
 	return unassigned
 }
 
-// Abort takes a subquery off its queue and cancels its attempts in flight.
+// Abort removes a subquery from its queue and cancels its attempts in flight, if attempts can be cancelled.
 func (st *State) Abort(sub *Subquery) {
 	if sub.QueueIndex >= 0 {
 		sub.Server.Unqueue(sub)
 	}
 	for _, a := range sub.Attempts {
-		if a.Live && st.Settings.Cancel {
+		if a.InFlight && st.Settings.Cancel {
 			st.Emit(decision.Cancel{Subquery: sub.ID, Attempt: a.Number})
 		}
 	}
@@ -144,31 +147,31 @@
 
 // InFlightAt reports whether an attempt of the subquery is in flight at the server.
 func InFlightAt(sub *Subquery, s *Server) bool {
-	return slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.Live && a.Server == s })
+	return slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.InFlight && a.Server == s })
 }
 
-// UpdateMayRun recomputes when the first attempt that may have run was sent.
-func (sub *Subquery) UpdateMayRun() {
-	sub.MayRun = -1
-	if i := slices.IndexFunc(sub.Attempts, func(a *Attempt) bool { return !a.NotRun }); i >= 0 {
-		sub.MayRun = sub.Attempts[i].SentAt
+// UpdateFirstRunAt recomputes FirstRunAt after an attempt is known never to have run.
+func (sub *Subquery) UpdateFirstRunAt() {
+	sub.FirstRunAt = -1
+	if i := slices.IndexFunc(sub.Attempts, func(a *Attempt) bool { return !a.NeverRan }); i >= 0 {
+		sub.FirstRunAt = sub.Attempts[i].SentAt
 	}
 }
 
-// AnyLive reports whether an attempt of the subquery is in flight.
-func AnyLive(sub *Subquery) bool {
-	return slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.Live })
+// AnyInFlight reports whether an attempt of the subquery is in flight.
+func AnyInFlight(sub *Subquery) bool {
+	return slices.ContainsFunc(sub.Attempts, func(a *Attempt) bool { return a.InFlight })
 }
 
-// Progress is how far the current step of a query has come.
+// Progress is the progress of a query's current step.
 type Progress struct {
-	Answered   float64 // weight of the subqueries that have been answered
-	Attainable float64 // weight of those that have been or may still be
-	Failed     int     // subqueries that cannot be answered any more
-	Done       int     // subqueries that have been answered
+	Answered   float64 // total weight of the subqueries that are done
+	Attainable float64 // total weight of the subqueries that are done or may still be answered
+	Failed     int     // number of subqueries that can no longer be answered
+	Done       int     // number of subqueries that are done
 }
 
-// ProgressOf returns how far the current step of a query has come.
+// ProgressOf returns the progress of a query's current step.
 func ProgressOf(q *Query) (p Progress) {
 	for _, sub := range q.Current {
 		if sub.Done {
@@ -184,8 +187,9 @@
 	return p
 }
 
-// Drop marks the selected subqueries as failed and the rest as not, and returns the weight of the rest.
-func (q *Query) Drop(selected func(*Subquery) bool) (rest float64) {
+// SetFailed sets Failed for the selected subqueries, clears it for the others, and returns the total weight of the
+// others.
+func (q *Query) SetFailed(selected func(*Subquery) bool) (rest float64) {
 	for _, sub := range q.Current {
 		if sub.Failed = selected(sub); !sub.Failed {
 			rest += sub.Weight
@@ -194,11 +198,11 @@
 	return rest
 }
 
-// UseSpare returns the spare subquery whose shard has the strongest replicas, and makes it an ordinary one. It
-// returns nil if there is none.
+// UseSpare returns the spare subquery whose shard's replicas have the highest total weight, and makes it an ordinary
+// subquery. It returns nil if there is no spare.
 func (q *Query) UseSpare() (best *Subquery) {
 	for _, sub := range q.Current {
-		if sub.Spare && !sub.Later && !sub.Failed && (best == nil || sub.Strength > best.Strength) {
+		if sub.Spare && !sub.Later && !sub.Failed && (best == nil || sub.ReplicaWeight > best.ReplicaWeight) {
 			best = sub
 		}
 	}
@@ -208,7 +212,7 @@
 	return best
 }
 
-// UseSpares makes the strongest spare subqueries ordinary ones until they reach the weight or none is left.
+// UseSpares calls UseSpare until the subqueries reach a total weight or no spare is left.
 func (q *Query) UseSpares(weight float64) {
 	for got := 0.0; got < weight; {
 		sub := q.UseSpare()
--- a/internal/gatherer/mem/cluster/queue.go
+++ b/internal/gatherer/mem/cluster/queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// queue is a server's queue as a heap, in the order of release.
+// queue implements heap.Interface for a server's queue, ordered by QueueKey.
 type queue struct{ *Server }
 
 func (q queue) Len() int { return len(q.Queue) }
@@ -29,20 +29,20 @@
 	return sub
 }
 
-// Enqueue puts a subquery into the server's queue.
+// Enqueue adds a subquery to the server's queue.
 func (s *Server) Enqueue(sub *Subquery) {
 	sub.Server = s
 	heap.Push(queue{s}, sub)
 }
 
-// Unqueue takes a subquery out of the queue, if it is queued.
+// Unqueue removes a subquery from the queue, if it is queued.
 func (s *Server) Unqueue(sub *Subquery) {
 	if sub.QueueIndex >= 0 {
 		heap.Remove(queue{s}, sub.QueueIndex)
 	}
 }
 
-// Dequeue takes the first subquery out of the queue, which must not be empty.
+// Dequeue removes and returns the first subquery of the queue, which must not be empty.
 func (s *Server) Dequeue() *Subquery { return heap.Pop(queue{s}).(*Subquery) }
 
 // Reorder restores the order of the queue after the deadline of a queued subquery has changed.
--- a/internal/gatherer/mem/cluster/records.go
+++ b/internal/gatherer/mem/cluster/records.go
@@ -8,17 +8,17 @@
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// PerSecond is how many subqueries per second all servers together have answered lately.
+// PerSecond returns how many subqueries per second all servers together have answered for this scheduler lately.
 func (st *State) PerSecond() float64 {
-	span := st.Tuning.UsualSpan
+	span := st.Tuning.ThroughputWindow
 	return st.Answered.Since(st.Now-span) / curve.Seconds(max(min(span, st.Now-st.StartedAt), st.Settings.Tick))
 }
 
-// Survey computes the median of the servers' latencies, and returns the total nominal size of the listed servers that
-// are warm.
+// Survey updates the median of the servers' latencies, and returns the total nominal capacity of the listed servers
+// that are warm.
 func (st *State) Survey(warm func(*Server) bool) (size float64) {
-	lats := st.Scratch[:0]
-	for _, s := range st.Order {
+	lats := st.LatencyScratch[:0]
+	for _, s := range st.SortedServers {
 		s.CDFValid = false
 		if s.Latency > 0 {
 			lats = append(lats, s.Latency)
@@ -27,17 +27,17 @@
 			size += s.Nominal
 		}
 	}
-	st.Scratch, st.Median = lats, curve.Median(lats)
+	st.LatencyScratch, st.ServerMedian = lats, curve.Median(lats)
 	return size
 }
 
-// Records returns what has been learned of the servers, as of the last step.
+// Records returns what has been learned about the servers, as of the last step.
 func (st *State) Records() (all []decision.Record) {
-	for _, s := range st.Order {
-		r := decision.Record{Server: s.ID, Answers: slices.Clone(s.Record.N), Latency: s.Latency, Failing: s.FailureRate,
+	for _, s := range st.SortedServers {
+		r := decision.Record{Server: s.ID, Answers: slices.Clone(s.Latencies.Weights), Latency: s.Latency, Failing: s.FailureRate,
 			Cap: s.Cap, SlowStartAge: -1}
 		for i := range r.Answers {
-			r.Answers[i] /= s.Record.Weight(st.Now)
+			r.Answers[i] /= s.Latencies.Weight(st.Now)
 		}
 		if s.SlowStartFrom > 0 {
 			r.SlowStartAge = st.Now - s.SlowStartFrom
@@ -47,23 +47,24 @@
 	return all
 }
 
-// Learn adopts what another scheduler has learned. Records that do not fit this one's histograms are ignored.
+// Learn adopts what another scheduler has learned. It ignores records of unknown servers and those with other histogram
+// buckets.
 func (st *State) Learn(e decision.Learned) {
-	if len(st.Answered.At) == 0 && e.PerSecond > 0 { // as if these had been its own answers
-		for at := -st.Tuning.UsualSpan; at < 0; at += st.Tuning.SurveyGap {
-			st.Answered.Add(st.Now+at, e.PerSecond*curve.Seconds(st.Tuning.SurveyGap))
+	if len(st.Answered.Times) == 0 && e.PerSecond > 0 { // as if this scheduler had received these answers
+		for at := -st.Tuning.ThroughputWindow; at < 0; at += st.Tuning.SurveyInterval {
+			st.Answered.Add(st.Now+at, e.PerSecond*curve.Seconds(st.Tuning.SurveyInterval))
 		}
-		st.StartedAt = st.Now - st.Tuning.UsualSpan
+		st.StartedAt = st.Now - st.Tuning.ThroughputWindow
 	}
 	for _, r := range e.Records {
 		s := st.Servers[r.Server]
-		if s == nil || len(r.Answers) != len(s.Record.N) {
+		if s == nil || len(r.Answers) != len(s.Latencies.Weights) {
 			continue
 		}
-		s.Record, s.CDFValid = curve.NewRecord(), false
+		s.Latencies, s.CDFValid = curve.NewRecord(), false
 		for i, n := range r.Answers {
-			s.Record.Put(st.Now, i, n)
-			st.Pool.Put(st.Now, i, n)
+			s.Latencies.AddToBucket(st.Now, i, n)
+			st.Pool.AddToBucket(st.Now, i, n)
 		}
 		s.Latency, s.LatencyAt, s.FailureRate, s.FailureRateAt = r.Latency, st.Now, r.Failing, st.Now
 		s.Cap = min(max(r.Cap, st.Tuning.CapMin), st.Tuning.CapMax)
@@ -71,19 +72,19 @@
 			s.SlowStartFrom = st.Now - r.SlowStartAge
 		}
 	}
-	st.PoolChanged, st.Surveyed = true, -1
+	st.PoolChanged, st.SurveyedAt = true, -1
 }
 
-// CDF is the latency distribution of a server, blended with that of all servers while it has few answers. It also
-// updates the server's MaxAge.
+// CDF returns the cumulative latency distribution of a server, blended with that of all servers, which counts the less
+// the more answers the server has given. It also updates the server's MaxAge.
 func (st *State) CDF(s *Server) []float64 {
 	if st.Pool.Total == 0 {
-		s.MaxAge = st.TailLatency
+		s.MaxAge = st.PoolTail
 		return st.PoolCDF
 	}
 	if !s.CDFValid {
-		s.CDF = curve.Blend(s.CDF, s.Record, st.Pool, curve.RecordPrior, st.Now)
-		s.MaxAge = min(st.TailLatency, st.Pool.Quantile(s.CDF, st.Tuning.Tail))
+		s.CDF = curve.Blend(s.CDF, s.Latencies, st.Pool, curve.RecordPrior, st.Now)
+		s.MaxAge = min(st.PoolTail, st.Pool.Quantile(s.CDF, st.Tuning.TailPercentile))
 		s.CDFValid = true
 	}
 	return s.CDF
@@ -93,44 +94,44 @@
 func (st *State) SurveyPool() {
 	st.PoolChanged = false
 	pool := st.Pool
-	if pool.Total == 0 { // before any answer: a distribution derived from the classes' latency targets
+	if pool.Total == 0 { // before any answer: assumes a distribution derived from the shortest latency target
 		least := slices.MinFunc(st.Settings.Classes, func(a, b decision.Class) int { return cmp.Compare(a.LatencyTarget, b.LatencyTarget) })
 		pool = curve.NewRecord()
-		pool.FillUniform(curve.Seconds(least.LatencyTarget) * st.Tuning.StartTail)
+		pool.FillUniform(curve.Seconds(least.LatencyTarget) * st.Tuning.InitialTailFraction)
 	}
 	st.PoolCDF = curve.Blend(st.PoolCDF, pool, pool, 0, st.Now)
-	st.Typical, st.TailLatency = pool.Quantile(st.PoolCDF, 0.5), pool.Quantile(st.PoolCDF, st.Tuning.Tail)
+	st.PoolMedian, st.PoolTail = pool.Quantile(st.PoolCDF, 0.5), pool.Quantile(st.PoolCDF, st.Tuning.TailPercentile)
 }
 
-// FanoutTail is a percentile of the latency, in seconds, of a query's fan-out: that of the slowest of its servers,
-// from the product of their CDFs.
+// FanoutTail returns a percentile, in seconds, of the latency of a query's fan-out. The slowest server determines that
+// latency, so that its distribution is the product of the CDFs of all servers.
 func (st *State) FanoutTail(q *Query, tail float64) float64 {
-	st.Product = st.Product[:0]
+	st.CDFProduct = st.CDFProduct[:0]
 	for _, sub := range q.Current {
 		if sub.Spare {
 			continue
 		}
 		if sub.Server != nil {
-			st.Product = curve.Multiply(st.Product, st.CDF(sub.Server))
+			st.CDFProduct = curve.Multiply(st.CDFProduct, st.CDF(sub.Server))
 		} else {
-			st.Product = curve.Multiply(st.Product, st.PoolCDF)
+			st.CDFProduct = curve.Multiply(st.CDFProduct, st.PoolCDF)
 		}
 	}
-	return st.Pool.Quantile(st.Product, tail)
+	return st.Pool.Quantile(st.CDFProduct, tail)
 }
 
-// ListingsTail is the same for the second step, of the servers that will list what was ranked. A phased query's
-// listings go to servers that have answered already, as far as these are known.
-func (st *State) ListingsTail(q *Query, tail float64) float64 {
+// SecondStepTail returns the same for the second step. The subqueries of a phased query's second step go to servers
+// that answered the first; for the others the distribution of all servers is used.
+func (st *State) SecondStepTail(q *Query, tail float64) float64 {
 	remaining := max(q.Fetch, 1)
-	st.Product = st.Product[:0]
+	st.CDFProduct = st.CDFProduct[:0]
 	for i := 0; i < len(q.Current) && remaining > 0; i++ {
 		if sub := q.Current[i]; q.Phased && sub.Done && sub.Server != nil {
-			st.Product, remaining = curve.Multiply(st.Product, st.CDF(sub.Server)), remaining-1
+			st.CDFProduct, remaining = curve.Multiply(st.CDFProduct, st.CDF(sub.Server)), remaining-1
 		}
 	}
 	for ; remaining > 0; remaining-- {
-		st.Product = curve.Multiply(st.Product, st.PoolCDF)
+		st.CDFProduct = curve.Multiply(st.CDFProduct, st.PoolCDF)
 	}
-	return st.Pool.Quantile(st.Product, tail)
+	return st.Pool.Quantile(st.CDFProduct, tail)
 }
--- a/internal/gatherer/mem/cluster/state.go
+++ b/internal/gatherer/mem/cluster/state.go
@@ -1,6 +1,6 @@
 // Package cluster holds the state of one scheduler: tables of queries, subqueries, attempts, servers and zones, and the
-// operations that keep them consistent. It decides nothing, does no I/O and has no clock: every parameter comes from
-// package policy, by Tuning or by call.
+// operations that keep them consistent. The decisions are made in package policy, which passes every parameter in
+// Tuning or as an argument. The package does no I/O and has no clock.
 package cluster
 
 import (
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/shared/curve"
 )
 
-// State is the state of one scheduler. It is not safe for concurrent use. Durations are the host's clock.
+// State is the state of one scheduler. It is not safe for concurrent use. Times are those of the host's clock.
 type State struct {
 	Tuning   Tuning
 	Settings decision.Settings
@@ -21,65 +21,69 @@
 	Now      time.Duration
 	Actions  []decision.Action // of the current step
 
-	Queries    map[decision.QueryID]*Query
-	Live       []*Query // in order of arrival; ended ones until the next sweep
-	Subqueries map[decision.SubqueryID]*Subquery
-	Seq        uint64 // of the last subquery
-
-	Servers  map[decision.ServerID]*Server
-	Order    []*Server   // by ID
-	Replicas [][]*Server // by cell, the servers that hold the shards that begin there, by ID
-	Turn     uint64      // of the rotation among replicas
-
-	Candidates []*Server    // of the current choice of a replica
-	Choice     uint64       // number of that choice
-	Single     [1]*Subquery // scratch: a choice for one subquery
-	Product    []float64    // scratch: product of CDFs
-	Scratch    []float64
-
-	Answered    curve.SlidingSum // subqueries answered by any server
-	StartedAt   time.Duration    // first step
-	PoolChanged bool             // Pool has changed since PoolCDF was computed
-	Pool        *curve.Histogram // latencies of all servers
-	PoolCDF     []float64
-	Surveyed    time.Duration // time of the last survey of all servers, -1 for none
-	Typical     float64       // median of the pool, seconds
-	TailLatency float64       // tail percentile of the pool, seconds
-	Median      float64       // of the servers' smoothed latencies, seconds
-	Baseline    float64       // the pool's median, slow to rise, seconds
-	ServerRate  float64       // subqueries per second that a warm server of nominal size 1 answers us
-
-	Stalled        bool          // this step comes long after it was due
-	WakeAt, Wanted time.Duration // the last WakeAt, and when the next sweep is wanted
-
-	Zones    []Zone
-	Poisoned map[uint64]time.Duration // by fingerprint, when a query last crashed servers
-	Alarm    bool                     // servers have crashed lately in several zones
-
-	Received, Retries curve.SlidingSum // queries and subqueries received, and further attempts: the retry budget
-	Decided, Missed   curve.SlidingSum // subqueries of which it is known whether they missed their deadline, and misses
-	Shed              float64          // fraction of queries to reject
-	ShedAt            time.Duration
-	Shedding          bool          // as last logged
-	Wait              float64       // smoothed excess latency of healthy servers, seconds
-	WaitAt            time.Duration // of the last change of Wait
-	Cost              float64       // smoothed number of subqueries of a query per value
-	LossRate          [2]float64    // smoothed, on busy and on idle connections
-	IdleConnsDead     bool          // idle connections lose what is sent on them
-
-	Subscribed  bool          // to the server list
-	PollAt      time.Duration // of the next call for the server list, where it has to be polled
-	PollBackoff time.Duration
-	ListFailing bool
+	Queries       map[decision.QueryID]*Query
+	ActiveQueries []*Query // queries in order of arrival; ended ones stay until the next sweep
+	Subqueries    map[decision.SubqueryID]*Subquery
+	Seq           uint64 // sequence number of the last subquery that arrived
+
+	Servers       map[decision.ServerID]*Server
+	SortedServers []*Server   // sorted by ID
+	Replicas      [][]*Server // by first cell of a shard, the listed servers that hold the shard, sorted by ID
+	Turn          uint64      // number of the last turn in the rotation among replicas
+
+	Candidates     []*Server    // candidates of the current choice of a replica
+	Choice         uint64       // number of that choice
+	SingleSubquery [1]*Subquery // scratch space for the choice for a single subquery
+	CDFProduct     []float64    // scratch space for a product of CDFs
+	LatencyScratch []float64    // scratch space for the latencies of all servers
+
+	Answered     curve.SlidingSum // subqueries answered by any server
+	StartedAt    time.Duration    // time of the first step
+	PoolChanged  bool             // whether Pool has changed since PoolCDF was computed
+	Pool         *curve.Histogram // latencies of all servers, while unloaded
+	PoolCDF      []float64        // cumulative distribution of Pool
+	SurveyedAt   time.Duration    // time of the last survey of all servers; -1 for none
+	PoolMedian   float64          // median of Pool in seconds
+	PoolTail     float64          // tail percentile of Pool in seconds
+	ServerMedian float64          // median of the servers' smoothed latencies in seconds
+	Baseline     float64          // the median of Pool, but slow to rise, in seconds
+	ServerRate   float64          // subqueries per second that a warm server of nominal capacity 1 answers this scheduler
+
+	Stalled             bool          // whether this step comes long after it was due
+	WakeAt, NextSweepAt time.Duration // the last WakeAt, and when the next sweep is due
+
+	Zones      []Zone
+	Poisoned   map[uint64]time.Duration // by fingerprint, when a query was last found to be poison
+	CrashAlarm bool                     // whether servers have crashed lately in several zones
+
+	// The retry budget.
+	Received, Retries curve.SlidingSum // queries and subqueries received; further attempts sent
+
+	// Load shedding.
+	Decided, Missed curve.SlidingSum // subqueries known to have met or missed their deadline; those that missed it
+	ShedFraction    float64          // fraction of queries to reject
+	ShedFractionAt  time.Duration    // when that was computed
+	Shedding        bool             // as last logged
+	ExcessLatency   float64          // smoothed excess of healthy servers' latencies over Baseline, in seconds
+	ExcessLatencyAt time.Duration    // when that last changed
+	CostPerValue    float64          // smoothed number of subqueries per value of a query
+
+	LossRate      [2]float64 // smoothed fraction of lost attempts, by connection: 0 for busy ones, 1 for idle ones
+	IdleConnsDead bool       // whether attempts on idle connections are being lost
+
+	Subscribed  bool          // whether the server list is subscribed to
+	PollAt      time.Duration // when the next call for the server list is due, if it has to be polled
+	PollBackoff time.Duration // back-off after the last failed call
+	ListFailing bool          // as last logged
 }
 
-// Tuning holds the values by which package policy tunes the tables and records.
+// Tuning holds the constants of package policy that the state depends on.
 type Tuning struct {
-	Tail           float64       // percentile of the tails that are read off histograms, 0 to 1
-	StartTail      float64       // of the least latency target: the top of the histogram assumed before any answer
-	UsualSpan      time.Duration // window of the servers' throughput
-	SurveyGap      time.Duration // between surveys of all servers
-	CapMin, CapMax float64       // bounds of a server's cap
+	TailPercentile      float64       // percentile that counts as the tail of latencies, 0 to 1
+	InitialTailFraction float64       // longest latency assumed before any answer, as a fraction of the shortest latency target
+	ThroughputWindow    time.Duration // window over which the throughput of the servers is measured
+	SurveyInterval      time.Duration // time between surveys of all servers
+	CapMin, CapMax      float64       // bounds of a server's concurrency cap
 }
 
 // New returns a state without queries and servers.
@@ -87,29 +91,29 @@
 	return State{
 		Tuning: t, Settings: set.WithDefaults(), RNG: rng, Queries: map[decision.QueryID]*Query{}, Subqueries: map[decision.SubqueryID]*Subquery{},
 		Servers: map[decision.ServerID]*Server{}, Pool: curve.NewRecord(), Poisoned: map[uint64]time.Duration{},
-		Replicas: make([][]*Server, set.Cells), PollBackoff: pollBackoffFirst, PollAt: -1, Surveyed: -1, StartedAt: math.MaxInt64,
+		Replicas: make([][]*Server, set.Cells), PollBackoff: initialPollBackoff, PollAt: -1, SurveyedAt: -1, StartedAt: math.MaxInt64,
 	}
 }
 
-// Emit appends an action for the host.
+// Emit adds an action to those that the current step returns.
 func (st *State) Emit(a decision.Action) { st.Actions = append(st.Actions, a) }
 
-// Log emits a line for on-call staff.
+// Log emits a log line for on-call staff.
 func (st *State) Log(format string, args ...any) {
 	st.Emit(decision.Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// ApplyUpdate applies events that change settings or records.
+// ApplyUpdate applies a SettingsChanged or Learned event and ignores any other.
 func (st *State) ApplyUpdate(e decision.Event) {
 	switch e := e.(type) {
 	case decision.SettingsChanged:
-		st.Settings = e.Settings.WithDefaults() // queries in flight point to the class that they arrived under
+		st.Settings = e.Settings.WithDefaults() // queries in progress keep pointers to their old classes
 	case decision.Learned:
 		st.Learn(e)
 	}
 }
 
-// SetFlag sets a flag and logs a line when it changes. The new value is the first argument of the format.
+// SetFlag sets a flag and, if it changes, logs a line. The first argument of the format is the new value.
 func (st *State) SetFlag(flag *bool, to bool, format string, args ...any) {
 	if *flag != to {
 		*flag = to
--- a/policy/answers_test.go
+++ b/policy/answers_test.go
@@ -8,8 +8,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
+// A query gets one complete answer as soon as all its subqueries are answered.
 func TestCompleteAnswerOnce(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2)
 	b.run(50 * ms)
 	for _, s := range append([]sent(nil), b.sends...) {
@@ -20,10 +21,11 @@
 	}
 }
 
-// A query whose time runs out with subqueries in flight, queued or never sendable gets one final answer, in time.
+// A query gets exactly one final answer before its client times out, with subqueries still in flight or with no server
+// to send them to.
 func TestFinalAnswerInTime(t *testing.T) {
-	for name, cells := range map[string][]int{"out": {0, 1, 2}, "no servers": {}} {
-		b := newFixture(t, base(), cells...)
+	for name, cells := range map[string][]int{"in flight": {0, 1, 2}, "no servers": {}} {
+		b := newFixture(t, baseSettings(), cells...)
 		q, _ := b.query(0, 500*ms, 0, 1)
 		b.run(520 * ms)
 		if b.finals[q] != 1 {
@@ -32,13 +34,13 @@
 	}
 }
 
-// The two steps: the floor, a complete answer and the second step are distinguished.
-func TestTwoStepsAndPartial(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+// If the first of two steps was answered only partially, the query's final answer is partial too.
+func TestPartialFirstStep(t *testing.T) {
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	q, _ := b.query(3, 4*time.Second, 0, 1)
 	b.run(50 * ms)
 	b.outcome(b.sends[0], decision.OK)
-	b.run(1000 * ms) // the other stays in flight: a partial answer saves the latency target
+	b.run(1000 * ms) // the other stays in flight, so that only a partial answer meets the latency target
 	if b.sched.Queries[q] == nil || b.sched.Queries[q].Step != 2 {
 		t.Fatal("no partial first answer by the latency target")
 	}
@@ -54,85 +56,87 @@
 	}
 	a, ok := b.last[q].(decision.Answer)
 	if !ok || a.Complete {
-		t.Errorf("final answer %v, want an answer that is not whole", b.last[q])
+		t.Errorf("final answer %v, want a partial answer", b.last[q])
 	}
 }
 
-// With latency targets of the order of a sweep, a partial answer leaves before the target, wherever the query arrived
-// between two sweeps: with sweeps at fixed times of each 10 ms, four of five such answers were up to 8 ms late.
+// A partial answer leaves before the latency target, wherever between two sweeps the query arrived. With sweeps at
+// fixed intervals of 10 ms, four of five such answers were up to 8 ms late.
 func TestPartialAnswerInTime(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Tick, set.Hedging = ms, false
 	set.Classes[0] = decision.Class{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5}
 	for _, offset := range []time.Duration{1, 3, 7, 9} {
 		b := newFixture(t, set, 0, 1, 2)
 		b.now += 11 * ms
-		b.query(0, time.Second, 0) // sweeps from now on
+		b.query(0, time.Second, 0) // starts the sweeps
 		b.now += offset * ms
-		came := b.now
+		arrived := b.now
 		q, ids := b.query(0, time.Second, 0, 1)
 		for _, s := range slices.Clone(b.sends) {
 			if s.Subquery == ids[0] {
 				b.outcome(s, decision.OK)
 			}
 		}
-		b.wakes(came + 290*ms)
+		b.runWakes(arrived + 290*ms)
 		if b.finals[q] > 0 {
-			t.Fatalf("offset %v: answered partially while the rest could still come", offset)
+			t.Fatalf("offset %v: final answer before the latency target", offset)
 		}
-		b.wakes(came + 299*ms)
+		b.runWakes(arrived + 299*ms)
 		if a, ok := b.last[q].(decision.Answer); !ok || a.Complete {
 			t.Errorf("offset %v: no partial answer before the latency target", offset)
 		}
 	}
 }
 
-// Bad input to the public interface is ignored, or rejected where a query is owed its answer.
-func TestBadInput(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+// Invalid events are ignored, except that a query of an unknown class is rejected. Invalid settings are an error.
+func TestInvalidInput(t *testing.T) {
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	b.step(decision.QueryArrived{ID: 1, Class: 99, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: 5}, decision.ClientDisconnected{Query: 9},
 		decision.SubqueryArrived{ID: 8, Query: 77}, decision.SubqueryArrived{ID: 9, Query: 1, Shard: -4})
 	if _, ok := b.last[1].(decision.Reject); !ok {
-		t.Error("a query of an unknown class was not refused")
+		t.Error("a query of an unknown class was not rejected")
 	}
 	q, p := b.query(0, time.Second, 0)
-	b.now -= 500 * ms // time going backwards counts as standing still
+	b.now -= 500 * ms // a clock that goes back is taken as standing still
 	b.step(decision.QueryArrived{ID: q, Remaining: time.Second, Subqueries: 1}, decision.Outcome{Subquery: p[0], Attempt: 7})
 	b.now += 500 * ms
 	b.run(time.Second)
 	if b.finals[q] != 1 {
 		t.Errorf("%d final answers, want 1", b.finals[q])
 	}
-	set := base()
+	set := baseSettings()
 	set.Cells = 0
 	if _, err := New(set, 1); err == nil {
-		t.Error("New took settings without cells")
+		t.Error("New accepted settings without cells")
 	}
 }
 
-// Clients with short time-outs are not retries: their latency targets and partial answers stay.
+// A query with less time left than others of its class is not taken for a late retry: it is not answered partially
+// before its latency target.
 func TestShortTimeOut(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	b.warm(20, 50*ms)
-	b.query(3, 4*time.Second, 0) // what the class usually has left
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	b.warmUp(20, 50*ms)
+	b.query(3, 4*time.Second, 0) // the time that queries of the class usually have left
 	b.sends = nil
-	q, _ := b.query(3, 2*time.Second, 0, 1) // half the class's wait, as a late repeat would have
+	q, _ := b.query(3, 2*time.Second, 0, 1) // half of it, as a late retry would have
 	b.run(50 * ms)
 	b.outcome(b.sends[0], decision.OK)
 	b.run(100 * ms)
 	if b.sched.Queries[q] == nil || b.sched.Queries[q].Step != 1 {
-		t.Fatal("answered partially long before the latency target")
+		t.Fatal("first step was answered long before the latency target")
 	}
 }
 
-// Where any so many subqueries make a complete answer no more are sent, those of shards with weak replicas last; a late
-// subquery brings a spare, and a lost one ends the query only when what can still come is too little.
+// If a complete answer needs only some of the subqueries, no more than these are sent at first, and those of shards
+// with unhealthy replicas last. A late or failed subquery is replaced by a spare, and the query ends only when too few
+// can still be answered.
 func TestSpareSubqueries(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Classes[0].Need, set.Classes[0].Floor, set.MaxAttempts, set.Hedging = 0.6, 0.6, 1, false
 	set.Width = 1
 	b := newFixture(t, set, 0, 1, 2)
-	b.warm(20, 50*ms)
+	b.warmUp(20, 50*ms)
 	b.sched.Servers[1].FailureRate, b.sched.Servers[1].FailureRateAt = 0.5, b.now
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2, 1, 2)
 	if len(b.sends) != 3 {
@@ -140,12 +144,12 @@
 	}
 	for _, s := range b.sends {
 		if s.Server == 1 {
-			t.Error("a subquery of the weak shard was asked for first")
+			t.Error("the subquery of the shard with an unhealthy replica was sent first")
 		}
 	}
 	b.outcome(b.sends[0], decision.Error)
 	if len(b.sends) != 4 || b.finals[q] > 0 {
-		t.Fatalf("%d subqueries sent and %d final answers after a lost subquery, want 4 and none", len(b.sends), b.finals[q])
+		t.Fatalf("%d subqueries sent and %d final answers after a failed subquery, want 4 and none", len(b.sends), b.finals[q])
 	}
 	b.run(1100 * ms) // past the deadline
 	if len(b.sends) != 5 {
@@ -153,17 +157,17 @@
 	}
 	b.outcome(b.sends[1], decision.Error)
 	if b.finals[q] > 0 {
-		t.Fatal("ended though three subqueries can still come")
+		t.Fatal("final answer while three subqueries can still be answered")
 	}
 	b.outcome(b.sends[2], decision.Error)
 	if b.finals[q] != 1 {
-		t.Error("not given up at once when two of five could still come")
+		t.Error("no final answer when only two of five subqueries can still be answered")
 	}
 }
 
-// A query whose subqueries weigh too little for any answer, which no host should submit, ends at once.
+// A query whose subqueries have too little weight for any answer ends at once. No host should submit such a query.
 func TestSparesOfTooLittleWeight(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Classes[0].Need, set.Classes[0].Floor = 0.6, 0.6
 	b := newFixture(t, set, 0, 1, 2)
 	b.step(decision.QueryArrived{ID: 1, Remaining: time.Second, Subqueries: 2},
@@ -173,20 +177,20 @@
 	}
 }
 
-// Nothing assumes that clients wait no longer than some seconds: a query may take 10 s, and a subquery may be in flight
-// for 9 of them.
-func TestTenSeconds(t *testing.T) {
-	set := base()
+// No rule assumes that clients time out after a few seconds: a query may take 10 s, of which an attempt may be in
+// flight for 9 s.
+func TestLongTimeOut(t *testing.T) {
+	set := baseSettings()
 	set.Hedging, set.Cancel = false, false
 	set.Classes[0].LatencyTarget, set.Classes[0].Deadline = 5*time.Second, 10*time.Second
 	b := newFixture(t, set, 0, 1, 2)
 	q, _ := b.query(0, 10*time.Second, 0)
 	b.run(9 * time.Second)
 	if b.finals[q] != 0 || b.sends[0].Limit < 9*time.Second {
-		t.Fatalf("ended with %+v; the subquery had %v", b.last[q], b.sends[0].Limit)
+		t.Fatalf("final answer %+v after 9 s; time-out of the attempt %v, want none and 9 s or more", b.last[q], b.sends[0].Limit)
 	}
 	b.outcome(b.sends[0], decision.OK)
 	if a, ok := b.last[q].(decision.Answer); !ok || !a.Complete {
-		t.Errorf("final answer %+v", b.last[q])
+		t.Errorf("final answer %+v, want a complete answer", b.last[q])
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -7,11 +7,11 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// BenchmarkStep is a step of one of 77 schedulers among 170 servers, a wide and a narrow query out at all
-// times. It is reported, never asserted.
+// BenchmarkStep measures a step of one of 77 schedulers that share 170 servers, with queries of 50 and of 5 subqueries
+// in flight at all times.
 func BenchmarkStep(b *testing.B) {
 	const cells, wide = 170, 50
-	set := base()
+	set := baseSettings()
 	set.Instances, set.Cells = 77, cells
 	sched, err := New(set, 7)
 	if err != nil {
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -10,25 +10,26 @@
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// Arrival of queries, and the one deadline of all subqueries of a step.
+// Arrival of queries, and the deadline that all subqueries of a step share.
 
-// onQuery records a new query. Its subqueries follow.
+// onQuery records a new query. Its subqueries arrive as separate events.
 func (sc *Scheduler) onQuery(e decision.QueryArrived) {
 	sc.Received.Add(sc.Now, 1)
 	if sc.Queries[e.ID] != nil {
 		return
 	} else if e.Class < 0 || e.Class >= len(sc.Settings.Classes) {
-		sc.Emit(decision.Reject{Query: e.ID}) // an unknown class: nothing has run
+		sc.Emit(decision.Reject{Query: e.ID}) // unknown class; nothing has run, so a retry is harmless
 		return
 	}
 	spec := &sc.Settings.Classes[e.Class]
-	q := &cluster.Query{QueryArrived: e, Spec: spec, Step: 1, Awaited: e.Subqueries, ArrivedAt: sc.Now}
-	q.GivesUpAt = sc.Now + e.Remaining
-	q.TargetAt = sc.Now + min(spec.LatencyTarget, e.Remaining) // never beyond the client's own time-out
-	sc.Queries[e.ID], sc.Live = q, append(sc.Live, q)
+	q := &cluster.Query{QueryArrived: e, Spec: spec, Step: 1, StepSize: e.Subqueries, ArrivedAt: sc.Now}
+	q.ClientTimeoutAt = sc.Now + e.Remaining
+	q.TargetAt = sc.Now + min(spec.LatencyTarget, e.Remaining) // no later than the client's time-out
+	sc.Queries[e.ID], sc.ActiveQueries = q, append(sc.ActiveQueries, q)
 }
 
-// onSubquery records one subquery. With the last of a step, the query is admitted or rejected.
+// onSubquery records one subquery. When the last one of a step has arrived, the query is admitted or
+// rejected and the step's subqueries are assigned to replicas.
 func (sc *Scheduler) onSubquery(e decision.SubqueryArrived) {
 	sc.Received.Add(sc.Now, 1)
 	q := sc.Queries[e.Query]
@@ -37,31 +38,31 @@
 	}
 	sc.Seq++
 	if q.Phased && q.Step == 1 {
-		e.Used = 1 // one is left for the listings
+		e.Used = 1 // reserves one attempt for the second step
 	}
-	sub := &cluster.Subquery{SubqueryArrived: e, Parent: q, QueueIndex: -1, MayRun: -1, Spare: e.Later}
+	sub := &cluster.Subquery{SubqueryArrived: e, Parent: q, QueueIndex: -1, FirstRunAt: -1, Spare: e.Later}
 	sub.Seq = sc.Seq
 	sc.Subqueries[e.ID] = sub
 	q.Current, q.All = append(q.Current, sub), append(q.All, sub)
-	if len(q.Current) < q.Awaited {
+	if len(q.Current) < q.StepSize {
 		return
 	}
 	sc.setDeadlines(q)
-	if q.Step == 1 && (sc.poisoned(q) || sc.rejects(q)) {
+	if q.Step == 1 && (sc.poisoned(q) || sc.shouldReject(q)) {
 		sc.abandon(q)
 		return
 	}
 	q.Admitted = true
 	if q.Step == 1 && q.Spec.Need < 1 && !q.Phased {
-		sc.keepSpares(q)
+		sc.withholdSpares(q)
 	}
 	sc.assign(q.Current)
 	sc.setDeadlines(q)
 }
 
-// onPlan applies what a search's planner decided from its answers: subqueries to send now, subqueries to
-// skip, which count as done, and how many the second step has. A subquery withheld on purpose is no missed
-// deadline.
+// onPlan applies a decision of a phased query's planner: subqueries to send now, subqueries to skip, which
+// count as done, and the number of subqueries of the second step. A subquery that was withheld until after
+// its deadline does not count as a miss.
 func (sc *Scheduler) onPlan(q *cluster.Query, e decision.Planned) {
 	if q == nil {
 		return
@@ -75,54 +76,57 @@
 		}
 	}
 	if q.Step == 2 {
-		q.Awaited = e.Fetch
+		q.StepSize = e.Fetch
 	}
 	sc.assign(q.Current)
 	sc.reply(q)
 }
 
-// setDeadlines gives all subqueries of a step one deadline: the latency target minus the fan-out's unloaded
-// tail.
+// setDeadlines gives all subqueries of the current step the same deadline: the step's latency target minus
+// the tail latency of the fan-out on unloaded servers.
 func (sc *Scheduler) setDeadlines(q *cluster.Query) {
 	targetAt := sc.stepTarget(q)
-	deadline, headless := tailguard.Stamp(sc.Now, targetAt, sc.FanoutTail(q, tail), maxTailFraction)
+	deadline, noBudget := tailguard.Stamp(sc.Now, targetAt, sc.FanoutTail(q, tailPercentile), maxTailFraction)
 	for _, sub := range q.Current {
-		sub.Deadline, sub.NoBudget = deadline, headless
+		sub.Deadline, sub.NoBudget = deadline, noBudget
 		if sub.QueueIndex >= 0 {
 			sub.Server.Reorder(sub)
 		}
 	}
 }
 
-// stepTarget is when a step should be answered: the first of two steps leaves the second its fan-out's tail.
+// stepTarget returns when the current step should be answered. The first of two steps leaves the second the
+// tail latency of its fan-out, but no more than half of the time.
 func (sc *Scheduler) stepTarget(q *cluster.Query) time.Duration {
 	if q.Step == 2 || q.Spec.Fetch == 0 && !q.Phased {
 		return q.TargetAt
 	}
-	second := curve.Duration(sc.ListingsTail(q, tail)) + stepTicks*sc.Settings.Tick
+	second := curve.Duration(sc.SecondStepTail(q, tailPercentile)) + replyMarginTicks*sc.Settings.Tick
 	return q.TargetAt - min(second, (q.TargetAt-q.ArrivedAt)/2)
 }
 
-// keepSpares withholds the subqueries that a complete answer can do without, those of the shards with the
-// weakest replicas. They are sent when others are late or lost.
-func (sc *Scheduler) keepSpares(q *cluster.Query) {
+// withholdSpares withholds the subqueries that a complete answer can do without. These are the subqueries
+// of the shards whose replicas have the lowest total weight. They are sent when others are late or have
+// failed.
+func (sc *Scheduler) withholdSpares(q *cluster.Query) {
 	for _, sub := range q.Current {
-		sub.Spare, sub.Strength = true, 0
+		sub.Spare, sub.ReplicaWeight = true, 0
 		for _, s := range sc.Replicas[sub.Shard%sc.Settings.Cells] {
-			if sc.sendable(s) && !sc.late(s) {
-				sub.Strength += sc.turnWeight(s)
+			if sc.sendable(s) && !sc.hasOverdue(s) {
+				sub.ReplicaWeight += sc.turnWeight(s)
 			}
 		}
 	}
-	q.UseSpares(q.Spec.Need - weightSlip)
+	q.UseSpares(q.Spec.Need - epsilon)
 }
 
-// Queues and release: earliest deadline first, up to the concurrency cap of each server.
+// Queues: subqueries leave by earliest deadline first, up to the concurrency cap of each server.
 
-// release sends queued subqueries, earliest deadline first, while fewer than the cap are in flight at their
-// server.
-func (sc *Scheduler) release() {
-	for _, s := range sc.Order {
+// sendQueued sends queued subqueries, earliest deadline first, up to the concurrency cap of each server.
+// Those of a server that no longer accepts any are assigned anew; further attempts beyond the retry budget
+// stay queued.
+func (sc *Scheduler) sendQueued() {
+	for _, s := range sc.SortedServers {
 		var overBudget []*cluster.Subquery
 		for len(s.Queue) > 0 && len(s.InFlight) < sc.capacity(s) && (sc.sendable(s) || !sc.accepts(s)) {
 			sub := s.Dequeue()
@@ -130,7 +134,7 @@
 				sc.assign([]*cluster.Subquery{sub})
 				continue
 			}
-			if len(sub.Attempts) > 0 && !sub.Cheap && !sc.withinBudget(1) {
+			if len(sub.Attempts) > 0 && !sub.CheapRetry && !sc.withinBudget(1) {
 				overBudget = append(overBudget, sub)
 				continue
 			}
@@ -143,8 +147,8 @@
 	}
 }
 
-// fillCall sends the query's other subqueries queued for the server, up to the batch size: they share the
-// call.
+// fillCall sends other subqueries of the query that are queued for the same server, up to the batch size,
+// so that they share one call.
 func (sc *Scheduler) fillCall(q *cluster.Query, s *cluster.Server) {
 	other := s.Unsent(q)
 	for n := 1; other != nil && sc.Settings.CallCost > 0 && n < sc.Settings.Batch && sc.sendable(s); n++ {
@@ -154,33 +158,34 @@
 	}
 }
 
-// capacity is how many of our subqueries may be in flight at a server: its cap, reduced in slow start.
+// capacity returns how many of our subqueries may be in flight at a server: its cap, reduced in slow start.
 func (sc *Scheduler) capacity(s *cluster.Server) int { return max(int(s.Cap*sc.slowStartShare(s)), 1) }
 
-// send starts an attempt. It enforces that nothing is sent for an ended query, that attempts and the retry
-// budget are counted, and that there are further attempts only where the class allows them now.
+// send starts an attempt. It enforces that nothing is sent for an ended query or beyond MaxAttempts, that
+// further attempts are sent only while the effect of the class allows them, and that they are counted in
+// the retry budget.
 func (sc *Scheduler) send(sub *cluster.Subquery, s *cluster.Server) {
 	q := sub.Parent
 	if sub.Done || q.Ended || len(sub.Attempts)+sub.Used >= q.Spec.MaxAttempts || !sc.retryable(sub) {
 		return
 	}
-	if len(sub.Attempts) > 0 && !sub.Cheap {
+	if len(sub.Attempts) > 0 && !sub.CheapRetry {
 		sc.Retries.Add(sc.Now, 1)
-	} else if len(sub.Attempts) == 0 && !sub.NoBudget && !sub.Late {
+	} else if len(sub.Attempts) == 0 && !sub.NoBudget && !sub.MissCounted {
 		sc.Decided.Add(sc.Now, 1)
 		if sc.wouldMiss(sub) {
 			sc.Missed.Add(sc.Now, 1)
 		}
 	}
-	idle := len(s.InFlight) == 0 && s.EndedAt > 0 && sc.Now-s.EndedAt > idleLeast
+	idle := len(s.InFlight) == 0 && s.EndedAt > 0 && sc.Now-s.EndedAt > minIdleTime
 	if idle && sc.IdleConnsDead {
 		sc.Emit(decision.CloseIdle{Server: s.ID})
 		idle = false
 	}
 	if n := len(s.InFlight); n > 0 && s.InFlight[n-1].SentAt == sc.Now {
-		idle = s.InFlight[n-1].Idle // in the same call
+		idle = s.InFlight[n-1].OnIdleConn // sent in the same call, on the same connection
 	}
-	sc.Launch(sub, s, idle)
-	limit := max(q.GivesUpAt-sc.Now, sc.Settings.Tick)
+	sc.AddAttempt(sub, s, idle)
+	limit := max(q.ClientTimeoutAt-sc.Now, sc.Settings.Tick)
 	sc.Emit(decision.Send{Subquery: sub.ID, Server: s.ID, Limit: limit})
 }
--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -11,8 +11,9 @@
 
 const ms = time.Millisecond
 
-// base returns settings with three servers' worth of cells, each shard held by all three.
-func base() decision.Settings {
+// baseSettings returns settings with three cells, where every server holds every shard. Its classes are idempotent,
+// deduplicated, not idempotent, and one with partial answers and two steps.
+func baseSettings() decision.Settings {
 	return decision.Settings{
 		Instances: 1, Tick: 5 * ms, Cells: 3, Width: 3, Batch: 1, MaxAttempts: 3,
 		Hedging: true, Cancel: true, MaxRetryAfter: time.Second,
@@ -27,27 +28,30 @@
 	}
 }
 
-// fixture drives a scheduler and records what the rules are checked by.
+// fixture runs a scheduler on a simulated clock and records its actions. It reports sends after a final answer and
+// second final answers as errors.
 type fixture struct {
 	t        *testing.T
 	sched    *Scheduler
 	now      time.Duration
 	nextID   uint64
-	finals   map[decision.QueryID]int
-	last     map[decision.QueryID]decision.Action
+	finals   map[decision.QueryID]int             // number of final answers
+	last     map[decision.QueryID]decision.Action // last final answer
 	sends    []sent
 	attempts map[decision.SubqueryID]int
 	owner    map[decision.SubqueryID]decision.QueryID
-	actions  []decision.Action
-	wake     time.Duration // asked for last
+	actions  []decision.Action // of the last step
+	wake     time.Duration     // time of the last WakeAt
 }
 
+// sent is an attempt that the scheduler has sent.
 type sent struct {
 	decision.Send
 	at      time.Duration
 	attempt int
 }
 
+// newFixture returns a fixture with one ready server for each of the cells, with IDs from 1.
 func newFixture(t *testing.T, set decision.Settings, cells ...int) *fixture {
 	t.Helper()
 	sched, err := New(set, 7)
@@ -64,6 +68,7 @@
 	return b
 }
 
+// step passes events to the scheduler now and records the actions.
 func (b *fixture) step(events ...decision.Event) {
 	b.actions = append([]decision.Action(nil), b.sched.Step(b.now, events)...)
 	for _, a := range b.actions {
@@ -88,6 +93,7 @@
 	}
 }
 
+// final records a final answer.
 func (b *fixture) final(q decision.QueryID, a decision.Action) {
 	b.finals[q]++
 	b.last[q] = a
@@ -96,7 +102,8 @@
 	}
 }
 
-// query hands over a query with one subquery for each shard and returns its ID and its subqueries'.
+// query submits a query with one subquery for each of the shards, and returns the IDs of the query and of its
+// subqueries.
 func (b *fixture) query(class int, left time.Duration, shards ...int) (decision.QueryID, []decision.SubqueryID) {
 	b.nextID += 100
 	q := decision.QueryID(b.nextID)
@@ -112,7 +119,7 @@
 	return q, ids
 }
 
-// run lets time pass in sweeps.
+// run advances the clock by d, with a step each 10 ms.
 func (b *fixture) run(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 10 * ms
@@ -120,12 +127,13 @@
 	}
 }
 
+// outcome reports the outcome of an attempt.
 func (b *fixture) outcome(s sent, st decision.Status) {
 	b.step(decision.Outcome{Subquery: s.Subquery, Server: s.Server, Attempt: s.attempt, Status: st, Latency: b.now - s.at})
 }
 
-// warm answers n one-subquery queries so that there are records.
-func (b *fixture) warm(n int, took time.Duration) {
+// warmUp runs n queries of one subquery that are answered after took, so that the scheduler has records of latencies.
+func (b *fixture) warmUp(n int, took time.Duration) {
 	for range n {
 		k := len(b.sends)
 		b.query(0, 4*time.Second, 0)
@@ -137,20 +145,18 @@
 	b.sends = nil
 }
 
-// A subquery at a server that hangs is cancelled, and goes to another only when that is confirmed: never two at once.
-// The others' answers meanwhile, and none from there, tell a hang from a busy moment. So do answers to subqueries sent
-// there later: its own may have been lost with its connection (hanbit-lots silent).
-// wakes lets time pass as a host does: a step at each WakeAt and none between.
-func (b *fixture) wakes(until time.Duration) {
+// runWakes advances the clock as a host does, with a step at the time of each WakeAt and none between.
+func (b *fixture) runWakes(until time.Duration) {
 	for b.wake > b.now && b.wake <= until {
 		b.now = b.wake
 		b.step(decision.Wake{})
 	}
 }
 
-// manyInstances returns settings of one instance of many that sends to each server seldom; latency targets are ten times the latency.
-func manyInstances() decision.Settings {
-	set := base()
+// manyInstancesSettings returns settings of one of many instances, which sends to each server rarely. The latency
+// targets are some ten times the latency that the tests use.
+func manyInstancesSettings() decision.Settings {
+	set := baseSettings()
 	set.Instances, set.Tick, set.Hedging, set.MaxAttempts = 80, ms, false, 4
 	set.Classes = []decision.Class{
 		{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 3, Effect: decision.Idempotent, Need: 1, Floor: 0.7},
@@ -159,8 +165,9 @@
 	return set
 }
 
-// steady puts a query of one subquery every 20 ms, and answers each after 40 ms, but at servers that stand still.
-func (b *fixture) steady(d time.Duration, still ...decision.ServerID) {
+// runSteadyLoad submits a query of one subquery every 20 ms and answers each after 40 ms, except at the servers of
+// still.
+func (b *fixture) runSteadyLoad(d time.Duration, still ...decision.ServerID) {
 	for end := b.now + d; b.now < end; {
 		b.query(0, 4*time.Second, 0)
 		for range 2 {
@@ -175,10 +182,10 @@
 	}
 }
 
-// full puts as many subqueries in flight at a server as may be, sent just now.
-func (b *fixture) full(s *cluster.Server) {
-	p := &cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0], Ended: true}, QueueIndex: -1, MayRun: -1}
+// fillCapacity fills a server's capacity with attempts that have just been sent.
+func (b *fixture) fillCapacity(s *cluster.Server) {
+	p := &cluster.Subquery{Parent: &cluster.Query{Spec: &b.sched.Settings.Classes[0], Ended: true}, QueueIndex: -1, FirstRunAt: -1}
 	for len(s.InFlight) < b.sched.capacity(s) {
-		s.InFlight = append(s.InFlight, &cluster.Attempt{Subquery: p, Server: s, SentAt: b.now, Live: true})
+		s.InFlight = append(s.InFlight, &cluster.Attempt{Subquery: p, Server: s, SentAt: b.now, InFlight: true})
 	}
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -8,18 +8,18 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// A subquery at a server that stopped answering is rerouted while another replica can still answer it in time, though
-// that one answered nothing meanwhile, as it was not asked anything. A class without partial answers does not wait for
-// its client's time-out.
+// A subquery at a server that has stopped answering is rerouted while another replica can still answer it before the
+// latency target, for classes with and without partial answers. The other replica need not have answered meanwhile:
+// with many instances it may have been sent nothing.
 func TestRerouteInTime(t *testing.T) {
 	for class, in := range []time.Duration{300 * ms, 380 * ms} {
-		b := newFixture(t, manyInstances(), 0, 0, 0)
-		b.warm(60, 30*ms)
+		b := newFixture(t, manyInstancesSettings(), 0, 0, 0)
+		b.warmUp(60, 30*ms)
 		b.run(3 * time.Second)
-		came := b.now
+		arrived := b.now
 		q, _ := b.query(class, time.Second, 0)
-		silent := b.sends[0].Server
-		for b.now < came+in && b.finals[q] == 0 {
+		unresponsive := b.sends[0].Server
+		for b.now < arrived+in && b.finals[q] == 0 {
 			b.now += 2 * ms
 			b.step(decision.Wake{})
 			for _, a := range b.actions {
@@ -27,7 +27,7 @@
 					b.outcome(b.sends[c.Attempt], decision.Cancelled)
 				}
 			}
-			if s := b.sends[len(b.sends)-1]; s.Server != silent && b.now-s.at >= 30*ms {
+			if s := b.sends[len(b.sends)-1]; s.Server != unresponsive && b.now-s.at >= 30*ms {
 				b.outcome(s, decision.OK)
 			}
 		}
@@ -37,56 +37,61 @@
 	}
 }
 
-// Where instances are few, a subquery still waits for twice the tail and for an answer of its next replica: rerouting
-// early adds load there.
+// With few instances, a subquery is rerouted only after twice the tail latency and an answer from another replica, as
+// rerouting earlier would add load.
 func TestRerouteLaterWithFewInstances(t *testing.T) {
-	set := manyInstances()
+	set := manyInstancesSettings()
 	set.Instances = 3
 	b := newFixture(t, set, 0, 0, 0)
-	b.warm(60, 30*ms)
+	b.warmUp(60, 30*ms)
 	b.run(3 * time.Second)
 	b.query(0, time.Second, 0)
 	for range 29 {
 		b.run(10 * ms)
 		for _, a := range b.actions {
 			if c, ok := a.(decision.Cancel); ok {
-				t.Fatalf("%v moved with no news of another replica", c)
+				t.Fatalf("%v without an answer from another replica", c)
 			}
 		}
 	}
 }
 
+// A subquery at a server that hangs is cancelled and, once the cancellation is confirmed, sent to another server, so
+// that no two attempts are in flight at once. A hang is distinguished from a busy server by the answers of others while
+// this one gives none. Answers from this server to attempts sent later count too, as the response may have been lost
+// with its connection.
 func TestRerouteFromHungServer(t *testing.T) {
 	rerouteFromHungServer(t, false)
 	rerouteFromHungServer(t, true)
 }
 
-func rerouteFromHungServer(t *testing.T, passed bool) {
+// rerouteFromHungServer runs the test with a server that answers nothing or, if overtaken, answers all later attempts.
+func rerouteFromHungServer(t *testing.T, overtaken bool) {
 	t.Helper()
-	set := base()
+	set := baseSettings()
 	set.Hedging, set.MaxAttempts = false, 4
 	b := newFixture(t, set, 0, 0, 0)
-	b.warm(60, 50*ms)
+	b.warmUp(60, 50*ms)
 	var stuck sent
-	called := false
+	cancelled := false
 	run := func(steps int) {
 		for range steps {
 			b.run(10 * ms)
-			called = called || stuck.Subquery > 0 && slices.Contains(b.actions, decision.Action(decision.Cancel{Subquery: stuck.Subquery}))
+			cancelled = cancelled || stuck.Subquery > 0 && slices.Contains(b.actions, decision.Action(decision.Cancel{Subquery: stuck.Subquery}))
 		}
 	}
 	for i := range 12 {
 		k := len(b.sends)
 		b.query(0, 4*time.Second, 0)
 		for range 5 {
-			if run(1); passed && i == 0 { // some go there before it is late
+			if run(1); overtaken && i == 0 { // some are sent there before the first is overdue
 				b.query(0, 4*time.Second, 0)
 			}
 		}
 		for _, s := range b.sends[k:] {
 			if s.Server == 1 && stuck.Subquery == 0 {
 				stuck = s
-			} else if s.Server != 1 || passed {
+			} else if s.Server != 1 || overtaken {
 				b.outcome(s, decision.OK)
 			}
 		}
@@ -94,7 +99,7 @@
 			t.Fatal("nothing was sent to the server that hangs")
 		}
 	}
-	again := func() (n int) {
+	attempts := func() (n int) {
 		for _, s := range b.sends {
 			if s.Subquery == stuck.Subquery {
 				n++
@@ -103,20 +108,20 @@
 		return n
 	}
 	run(10)
-	if !called || again() != 1 {
-		t.Fatalf("cancelled %v, %d attempts before that is through", called, again())
+	if !cancelled || attempts() != 1 {
+		t.Fatalf("cancelled %v, %d attempts before the cancellation is confirmed, want true and 1", cancelled, attempts())
 	}
 	b.outcome(stuck, decision.Cancelled)
 	b.run(10 * ms)
-	if s := b.sends[len(b.sends)-1]; again() != 2 || s.Subquery != stuck.Subquery || s.Server == 1 {
-		t.Errorf("%d attempts, the last %+v", again(), s)
+	if s := b.sends[len(b.sends)-1]; attempts() != 2 || s.Subquery != stuck.Subquery || s.Server == 1 {
+		t.Errorf("%d attempts, the last %+v, want a second one at another server", attempts(), s)
 	}
 }
 
-// A server that stops answering is skipped, hedged requests save its subqueries, and it is used again later.
+// A server that stops answering is skipped, and its subqueries are hedged in time.
 func TestUnresponsiveServer(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	b.warm(40, 50*ms)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	b.warmUp(40, 50*ms)
 	var late int
 	for range 60 {
 		q, _ := b.query(0, 4*time.Second, 0)
@@ -140,17 +145,18 @@
 	}
 }
 
-// Without a configured budget, a subquery still in flight at its deadline is hedged then: in a small instance, which
-// cannot know the slow servers of a large cluster, hedging at the tail of the record would come too late.
+// Without a configured budget, a subquery that is still in flight at its deadline is hedged. A small instance in a
+// large cluster has too few answers to know which servers are slow, so that hedging at the recorded tail latency would
+// be too late.
 func TestHedgeAtDeadline(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	for i := range 40 { // a long tail, so that the record's 99th percentile is past the deadline
-		b.warm(1, time.Duration(50+i%10/9*900)*ms)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	for i := range 40 { // every tenth latency is long, so that the 99th percentile is past the deadline
+		b.warmUp(1, time.Duration(50+i%10/9*900)*ms)
 	}
 	q, _ := b.query(0, 4*time.Second, 0)
 	b.run(600 * ms)
 	if len(b.sends) < 2 {
-		t.Fatal("no copy by the deadline")
+		t.Fatal("no hedged request by the deadline")
 	}
 	b.outcome(b.sends[1], decision.OK)
 	if _, ok := b.last[q].(decision.Answer); !ok {
@@ -158,15 +164,15 @@
 	}
 }
 
-// Two attempts of a deduplicated subquery are never in flight at once, where hedging is allowed: the one too long in
-// flight is cancelled, and only when that is confirmed it is sent again.
+// Even with hedging enabled, no two attempts of a deduplicated subquery are in flight at once: an attempt that has been
+// in flight too long is cancelled, and the subquery is sent again only after the cancellation is confirmed.
 func TestNoHedgeOfDeduplicated(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Classes[1].Window = 4 * time.Second
 	b := newFixture(t, set, 0, 1, 2)
-	b.warm(30, 50*ms)
+	b.warmUp(30, 50*ms)
 	_, parts := b.query(1, 4*time.Second, 0)
-	for range 120 { // the others answer meanwhile, so that it is seen to be passed by
+	for range 120 { // others are answered meanwhile, so that the attempt counts as overtaken
 		b.query(0, 4*time.Second, 1)
 		b.run(10 * ms)
 		for _, s := range b.sends[1:] {
@@ -175,26 +181,26 @@
 			}
 		}
 		if n := b.attempts[parts[0]]; n != 1 {
-			t.Fatalf("%d attempts of a deduplicated subquery, the first still in flight", n)
+			t.Fatalf("%d attempts of a deduplicated subquery while the first is in flight, want 1", n)
 		}
 	}
 	if !b.sched.Subqueries[parts[0]].Attempts[0].Rerouted {
-		t.Fatal("it was not cancelled")
+		t.Fatal("the overdue attempt was not cancelled")
 	}
 	b.outcome(b.sends[0], decision.Cancelled)
 	if n := b.attempts[parts[0]]; n != 2 {
-		t.Errorf("%d attempts when the first was cancelled", n)
+		t.Errorf("%d attempts after the first was cancelled, want 2", n)
 	}
 }
 
-// Hedged requests of many instances together take the budget's free attempts once, not once for each instance; retries
-// of failed subqueries may use them all.
+// The hedged requests of all instances together use the budget's free attempts once, and not once for each instance.
+// Retries of failed subqueries may use all of them in each instance.
 func TestHedgingBudgetOfManyInstances(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Instances = 50
 	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 20, 0.05, 10*time.Second
 	b := newFixture(t, set, 0, 1, 2, 0, 1, 2)
-	b.warm(30, 50*ms)
+	b.warmUp(30, 50*ms)
 	b.run(11 * time.Second)
 	for range 24 {
 		b.query(0, 4*time.Second, 0)
@@ -207,32 +213,32 @@
 	}
 	b.run(300 * ms)
 	if n := len(b.sends); n != 24 {
-		t.Errorf("%d hedged requests while the first attempts could still make the latency target", n-24)
+		t.Errorf("%d hedged requests while the first attempts could still meet the latency target, want none", n-24)
 	}
 	b.run(600 * ms)
-	copies := 0
+	hedged := 0
 	for _, s := range b.sends {
 		if s.attempt > 0 {
-			copies++
+			hedged++
 		}
 	}
-	if copies < 1 || copies > 2 {
-		t.Errorf("%d hedged requests for 48 queries and subqueries, want a twentieth of them", copies)
+	if hedged < 1 || hedged > 2 {
+		t.Errorf("%d hedged requests for 48 queries and subqueries, want a twentieth of them", hedged)
 	}
 	for _, s := range append([]sent(nil), b.sends...) {
 		b.outcome(s, decision.Error)
 	}
 	b.run(50 * ms)
-	if n := len(b.sends) - 24 - copies; n < 2 {
-		t.Errorf("%d failed subqueries tried again, want those that no hedged request had saved", n)
+	if n := len(b.sends) - 24 - hedged; n < 2 {
+		t.Errorf("%d failed subqueries retried, want 2 or more", n)
 	}
 }
 
-// Hedged requests are sent whatever fraction of the servers is unresponsive, so long as the others answer as usual:
-// that a third is unresponsive does not make all slow.
+// Hedged requests are sent even if a third of the servers is unresponsive, as long as the others answer as usual: the
+// unresponsive ones do not make all servers count as slow.
 func TestHedgeWithManyUnresponsiveServers(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2, 0, 1, 2)
-	b.warm(60, 50*ms)
+	b := newFixture(t, baseSettings(), 0, 1, 2, 0, 1, 2)
+	b.warmUp(60, 50*ms)
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2, 0, 1, 2, 0, 1, 2, 0, 1, 2)
 	for i := range 95 {
 		if b.run(10 * ms); i%5 == 4 {
@@ -244,18 +250,18 @@
 		}
 	}
 	if _, is := b.last[q].(decision.Answer); !is {
-		t.Errorf("final answer %v, want an answer within the latency target by hedged requests", b.last[q])
+		t.Errorf("final answer %v, want an answer within the latency target", b.last[q])
 	}
 }
 
-// The last subquery of a wide query may be hedged to an unhealthy server: without it the work of all the others would
-// be lost.
+// The last missing subquery of a query with many may be hedged to an unhealthy server, as the work of all the others
+// would be wasted without it.
 func TestLastSubqueryHedgedToUnhealthyServer(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	b.warm(60, 50*ms)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	b.warmUp(60, 50*ms)
 	q, _ := b.query(0, 4*time.Second, 0, 1, 2, 0, 1, 2, 0, 1)
 	last := b.sends[0]
-	for _, s := range b.sched.Order {
+	for _, s := range b.sched.SortedServers {
 		if s.ID != last.Server {
 			s.FailureRate, s.FailureRateAt, s.FailedAt = 0.9, b.now, b.now
 		}
@@ -263,7 +269,7 @@
 	for _, s := range append([]sent(nil), b.sends[1:]...) {
 		b.step(decision.Outcome{Subquery: s.Subquery, Server: s.Server, Status: decision.OK})
 	}
-	for _, s := range b.sched.Order {
+	for _, s := range b.sched.SortedServers {
 		if s.ID != last.Server {
 			s.FailureRate, s.FailureRateAt = 0.9, b.now
 		}
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -7,12 +7,13 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// A polled server list is subscribed to, and failed calls are retried with a growing back-off.
+// If the server list has to be polled, the scheduler subscribes to it, retries failed calls after a back-off, and stops
+// once it is subscribed.
 func TestListPolling(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Polling = true
 	b := newFixture(t, set, 0, 1, 2)
-	asks := func() (n int) {
+	subscribes := func() (n int) {
 		for _, a := range b.actions {
 			if _, ok := a.(decision.Subscribe); ok {
 				n++
@@ -20,8 +21,8 @@
 		}
 		return n
 	}
-	if asks() != 1 {
-		t.Fatal("not subscribed at the start")
+	if subscribes() != 1 {
+		t.Fatal("no single Subscribe in the first step")
 	}
 	total := 0
 	for range 20 {
@@ -29,18 +30,18 @@
 		for range 500 {
 			b.now += 10 * ms
 			b.step(decision.Wake{})
-			if asks() > 0 {
+			if subscribes() > 0 {
 				total++
 				break
 			}
 		}
 	}
 	if total != 20 {
-		t.Errorf("asked again %d times after 20 failures", total)
+		t.Errorf("%d retries after 20 failures, want 20", total)
 	}
 	b.step(decision.ServerList{Kind: decision.FullList, Servers: []decision.ServerInfo{{ID: 1, Cell: 0, State: decision.Ready}}})
 	b.run(10 * time.Second)
-	if asks() != 0 {
-		t.Error("asked though subscribed")
+	if subscribes() != 0 {
+		t.Error("Subscribe though subscribed")
 	}
 }
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -7,9 +7,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// A deduplicated subquery that may have run is sent again within its window only, and fails otherwise.
+// A deduplicated subquery that may have run is retried only within its window. After it, the query fails.
 func TestDeduplicatedWindow(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	q, _ := b.query(1, 4*time.Second, 0)
 	b.run(400 * ms)
 	for _, s := range b.sends {
@@ -26,9 +26,10 @@
 	}
 }
 
-// A first attempt that ended in an error still counts when the second is rejected: it may have run.
+// The window of a deduplicated subquery starts with a first attempt that failed, as it may have run, even if the second
+// attempt is rejected and never ran.
 func TestDeduplicatedErrorThenRejected(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	q, _ := b.query(1, 4*time.Second, 0)
 	b.run(20 * ms)
 	b.outcome(b.sends[0], decision.Error)
@@ -40,17 +41,17 @@
 	b.outcome(b.sends[1], decision.Rejected)
 	b.run(20 * ms)
 	if len(b.sends) != 2 {
-		t.Error("sent again past its window")
+		t.Error("retried after its window")
 	}
 	if _, ok := b.last[q].(decision.Fail); !ok {
 		t.Errorf("final answer %v, want Fail", b.last[q])
 	}
 }
 
-// A subquery that is not idempotent is sent again only when no attempt can have run.
+// A subquery that is not idempotent is retried only if no attempt can have run.
 func TestNotIdempotent(t *testing.T) {
 	for st, want := range map[decision.Status]int{decision.Error: 1, decision.TimedOut: 1, decision.Reset: 1, decision.Cancelled: 1, decision.Rejected: 2, decision.ConnectFailed: 2} {
-		b := newFixture(t, base(), 0, 1, 2)
+		b := newFixture(t, baseSettings(), 0, 1, 2)
 		q, _ := b.query(2, 4*time.Second, 0)
 		b.run(20 * ms)
 		b.outcome(b.sends[0], st)
@@ -58,57 +59,57 @@
 		if len(b.sends) != want {
 			t.Errorf("status %d: %d attempts, want %d", st, len(b.sends), want)
 		}
-		if _, refused := b.last[q].(decision.Reject); refused {
-			t.Errorf("status %d: refused though it may have run", st)
+		if _, rejected := b.last[q].(decision.Reject); rejected {
+			t.Errorf("status %d: Reject, though an attempt may have run", st)
 		}
 	}
 }
 
 // Further attempts stay within the configured budget in every window.
 func TestRetryBudget(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 2, 0.05, 10*time.Second
 	b := newFixture(t, set, 0, 1, 2)
-	taken := []time.Duration{}
+	received := []time.Duration{} // arrival times of queries and subqueries
 	for range 300 {
 		k := len(b.sends)
 		b.query(0, 2*time.Second, 0)
-		taken = append(taken, b.now, b.now)
+		received = append(received, b.now, b.now)
 		b.run(50 * ms)
 		for _, s := range append([]sent(nil), b.sends[k:]...) {
 			b.outcome(s, decision.Error)
 		}
 	}
-	extra := 0
+	further := 0
 	for _, s := range b.sends {
 		if s.attempt == 0 {
 			continue
 		}
-		extra++
-		in, ex := 0, 0
-		for _, at := range taken {
+		further++
+		inSpan, furtherInSpan := 0, 0
+		for _, at := range received {
 			if at > s.at-10*time.Second && at <= s.at {
-				in++
+				inSpan++
 			}
 		}
 		for _, o := range b.sends {
 			if o.attempt > 0 && o.at >= s.at-10*time.Second && o.at <= s.at {
-				ex++
+				furtherInSpan++
 			}
 		}
-		if float64(ex) > 2+0.05*float64(in) {
-			t.Fatalf("%d further attempts by %v with %d taken", ex, s.at, in)
+		if float64(furtherInSpan) > 2+0.05*float64(inSpan) {
+			t.Fatalf("%d further attempts in the 10 s before %v, with %d queries and subqueries received", furtherInSpan, s.at, inSpan)
 		}
 	}
-	if extra == 0 {
-		t.Fatal("no further attempt was made at all")
+	if further == 0 {
+		t.Fatal("no further attempt was sent")
 	}
 }
 
-// A deduplicated subquery that is queued past its window cannot be sent again: its query fails then, not at its
-// client's time-out.
+// A deduplicated subquery that is still queued when its window ends cannot be retried. Its query fails then, and not
+// only when its client times out.
 func TestQueuedPastWindow(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	q, parts := b.query(1, 4*time.Second, 0)
 	b.now += 10 * ms
 	var cold []decision.ServerInfo
@@ -120,6 +121,6 @@
 		b.step(decision.Wake{})
 	}
 	if _, ok := b.last[q].(decision.Fail); !ok || len(b.sends) != 1 {
-		t.Errorf("%d sends, then %+v", len(b.sends), b.last[q])
+		t.Errorf("%d attempts and final answer %+v, want 1 and Fail", len(b.sends), b.last[q])
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -9,10 +9,11 @@
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// A server in slow start is sent no more than this instance's share of the overload limit.
+// A server in slow start is sent no more than this instance's share of its overload limit: here at most half as many
+// subqueries as a warm one.
 func TestSlowStartRate(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	b.warm(60, 50*ms)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	b.warmUp(60, 50*ms)
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 3, Cell: 2, State: decision.Ready, Nominal: 1, Started: b.now}}})
 	for range 60 {
 		k := len(b.sends)
@@ -27,65 +28,65 @@
 		n[s.Server]++
 	}
 	if n[3] == 0 || n[3]*2 > n[1] {
-		t.Errorf("server in slow start was sent %d, a warm one %d", n[3], n[1])
+		t.Errorf("%d subqueries sent to the server in slow start and %d to a warm one", n[3], n[1])
 	}
 }
 
-// A small instance among many does not send a server in slow start a subquery in each overload span: the sum would
-// overload it. It waits for as long as its own share takes.
+// An instance whose share of the load is less than one subquery per overload span does not send one in each span to a
+// server in slow start, as all such instances together would overload it. It waits for as long as its share takes.
 func TestSlowStartShareOfSmallInstances(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
+	b := newFixture(t, baseSettings(), 0, 1, 2)
 	b.run(time.Minute)
 	s := b.sched.Servers[2]
 	s.Started = b.now
-	can := func(after time.Duration) bool {
+	sendable := func(after time.Duration) bool {
 		b.now = s.Started + after
 		b.step(decision.Wake{})
-		b.sched.ServerRate = 0.5 / 3 // subqueries per second that a warm server answers us
+		b.sched.ServerRate = 0.5 / 3 // subqueries per second that a warm server answers this instance
 		return b.sched.sendable(s)
 	}
-	if can(time.Second) || can(2*time.Second) {
-		t.Error("a subquery to a server that is in slow start, though our share is one in ten seconds and more")
+	if sendable(time.Second) || sendable(2*time.Second) {
+		t.Error("server in slow start is sendable, though this instance's share is one subquery in ten seconds or more")
 	}
-	if !can(9 * time.Second) {
-		t.Error("nothing to a server almost warm, though our share is due")
+	if !sendable(9 * time.Second) {
+		t.Error("server near the end of slow start is not sendable, though this instance's next subquery is due")
 	}
 }
 
-// What a server in slow start may be sent follows what servers answer, not what they are sent: while the others reject
-// nearly everything, the storm of rejected subqueries must not go to it.
+// The rate to a server in slow start depends on what warm servers answer, not on what they are sent. Otherwise, while
+// these reject nearly everything, the burst of retries would go to the server in slow start.
 func TestSlowStartInRejectionStorm(t *testing.T) {
-	b := newFixture(t, base(), 0, 1, 2)
-	b.warm(30, 300*ms) // one subquery per second and server
+	b := newFixture(t, baseSettings(), 0, 1, 2)
+	b.warmUp(30, 300*ms) // one subquery per second and server
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 3, Cell: 2, State: decision.Ready, Nominal: 1, Started: b.now}}})
 	n, cold := 0, b.sched.Servers[3]
-	for range 300 { // 3 s, in which the warm ones are sent a hundred subqueries per second each, and answer none
+	for range 300 { // 3 s, in which each warm server is sent a hundred subqueries per second and answers none
 		for _, s := range []*cluster.Server{b.sched.Servers[1], b.sched.Servers[2]} {
 			p := &cluster.Subquery{}
-			b.sched.Launch(p, s, false)
+			b.sched.AddAttempt(p, s, false)
 			s.RemoveAttempt(p.Attempts[0])
 		}
 		b.run(10 * ms)
 		if b.sched.sendable(cold) {
-			b.sched.Launch(&cluster.Subquery{}, cold, false)
+			b.sched.AddAttempt(&cluster.Subquery{}, cold, false)
 			n++
 		}
 	}
 	if n > 3 {
-		t.Errorf("a server in slow start was sent %d subqueries in 3 s, where a warm one answers 3", n)
+		t.Errorf("%d subqueries sent to the server in slow start in 3 s, in which a warm one answers 3", n)
 	}
 }
 
-// The rate of warm servers is measured over the lifetime of an instance, and a successor continues from what its
-// predecessor measured: else a server in slow start gets next to nothing for the first seconds, and one that warms up
-// by its work never does.
+// A young instance measures the rate of warm servers since its start, and a successor continues with the rate that its
+// predecessor measured. Otherwise a server in slow start would be sent hardly anything during the first seconds, and
+// one that warms up only by serving would never warm up.
 func TestSlowStartRateOfYoungInstance(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Width, set.Rules.OverloadMultiple, set.Rules.OverloadSpan = 1, 1, time.Second
-	cold := func(b *fixture) int { // subqueries that a server in slow start gets within a second, beside a warm one
+	cold := func(b *fixture) int { // subqueries sent within a second to a server in slow start, beside a warm one
 		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
 		k := len(b.sends)
-		b.steady(time.Second)
+		b.runSteadyLoad(time.Second)
 		n := 0
 		for _, s := range b.sends[k:] {
 			if s.Server == 2 {
@@ -95,46 +96,46 @@
 		return n
 	}
 	old, young := newFixture(t, set, 0, 0), newFixture(t, set, 0, 0)
-	old.steady(15 * time.Second)
-	young.steady(set.Rules.OverloadSpan)
+	old.runSteadyLoad(15 * time.Second)
+	young.runSteadyLoad(set.Rules.OverloadSpan)
 	want, got := cold(old), cold(young)
 	if want < 5 || got < want*2/3 {
-		t.Errorf("a server in slow start gets %d subqueries per second of a young instance, %d of an old one", got, want)
+		t.Errorf("a server in slow start gets %d subqueries per second from a young instance and %d from an old one", got, want)
 	}
-	next := newFixture(t, set, 0, 0)
-	next.now = old.now
-	next.step(decision.Learned{Records: old.sched.Records(), PerSecond: old.sched.PerSecond()})
-	if got := cold(next); got < want*2/3 {
-		t.Errorf("a server in slow start gets %d subqueries per second of a successor, %d of its predecessor", got, want)
+	successor := newFixture(t, set, 0, 0)
+	successor.now = old.now
+	successor.step(decision.Learned{Records: old.sched.Records(), PerSecond: old.sched.PerSecond()})
+	if got := cold(successor); got < want*2/3 {
+		t.Errorf("a server in slow start gets %d subqueries per second from a successor and %d from its predecessor", got, want)
 	}
 }
 
-// A subquery may wait for the next turn of a server in slow start while the other replica's queue is longer; it leaves
-// when the rate allows it and not before. Slow start makes no server unhealthy.
-func TestWaitsForSlowStart(t *testing.T) {
-	b := newFixture(t, base(), 0, 0)
-	b.warm(60, 50*ms)
+// A subquery is queued for a server in slow start if the expected latency is shorter there than at the other replica.
+// It is sent as soon as the rate of slow start allows it, and not before. Slow start does not make a server unhealthy.
+func TestQueuedForServerInSlowStart(t *testing.T) {
+	b := newFixture(t, baseSettings(), 0, 0)
+	b.warmUp(60, 50*ms)
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
-	b.run(2 * surveyGap) // what warm ones carry is told anew
-	sched, still, cold := b.sched, b.sched.Servers[1], b.sched.Servers[2]
-	b.full(still)
-	if b.full(cold); sched.tier(cold, &cluster.Subquery{Parent: &cluster.Query{Spec: &sched.Settings.Classes[0]}}) == 2 {
-		t.Error("a server is suspect for being cold")
+	b.run(2 * surveyInterval) // updates the rate of warm servers
+	sched, warm, cold := b.sched, b.sched.Servers[1], b.sched.Servers[2]
+	b.fillCapacity(warm)
+	if b.fillCapacity(cold); sched.tier(cold, &cluster.Subquery{Parent: &cluster.Query{Spec: &sched.Settings.Classes[0]}}) == 2 {
+		t.Error("a server in slow start has the tier of unhealthy servers")
 	}
 	cold.InFlight = nil
-	for len(still.Queue) < 200 {
-		still.Enqueue(&cluster.Subquery{Parent: &cluster.Query{}, QueueKey: tailguard.QueueKey{Seq: uint64(len(still.Queue))}})
+	for len(warm.Queue) < 200 {
+		warm.Enqueue(&cluster.Subquery{Parent: &cluster.Query{}, QueueKey: tailguard.QueueKey{Seq: uint64(len(warm.Queue))}})
 	}
 	cold.SentAt = b.now
 	_, parts := b.query(0, 4*time.Second, 0)
 	if p := sched.Subqueries[parts[0]]; p.Server != cold {
-		t.Fatalf("queued for server %d, where it takes %.2f s, not %.2f s", p.Server.ID, sched.expected(still), sched.expected(cold))
+		t.Fatalf("queued for server %d with an expected latency of %.2f s, want the server in slow start with %.2f s", p.Server.ID, sched.expectedLatency(warm), sched.expectedLatency(cold))
 	}
 	from := sched.sendableFrom(cold)
 	for len(b.sends) == 0 && b.now < from+time.Second {
 		b.run(10 * ms)
 	}
 	if len(b.sends) != 1 || b.sends[0].at < from || b.sends[0].at > from+20*ms {
-		t.Errorf("sent %+v, may leave from %v", b.sends, from)
+		t.Errorf("sent %+v, want one attempt within 20 ms after %v", b.sends, from)
 	}
 }
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -6,108 +6,173 @@
 	"pulleygw.example/pulleygw/internal/shared/tailguard"
 )
 
-// The tuned values, each with its reason: ratios of what is observed or configured, or times of human scale.
+// The tuning constants. Most are ratios of observed or configured values, or times that hold for any
+// cluster.
 
 // Steps and surveys.
 const (
-	stallLeast = 200 * time.Millisecond // a wake-up so late is a stall of our own process, not a busy moment
-	pace       = 10 * time.Millisecond  // between sweeps: far below any latency target, cheap in CPU
-	surveyGap  = 100 * time.Millisecond // between surveys of all servers: below any latency, cheap
+	// A wake-up later than this is a stall of this process. Shorter delays are ordinary load.
+	minStall = 200 * time.Millisecond
+	// The longest time between sweeps: far below any latency target, yet cheap in CPU.
+	sweepInterval = 10 * time.Millisecond
+	// The time between surveys of all servers: below any latency, yet cheap in CPU.
+	surveyInterval = 100 * time.Millisecond
 )
 
 // Deadlines.
 const (
-	tail            = 0.99    // percentile of the fan-out's unloaded tail, as in the TailGuard paper
-	maxTailFraction = 0.6     // of the latency target: a slowdown in the records must not consume all of it
-	startTail       = 0.5     // of the latency target: 99th percentile assumed before any answer
-	stepTicks       = 4       // left to a second step: to send, to receive, and as many to spare
-	weightSlip      = 0.00005 // rounding error of subquery weights
+	// Percentile of a fan-out's latency on unloaded servers that its deadline allows for, as in the TailGuard
+	// paper.
+	tailPercentile = 0.99
+	// The largest fraction of the latency target that the tail takes: a slowdown in the recorded latencies
+	// must not consume all of it.
+	maxTailFraction = 0.6
+	// Tail latency assumed before the first answer, as a fraction of the latency target.
+	initialTailFraction = 0.5
+	// Ticks reserved for a reply or a second step: one to send, one to receive, and two to spare.
+	replyMarginTicks = 4
+	// Rounding error of sums of subquery weights, and the smallest divisor.
+	epsilon = 0.00005
 )
 
 // Latency, load and failures of servers.
 const (
-	quietOut = 2    // a latency enters the histograms if fewer of ours were in flight: the server was unloaded
-	capStart = 4.0  // cap of a new server: nothing is queued on a quiet day
-	baseRise = 0.01 // per second: how fast the baseline of the caps may rise
-
-	latencyWeight   = 0.2              // smoothing of latencies: five answers show a slowdown
-	latencyRecovery = 0.5              // of a fast answer: two show that a hang is over
-	latencyStale    = 5 * time.Second  // at this age a latency counts half: small instances send seldom
-	latencyHalf     = 10 * time.Second // half-life of a latency without new answers
-	slowSlack       = 1.6              // times the median of the servers: up to this, differences are ordinary
-	usualSpan       = 10 * time.Second // window of the servers' throughput; less after the start of an instance
-
-	failingAbove  = 0.5              // the log says failing above this failure rate ...
-	failingBelow  = 0.1              // ... and recovered below this
-	failureHalf   = 5 * time.Second  // half-life of a failure rate: then the server is tested by a trickle
-	cancelWeight  = 0.5              // weight of an overdue cancelled attempt, perhaps only late; more ...
-	cancelMost    = 1.5              // ... up to this where memory is longer, as there is no second observation
-	meetings      = 4.0              // what was learned of a server lasts for so many further subqueries ...
-	memoryMost    = 30 * time.Second // ... but no longer than this
-	minWeight     = 0.015            // the trickle: the fraction of its turns that the worst server keeps
-	healthyWeight = 0.3              // below this fraction of its turns a server is unhealthy
-
-	rejectBackoffMax = 2.0  // longest back-off in seconds from a server that rejected a subquery
-	errorWeight      = 0.05 // smoothing of error rates: some twenty subqueries show one
-	errorQuick       = 0.25 // of the usual latency: an error so fast costs hardly more than the attempt
-
-	seldomFrom = 8   // with so many instances or more, each sends to a server seldom
-	uneven     = 0.1 // how unevenly instances may spread over servers by chance: more shows in their queues
+	// A server with this many of our subqueries in flight counts as loaded: its latencies stay out of the
+	// histograms.
+	loadedInFlight = 2
+	// Concurrency cap of a new server. At low load nothing is queued.
+	initialCap = 4.0
+	// How fast the baseline of the concurrency caps may rise, as a fraction per second.
+	baselineRise = 0.01
+
+	// Smoothing of latencies: five answers show a slowdown.
+	latencyWeight = 0.2
+	// Smoothing of latencies for a fast answer: two show that a hang is over.
+	recoveryWeight = 0.5
+	// At this age the smoothed latency counts no more than a new answer: an instance that sends little gets
+	// few.
+	staleLatencyAge = 5 * time.Second
+	// Half-life of a server's latency without new answers.
+	latencyHalfLife = 10 * time.Second
+	// A server is slow if its latency exceeds this multiple of the median of the servers. Differences up to
+	// this are ordinary.
+	slowMultiple = 1.6
+	// Window over which the throughput of the servers is measured. It is shorter just after start.
+	throughputWindow = 10 * time.Second
+
+	// Failure rate above which a server is logged as failing, and the rate below which it is logged as
+	// recovered.
+	failingAbove = 0.5
+	failingBelow = 0.1
+	// Half-life of a failure rate. As the rate decays, the server is tested with a few subqueries.
+	failureHalfLife = 5 * time.Second
+	// Weight, as a failure, of a cancelled attempt that was overdue: it may only have been late. Where the
+	// half-life of records is longer there is no second observation, and the weight grows up to the maximum.
+	cancelWeight    = 0.5
+	maxCancelWeight = 1.5
+	// The half-life of a server's record spans this many further subqueries sent to it, up to the maximum.
+	halfLifeSubqueries = 4.0
+	maxHalfLife        = 30 * time.Second
+	// The fraction of its turns that the least healthy server keeps, so that its recovery is noticed.
+	minWeight = 0.015
+	// Below this weight a server is unhealthy.
+	healthyWeight = 0.3
+
+	// Longest back-off, in seconds, from a server that rejected a subquery.
+	maxRejectBackoff = 2.0
+	// Smoothing of error rates: some twenty subqueries show one.
+	errorWeight = 0.05
+	// An error faster than this fraction of the median latency costs hardly more than sending the attempt.
+	fastErrorFraction = 0.25
+
+	// With this many instances or more, each sends to any one server rarely.
+	manyInstancesFrom = 8
+	// Largest relative standard deviation of the number of instances per server that random subsets may cause.
+	// A larger one is noticeable in the servers' queues.
+	maxSubsetDeviation = 0.1
 )
 
 // The retry budget where none is configured, and hedging.
 const (
-	defaultBudgetFree  = 10.0 // further attempts allowed in any span ...
-	defaultBudgetRatio = 0.30 // ... and for each query and subquery received: a fifth of them may be slow
+	// Further attempts allowed in any span, and in addition for each query and subquery received in it. The
+	// ratio lets a fifth of the subqueries be slow.
+	defaultBudgetFree  = 10.0
+	defaultBudgetRatio = 0.30
 	defaultBudgetSpan  = 10 * time.Second
-	lastFraction       = 0.125 // of a query's subqueries: so few may be hedged to an unhealthy server
+	// Once no more than this fraction of a query's subqueries is missing, they may be hedged to an unhealthy
+	// server.
+	lastSubqueriesFraction = 0.125
 )
 
 // Load shedding.
 const (
-	missWindow      = 1500 * time.Millisecond // long enough for evidence at low rates, short enough to recover
-	waitWeight      = 0.2                     // step of the queueing time at servers: some ten answers
-	waitHalf        = 8 * time.Second         // its half-life: small instances learn little between queries
-	mostDone        = 0.75                    // of the fan-out's latencies: with less time the client times out
-	costWeight      = 0.05                    // smoothing of subqueries per value: twenty queries show the mix
-	retryAfterLeast = 200 * time.Millisecond
-	retryAfterMost  = 1500 * time.Millisecond
+	// Window of the miss rate: long enough for evidence at low rates, short enough to recover.
+	missWindow = 1500 * time.Millisecond
+	// Step by which the excess latency of servers follows an answer: some ten answers show a queue.
+	excessWeight = 0.2
+	// Half-life of the excess latency: an instance that sends little learns little between queries.
+	excessHalfLife = 8 * time.Second
+	// Percentile of a fan-out's latency: a client with less time left would time out.
+	feasiblePercentile = 0.75
+	// Smoothing of the subqueries per value of a query: twenty queries show the mix.
+	costWeight = 0.05
+	// Range of the back-off that a rejected client is asked for.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
 // Idle connections.
 const (
-	idleLeast  = 300 * time.Millisecond // a connection unused for so long counts as idle
-	lossWeight = 0.02                   // smoothing of the loss rates on idle and on busy connections ...
-	lossLeast  = 0.15                   // ... where idle connections have died if theirs is above this ...
-	lossTimes  = 3.0                    // ... and so many times that of busy ones
+	// A connection unused for this long counts as idle.
+	minIdleTime = 300 * time.Millisecond
+	// Smoothing of the loss rates on idle and on busy connections.
+	lossWeight = 0.02
+	// Idle connections are taken for dead if their loss rate is above the minimum and above this multiple of
+	// the loss rate on busy connections.
+	minIdleLossRate  = 0.15
+	idleLossMultiple = 3.0
 )
 
 // Zones.
 const (
-	lateTimes        = 3.0                    // medians: a later answer is not quick, maybe by the network
-	suspectRun       = 6                      // with so many in a row not quick, a zone is suspect ...
-	zoneCheckGap     = 200 * time.Millisecond // ... and health-checked so often ...
-	unreachableFails = 3                      // ... and unreachable when so many checks in a row fail
-	zoneReachableFor = 2 * time.Second        // a check that gets through clears the zone for so long
+	// An answer later than this multiple of the median latency is slow, perhaps because of the network.
+	lateMultiple = 3.0
+	// A zone is suspect after this many slow outcomes in a row.
+	suspectOutcomes = 6
+	// Time between health checks of a suspect zone.
+	zoneCheckInterval = 200 * time.Millisecond
+	// A zone is unreachable after this many failed health checks in a row.
+	unreachableChecks = 3
+	// A successful health check clears the zone of suspicion for this time.
+	zoneReachableFor = 2 * time.Second
 )
 
 // Poison queries.
 const (
-	crashSpan       = 10 * time.Second // crashes so recent make queries prove themselves first ...
-	crashAlarmLeast = 3                // ... when so many servers crashed: fewer is chance
-	proveFrom       = 3                // ... and the query would have so many subqueries in flight at once
-	proveWait       = 2.0              // medians that one subquery may take before the next is sent
-	poisonCrashes   = 2                // a crash along with others and again alone is no chance
-	poisonSpan      = 20 * time.Second // the fingerprint is rejected so long: several retries of a client
+	// Window in which crashes of servers are counted.
+	crashWindow = 10 * time.Second
+	// The crash alarm is raised when this many servers have crashed. Fewer may be a coincidence.
+	crashAlarmServers = 3
+	// During the crash alarm, queries of this many subqueries or more send a single one first.
+	proofSubqueries = 3
+	// If that subquery has no answer after this multiple of the median latency, the next one is sent.
+	proofWaitMultiple = 2.0
+	// A query at which servers crashed this often is poison: once with all its subqueries in flight and once
+	// with a single one is no coincidence.
+	poisonCrashes = 2
+	// How long queries with the fingerprint of a poison query are rejected: several retries of a client.
+	poisonRetention = 20 * time.Second
 )
 
 // The parameters of the rules shared with other admission stages.
 var (
-	// At least one in work and one on the way. Beyond the maximum the server's queue decides the order, not
-	// ours.
+	// The minimum allows one subquery that runs and one on its way. Above the maximum, the server's queue
+	// would decide the order and not the scheduler's.
 	capRule = tailguard.LimitRule{Min: 2, Max: 32, Near: 1.3, Far: 2, Fall: 0.8}
-	// Three failures in a row halve the weight. Successes count less, as fast errors mix with answers.
+	// Three failures in a row halve the weight. Successes count less, as a server may answer some subqueries
+	// and fail fast on others.
 	failureRule = tailguard.FailureRule{Up: 0.3, Down: 0.12}
-	// The paper's threshold. Some queries of a small instance arrive between the falls of the rejected fraction.
-	refusalRule = tailguard.SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
+	// The threshold is that of the TailGuard paper. The rejected fraction falls slowly enough that even a
+	// small instance receives queries while it falls.
+	sheddingRule = tailguard.SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
 )
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -8,10 +8,10 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// A suspect zone gets nothing new while it is health-checked: three checks take a second to be lost, in which half of
-// all subqueries would be sent to a zone that has vanished.
+// Nothing new is sent to a suspect zone while it is health-checked. It takes a second until three checks have timed
+// out, in which half of all subqueries would be sent to a zone that cannot be reached.
 func TestSuspectZone(t *testing.T) {
-	set := manyInstances()
+	set := manyInstancesSettings()
 	set.HealthChecks, set.Instances = true, 4 // no subset
 	b := newFixture(t, set)
 	var l []decision.ServerInfo
@@ -19,8 +19,8 @@
 		l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: 0, State: decision.Ready, Zone: i % 2})
 	}
 	b.step(decision.ServerList{Kind: decision.FullList, Servers: l})
-	b.warm(60, 30*ms)
-	there := func(s sent) bool { return s.Server%2 == 0 } // zone 1, from which nothing comes any more
+	b.warmUp(60, 30*ms)
+	inZone1 := func(s sent) bool { return s.Server%2 == 0 } // the zone that has stopped answering
 	for i, n := 0, 0; i < 40; i++ {
 		if i == 25 {
 			n = len(b.sends)
@@ -28,21 +28,22 @@
 		b.query(0, time.Second, 0)
 		b.run(10 * ms)
 		for _, s := range slices.Clone(b.sends) {
-			if !there(s) && b.now-s.at >= 30*ms && b.now-s.at < 40*ms {
+			if !inZone1(s) && b.now-s.at >= 30*ms && b.now-s.at < 40*ms {
 				b.outcome(s, decision.OK)
 			}
 		}
-		if i == 39 && (b.sched.Zones[1].Unreachable || slices.ContainsFunc(b.sends[n:], there)) {
-			t.Errorf("far %v, and subqueries still go there after 250 ms", b.sched.Zones[1].Unreachable)
+		if i == 39 && (b.sched.Zones[1].Unreachable || slices.ContainsFunc(b.sends[n:], inZone1)) {
+			t.Errorf("zone 1: unreachable %v, subqueries sent there after 250 ms %v, want neither", b.sched.Zones[1].Unreachable, slices.ContainsFunc(b.sends[n:], inZone1))
 		}
 	}
 }
 
-// The path to a zone turns slow and loses health checks: its servers are skipped without blame until a check gets
-// through. The same silence with health checks answered is the servers' own.
+// If a zone stops answering and its health checks fail too, the zone is unreachable: its servers are skipped, and
+// failures do not count against them, until a check succeeds. If health checks are answered, the servers are to blame
+// and not the path.
 func TestUnreachableZone(t *testing.T) {
-	for _, through := range []bool{false, true} {
-		set := base()
+	for _, reachable := range []bool{false, true} {
+		set := baseSettings()
 		set.HealthChecks = true
 		b := newFixture(t, set)
 		var l []decision.ServerInfo
@@ -50,8 +51,8 @@
 			l = append(l, decision.ServerInfo{ID: decision.ServerID(i + 1), Cell: i, State: decision.Ready, Zone: min(i, 1)})
 		}
 		b.step(decision.ServerList{Kind: decision.FullList, Servers: l})
-		b.warm(30, 50*ms)
-		probe := func(ok bool) {
+		b.warmUp(30, 50*ms)
+		answerChecks := func(ok bool) {
 			for _, a := range b.actions {
 				if p, is := a.(decision.HealthCheck); is {
 					b.step(decision.HealthChecked{Server: p.Server, OK: ok})
@@ -70,32 +71,32 @@
 					}
 				}
 				b.run(10 * ms)
-				probe(through)
+				answerChecks(reachable)
 			}
 		}
-		if far := b.sched.Zones[1].Unreachable; far == through {
-			t.Errorf("health checks through %v: far is %v", through, far)
+		if unreachable := b.sched.Zones[1].Unreachable; unreachable == reachable {
+			t.Errorf("health checks answered %v: zone unreachable %v", reachable, unreachable)
 		}
-		if through {
+		if reachable {
 			continue
 		}
-		if bad := b.sched.Servers[2].FailureRate; bad > failingBelow {
-			t.Errorf("a server behind the slow way is blamed: %v", bad)
+		if rate := b.sched.Servers[2].FailureRate; rate > failingBelow {
+			t.Errorf("failure rate %v of a server in the unreachable zone, want at most %v", rate, failingBelow)
 		}
 		b.step(decision.HealthChecked{Server: 2, OK: true})
 		if b.sched.Zones[1].Unreachable {
-			t.Error("still far after a health check got through")
+			t.Error("zone still unreachable after a successful health check")
 		}
 	}
 }
 
-// Where subqueries sent on connections that had been idle are lost and the others are not, the connections have died
-// unnoticed: they are closed before the next use, and no server is blamed.
+// If subqueries sent on connections that had been idle are lost while others are answered, idle connections have died
+// without notice. They are closed before the next use, and the losses do not count against the servers.
 func TestIdleConnectionsDead(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Hedging = false
 	b := newFixture(t, set, 0, 1, 2)
-	b.warm(30, 50*ms)
+	b.warmUp(30, 50*ms)
 	closed := map[decision.ServerID]bool{}
 	n, answered := 0, 0
 	for range 60 {
@@ -109,7 +110,7 @@
 		}
 		b.run(100 * ms)
 		for _, s := range b.sends[k:] {
-			if closed[s.Server] { // opened anew
+			if closed[s.Server] { // sent on a new connection
 				b.outcome(s, decision.OK)
 			}
 		}
@@ -124,26 +125,27 @@
 		b.run(500 * ms)
 	}
 	if answered < 30 {
-		t.Errorf("%d of 60 queries answered with %d connections closed, want most once it is known", answered, n)
+		t.Errorf("%d of 60 queries answered, with %d CloseIdle actions, want 30 or more", answered, n)
 	}
-	for _, s := range b.sched.Order {
+	for _, s := range b.sched.SortedServers {
 		if s.FailureRate > failingAbove {
-			t.Errorf("server %d is blamed for its connections: %.2f", s.ID, s.FailureRate)
+			t.Errorf("server %d has a failure rate of %.2f because of its connections", s.ID, s.FailureRate)
 		}
 	}
 }
 
-// Subqueries that share a call share its connection: the second is not on a busy one because the first is in flight.
+// Subqueries in the same call count as sent on the same idle connection: the first in flight does not make it busy for
+// the others.
 func TestSharedCallOnIdleConnection(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.CallCost, set.Batch = 40*ms, 8
 	b := newFixture(t, set, 0, 1, 2)
-	b.warm(20, 50*ms)
+	b.warmUp(20, 50*ms)
 	b.run(time.Second)
 	b.query(0, 4*time.Second, 0, 1, 2)
-	for _, s := range b.sched.Order {
+	for _, s := range b.sched.SortedServers {
 		for _, a := range s.InFlight {
-			if !a.Idle {
+			if !a.OnIdleConn {
 				t.Errorf("attempt %d of subquery %d counts as sent on a busy connection", a.Number, a.Subquery.ID)
 			}
 		}
