--- a/internal/gatherer/decision/settings.go
+++ b/internal/gatherer/decision/settings.go
@@ -12,7 +12,7 @@
 // The effects of a class.
 const (
 	Idempotent    Effect = iota // repeats are harmless
-	Deduplicated                // servers drop repeats within Class.Window
+	Deduplicated                // servers drop repeats for a time, see Class
 	NotIdempotent               // a repeat takes effect again
 )
 
--- a/internal/shared/curve/curve.go
+++ b/internal/shared/curve/curve.go
@@ -11,11 +11,11 @@
 
 // The parameters of a histogram of response times.
 const (
-	RecordLow       = 0.001            // upper bound of the first bucket, seconds
-	RecordHigh      = 60.0             // upper bound of the last bucket, seconds
-	RecordRatio     = 1.12             // ratio of the bounds of adjacent buckets: finer than any decision needs
-	LatencyHalfLife = 20 * time.Second // longer than a stall, short enough to follow a change of machine
-	RecordPrior     = 8.0              // weight, in responses, of all servers' distribution when blended into one server's
+	RecordLow         = 0.001            // upper bound of the first bucket, seconds
+	RecordHigh        = 60.0             // upper bound of the last bucket, seconds
+	RecordRatio       = 1.12             // ratio of the bounds of adjacent buckets: finer than any decision needs
+	HistogramHalfLife = 20 * time.Second // longer than a stall, short enough to follow a change of machine
+	RecordPrior       = 8.0              // weight, in responses, of all servers' distribution when blended into one server's
 )
 
 // Histogram is an exponentially decaying histogram of durations, in buckets whose bounds have a constant ratio. It uses
@@ -161,7 +161,9 @@
 }
 
 // NewRecord returns an empty Histogram with the parameters for response times.
-func NewRecord() *Histogram { return NewHistogram(RecordLow, RecordHigh, RecordRatio, LatencyHalfLife) }
+func NewRecord() *Histogram {
+	return NewHistogram(RecordLow, RecordHigh, RecordRatio, HistogramHalfLife)
+}
 
 // FillUniform adds as many values as there are buckets, spread uniformly from 0 to top seconds.
 func (h *Histogram) FillUniform(top float64) {
--- a/internal/shared/peek/peek_test.go
+++ b/internal/shared/peek/peek_test.go
@@ -33,7 +33,7 @@
 		if x.waiting {
 			there.CloseWrite()
 			if b, err := io.ReadAll(here); string(b) != "x" || err != nil {
-				t.Errorf("%s: read %q, %v after Look, want the unread byte", name, b, err)
+				t.Errorf("%s: read %q, %v, want the unread byte", name, b, err)
 			}
 		}
 	}
--- a/policy/records.go
+++ b/policy/records.go
@@ -35,7 +35,7 @@
 	sc.SetFlag(&sc.Shedding, sc.ShedFraction > 0, "shedding=%v missed=%.0f of %.0f", missed, decided)
 }
 
-// surveyServers updates the aggregates over all servers: stuck subqueries, the median latency, the rate per
+// surveyServers updates the aggregates over all servers: overdue attempts, the median latency, the rate per
 // server, the loss rate of idle connections and the crash alarm. It also drops records that are out of use.
 func (sc *Scheduler) surveyServers() {
 	sc.CountOverdue(sc.Now - curve.Duration(lateMultiple*sc.PoolMedian))
@@ -48,7 +48,7 @@
 	sc.SetFlag(&sc.IdleConnsDead, sc.IdleConnsDead && sc.LossRate[1] > minIdleLossRate,
 		"idle connections dead=%v")
 	budgetSpan := max(sc.Settings.Rules.BudgetSpan, defaultBudgetSpan)
-	sc.Prune(sc.Now-curve.LatencyHalfLife, sc.Now-budgetSpan-sc.Settings.Tick)
+	sc.Prune(sc.Now-curve.HistogramHalfLife, sc.Now-budgetSpan-sc.Settings.Tick)
 	crashed, zones := sc.CountCrashed(sc.Now - crashWindow)
 	sc.SetFlag(&sc.CrashAlarm, crashed >= crashAlarmServers && zones > 1, "crashes=%v servers=%d", crashed)
 }
@@ -74,7 +74,8 @@
 	s.Latency, s.LatencyAt = s.Latency+w*(sec-s.Latency), sc.Now
 	if sc.weight(s) >= healthyWeight {
 		sc.ExcessLatency, sc.ExcessLatencyAt = sc.excessLatency(), sc.Now
-		// A step of fixed size tracks the median, so that a few expensive queries do not look like a queue.
+		// The step does not depend on the size of the difference, so that this follows the median and a few
+		// expensive queries do not look like a queue.
 		step := excessWeight * (sc.ExcessLatency + sc.Baseline)
 		if sec < sc.Baseline+sc.ExcessLatency {
 			step = -step
