--- a/internal/gatherer/query/query.go
+++ b/internal/gatherer/query/query.go
@@ -1,6 +1,6 @@
-// Package query is the typed tree of the supported part of the OpenSearch query language, within stated limits. Parse parses
-// the JSON form, Short that of a q parameter, and JSON formats a tree in one canonical way, so that equivalent texts have
-// the same form. The package executes no query.
+// Package query represents the supported part of the OpenSearch query language as typed trees, within stated limits. It
+// parses the JSON form and the query strings of the q parameter, and formats a tree as canonical JSON, so that equivalent
+// queries have the same text. It executes no query. The documents that queries match are called lots.
 package query
 
 import (
@@ -12,14 +12,14 @@
 	"strings"
 )
 
-// Limits of a query: the API's defaults where it has any.
+// Limits of a query. They are OpenSearch's defaults where it has such a limit.
 const (
-	MaxDepth   = 20       // queries within queries
-	MaxClauses = 1024     // queries in all
-	MaxTerms   = 65536    // values of one terms or ids query
-	MaxFields  = 64       // of one multi_match
-	MaxField   = 256      // bytes of a field's name
-	MaxText    = 32 << 10 // bytes of a text to match
+	MaxDepth            = 20       // levels of nested queries
+	MaxClauses          = 1024     // queries in one tree
+	MaxTerms            = 65536    // values of one terms or ids query
+	MaxMultiMatchFields = 64       // fields of one multi_match query
+	MaxField            = 256      // bytes of a field name
+	MaxText             = 32 << 10 // bytes of a text or value to match
 )
 
 // Query is one node of the tree. A Boost of 0 means 1.
@@ -34,20 +34,21 @@
 // All matches every lot.
 type All struct{ Boost float64 }
 
-// None matches no lot.
-type None struct{}
+// MatchNone matches no lot.
+type MatchNone struct{}
 
-// Match analyses its text and matches lots that have any of its terms, or with And all of them.
+// Match splits its text into terms as the field does, and matches lots that have any of them, or with AllTerms all of them.
 type Match struct {
-	Field     string
-	Text      Value
-	And       bool
-	MinShould string
-	Fuzziness string
-	Boost     float64
+	Field              string
+	Text               Value
+	AllTerms           bool
+	MinimumShouldMatch string
+	Fuzziness          string
+	Boost              float64
 }
 
-// Phrase matches the terms of the text in sequence, at most Slop positions apart; with Prefix the last of them as a prefix.
+// Phrase matches lots that have the terms of the text in sequence, at most Slop positions apart. With Prefix, the last term
+// is matched as a prefix.
 type Phrase struct {
 	Field  string
 	Text   Value
@@ -58,27 +59,27 @@
 
 // MultiMatch is a Match in several fields. Type says how their scores are combined.
 type MultiMatch struct {
-	Fields    []string // each with ^boost where it has one
-	Text      Value
-	Type      string
-	And       bool
-	MinShould string
-	Boost     float64
+	Fields             []string // field names, each followed by ^ and its boost where it has one
+	Text               Value
+	Type               string
+	AllTerms           bool
+	MinimumShouldMatch string
+	Boost              float64
 }
 
-// Terms matches lots that have one of the values exactly. A term query has one value.
+// Terms is a term or a terms query: it matches lots whose field has one of the values exactly.
 type Terms struct {
-	Field  string
-	Values []Value
-	Single bool // a term query, scored by the term, where terms scores 1
-	Fold   bool // case-insensitive
-	Boost  float64
+	Field           string
+	Values          []Value
+	TermQuery       bool // a term query, which has one value and scores by its term; a terms query scores 1
+	CaseInsensitive bool
+	Boost           float64
 }
 
 // Range matches lots whose field is between bounds.
 type Range struct {
 	Field            string
-	GT, GTE, LT, LTE Value // empty for none
+	GT, GTE, LT, LTE Value // empty where there is no such bound
 	Format, TimeZone string
 	Boost            float64
 }
@@ -95,37 +96,39 @@
 	Boost float64
 }
 
-// Pattern matches by a prefix, or with Wild by the wildcards ? and *.
+// Pattern matches lots whose field starts with Text or, with Wildcard, matches Text with the wildcards ? and *.
 type Pattern struct {
-	Field, Text string
-	Wild, Fold  bool
-	Boost       float64
+	Field, Text               string
+	Wildcard, CaseInsensitive bool
+	Boost                     float64
 }
 
-// Constant gives every lot of a filter the same score.
-type Constant struct {
+// ConstantScore gives every lot that matches Filter the same score.
+type ConstantScore struct {
 	Filter Query
 	Boost  float64
 }
 
-// Bool combines queries: lots match all of Must and Filter, none of MustNot, and MinShould of Should.
+// Bool combines queries: a lot matches all of Must and Filter, none of MustNot, and as many of Should as MinimumShouldMatch
+// says.
 type Bool struct {
 	Must, Filter, Should, MustNot []Query
-	MinShould                     string // empty for the API's default
+	MinimumShouldMatch            string // empty for OpenSearch's default
 	Boost                         float64
 }
 
 // JSON formats a query canonically.
 func JSON(q Query) []byte { return q.append(nil) }
 
-// object formats {"kind":{...}} with members in the given order; those of empty value are left out.
-func object(b []byte, kind string, boost float64, members ...string) []byte {
+// appendQuery formats {"kind":{...}}. Members are given as name, value, name, value, and so on, and keep this order; those
+// with an empty value are left out.
+func appendQuery(b []byte, kind string, boost float64, members ...string) []byte {
 	b = append(append(append(b, `{"`...), kind...), `":{`...)
 	b = appendMembers(b, boost, members...)
 	return append(b, `}}`...)
 }
 
-// appendMembers formats members given in pairs, and the boost.
+// appendMembers formats members, given as for appendQuery, and the boost unless it is 1.
 func appendMembers(b []byte, boost float64, members ...string) []byte {
 	first := true
 	add := func(name, value string) {
@@ -147,8 +150,8 @@
 	return b
 }
 
-// fielded formats {"kind":{"field":{...}}}.
-func fielded(b []byte, kind, field string, boost float64, members ...string) []byte {
+// appendFieldQuery formats {"kind":{"field":{...}}}, with members as for appendQuery.
+func appendFieldQuery(b []byte, kind, field string, boost float64, members ...string) []byte {
 	b = append(append(append(b, `{"`...), kind...), `":{`...)
 	b = append(appendString(b, field), `:{`...)
 	return append(appendMembers(b, boost, members...), `}}}`...)
@@ -156,35 +159,36 @@
 
 // appendString formats a string as JSON.
 func appendString(b []byte, s string) []byte {
-	text, err := json.Marshal(strings.ToValidUTF8(s, "\uFFFD")) // else invalid UTF-8 would be escaped, and not parse to the same form
+	// json.Marshal would escape invalid UTF-8, and the result would not parse to the same form.
+	text, err := json.Marshal(strings.ToValidUTF8(s, "\uFFFD"))
 	if err != nil {
-		panic(err) // a string
+		panic(err) // strings can always be marshaled
 	}
 	return append(b, text...)
 }
 
-// quote formats a string as JSON, an empty one as nothing.
-func quote(s string) string {
+// quoteUnlessEmpty formats a string as JSON, but leaves an empty one empty.
+func quoteUnlessEmpty(s string) string {
 	if s == "" {
 		return ""
 	}
 	return string(appendString(nil, s))
 }
 
-// flag is the value if set, else nothing.
-func flag(set bool, value string) string {
+// valueIf returns value if set is true, else an empty string.
+func valueIf(set bool, value string) string {
 	if set {
 		return value
 	}
 	return ""
 }
 
-func (q All) append(b []byte) []byte  { return object(b, "match_all", q.Boost) }
-func (q None) append(b []byte) []byte { return object(b, "match_none", 0) }
+func (q All) append(b []byte) []byte       { return appendQuery(b, "match_all", q.Boost) }
+func (q MatchNone) append(b []byte) []byte { return appendQuery(b, "match_none", 0) }
 
 func (q Match) append(b []byte) []byte {
-	return fielded(b, "match", q.Field, q.Boost, "query", string(q.Text), "operator", flag(q.And, `"and"`),
-		"minimum_should_match", quote(q.MinShould), "fuzziness", quote(q.Fuzziness))
+	return appendFieldQuery(b, "match", q.Field, q.Boost, "query", string(q.Text), "operator", valueIf(q.AllTerms, `"and"`),
+		"minimum_should_match", quoteUnlessEmpty(q.MinimumShouldMatch), "fuzziness", quoteUnlessEmpty(q.Fuzziness))
 }
 
 func (q Phrase) append(b []byte) []byte {
@@ -192,54 +196,57 @@
 	if q.Prefix {
 		kind = "match_phrase_prefix"
 	}
-	return fielded(b, kind, q.Field, q.Boost, "query", string(q.Text), "slop", flag(q.Slop > 0, strconv.Itoa(q.Slop)))
+	return appendFieldQuery(b, kind, q.Field, q.Boost, "query", string(q.Text), "slop", valueIf(q.Slop > 0, strconv.Itoa(q.Slop)))
 }
 
 func (q MultiMatch) append(b []byte) []byte {
-	return object(b, "multi_match", q.Boost, "query", string(q.Text), "fields", list(q.Fields), "type", quote(q.Type),
-		"operator", flag(q.And, `"and"`), "minimum_should_match", quote(q.MinShould))
+	return appendQuery(b, "multi_match", q.Boost, "query", string(q.Text), "fields", formatStrings(q.Fields), "type", quoteUnlessEmpty(q.Type),
+		"operator", valueIf(q.AllTerms, `"and"`), "minimum_should_match", quoteUnlessEmpty(q.MinimumShouldMatch))
 }
 
 func (q Terms) append(b []byte) []byte {
-	if q.Single {
-		return fielded(b, "term", q.Field, q.Boost, "value", string(q.Values[0]), "case_insensitive", flag(q.Fold, "true"))
+	if q.TermQuery {
+		return appendFieldQuery(b, "term", q.Field, q.Boost, "value", string(q.Values[0]), "case_insensitive", valueIf(q.CaseInsensitive, "true"))
 	}
 	values := make([]string, len(q.Values))
 	for i, v := range q.Values {
 		values[i] = string(v)
 	}
-	return object(b, "terms", q.Boost, q.Field, "["+strings.Join(values, ",")+"]")
+	return appendQuery(b, "terms", q.Boost, q.Field, "["+strings.Join(values, ",")+"]")
 }
 
 func (q Range) append(b []byte) []byte {
-	return fielded(b, "range", q.Field, q.Boost, "gt", string(q.GT), "gte", string(q.GTE), "lt", string(q.LT), "lte", string(q.LTE),
-		"format", quote(q.Format), "time_zone", quote(q.TimeZone))
+	return appendFieldQuery(b, "range", q.Field, q.Boost, "gt", string(q.GT), "gte", string(q.GTE), "lt", string(q.LT), "lte", string(q.LTE),
+		"format", quoteUnlessEmpty(q.Format), "time_zone", quoteUnlessEmpty(q.TimeZone))
 }
 
 func (q IDs) append(b []byte) []byte {
 	values := slices.Clone(q.Values)
 	slices.Sort(values)
-	return object(b, "ids", q.Boost, "values", list(slices.Compact(values)))
+	return appendQuery(b, "ids", q.Boost, "values", formatStrings(slices.Compact(values)))
 }
 
-func (q Exists) append(b []byte) []byte { return object(b, "exists", q.Boost, "field", quote(q.Field)) }
+func (q Exists) append(b []byte) []byte {
+	return appendQuery(b, "exists", q.Boost, "field", quoteUnlessEmpty(q.Field))
+}
 
 func (q Pattern) append(b []byte) []byte {
-	return fielded(b, map[bool]string{false: "prefix", true: "wildcard"}[q.Wild], q.Field, q.Boost,
-		"value", string(appendString(nil, q.Text)), "case_insensitive", flag(q.Fold, "true"))
+	return appendFieldQuery(b, map[bool]string{false: "prefix", true: "wildcard"}[q.Wildcard], q.Field, q.Boost,
+		"value", string(appendString(nil, q.Text)), "case_insensitive", valueIf(q.CaseInsensitive, "true"))
 }
 
-func (q Constant) append(b []byte) []byte {
-	return object(b, "constant_score", q.Boost, "filter", string(q.Filter.append(nil)))
+func (q ConstantScore) append(b []byte) []byte {
+	return appendQuery(b, "constant_score", q.Boost, "filter", string(q.Filter.append(nil)))
 }
 
 func (q Bool) append(b []byte) []byte {
-	return object(b, "bool", q.Boost, "must", nodes(q.Must, false), "filter", nodes(q.Filter, true), "should", nodes(q.Should, false),
-		"must_not", nodes(q.MustNot, true), "minimum_should_match", quote(q.MinShould))
+	return appendQuery(b, "bool", q.Boost, "must", formatQueries(q.Must, false), "filter", formatQueries(q.Filter, true), "should", formatQueries(q.Should, false),
+		"must_not", formatQueries(q.MustNot, true), "minimum_should_match", quoteUnlessEmpty(q.MinimumShouldMatch))
 }
 
-// nodes formats a list of queries. Those that do not contribute to the score are sorted.
-func nodes(list []Query, sorted bool) string {
+// formatQueries formats a list of queries as JSON. With sorted, which is for queries that do not contribute to the score,
+// they are sorted and deduplicated.
+func formatQueries(list []Query, sorted bool) string {
 	if len(list) == 0 {
 		return ""
 	}
@@ -254,8 +261,8 @@
 	return "[" + strings.Join(texts, ",") + "]"
 }
 
-// list formats a list of strings.
-func list(values []string) string {
+// formatStrings formats a list of strings as JSON.
+func formatStrings(values []string) string {
 	b := []byte{'['}
 	for i, v := range values {
 		if i > 0 {
@@ -266,7 +273,8 @@
 	return string(append(b, ']'))
 }
 
-// Clauses returns the canonical forms of the queries whose scores add up to a lot's score; nil where it is no such sum.
+// Clauses returns the canonical forms of the queries whose scores add up to a lot's score. It returns nil for a Bool with a
+// boost, whose score is not such a sum.
 func Clauses(q Query) (clauses []string) {
 	b, ok := q.(Bool)
 	if !ok {
@@ -281,13 +289,14 @@
 	return clauses
 }
 
-// Plain reports whether a query is one clause and nothing else.
+// Plain reports whether a query is a single clause rather than a Bool.
 func Plain(q Query) bool {
 	_, ok := q.(Bool)
 	return !ok
 }
 
-// TimeDependent reports whether what a query matches depends on the time of day.
+// TimeDependent reports whether what a query matches depends on the current time, as the bounds of a range do that start
+// with now.
 func TimeDependent(q Query) bool {
 	switch q := q.(type) {
 	case Range:
@@ -296,7 +305,7 @@
 				return true
 			}
 		}
-	case Constant:
+	case ConstantScore:
 		return TimeDependent(q.Filter)
 	case Bool:
 		return slices.ContainsFunc(slices.Concat(q.Must, q.Filter, q.Should, q.MustNot), TimeDependent)
@@ -304,19 +313,19 @@
 	return false
 }
 
-// Count returns the number of queries in a tree.
-func Count(q Query) (n int) {
+// CountQueries returns the number of queries in a tree.
+func CountQueries(q Query) (n int) {
 	n = 1
 	switch q := q.(type) {
-	case Constant:
-		n += Count(q.Filter)
+	case ConstantScore:
+		n += CountQueries(q.Filter)
 	case Bool:
 		for _, c := range slices.Concat(q.Must, q.Filter, q.Should, q.MustNot) {
-			n += Count(c)
+			n += CountQueries(c)
 		}
 	}
 	return n
 }
 
-// boosted reports whether a boost is valid: finite and not below 0.
-func boosted(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && cmp.Compare(x, x) == 0 }
+// validBoost reports whether a boost is valid: finite and not below 0.
+func validBoost(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && cmp.Compare(x, x) == 0 }
--- a/internal/gatherer/query/query_test.go
+++ b/internal/gatherer/query/query_test.go
@@ -20,7 +20,7 @@
 }
 
 // Equivalent texts have the same canonical form, and a canonical form parses to itself.
-func TestCanonical(t *testing.T) {
+func TestCanonicalForm(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"query": {"match":{"title":"x"}}}`:                                         `{"match":{"title":{"query":"x"}}}`,
 		`{"query":{"match":{"title":{"operator":"AND","query":"x","boost":2}}}}`:     `{"match":{"title":{"query":"x","operator":"and","boost":2}}}`,
@@ -48,8 +48,8 @@
 	}
 }
 
-// Errors are reported with line and column.
-func TestErrors(t *testing.T) {
+// Errors are reported with the line and the column at which they are.
+func TestErrorPositions(t *testing.T) {
 	deep := func(n int) string {
 		return `{"query":` + strings.Repeat(`{"bool":{"must":`, n) + `{"match_all":{}}` + strings.Repeat(`}}`, n) + `}`
 	}
@@ -82,8 +82,8 @@
 	}
 }
 
-// The short form is equivalent to the long one.
-func TestShort(t *testing.T) {
+// A query string gives the same canonical form as its equivalent in JSON.
+func TestQueryString(t *testing.T) {
 	for text, want := range map[string]string{
 		`make:deere AND year:[2015 TO *]`:   `{"bool":{"must":[{"match":{"make":{"query":"deere"}}},{"range":{"year":{"gte":2015}}}]}}`,
 		`tractor cab`:                       `{"bool":{"should":[{"multi_match":{"query":"tractor","fields":["*"]}},{"multi_match":{"query":"cab","fields":["*"]}}]}}`,
@@ -102,11 +102,11 @@
 		`a:1 OR b:2 AND c:3`:                `{"bool":{"should":[{"match":{"a":{"query":"1"}}},{"bool":{"must":[{"match":{"b":{"query":"2"}}},{"match":{"c":{"query":"3"}}}]}}]}}`,
 	} {
 		if q, e := Short(text, "", false); e != nil || string(JSON(q)) != want {
-			t.Errorf("%s: %v\n got %s\nwant %s", text, e, JSON(orNone(q)), want)
+			t.Errorf("%s: %v\n got %s\nwant %s", text, e, JSON(orMatchNone(q)), want)
 		}
 	}
 	if q, e := Short("a b", "title", true); e != nil || string(JSON(q)) != `{"bool":{"must":[{"match":{"title":{"query":"a"}}},{"match":{"title":{"query":"b"}}}]}}` {
-		t.Errorf("%s %v", JSON(orNone(q)), e)
+		t.Errorf("%s %v", JSON(orMatchNone(q)), e)
 	}
 	for text, want := range map[string]string{"": "no query", "make:": "column 6", "(a": "column 3", "a)": "column 2", "year:[1 TO": "", "[1 TO 2]": "wants a field",
 		"a^x": "boost", `"a"~x`: "slop", "t:a~7": "fuzziness", "x*y": "wants a field", strings.Repeat("(", 1000) + "a": "nested deeper",
@@ -117,19 +117,20 @@
 	}
 }
 
-func orNone(q Query) Query {
+func orMatchNone(q Query) Query {
 	if q == nil {
-		return None{}
+		return MatchNone{}
 	}
 	return q
 }
 
-var valid = []string{
+var validQueries = []string{
 	`{"query":{"bool":{"must":[{"match":{"t":{"query":"x","operator":"and","minimum_should_match":"75%"}}}],"should":{"term":{"a":true}},"filter":[{"range":{"y":{"gte":1}}}]}}}`,
 	`{"query":{"constant_score":{"filter":{"terms":{"a":[1,2,"x"]}},"boost":1.5}}}`,
 }
 
-func feed(b []byte) error {
+// checkCanonical returns the error of parsing a text. It panics if the canonical form of an accepted text does not parse to itself.
+func checkCanonical(b []byte) error {
 	q, e := parse(string(b))
 	if e != nil {
 		return e
@@ -143,28 +144,29 @@
 	return nil
 }
 
-func feedShort(b []byte) error {
+// checkQueryStringCanonical does the same for a query string.
+func checkQueryStringCanonical(b []byte) error {
 	q, e := Short(string(b), "", false)
 	if e != nil {
 		return e
 	}
-	return feed([]byte(`{"q":` + string(JSON(q)) + `}`))
+	return checkCanonical([]byte(`{"q":` + string(JSON(q)) + `}`))
 }
 
 // Truncated and corrupt input gets an error with its position, and what is accepted has a canonical form.
-func TestGarbage(t *testing.T) {
-	proptest.CheckParser(t, true, feed, valid...)
-	proptest.CheckParser(t, false, feedShort, `make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1) x:>=3`)
+func TestCorruptInput(t *testing.T) {
+	proptest.CheckParser(t, true, checkCanonical, validQueries...)
+	proptest.CheckParser(t, false, checkQueryStringCanonical, `make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1) x:>=3`)
 }
 
 func FuzzQuery(f *testing.F) {
-	for _, v := range valid {
+	for _, v := range validQueries {
 		f.Add([]byte(v))
 	}
-	f.Fuzz(func(_ *testing.T, b []byte) { _ = feed(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _ = checkCanonical(b) })
 }
 
-func FuzzShort(f *testing.F) {
+func FuzzParseQueryString(f *testing.F) {
 	f.Add([]byte(`make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1)`))
-	f.Fuzz(func(_ *testing.T, b []byte) { _ = feedShort(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _ = checkQueryStringCanonical(b) })
 }
