--- a/internal/gatherer/aggs/aggs.go
+++ b/internal/gatherer/aggs/aggs.go
@@ -1,6 +1,8 @@
-// Package aggs executes aggregations over many ranges: Parse makes a typed tree of what a client asks for, AppendRequest
-// encodes the request to each range, Decode parses a range's answer, and Merge merges the answers and says how exact the
-// result is. What cannot be merged exactly has a stated bound, or is an error that names it. The package does no I/O.
+// Package aggs executes OpenSearch aggregations over many ranges. A range is a part of the lots that is searched on its own,
+// like a shard of OpenSearch, and a lot is a document. Parse parses the aggregations of a client's request, AppendRequest
+// encodes the request to each range, Decode parses a range's answer, and Merge merges the answers and states how exact the
+// result is. An aggregation that cannot be merged exactly either has a stated error bound or is refused by an error that
+// names it. The package does no I/O.
 package aggs
 
 import (
@@ -10,14 +12,14 @@
 	"pulleygw.example/pulleygw/internal/gatherer/query"
 )
 
-// Limits of a tree.
+// Limits of a request for aggregations.
 const (
-	MaxDepth   = 6     // aggregations within aggregations
-	MaxNodes   = 100   // in all
-	MaxSize    = 10000 // buckets of a terms
-	MaxBuckets = 65535 // in one answer, the default of the API
+	MaxDepth   = 6     // levels of nested aggregations
+	MaxNodes   = 100   // aggregations in one request, nested ones included
+	MaxSize    = 10000 // buckets of a terms aggregation
+	MaxBuckets = 65535 // in one answer to a client; the default of OpenSearch
 	MaxRanges  = 256   // ranges or filters of one aggregation
-	MaxHits    = 100   // of top_hits, the default of the API
+	MaxTopHits = 100   // of a top_hits aggregation; the default of OpenSearch
 )
 
 // Kind is a kind of aggregation.
@@ -44,47 +46,47 @@
 	TopHits       Kind = "top_hits"
 )
 
-// Node is one aggregation of a tree.
+// Node is one aggregation with those nested below it. Fields that do not apply to its kind are not set.
 type Node struct {
 	Name  string
 	Kind  Kind
 	Field string
-	// Missing, as JSON, is the value of a lot without the field; empty for none.
+	// Missing is the value, as JSON, that lots without the field count as. If it is empty, they are left out.
 	Missing string
 	Subs    []*Node
 
-	Size     int  // buckets of a terms, hits of a top_hits
-	Shard    int  // buckets of a terms that each range is asked for; 0 for the default
-	ByKey    bool // order of a terms
-	Desc     bool
-	MinDocs  int64 // least count of a bucket
-	Keyed    bool
-	Interval float64       // of a histogram
-	Fixed    time.Duration // of a date_histogram, or
-	Calendar string
-	Offset   string // as in the API, empty for none
-	Zone     string
-	Format   string
-	Bounds   *[2]float64 // extended_bounds
-	Ranges   []Span
-	Filters  []Named
-	Other    string // name of the bucket of lots that no filter matches, empty for none
-	Percents []float64
-	From     int    // of top_hits
-	Sort     string // of top_hits as JSON, empty for by score
-	Source   string
+	Size             int  // buckets of a terms, or hits of a top_hits
+	Shard            int  // shard_size: buckets that a terms asks each range for; 0 for the default
+	OrderByKey       bool // a terms is ordered by key, otherwise by count
+	Descending       bool
+	MinDocCount      int64 // buckets with fewer lots are left out; -1 if the request does not say
+	Keyed            bool
+	Interval         float64       // of a histogram
+	FixedInterval    time.Duration // of a date_histogram, which has either this one
+	CalendarInterval string        // or this one, a value of calendarIntervals
+	Offset           string        // of the buckets of a histogram, as the client wrote it; empty for none
+	TimeZone         string
+	Format           string
+	ExtendedBounds   *[2]float64 // least and greatest value that the empty buckets cover
+	Ranges           []Span
+	Filters          []NamedFilter
+	OtherBucketKey   string // key of the bucket of lots that no filter matches; empty if it was not asked for
+	Percentiles      []float64
+	From             int    // hits of a top_hits that are skipped
+	Sort             string // of a top_hits, as JSON; empty for the order by score
+	Source           string // _source of a top_hits, as JSON
 }
 
-// Span is one range of a range aggregation, its ends as JSON.
+// Span is one range of values in a range or date_range aggregation. Its ends are JSON, or empty where it is open.
 type Span struct{ Key, From, To string }
 
-// Named is one filter. The name is empty where filters have none.
-type Named struct {
+// NamedFilter is one filter of a filter or filters aggregation. The name is empty where the client gave filters as a list.
+type NamedFilter struct {
 	Name  string
 	Query query.Query
 }
 
-// buckets reports whether the kind has buckets, and so may have aggregations below it.
-func (n *Node) buckets() bool {
+// hasBuckets reports whether the kind has buckets, and so may have nested aggregations.
+func (n *Node) hasBuckets() bool {
 	return slices.Contains([]Kind{Terms, Histogram, DateHistogram, Range, DateRange, Filter, Filters, Missing}, n.Kind)
 }
--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -26,15 +26,15 @@
 	return list, e
 }
 
-// answers asks the ranges of a corpus.
+// answers returns the decoded answers of the given ranges of a corpus.
 func answers(t rapid.TB, c *lots.Corpus, list []*aggs.Node, ranges ...int) (all [][]aggs.Partial) {
-	k := c.NewReplica("t", 0)
-	question := gjson.Parse(`{"size":0,"aggs":` + string(aggs.AppendRequest(nil, list)) + `}`)
+	replica := c.NewReplica("t", 0)
+	request := gjson.Parse(`{"size":0,"aggs":` + string(aggs.AppendRequest(nil, list)) + `}`)
 	for _, r := range ranges {
-		item := k.Search(r, question)
+		item := replica.Search(r, request)
 		parts, why := aggs.Decode(list, gjson.Get(item, "aggregations"))
 		if why != "" {
-			t.Fatalf("%s: %s\n%s", question.Raw, why, item)
+			t.Fatalf("%s: %s\n%s", request.Raw, why, item)
 		}
 		all = append(all, parts)
 	}
@@ -49,20 +49,20 @@
 	return gjson.ParseBytes(b)
 }
 
-// tree draws an aggregation and some below it.
-func tree(t *rapid.T, depth int) string {
+// drawAggregation draws the JSON of an aggregation, which may have nested ones.
+func drawAggregation(t *rapid.T, depth int) string {
 	field := rapid.SampledFrom([]string{"price", "year", "closing"}).Draw(t, "field")
-	word := rapid.SampledFrom([]string{"make", "location", "year"}).Draw(t, "word")
+	keyword := rapid.SampledFrom([]string{"make", "location", "year"}).Draw(t, "keyword")
 	subs := ""
 	if depth < 3 && rapid.Bool().Draw(t, "subs") {
-		subs = fmt.Sprintf(`,"aggs":{"s":%s,"m":{"max":{"field":"price"}}}`, tree(t, depth+1))
+		subs = fmt.Sprintf(`,"aggs":{"s":%s,"m":{"max":{"field":"price"}}}`, drawAggregation(t, depth+1))
 	}
 	return rapid.SampledFrom([]string{
 		`{"min":{"field":"` + field + `"}}`, `{"max":{"field":"` + field + `","missing":7}}`, `{"sum":{"field":"price"}}`,
 		`{"avg":{"field":"price"}}`, `{"stats":{"field":"` + field + `"}}`, `{"value_count":{"field":"price"}}`,
-		`{"cardinality":{"field":"` + word + `"}}`,
-		`{"terms":{"field":"` + word + `","size":50}` + subs + `}`,
-		`{"terms":{"field":"` + word + `","size":3,"order":{"_key":"desc"}}` + subs + `}`,
+		`{"cardinality":{"field":"` + keyword + `"}}`,
+		`{"terms":{"field":"` + keyword + `","size":50}` + subs + `}`,
+		`{"terms":{"field":"` + keyword + `","size":3,"order":{"_key":"desc"}}` + subs + `}`,
 		`{"histogram":{"field":"price","interval":2500,"offset":100,"min_doc_count":1}` + subs + `}`,
 		`{"histogram":{"field":"year","interval":3}` + subs + `}`,
 		`{"date_histogram":{"field":"closing","fixed_interval":"36h"}` + subs + `}`,
@@ -75,13 +75,13 @@
 	}).Draw(t, "kind")
 }
 
-// same compares two answers; sums may differ by a rounding.
-func same(t rapid.TB, got, want gjson.Result, path string) {
+// requireEqual fails the test unless two answers are equal. Numbers may differ by a relative 1e-9, as sums are rounded.
+func requireEqual(t rapid.TB, got, want gjson.Result, path string) {
 	switch {
 	case got.IsObject() && want.IsObject():
 		a, b := got.Map(), want.Map()
 		for k, v := range b {
-			same(t, a[k], v, path+"."+k)
+			requireEqual(t, a[k], v, path+"."+k)
 		}
 		if len(a) != len(b) {
 			t.Fatalf("%s: %s, want %s", path, got.Raw, want.Raw)
@@ -92,7 +92,7 @@
 			t.Fatalf("%s: %s, want %s", path, got.Raw, want.Raw)
 		}
 		for i := range a {
-			same(t, a[i], b[i], fmt.Sprintf("%s[%d]", path, i))
+			requireEqual(t, a[i], b[i], fmt.Sprintf("%s[%d]", path, i))
 		}
 	case got.Type == gjson.Number && want.Type == gjson.Number:
 		if math.Abs(got.Num-want.Num) > 1e-9*math.Max(math.Abs(got.Num), math.Abs(want.Num)) {
@@ -103,13 +103,13 @@
 	}
 }
 
-// Merged from any number of ranges, each aggregation is the one over all lots at once.
+// Merging the answers of any number of ranges gives the same as one aggregation over all lots.
 func TestMergedEqualsAllLots(t *testing.T) {
 	proptest.Seed(t, 300)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "ranges")
 		c := lots.New(uint64(rapid.IntRange(1, 5).Draw(t, "seed")), n, rapid.IntRange(0, 30).Draw(t, "lots"))
-		list, e := parse(`{"aggs":{"one":` + tree(t, 1) + `,"two":` + tree(t, 1) + `}}`)
+		list, e := parse(`{"aggs":{"one":` + drawAggregation(t, 1) + `,"two":` + drawAggregation(t, 1) + `}}`)
 		if e != nil {
 			t.Fatal(e)
 		}
@@ -119,11 +119,12 @@
 		}
 		got := merge(t, list, answers(t, c, list, every...), false)
 		want := merge(t, list, answers(t, c.Merged(), list, 0), false)
-		same(t, got, want, "")
+		requireEqual(t, got, want, "")
 	})
 }
 
-// With ranges missing, a value that says it is a bound is one.
+// With ranges missing, a value that is stated as a lower or upper bound is one, no value is stated as exact, and no bucket
+// counts more lots than there are.
 func TestBoundsHold(t *testing.T) {
 	proptest.Seed(t, 200)
 	list, e := parse(`{"aggs":{"min":{"min":{"field":"price"}},"max":{"max":{"field":"price"}},"n":{"value_count":{"field":"price"}},` +
@@ -141,7 +142,7 @@
 			x, y := g.Get("value").Num, v.Get("value").Num
 			switch b := g.Get("meta.bound").Str; {
 			case b == "lower" && x > y, b == "upper" && x < y, b == "":
-				t.Fatalf("%s: %s, truly %s", name, g.Raw, v.Raw)
+				t.Fatalf("%s: %s, true value %s", name, g.Raw, v.Raw)
 			}
 			truth := map[string]int64{}
 			for _, x := range v.Get("buckets").Array() {
@@ -149,16 +150,16 @@
 			}
 			for _, x := range g.Get("buckets").Array() {
 				if x.Get("doc_count").Int() > truth[x.Get("key").Raw] {
-					t.Fatalf("%s: bucket %s, truly %d", name, x.Raw, truth[x.Get("key").Raw])
+					t.Fatalf("%s: bucket %s, true count %d", name, x.Raw, truth[x.Get("key").Raw])
 				}
 			}
 		}
 	})
 }
 
-// Where ranges truncate their lists, each count is right within its stated error, and so is that of every term that is
-// not listed.
-func TestTermsError(t *testing.T) {
+// Where ranges truncate their lists of terms, the count of each bucket is right within its stated error, and a term that is
+// not shown has at most as many lots as the last one shown and the stated error.
+func TestTermsErrorBound(t *testing.T) {
 	proptest.Seed(t, 200)
 	list, _ := parse(`{"aggs":{"t":{"terms":{"field":"year","size":2}}}}`) // 13 of up to 36 years from each range
 	exact, _ := parse(`{"aggs":{"t":{"terms":{"field":"year","size":100}}}}`)
@@ -174,9 +175,9 @@
 		}
 		shown := got.Get("sum_other_doc_count").Int()
 		for _, b := range got.Get("buckets").Array() {
-			n, slip := b.Get("doc_count").Int(), b.Get("doc_count_error_upper_bound").Int()
-			if x := truth[b.Get("key").Int()]; x < n || x > n+slip {
-				t.Fatalf("%s, truly %d", b.Raw, x)
+			n, errorBound := b.Get("doc_count").Int(), b.Get("doc_count_error_upper_bound").Int()
+			if x := truth[b.Get("key").Int()]; x < n || x > n+errorBound {
+				t.Fatalf("bucket %s, true count %d", b.Raw, x)
 			}
 			delete(truth, b.Get("key").Int())
 			shown += n
@@ -188,16 +189,16 @@
 			}
 		}
 		if x := merge(t, more, answers(t, c, more, 0, 1, 2, 3, 4), false).Get("t"); x.Get("doc_count_error_upper_bound").Int() != 0 {
-			t.Fatalf("an error though all years were asked for: %s", x.Raw)
+			t.Fatalf("error bound above 0 although every range listed all years: %s", x.Raw)
 		}
 		if shown != total {
-			t.Fatalf("%d lots of %d: %s", shown, total, got.Raw)
+			t.Fatalf("shown and other buckets have %d lots of %d: %s", shown, total, got.Raw)
 		}
 	})
 }
 
-// The rank of a percentile is within a hundredth, and for small ranges within one value, of the requested one.
-func TestPercentiles(t *testing.T) {
+// The rank of a percentile differs from the requested one by at most a hundredth or, in small ranges, one value.
+func TestPercentileRanks(t *testing.T) {
 	list, _ := parse(`{"aggs":{"p":{"percentiles":{"field":"price","percents":[0,1,10,50,90,99,100]}},"n":{"value_count":{"field":"price"}}}}`)
 	c := lots.New(3, 8, 200)
 	got := merge(t, list, answers(t, c, list, 0, 1, 2, 3, 4, 5, 6, 7), false)
@@ -219,8 +220,8 @@
 	}
 }
 
-// Empty buckets are added by the calendar of the zone, across a change of the clock too.
-func TestFill(t *testing.T) {
+// Empty buckets follow the calendar of the time zone, also where its offset changes.
+func TestEmptyBuckets(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"date_histogram":{"field":"d","calendar_interval":"day","time_zone":"Europe/Berlin"}}`: "2026-03-28T00:00:00.000+01:00 2026-03-29T00:00:00.000+01:00 2026-03-30T00:00:00.000+02:00 2026-03-31T00:00:00.000+02:00",
 		`{"date_histogram":{"field":"d","calendar_interval":"month","format":"yyyy-MM"}}`:        "2026-01 2026-02 2026-03 2026-04",
@@ -250,8 +251,8 @@
 	}
 }
 
-// What cannot be merged is an error that names it, and so are too many buckets.
-func TestUnsupported(t *testing.T) {
+// An aggregation that cannot be merged gets an error that names it, and a histogram with too many buckets gets an error as well.
+func TestUnsupportedAggregations(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"a":{"a":{"geo_distance":{}}}}`:                                                                               "not supported here: the aggregation [geo_distance]",
 		`{"a":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`:                                                  "rarest first",
@@ -280,20 +281,20 @@
 	}
 }
 
-const example = `{"t":{"terms":{"field":"make","size":3},"aggs":{"p":{"percentiles":{"field":"price"}},"d":{"date_histogram":{"field":"closing","calendar_interval":"1M"}}}}}`
+const exampleAggregations = `{"t":{"terms":{"field":"make","size":3},"aggs":{"p":{"percentiles":{"field":"price"}},"d":{"date_histogram":{"field":"closing","calendar_interval":"1M"}}}}}`
 
-// Truncated and corrupt input, of clients and of ranges, gets an error and never more.
-func TestGarbage(t *testing.T) {
+// Truncated and corrupt input, from clients and from ranges, gets an error and never a panic.
+func TestCorruptInput(t *testing.T) {
 	feed := func(b []byte) error {
 		if list, e := parse(`{"a":` + string(b) + `}`); e != nil {
 			return e
 		} else if !gjson.ValidBytes(aggs.AppendRequest(nil, list)) {
-			panic("the question is no JSON")
+			panic("the request to a range is not valid JSON")
 		}
 		return nil
 	}
-	proptest.CheckParser(t, true, feed, example)
-	list, _ := parse(`{"a":` + example + `}`)
+	proptest.CheckParser(t, true, feed, exampleAggregations)
+	list, _ := parse(`{"a":` + exampleAggregations + `}`)
 	answer := gjson.Get(lots.New(1, 1, 5).NewReplica("t", 0).Search(0, gjson.Parse(`{"aggs":`+string(aggs.AppendRequest(nil, list))+`}`)), "aggregations").Raw
 	proptest.CheckParser(t, false, func(b []byte) error {
 		parts, why := aggs.Decode(list, gjson.ParseBytes(b))
@@ -306,7 +307,7 @@
 }
 
 func FuzzAggs(f *testing.F) {
-	f.Add([]byte(example))
+	f.Add([]byte(exampleAggregations))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if list, e := parse(`{"a":` + string(b) + `}`); e == nil {
 			aggs.AppendRequest(nil, list)
@@ -314,7 +315,7 @@
 	})
 }
 
-// A million terms over 200 ranges: memory is bounded by what was requested, and the error is stated.
+// With a million terms in 200 ranges, memory is bounded by what the ranges were asked for, and the error is stated.
 func TestMillionTerms(t *testing.T) {
 	list, _ := parse(`{"a":{"t":{"terms":{"field":"x","size":10}}}}`)
 	var all [][]aggs.Partial
@@ -323,7 +324,7 @@
 		for i := range 25 {
 			buckets = append(buckets, fmt.Sprintf(`{"key":"r%d-%d","doc_count":%d}`, r, i, 30-i))
 		}
-		parts, why := aggs.Decode(list, gjson.Parse(`{"t":{"sum_other_doc_count":4975,"buckets":[`+strings.Join(buckets, ",")+`]}}`)) // once each
+		parts, why := aggs.Decode(list, gjson.Parse(`{"t":{"sum_other_doc_count":4975,"buckets":[`+strings.Join(buckets, ",")+`]}}`)) // 4975 more terms of one lot each
 		if why != "" {
 			t.Fatal(why)
 		}
--- a/internal/gatherer/aggs/histogram.go
+++ b/internal/gatherer/aggs/histogram.go
@@ -11,9 +11,10 @@
 	"github.com/tidwall/gjson"
 )
 
-// mergeHistogram merges buckets by key, and adds empty ones where they are wanted.
+// mergeHistogram merges the buckets of a histogram or date_histogram by key, and adds empty buckets where the client asked
+// for them.
 func (m *merger) mergeHistogram(b []byte, n *Node, parts []*Partial) ([]byte, error) {
-	all := map[string]*merged{}
+	all := map[string]*mergedBucket{}
 	for _, p := range parts {
 		for i := range p.buckets {
 			x := &p.buckets[i]
@@ -22,25 +23,25 @@
 			}
 		}
 	}
-	list := make([]*merged, 0, len(all))
+	list := make([]*mergedBucket, 0, len(all))
 	for _, x := range all {
 		list = append(list, x)
 	}
-	slices.SortFunc(list, func(x, y *merged) int { return cmp.Compare(x.key.num, y.key.num) })
-	if n.MinDocs <= 0 { // 0 is the default of the API
+	slices.SortFunc(list, func(x, y *mergedBucket) int { return cmp.Compare(x.key.num, y.key.num) })
+	if n.MinDocCount <= 0 { // the default of OpenSearch is 0, which includes empty buckets
 		var err error
-		if list, err = n.fill(list); err != nil {
+		if list, err = n.addEmptyBuckets(list); err != nil {
 			return nil, err
 		}
 	}
-	open, end := byte('['), byte(']')
+	opening, closing := byte('['), byte(']')
 	if n.Keyed {
-		open, end = '{', '}'
+		opening, closing = '{', '}'
 	}
-	b = append(append(b, `{"buckets":`...), open)
+	b = append(append(b, `{"buckets":`...), opening)
 	shown := 0
 	for _, x := range list {
-		if x.docs < n.MinDocs {
+		if x.docs < n.MinDocCount {
 			continue
 		}
 		if shown > 0 {
@@ -48,76 +49,78 @@
 		}
 		shown++
 		if n.Keyed {
-			b = append(append(b, quote(cmp.Or(x.text, num(x.key.num)))...), ':')
+			b = append(append(b, quote(cmp.Or(x.keyAsString, formatNumber(x.key.num)))...), ':')
 		}
 		var err error
-		if b, err = m.bucket(b, n, x, "key", num(x.key.num), "key_as_string", quoted(x.text)); err != nil {
+		if b, err = m.appendBucket(b, n, x, "key", formatNumber(x.key.num), "key_as_string", quoteUnlessEmpty(x.keyAsString)); err != nil {
 			return nil, err
 		}
 	}
-	b = append(b, end)
-	if text := meta(m.boundIfMissing(Lower)); text != "" {
+	b = append(b, closing)
+	if text := formatMeta(m.boundIfMissing(Lower)); text != "" {
 		b = append(append(b, `,"meta":`...), text...)
 	}
 	return append(b, '}'), nil
 }
 
-// fill adds empty buckets between the least and the greatest key, extended to the bounds of the client.
-func (n *Node) fill(list []*merged) ([]*merged, error) {
+// addEmptyBuckets adds the missing buckets between the least and the greatest key, and those that the extended bounds cover.
+// The list is sorted by key.
+func (n *Node) addEmptyBuckets(list []*mergedBucket) ([]*mergedBucket, error) {
 	lo, hi := math.NaN(), math.NaN()
 	if len(list) > 0 {
 		lo, hi = list[0].key.num, list[len(list)-1].key.num
 	}
-	if n.Bounds != nil {
-		lo, hi = lesser(lo, n.floor(n.Bounds[0])), greater(hi, n.floor(n.Bounds[1]))
+	if n.ExtendedBounds != nil {
+		lo, hi = minIgnoringNaN(lo, n.floorKey(n.ExtendedBounds[0])), maxIgnoringNaN(hi, n.floorKey(n.ExtendedBounds[1]))
 	}
 	if math.IsNaN(lo) {
 		return list, nil
 	}
-	var full []*merged
-	for k, at := lo, 0; k <= hi || at < len(list); k = n.next(k) {
+	var full []*mergedBucket
+	for k, at := lo, 0; k <= hi || at < len(list); k = n.nextKey(k) {
 		if len(full) > MaxBuckets {
 			return nil, ErrTooMany
 		}
-		// A key of a range just before the computed one, by rounding or a change of the zone, is kept as it is.
-		for at < len(list) && list[at].key.num <= k+n.slip() {
+		// Keys from ranges may lie just before the computed one, by rounding or because the time zone changed its offset. They are
+		// kept as they are.
+		for at < len(list) && list[at].key.num <= k+n.keyTolerance() {
 			full = append(full, list[at])
 			at++
 		}
-		if len(full) == 0 || full[len(full)-1].key.num < k-n.slip() {
-			full = append(full, &merged{bucket: bucket{key: key{num: k}, text: n.text(k)}})
+		if len(full) == 0 || full[len(full)-1].key.num < k-n.keyTolerance() {
+			full = append(full, &mergedBucket{bucket: bucket{key: key{num: k}, keyAsString: n.keyAsString(k)}})
 		}
 	}
 	return full, nil
 }
 
-// slip is how far apart two equal keys may be.
-func (n *Node) slip() float64 {
+// keyTolerance is how far apart two keys of the same bucket may be.
+func (n *Node) keyTolerance() float64 {
 	if n.Kind == Histogram {
 		return n.Interval / 1e6
 	}
 	return 0.5
 }
 
-// floor is the key of the bucket of a value.
-func (n *Node) floor(x float64) float64 {
+// floorKey returns the key of the bucket that holds a value.
+func (n *Node) floorKey(x float64) float64 {
 	if n.Kind == Histogram {
 		off := gjson.Parse(n.Offset).Num
 		return math.Floor((x-off)/n.Interval)*n.Interval + off
 	}
-	at := n.local(x)
-	switch n.Calendar {
+	at := n.localTime(x)
+	switch n.CalendarInterval {
 	case "":
 		_, z := at.Zone()
 		wall := at.UnixMilli() + int64(z)*1000
-		step := n.Fixed.Milliseconds()
-		return float64(wall-((wall%step)+step)%step-int64(z)*1000) + n.shift()
+		step := n.FixedInterval.Milliseconds()
+		return float64(wall-((wall%step)+step)%step-int64(z)*1000) + n.offsetMillis()
 	case "1m":
 		at = at.Truncate(time.Minute)
 	case "1h":
 		at = time.Date(at.Year(), at.Month(), at.Day(), at.Hour(), 0, 0, 0, at.Location())
 	case "1w":
-		at = time.Date(at.Year(), at.Month(), at.Day()-(int(at.Weekday())+6)%7, 0, 0, 0, 0, at.Location()) // from Monday on
+		at = time.Date(at.Year(), at.Month(), at.Day()-(int(at.Weekday())+6)%7, 0, 0, 0, 0, at.Location()) // weeks start on Monday
 	case "1M":
 		at = time.Date(at.Year(), at.Month(), 1, 0, 0, 0, 0, at.Location())
 	case "1q":
@@ -127,24 +130,24 @@
 	default:
 		at = time.Date(at.Year(), at.Month(), at.Day(), 0, 0, 0, 0, at.Location())
 	}
-	return float64(at.UnixMilli()) + n.shift()
+	return float64(at.UnixMilli()) + n.offsetMillis()
 }
 
-// next is the key of the following bucket.
-func (n *Node) next(k float64) float64 {
+// nextKey returns the key of the bucket that follows the one with key k.
+func (n *Node) nextKey(k float64) float64 {
 	if n.Kind == Histogram {
 		off := gjson.Parse(n.Offset).Num
 		return (math.Round((k-off)/n.Interval)+1)*n.Interval + off
 	}
-	at := n.local(k)
-	switch n.Calendar {
+	at := n.localTime(k)
+	switch n.CalendarInterval {
 	case "":
 		_, before := at.Zone()
-		then := at.Add(n.Fixed)
-		if _, after := then.Zone(); n.Fixed >= 24*time.Hour { // by the wall clock
-			then = then.Add(time.Duration(before-after) * time.Second)
+		next := at.Add(n.FixedInterval)
+		if _, after := next.Zone(); n.FixedInterval >= 24*time.Hour { // whole days follow the local clock
+			next = next.Add(time.Duration(before-after) * time.Second)
 		}
-		at = then
+		at = next
 	case "1m":
 		at = at.Add(time.Minute)
 	case "1h":
@@ -160,11 +163,11 @@
 	default:
 		at = at.AddDate(0, 0, 1)
 	}
-	return float64(at.UnixMilli()) + n.shift()
+	return float64(at.UnixMilli()) + n.offsetMillis()
 }
 
-// shift is the offset of a date_histogram in milliseconds.
-func (n *Node) shift() float64 {
+// offsetMillis returns the offset of a date_histogram in milliseconds.
+func (n *Node) offsetMillis() float64 {
 	sign, s := 1.0, strings.TrimPrefix(n.Offset, "+")
 	if strings.HasPrefix(s, "-") {
 		sign, s = -1, s[1:]
@@ -173,32 +176,33 @@
 	return sign * float64(d.Milliseconds())
 }
 
-// local is a time, in Unix milliseconds, in the zone of the aggregation.
-func (n *Node) local(ms float64) time.Time {
-	where := time.UTC
-	if n.Zone != "" {
-		if l, err := parseZone(n.Zone); err == nil { // it was checked by Parse
-			where = l
+// localTime converts Unix milliseconds, less the offset, to a time in the time zone of the aggregation.
+func (n *Node) localTime(ms float64) time.Time {
+	location := time.UTC
+	if n.TimeZone != "" {
+		if named, err := parseZone(n.TimeZone); err == nil { // Parse has checked it
+			location = named
 		}
 	}
-	return time.UnixMilli(int64(ms - n.shift())).In(where)
+	return time.UnixMilli(int64(ms - n.offsetMillis())).In(location)
 }
 
-// text is the key_as_string of an added bucket.
-func (n *Node) text(k float64) string {
+// keyAsString returns the key_as_string of an empty bucket that is added.
+func (n *Node) keyAsString(k float64) string {
 	if n.Kind == Histogram {
 		return ""
 	}
-	layout, ok := layoutOf(n.Format)
+	layout, ok := goTimeLayout(n.Format)
 	if !ok {
 		return ""
 	}
-	where := n.local(k).Location()
-	return time.UnixMilli(int64(k)).In(where).Format(layout)
+	location := n.localTime(k).Location()
+	return time.UnixMilli(int64(k)).In(location).Format(layout)
 }
 
-// layoutOf converts a date format of the API to a Go layout; false if it is not supported.
-func layoutOf(format string) (string, bool) {
+// goTimeLayout converts a date format of OpenSearch to a layout of package time. It returns false if the format has a part
+// that is not supported.
+func goTimeLayout(format string) (string, bool) {
 	if format == "" || format == "strict_date_time" || format == "date_time" {
 		return "2006-01-02T15:04:05.000Z07:00", true
 	}
--- a/internal/gatherer/aggs/merge.go
+++ b/internal/gatherer/aggs/merge.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// Bound is the relation of a value to the true one.
+// Bound says how a value relates to the true one, which is over all ranges.
 type Bound string
 
-// The bounds. Exact values do not state theirs.
+// The bounds. In answers to clients, exact values state none.
 const (
 	Exact    Bound = "exact"
 	Lower    Bound = "lower"    // the true value is at least this
@@ -16,32 +16,32 @@
 	Estimate Bound = "estimate" // the true value may be more or less
 )
 
-// ErrTooMany is returned for more buckets than one answer may have.
+// ErrTooMany is returned if a merged answer would have too many buckets, or too many would be in memory while merging.
 var ErrTooMany = errors.New("more buckets than an answer may have")
 
-// maxMergedBuckets bounds the buckets in memory while answers are merged.
+// maxMergedBuckets limits the buckets that are in memory while answers are merged.
 const maxMergedBuckets = 16 * MaxBuckets
 
-// Merge merges ranges' answers into the value of aggregations. Missing says that some range is not among them, so that
-// counts are bounds.
+// Merge merges the ranges' answers into the JSON value of aggregations. Missing says that the answer of some range is not
+// among them, so that counts are only bounds.
 func Merge(list []*Node, answers [][]Partial, missing bool) ([]byte, error) {
-	m := merger{missing: missing}
-	b, err := m.list(nil, list, answers)
+	m := merger{rangeMissing: missing}
+	b, err := m.mergeList(nil, list, answers)
 	if err != nil {
 		return nil, err
 	}
 	return b, nil
 }
 
-// merger merges answers and counts buckets.
+// merger merges answers and counts their buckets against the limits.
 type merger struct {
-	missing bool
-	buckets int // in the merged answer
-	merged  int // while merging
+	rangeMissing  bool
+	resultBuckets int // in the merged answer so far
+	mergedBuckets int // in memory so far; at most maxMergedBuckets
 }
 
-// list merges a list of aggregations. Answers are by range, then by aggregation.
-func (m *merger) list(b []byte, list []*Node, answers [][]Partial) ([]byte, error) {
+// mergeList merges a list of aggregations. Answers are indexed by range, then by aggregation.
+func (m *merger) mergeList(b []byte, list []*Node, answers [][]Partial) ([]byte, error) {
 	b = append(b, '{')
 	for i, n := range list {
 		if i > 0 {
@@ -53,63 +53,63 @@
 		}
 		b = append(append(b, quote(n.Name)...), ':')
 		var err error
-		if b, err = m.node(b, n, parts); err != nil {
+		if b, err = m.mergeNode(b, n, parts); err != nil {
 			return nil, err
 		}
 	}
 	return append(b, '}'), nil
 }
 
-// meta encodes a bound, and more members.
-func meta(b Bound, more ...string) string {
+// formatMeta encodes the meta member of a value: its bound, and more members. It is empty for an exact value.
+func formatMeta(b Bound, more ...string) string {
 	if b == Exact {
 		return ""
 	}
 	return object(append([]string{"bound", quote(string(b))}, more...)...)
 }
 
-// boundIfMissing is the bound of a value that is exact if no range is missing.
+// boundIfMissing returns b if the answer of a range is missing, else Exact.
 func (m *merger) boundIfMissing(b Bound) Bound {
-	if m.missing {
+	if m.rangeMissing {
 		return b
 	}
 	return Exact
 }
 
-// node merges one aggregation.
-func (m *merger) node(b []byte, n *Node, parts []*Partial) ([]byte, error) {
-	var sum total
-	docs, least, greatest := int64(0), math.NaN(), math.NaN()
+// mergeNode merges the answers to one aggregation.
+func (m *merger) mergeNode(b []byte, n *Node, parts []*Partial) ([]byte, error) {
+	var sum compensatedSum
+	count, lowest, highest := int64(0), math.NaN(), math.NaN()
 	for _, p := range parts {
 		sum.add(p.sum)
-		docs += p.count
-		least, greatest = lesser(least, p.min), greater(greatest, p.max)
+		count += p.count
+		lowest, highest = minIgnoringNaN(lowest, p.min), maxIgnoringNaN(highest, p.max)
 	}
 	switch n.Kind {
 	case Min:
-		return append(b, object("value", num(least), "meta", meta(m.boundIfMissing(Upper)))...), nil
+		return append(b, object("value", formatNumber(lowest), "meta", formatMeta(m.boundIfMissing(Upper)))...), nil
 	case Max:
-		return append(b, object("value", num(greatest), "meta", meta(m.boundIfMissing(Lower)))...), nil
+		return append(b, object("value", formatNumber(highest), "meta", formatMeta(m.boundIfMissing(Lower)))...), nil
 	case Sum:
-		return append(b, object("value", num(sum.value()), "meta", meta(m.boundIfMissing(Estimate)))...), nil
+		return append(b, object("value", formatNumber(sum.value()), "meta", formatMeta(m.boundIfMissing(Estimate)))...), nil
 	case ValueCount:
-		return append(b, object("value", integer(docs), "meta", meta(m.boundIfMissing(Lower)))...), nil
+		return append(b, object("value", formatInteger(count), "meta", formatMeta(m.boundIfMissing(Lower)))...), nil
 	case Avg, Stats:
 		avg := math.NaN()
-		if docs > 0 {
-			avg = sum.value() / float64(docs)
+		if count > 0 {
+			avg = sum.value() / float64(count)
 		}
 		if n.Kind == Avg {
-			return append(b, object("value", num(avg), "meta", meta(m.boundIfMissing(Estimate)))...), nil
+			return append(b, object("value", formatNumber(avg), "meta", formatMeta(m.boundIfMissing(Estimate)))...), nil
 		}
-		return append(b, object("count", integer(docs), "min", num(least), "max", num(greatest), "avg", num(avg),
-			"sum", num(sum.value()), "meta", meta(m.boundIfMissing(Estimate)))...), nil
+		return append(b, object("count", formatInteger(count), "min", formatNumber(lowest), "max", formatNumber(highest), "avg", formatNumber(avg),
+			"sum", formatNumber(sum.value()), "meta", formatMeta(m.boundIfMissing(Estimate)))...), nil
 	case Cardinality:
-		return append(b, m.cardinality(parts)...), nil
+		return append(b, m.mergeCardinality(parts)...), nil
 	case Percentiles:
-		return append(b, n.percentiles(parts, docs)...), nil
+		return append(b, n.mergePercentiles(parts, count)...), nil
 	case TopHits:
-		return append(b, m.topHits(n, parts, docs)...), nil
+		return append(b, m.mergeTopHits(n, parts, count)...), nil
 	case Terms:
 		return m.mergeTerms(b, n, parts)
 	case Histogram, DateHistogram:
@@ -118,23 +118,23 @@
 	return m.mergeFixed(b, n, parts)
 }
 
-// merged is a bucket merged from several ranges.
-type merged struct {
+// mergedBucket is a bucket merged from several ranges.
+type mergedBucket struct {
 	bucket
-	subs        [][]Partial
-	listedError int64 // by how many lots the ranges that list it may have cut off any other bucket
+	subs           [][]Partial // nested aggregations, by range
+	listingCutoffs int64       // of a terms: the sum of the cutoffs, see mergeTerms, of the ranges that list this bucket
 }
 
-// mergeBucket adds a bucket to that of the same name.
-func (m *merger) mergeBucket(into map[string]*merged, name string, x *bucket) (*merged, error) {
-	b := into[name]
+// mergeBucket adds the bucket of a range to the merged bucket of the same name.
+func (m *merger) mergeBucket(all map[string]*mergedBucket, name string, x *bucket) (*mergedBucket, error) {
+	b := all[name]
 	if b == nil {
-		if m.merged++; m.merged > maxMergedBuckets {
+		if m.mergedBuckets++; m.mergedBuckets > maxMergedBuckets {
 			return nil, ErrTooMany
 		}
-		b = &merged{bucket: *x}
+		b = &mergedBucket{bucket: *x}
 		b.docs = 0
-		into[name] = b
+		all[name] = b
 	}
 	b.docs += x.docs
 	if x.subs != nil {
@@ -143,15 +143,15 @@
 	return b, nil
 }
 
-// bucket encodes a bucket, its key members first.
-func (m *merger) bucket(b []byte, n *Node, x *merged, members ...string) ([]byte, error) {
-	if m.buckets++; m.buckets > MaxBuckets {
+// appendBucket encodes a bucket. The given members, such as its key, come first.
+func (m *merger) appendBucket(b []byte, n *Node, x *mergedBucket, members ...string) ([]byte, error) {
+	if m.resultBuckets++; m.resultBuckets > MaxBuckets {
 		return nil, ErrTooMany
 	}
-	text := object(append(members, "doc_count", integer(x.docs))...)
+	text := object(append(members, "doc_count", formatInteger(x.docs))...)
 	b = append(b, text[:len(text)-1]...)
 	if len(n.Subs) > 0 {
-		subs, err := m.list(nil, n.Subs, x.subs)
+		subs, err := m.mergeList(nil, n.Subs, x.subs)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/gatherer/aggs/ranges.go
+++ b/internal/gatherer/aggs/ranges.go
@@ -8,27 +8,28 @@
 	"github.com/tidwall/gjson"
 )
 
-// mergeFixed merges buckets that are the same at every range: of ranges, filters, filter and missing.
+// mergeFixed merges the kinds whose buckets are the same in every range of lots: range, date_range, filters, filter and
+// missing.
 func (m *merger) mergeFixed(b []byte, n *Node, parts []*Partial) ([]byte, error) {
-	all := n.sumFixed(parts)
+	all := n.sumFixedBuckets(parts)
 	if n.Kind == Filter || n.Kind == Missing {
-		text, err := m.bucket(nil, n, &all[0])
+		text, err := m.appendBucket(nil, n, &all[0])
 		if err != nil || m.boundIfMissing(Lower) == Exact {
 			return append(b, text...), err
 		}
-		return append(append(b, text[:len(text)-1]...), `,"meta":`+meta(Lower)+"}"...), nil
+		return append(append(b, text[:len(text)-1]...), `,"meta":`+formatMeta(Lower)+"}"...), nil
 	}
-	open, end := byte('['), byte(']')
+	opening, closing := byte('['), byte(']')
 	if n.Keyed {
-		open, end = '{', '}'
+		opening, closing = '{', '}'
 	}
-	b = append(append(b, `{"buckets":`...), open)
+	b = append(append(b, `{"buckets":`...), opening)
 	for i := range all {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		name, from, to := n.fixedBucket(i, &all[i])
-		key := quoted(name)
+		key := quoteUnlessEmpty(name)
 		if n.Keyed {
 			b = append(append(b, quote(name)...), ':')
 			key = ""
@@ -36,51 +37,52 @@
 			key = ""
 		}
 		var err error
-		if b, err = m.bucket(b, n, &all[i], "key", key, "from", from, "to", to); err != nil {
+		if b, err = m.appendBucket(b, n, &all[i], "key", key, "from", from, "to", to); err != nil {
 			return nil, err
 		}
 	}
-	b = append(b, end)
-	if text := meta(m.boundIfMissing(Lower)); text != "" {
+	b = append(b, closing)
+	if text := formatMeta(m.boundIfMissing(Lower)); text != "" {
 		b = append(append(b, `,"meta":`...), text...)
 	}
 	return append(b, '}'), nil
 }
 
-// sumFixed adds up the buckets by their index.
-func (n *Node) sumFixed(parts []*Partial) []merged {
+// sumFixedBuckets adds up the buckets of all ranges of lots. A bucket is identified by its index, which in a range
+// aggregation is also its key.
+func (n *Node) sumFixedBuckets(parts []*Partial) []mergedBucket {
 	size := 1
 	if len(n.Ranges) > 0 {
 		size = len(n.Ranges)
 	} else if n.Kind == Filters {
 		size = len(n.Filters)
-		if n.Other != "" {
+		if n.OtherBucketKey != "" {
 			size++
 		}
 	}
-	all := make([]merged, size)
+	all := make([]mergedBucket, size)
 	for _, p := range parts {
 		for i := range p.buckets {
 			x := &p.buckets[i]
-			at := i
+			index := i
 			if len(n.Ranges) > 0 {
-				at, _ = strconv.Atoi(unquote(x.key.raw)) // checked by decodeBuckets
+				index, _ = strconv.Atoi(unquote(x.key.raw)) // checked by checkBuckets
 			}
-			y := &all[at]
-			if !y.from.Exists() {
-				y.from, y.to = x.from, x.to
+			sum := &all[index]
+			if !sum.from.Exists() {
+				sum.from, sum.to = x.from, x.to
 			}
-			y.docs += x.docs
+			sum.docs += x.docs
 			if x.subs != nil {
-				y.subs = append(y.subs, x.subs)
+				sum.subs = append(sum.subs, x.subs)
 			}
 		}
 	}
 	return all
 }
 
-// fixedBucket is the name of the i-th bucket and, of a range, its ends as JSON.
-func (n *Node) fixedBucket(i int, x *merged) (name, from, to string) {
+// fixedBucket returns the name of the i-th bucket and, for a range aggregation, its ends as JSON.
+func (n *Node) fixedBucket(i int, x *mergedBucket) (name, from, to string) {
 	switch {
 	case len(n.Ranges) > 0:
 		r := &n.Ranges[i]
@@ -88,10 +90,10 @@
 	case i < len(n.Filters):
 		return n.Filters[i].Name, "", ""
 	}
-	return n.Other, "", ""
+	return n.OtherBucketKey, "", ""
 }
 
-// name is the key of a range, as the API makes it where none is given.
+// name returns the key of a range of values. Without one from the client it is made of the ends, as in OpenSearch.
 func (s Span) name() string {
 	if s.Key != "" {
 		return s.Key
