--- a/internal/gatherer/store/store.go
+++ b/internal/gatherer/store/store.go
@@ -1,5 +1,6 @@
-// Package store is a small replicated store, on hashicorp/raft, for the daemon's own configuration and state: drain marks and
-// the indices of the OpenSearch-style front. No scheduling decision depends on it: gatherers share nothing.
+// Package store is a small replicated key-value store, built on hashicorp/raft, for the configuration and state that
+// operators change at runtime: the drain marks of gatherers and the indices of the OpenSearch front. No scheduling decision
+// depends on it, since gatherers schedule independently of each other.
 package store
 
 import (
@@ -19,36 +20,38 @@
 
 // Node is one member of the store.
 type Node struct {
-	Name       string // of the gatherer
-	Raft       string // address of its store
-	Operations string // address of its operators' endpoint
+	Name       string // of the gatherer that runs the member
+	Raft       string // address that its Raft peers connect to
+	Operations string // address of its endpoint for operators
 }
 
-// Config configures a member. All members have the same Nodes.
+// Config configures a member. All members must have the same Nodes.
 type Config struct {
 	Name  string
 	Dir   string
 	Nodes []Node
 	Log   io.Writer
-	// Changed is called after each change, on the store's goroutine, with all values.
+	// Changed is called with all values after each change, and after a snapshot is restored. It runs on Raft's goroutine, so it
+	// delays further changes.
 	Changed func(map[string]string)
-	// Listener, where set, is used instead of listening on the node's address.
+	// Listener is used instead of listening on the node's address, unless it is nil.
 	Listener net.Listener
 }
 
-// Bounds of the values: they are settings, not data.
+// Limits of the store, which is meant for settings only.
 const (
 	MaxKeys  = 256
 	MaxValue = 4 << 10 // bytes
 )
 
-// Time-outs.
+// Timeouts.
 const (
 	applyTimeout = 2 * time.Second
 	dialTimeout  = 2 * time.Second
 )
 
-// NotLeaderError says that this member is not the leader, and where the leader's operators' endpoint is, if it is known.
+// NotLeaderError is returned for a change by a member that is not the leader. Operations is the address of the leader's
+// endpoint for operators, or empty if the leader is unknown.
 type NotLeaderError struct{ Operations string }
 
 func (e *NotLeaderError) Error() string {
@@ -60,22 +63,22 @@
 
 // Store is one member of the replicated store.
 type Store struct {
-	raft  *raft.Raft
-	logs  *raftboltdb.BoltStore
-	trans *raft.NetworkTransport
-	nodes []Node
-	fsm   *fsm
+	raft      *raft.Raft
+	logs      *raftboltdb.BoltStore
+	transport *raft.NetworkTransport
+	nodes     []Node
+	fsm       *fsm
 }
 
-// stream is raft's connection to its peers.
-type stream struct{ net.Listener }
+// streamLayer accepts and opens the connections between Raft peers.
+type streamLayer struct{ net.Listener }
 
 // Dial implements raft.StreamLayer.
-func (stream) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(addr), min(timeout, dialTimeout))
 }
 
-// Open starts a member. The first start of all members bootstraps the cluster.
+// Open starts a member. A member without state on disk bootstraps the cluster from c.Nodes.
 func Open(c Config) (_ *Store, err error) {
 	s := &Store{nodes: c.Nodes, fsm: &fsm{values: map[string]string{}, changed: c.Changed}}
 	var self *Node
@@ -87,14 +90,14 @@
 		cluster.Servers = append(cluster.Servers, raft.Server{ID: raft.ServerID(n.Name), Address: raft.ServerAddress(n.Raft)})
 	}
 	if self == nil {
-		return nil, fmt.Errorf("store.nodes: none is named %q", c.Name)
+		return nil, fmt.Errorf("store.nodes: no node is named %q", c.Name)
 	}
 	if s.logs, err = raftboltdb.NewBoltStore(filepath.Join(c.Dir, "store.db")); err != nil {
 		return nil, fmt.Errorf("store.dir: %w", err)
 	}
 	defer func() {
 		if err != nil {
-			_ = s.logs.Close() // the error that ended the start is returned
+			_ = s.logs.Close() // the error that made the start fail is returned instead
 		}
 	}()
 	snapshots, err := raft.NewFileSnapshotStore(c.Dir, 2, c.Log)
@@ -106,17 +109,17 @@
 			return nil, fmt.Errorf("store.nodes: %w", err)
 		}
 	}
-	s.trans = raft.NewNetworkTransport(stream{c.Listener}, 3, dialTimeout, c.Log)
-	rc := raft.DefaultConfig()
-	rc.LocalID, rc.LogOutput, rc.LogLevel = raft.ServerID(c.Name), c.Log, "WARN"
-	had, err := raft.HasExistingState(s.logs, s.logs, snapshots)
+	s.transport = raft.NewNetworkTransport(streamLayer{c.Listener}, 3, dialTimeout, c.Log)
+	raftConfig := raft.DefaultConfig()
+	raftConfig.LocalID, raftConfig.LogOutput, raftConfig.LogLevel = raft.ServerID(c.Name), c.Log, "WARN"
+	hasState, err := raft.HasExistingState(s.logs, s.logs, snapshots)
 	if err != nil {
 		return nil, err
 	}
-	if s.raft, err = raft.NewRaft(rc, s.fsm, s.logs, s.logs, snapshots, s.trans); err != nil {
+	if s.raft, err = raft.NewRaft(raftConfig, s.fsm, s.logs, s.logs, snapshots, s.transport); err != nil {
 		return nil, err
 	}
-	if !had {
+	if !hasState {
 		if err := s.raft.BootstrapCluster(cluster).Error(); err != nil {
 			return nil, err
 		}
@@ -124,13 +127,13 @@
 	return s, nil
 }
 
-// LeaderCh reports when this member becomes the leader, or no longer is.
+// LeaderCh returns a channel that receives true when this member becomes the leader, and false when it stops being it.
 func (s *Store) LeaderCh() <-chan bool { return s.raft.LeaderCh() }
 
-// All returns all values, as this member knows them.
+// All returns a copy of all values that this member knows, which may lag behind the leader.
 func (s *Store) All() map[string]string { return s.fsm.all() }
 
-// Set sets a value; an empty one deletes the key. A member that does not lead returns a NotLeaderError.
+// Set sets a value, or deletes the key if the value is empty. Only the leader can; other members return a NotLeaderError.
 func (s *Store) Set(key, value string) error {
 	if len(value) > MaxValue {
 		return fmt.Errorf("the value is over %d bytes", MaxValue)
@@ -139,8 +142,8 @@
 	if err != nil {
 		return err
 	}
-	f := s.raft.Apply(b, applyTimeout)
-	if err := f.Error(); err != nil {
+	applied := s.raft.Apply(b, applyTimeout)
+	if err := applied.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) {
 			_, id := s.raft.LeaderWithID()
 			for _, n := range s.nodes {
@@ -152,18 +155,18 @@
 		}
 		return err
 	}
-	if err, ok := f.Response().(error); ok {
+	if err, ok := applied.Response().(error); ok {
 		return err
 	}
 	return nil
 }
 
-// Close stops this member.
+// Close stops this member. The others go on while they are a majority.
 func (s *Store) Close() error {
-	return errors.Join(s.raft.Shutdown().Error(), s.trans.Close(), s.logs.Close())
+	return errors.Join(s.raft.Shutdown().Error(), s.transport.Close(), s.logs.Close())
 }
 
-// change is an entry of the log. Its names are those of the JSON on disk.
+// change is a log entry. Its field names are those of the JSON on disk.
 type change struct{ Key, Value string }
 
 // fsm is the replicated state machine.
@@ -180,7 +183,7 @@
 	return maps.Clone(f.values)
 }
 
-// notify calls changed.
+// notify calls changed with all values.
 func (f *fsm) notify() {
 	if f.changed != nil {
 		f.changed(f.all())
@@ -194,8 +197,8 @@
 		return err
 	}
 	f.mu.Lock()
-	_, has := f.values[c.Key]
-	full := c.Value != "" && !has && len(f.values) >= MaxKeys
+	_, exists := f.values[c.Key]
+	full := c.Value != "" && !exists && len(f.values) >= MaxKeys
 	if c.Value == "" {
 		delete(f.values, c.Key)
 	} else if !full {
@@ -229,13 +232,13 @@
 	return nil
 }
 
-// snapshot is the state as JSON.
+// snapshot is all values as JSON.
 type snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel() // the error of the write is returned
+		_ = sink.Cancel() // the error of the write is returned instead
 		return err
 	}
 	return sink.Close()
--- a/internal/gatherer/store/store_test.go
+++ b/internal/gatherer/store/store_test.go
@@ -8,16 +8,17 @@
 	"testing"
 )
 
-// member is one store and what it was told of.
-type member struct {
+// testMember is a member with its configuration and the changes that it reported.
+type testMember struct {
 	*Store
 	Config
 	changes chan map[string]string
 }
 
-func open(t *testing.T, c Config) *member {
+// openMember starts a member that reports its changes to a channel.
+func openMember(t *testing.T, c Config) *testMember {
 	t.Helper()
-	m := &member{Config: c, changes: make(chan map[string]string, 100)}
+	m := &testMember{Config: c, changes: make(chan map[string]string, 100)}
 	m.Changed = func(v map[string]string) { m.changes <- v }
 	var err error
 	if m.Store, err = Open(m.Config); err != nil {
@@ -26,8 +27,8 @@
 	return m
 }
 
-// until waits for a change after which a key has a value.
-func (m *member) until(key, value string) {
+// waitForValue waits for a change after which a key has a value.
+func (m *testMember) waitForValue(key, value string) {
 	for v := range m.changes {
 		if v[key] == value {
 			return
@@ -35,13 +36,13 @@
 	}
 }
 
-// Three members agree; one that is not the leader says where the leader is; a member that restarts has what it had and
-// what it missed.
-func TestReplicated(t *testing.T) {
+// Changes reach all three members. A follower names the leader, and after a restart it has both the changes from before and
+// those that it missed.
+func TestReplicationAndRestart(t *testing.T) {
 	var nodes []Node
 	var listeners []net.Listener
 	for _, name := range []string{"n1", "n2", "n3"} {
-		// An address of its own: a port that is closed for a moment there is nobody else's to take.
+		// No other test listens on this address, so none takes the port of the restarting member while it is closed.
 		l, err := net.Listen("tcp", "127.77.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -49,59 +50,59 @@
 		listeners = append(listeners, l)
 		nodes = append(nodes, Node{name, l.Addr().String(), "operations-of-" + name})
 	}
-	var all []*member
+	var all []*testMember
 	for i, n := range nodes {
-		all = append(all, open(t, Config{Name: n.Name, Dir: t.TempDir(), Nodes: nodes, Log: io.Discard, Listener: listeners[i]}))
+		all = append(all, openMember(t, Config{Name: n.Name, Dir: t.TempDir(), Nodes: nodes, Log: io.Discard, Listener: listeners[i]}))
 	}
-	lead := 0
+	leader := 0
 	select {
 	case <-all[0].LeaderCh():
 	case <-all[1].LeaderCh():
-		lead = 1
+		leader = 1
 	case <-all[2].LeaderCh():
-		lead = 2
+		leader = 2
 	}
-	if err := all[lead].Set("drain/n1", "on"); err != nil {
+	if err := all[leader].Set("drain/n1", "on"); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all {
-		m.until("drain/n1", "on")
+		m.waitForValue("drain/n1", "on")
 	}
-	other := all[(lead+1)%3]
-	var not *NotLeaderError
-	if err := other.Set("drain/n2", "on"); !errors.As(err, &not) || not.Operations != nodes[lead].Operations {
-		t.Errorf("a follower says %v", err)
+	follower := all[(leader+1)%3]
+	var notLeader *NotLeaderError
+	if err := follower.Set("drain/n2", "on"); !errors.As(err, &notLeader) || notLeader.Operations != nodes[leader].Operations {
+		t.Errorf("change at a follower: %v, want a NotLeaderError with the address of the leader", err)
 	}
-	if err := other.Close(); err != nil {
+	if err := follower.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := all[lead].Set("drain/n2", "on"); err != nil { // two of three are enough
+	if err := all[leader].Set("drain/n2", "on"); err != nil { // two of three members are a majority
 		t.Fatal(err)
 	}
-	other.Listener = nil // it listens at its own address again
-	other = open(t, other.Config)
-	other.until("drain/n2", "on")
-	if v := other.All(); v["drain/n1"] != "on" {
-		t.Errorf("after its restart: %v", v)
+	follower.Listener = nil // the first one is closed; Open listens at the address again
+	follower = openMember(t, follower.Config)
+	follower.waitForValue("drain/n2", "on")
+	if v := follower.All(); v["drain/n1"] != "on" {
+		t.Errorf("the restarted member has the values %v, want drain/n1 on", v)
 	}
-	if err := all[lead].Set("drain/n1", ""); err != nil {
+	if err := all[leader].Set("drain/n1", ""); err != nil {
 		t.Fatal(err)
 	}
-	if _, has := all[lead].All()["drain/n1"]; has {
-		t.Error("the key is still there")
+	if _, exists := all[leader].All()["drain/n1"]; exists {
+		t.Error("the leader still has a deleted key")
 	}
-	if err := all[lead].Set("x", strings.Repeat("x", MaxValue+1)); err == nil {
-		t.Error("took a value too large")
+	if err := all[leader].Set("x", strings.Repeat("x", MaxValue+1)); err == nil {
+		t.Error("no error for a value over MaxValue")
 	}
-	for _, m := range []*member{all[lead], all[(lead+2)%3], other} {
+	for _, m := range []*testMember{all[leader], all[(leader+2)%3], follower} {
 		if err := m.Close(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func TestNotANode(t *testing.T) {
+func TestOpenUnlistedName(t *testing.T) {
 	if _, err := Open(Config{Name: "n9", Dir: t.TempDir(), Nodes: []Node{{Name: "n1"}}, Log: io.Discard}); err == nil || !strings.Contains(err.Error(), "store.nodes") {
-		t.Errorf("error %v", err)
+		t.Errorf("%v, want an error about store.nodes", err)
 	}
 }
