--- a/internal/gatherer/aggs/aggs.go
+++ b/internal/gatherer/aggs/aggs.go
@@ -62,8 +62,8 @@
 	MinDocCount      int64 // buckets with fewer lots are left out; -1 if the request does not say
 	Keyed            bool
 	Interval         float64       // of a histogram
-	FixedInterval    time.Duration // of a date_histogram, which has either this one
-	CalendarInterval string        // or this one, a value of calendarIntervals
+	FixedInterval    time.Duration // of a date_histogram, unless it has a CalendarInterval
+	CalendarInterval string        // of a date_histogram, a value of calendarIntervals
 	Offset           string        // of the buckets of a histogram, as the client wrote it; empty for none
 	TimeZone         string
 	Format           string
--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -52,7 +52,7 @@
 // drawAggregation draws the JSON of an aggregation, which may have nested ones.
 func drawAggregation(t *rapid.T, depth int) string {
 	field := rapid.SampledFrom([]string{"price", "year", "closing"}).Draw(t, "field")
-	keyword := rapid.SampledFrom([]string{"make", "location", "year"}).Draw(t, "keyword")
+	termsField := rapid.SampledFrom([]string{"make", "location", "year"}).Draw(t, "word")
 	subs := ""
 	if depth < 3 && rapid.Bool().Draw(t, "subs") {
 		subs = fmt.Sprintf(`,"aggs":{"s":%s,"m":{"max":{"field":"price"}}}`, drawAggregation(t, depth+1))
@@ -60,9 +60,9 @@
 	return rapid.SampledFrom([]string{
 		`{"min":{"field":"` + field + `"}}`, `{"max":{"field":"` + field + `","missing":7}}`, `{"sum":{"field":"price"}}`,
 		`{"avg":{"field":"price"}}`, `{"stats":{"field":"` + field + `"}}`, `{"value_count":{"field":"price"}}`,
-		`{"cardinality":{"field":"` + keyword + `"}}`,
-		`{"terms":{"field":"` + keyword + `","size":50}` + subs + `}`,
-		`{"terms":{"field":"` + keyword + `","size":3,"order":{"_key":"desc"}}` + subs + `}`,
+		`{"cardinality":{"field":"` + termsField + `"}}`,
+		`{"terms":{"field":"` + termsField + `","size":50}` + subs + `}`,
+		`{"terms":{"field":"` + termsField + `","size":3,"order":{"_key":"desc"}}` + subs + `}`,
 		`{"histogram":{"field":"price","interval":2500,"offset":100,"min_doc_count":1}` + subs + `}`,
 		`{"histogram":{"field":"year","interval":3}` + subs + `}`,
 		`{"date_histogram":{"field":"closing","fixed_interval":"36h"}` + subs + `}`,
--- a/internal/gatherer/query/query_test.go
+++ b/internal/gatherer/query/query_test.go
@@ -129,7 +129,8 @@
 	`{"query":{"constant_score":{"filter":{"terms":{"a":[1,2,"x"]}},"boost":1.5}}}`,
 }
 
-// checkCanonical returns the error of parsing a text. It panics if the canonical form of an accepted text does not parse to itself.
+// checkCanonical returns the error of parsing a text. It panics if the canonical form of an accepted text does not parse to
+// itself.
 func checkCanonical(b []byte) error {
 	q, e := parse(string(b))
 	if e != nil {
--- a/internal/gatherer/query/querystring.go
+++ b/internal/gatherer/query/querystring.go
@@ -131,7 +131,7 @@
 		var q Query
 		var e *Error
 		sign := &shortSigned{}
-		if len(a.Conjs) == 1 && len(a.Conjs[0].Signed) == 1 { // the sign of a clause on its own says how the row uses it
+		if len(a.Conjs) == 1 && len(a.Conjs[0].Signed) == 1 { // a single clause: its sign says how the row uses it
 			sign = a.Conjs[0].Signed[0]
 			q, e = s.value(sign, field)
 		} else {
