--- a/internal/tier/watch/control.go
+++ b/internal/tier/watch/control.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// mergeControl replaces the control state by a newer one and publishes it; nil is ignored.
+// mergeControl replaces the control state if the received one is newer, and reports whether it was. Nil is ignored.
 func (s *State) mergeControl(control *tierpb.ControlState) bool {
 	if control == nil || !s.isNewer(control) {
 		return false
@@ -20,8 +20,9 @@
 	return true
 }
 
-// isNewer reports whether a control state is newer than the known one. Both are chosen values: where that holds, a
-// version always has the same content, and a later one never has an older configuration.
+// isNewer reports whether a control state is newer than the known one. It also checks the invariants of chosen control
+// states: one value per version, and epochs and configuration generations that never decrease from one version to the
+// next.
 func (s *State) isNewer(control *tierpb.ControlState) bool {
 	known := s.control
 	if known == nil {
@@ -39,7 +40,7 @@
 }
 
 // reconstructControl returns the control state of a reply, with the configuration's body built from the delta if there
-// is one; nil if the delta does not fit the known body.
+// is one; nil if the delta does not match the known body.
 func (s *State) reconstructControl(reply *tierpb.WatchReply) *tierpb.ControlState {
 	if reply.Body == nil || reply.Control == nil {
 		return reply.Control
@@ -56,8 +57,8 @@
 	return control
 }
 
-// withoutBody returns a shallow copy of a control state without the configuration's body. Fields that this release
-// does not know, of a later one, are copied too.
+// withoutBody returns a shallow copy of a control state without the configuration's body. Unknown fields, sent by a
+// later release, are copied too.
 func withoutBody(control *tierpb.ControlState) *tierpb.ControlState {
 	stripped := &tierpb.ControlState{}
 	from, to := control.ProtoReflect(), stripped.ProtoReflect()
@@ -70,8 +71,8 @@
 	return stripped
 }
 
-// controlFor returns the control state as a watcher of a role needs it. Only coordinators need the committed changes,
-// which are most of a control state with few routes. Turn stores need no configuration either.
+// controlFor returns the part of a control state that a watcher's role needs. Only coordinators need the committed
+// changes, which make up most of a control state with few routes. Turn stores do not need the configuration either.
 func controlFor(watcher *tierpb.Node, control *tierpb.ControlState) *tierpb.ControlState {
 	if watcher.GetRole() == tierpb.Role_ROLE_COORDINATOR {
 		return control
--- a/internal/tier/watch/delta.go
+++ b/internal/tier/watch/delta.go
@@ -9,20 +9,20 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Sizes of deltas and of what they are made from.
+// Limits of deltas and of the history of bodies that they are computed from.
 const (
-	deltaBlockBytes  = 32      // of the older body, matched at a time
+	deltaBlockBytes  = 32      // length of the blocks of the older body that are searched in the newer one
 	minDeltaBodySize = 1 << 10 // bytes; smaller bodies are sent in full
-	maxDeltaBases    = 8       // older bodies that deltas are made from
-	maxHistoryBytes  = 2 << 20 // of all bodies, unless the newest alone is larger
+	maxDeltaBases    = 8       // number of older bodies that are kept
+	maxHistoryBytes  = 2 << 20 // total of all kept bodies, unless the newest alone is larger
 )
 
-var errDeltaMismatch = eris.New("delta does not fit the known body")
+var errDeltaMismatch = eris.New("delta does not match the known configuration body")
 
-// bodyHistory holds the newest configuration bodies by control version, and the deltas that lead to the newest one.
+// bodyHistory holds the most recent configuration bodies by control version, and caches the deltas to the newest one.
 type bodyHistory struct {
-	entries []versionedBody // oldest first
-	deltas  map[uint64]*tierpb.BodyDelta
+	entries []versionedBody              // oldest first
+	deltas  map[uint64]*tierpb.BodyDelta // by version of the older body; nil if there is none or it saves too little
 }
 
 type versionedBody struct {
@@ -30,7 +30,7 @@
 	body    []byte
 }
 
-// add makes a body the newest one and drops the oldest ones beyond the bounds.
+// add appends a body as the newest one and drops the oldest ones that exceed maxDeltaBases or maxHistoryBytes.
 func (h *bodyHistory) add(version uint64, body []byte) {
 	h.entries = append(h.entries, versionedBody{version: version, body: body})
 	h.deltas = nil
@@ -44,8 +44,8 @@
 	}
 }
 
-// deltaFrom returns the delta from a version's body to the newest one, nil if that version is not known or the delta
-// saves little.
+// deltaFrom returns the delta from a version's body to the newest one. It returns nil if that version is not kept, if the
+// newest body is small, or if the delta is more than half as large as that body.
 func (h *bodyHistory) deltaFrom(version uint64) *tierpb.BodyDelta {
 	newest := h.entries[len(h.entries)-1]
 	if delta, made := h.deltas[version]; made || len(newest.body) < minDeltaBodySize {
@@ -68,12 +68,13 @@
 }
 
 func makeDelta(version uint64, older, newer []byte) *tierpb.BodyDelta {
-	return &tierpb.BodyDelta{Base: version, Chunks: diff(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
+	return &tierpb.BodyDelta{Base: version, Chunks: diffBodies(older, newer), Checksum: crc32.ChecksumIEEE(newer)}
 }
 
-// diff describes the newer body by chunks of the older one, each followed by added bytes. As in rsync (Tridgell, 1996),
-// chunks are found by a rolling hash over the blocks of the older body, and then extended in both directions.
-func diff(older, newer []byte) []*tierpb.BodyChunk {
+// diffBodies describes the newer body as a sequence of chunks of the older one, each followed by added bytes. As in rsync
+// (Tridgell, 1996), a rolling hash over the newer body finds blocks of the older one; each match is then extended in both
+// directions.
+func diffBodies(older, newer []byte) []*tierpb.BodyChunk {
 	blocks := indexBlocks(older)
 	chunks := []*tierpb.BodyChunk{{}}
 	emitted, position := 0, 0 // newer[emitted:position] is in no chunk yet
@@ -96,7 +97,7 @@
 	return chunks
 }
 
-// applyDelta returns the newer body, or errDeltaMismatch if the delta was made from another older one.
+// applyDelta returns the newer body, or errDeltaMismatch if the delta was computed from a different older body.
 func applyDelta(delta *tierpb.BodyDelta, older []byte) ([]byte, error) {
 	size := 0
 	for _, chunk := range delta.Chunks {
@@ -116,7 +117,7 @@
 	return newer, nil
 }
 
-// indexBlocks returns the position of each block of a body by its hash, the first one where blocks are equal.
+// indexBlocks returns the positions of the blocks of a body by hash. Of blocks with the same hash it keeps the first.
 func indexBlocks(body []byte) map[uint64]int {
 	blocks := make(map[uint64]int, len(body)/deltaBlockBytes)
 	var rolling rollingHash
@@ -129,15 +130,16 @@
 	return blocks
 }
 
-// rollingHash is the Rabin-Karp hash of a window of deltaBlockBytes. Moving the window by one byte costs one step.
+// rollingHash computes the Rabin-Karp hash of a window of deltaBlockBytes, in constant time when the window moves by one
+// byte.
 type rollingHash struct {
-	next int // position that follows the last one
+	next int // position of the window for which sum can be updated in constant time
 	sum  uint64
 }
 
 const rollingBase = 1099511628211
 
-// oldestByteFactor is rollingBase to the power of deltaBlockBytes-1: the factor of the byte that leaves the window.
+// oldestByteFactor is rollingBase to the power of deltaBlockBytes-1, the weight of the byte that leaves the window.
 var oldestByteFactor = func() uint64 {
 	power := uint64(1)
 	for range deltaBlockBytes - 1 {
--- a/internal/tier/watch/delta_test.go
+++ b/internal/tier/watch/delta_test.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// configurationBody returns a realistic configuration with a number of routes.
+// configurationBody returns a configuration body of realistic structure with a number of routes.
 func configurationBody(generation, routes int) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"generation":%d,"routes":[`, generation)
@@ -66,7 +66,7 @@
 	assert.ErrorIs(t, err, errDeltaMismatch)
 }
 
-func control(version uint64, body []byte) *tierpb.ControlState {
+func newControlState(version uint64, body []byte) *tierpb.ControlState {
 	return &tierpb.ControlState{
 		Version: version, Configuration: &tierpb.Configuration{Generation: version, Body: body},
 		Stores: &tierpb.StoreMembership{Epoch: version},
@@ -74,45 +74,46 @@
 }
 
 func TestWatchersOfKnownVersionsGetDelta(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	for version := range uint64(maxDeltaBases + 3) {
 		clock.advance(time.Second)
-		s.SetControl(control(version+1, configurationBody(int(version+1), 40)))
+		s.SetControl(newControlState(version+1, configurationBody(int(version+1), 40)))
 	}
 	newest := s.Control()
 	for version := uint64(0); version < newest.Version; version++ {
-		watcher, _ := testState()
+		watcher, _ := newTestState()
 		if version > 0 {
-			watcher.SetControl(control(version, configurationBody(int(version), 40)))
+			watcher.SetControl(newControlState(version, configurationBody(int(version), 40)))
 		}
-		reply := ask(t, s, &tierpb.WatchRequest{ControlVersion: version})
+		reply := pollState(t, s, &tierpb.WatchRequest{ControlVersion: version})
 		assert.Equal(t, reply.Body != nil, version >= newest.Version-maxDeltaBases)
 		watcher.Merge(reply)
-		assert.Assert(t, watcher.Control().EqualVT(newest), "from %d", version)
+		assert.Assert(t, watcher.Control().EqualVT(newest), "delta from version %d", version)
 	}
-	assert.Assert(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 5, FullBody: true}).Body == nil)
+	assert.Assert(t, pollState(t, s, &tierpb.WatchRequest{ControlVersion: 5, FullBody: true}).Body == nil)
 }
 
 func TestDeltaForAnotherBaseIsNotMerged(t *testing.T) {
-	s, clock := testState()
-	s.SetControl(control(1, configurationBody(1, 40)))
+	s, clock := newTestState()
+	s.SetControl(newControlState(1, configurationBody(1, 40)))
 	clock.advance(time.Second)
-	s.SetControl(control(2, configurationBody(2, 40)))
-	reply := ask(t, s, &tierpb.WatchRequest{ControlVersion: 1})
+	s.SetControl(newControlState(2, configurationBody(2, 40)))
+	reply := pollState(t, s, &tierpb.WatchRequest{ControlVersion: 1})
 	assert.Assert(t, reply.Body != nil)
-	watcher, _ := testState()
+	watcher, _ := newTestState()
 	assert.Assert(t, !watcher.Merge(reply))
 	assert.Assert(t, watcher.Control() == nil)
 }
 
-// TestFullBodyIsRequestedAfterMismatch has a watcher with a body that no delta of the source fits.
+// TestFullBodyIsRequestedAfterMismatch: the watcher's body differs from the source's body of the same version, so the delta
+// does not apply.
 func TestFullBodyIsRequestedAfterMismatch(t *testing.T) {
 	n := newNetwork("a")
 	runWatcher(t, n, 1, fixedEndpoints("a"), func(_ *Watcher, state *State) {
-		state.SetControl(control(1, configurationBody(99, 41)))
-		n.sources["a"].SetControl(control(1, configurationBody(1, 40)))
+		state.SetControl(newControlState(1, configurationBody(99, 41)))
+		n.sources["a"].SetControl(newControlState(1, configurationBody(1, 40)))
 		time.Sleep(time.Second)
-		n.sources["a"].SetControl(control(2, configurationBody(2, 40)))
+		n.sources["a"].SetControl(newControlState(2, configurationBody(2, 40)))
 		time.Sleep(time.Second)
 		assert.Assert(t, state.Control().EqualVT(n.sources["a"].Control()))
 	})
@@ -125,7 +126,8 @@
 	}
 }
 
-// TestDeltaOmitsOnlyTheBody covers all fields, so that a field which is added later is not omitted by mistake.
+// TestDeltaOmitsOnlyTheBody sets every field of the control state and fails for fields without a test value, so that a field
+// which is added later is not omitted from replies with a delta.
 func TestDeltaOmitsOnlyTheBody(t *testing.T) {
 	control := &tierpb.ControlState{
 		Voters:           []*tierpb.VoterSet{{Nodes: []*tierpb.Node{{Identity: 1}}}},
@@ -149,8 +151,8 @@
 	assert.Assert(t, stripped.EqualVT(control), "got %v, want %v", stripped, control)
 }
 
-// TestBodyHistoryIsBounded checks the bound in number for small bodies, in bytes for large ones, and that the newest
-// body is always there.
+// TestBodyHistoryIsBounded checks that small bodies are limited by number and large ones by size, and that the newest body
+// is always kept.
 func TestBodyHistoryIsBounded(t *testing.T) {
 	for _, size := range []int{100, 100 << 10, 1 << 20, 5 << 20} {
 		history := bodyHistory{}
--- a/internal/tier/watch/endpoints.go
+++ b/internal/tier/watch/endpoints.go
@@ -10,12 +10,12 @@
 // Endpoint is a source that may be watched.
 type Endpoint struct {
 	Address string // ip:port
-	Zone    string // failure domain; empty if it is not known
+	Zone    string // failure domain; empty if unknown
 }
 
-// CoordinatorEndpoints returns all known coordinators but the process itself: those of its own zone first, and else in
-// an order that differs from one process to another (rendezvous hashing), so that watchers spread over the
-// coordinators. Voters, the coordinators that sources advertise and peers come with their zones, the seeds without.
+// CoordinatorEndpoints returns all known coordinators except the process itself. Those of its own zone come first;
+// within and outside the zone they are ordered by rendezvous hashing, so that watchers spread over the coordinators.
+// Voters, peers and the coordinators that sources advertise have a zone, seeds have none.
 func CoordinatorEndpoints(self *tierpb.Node, state *State, peers []*tierpb.Node, seeds []string) []Endpoint {
 	zones := make(map[string]string) // by address
 	for _, seed := range seeds {
@@ -27,7 +27,7 @@
 		addCoordinators(zones, voters.Nodes)
 	}
 	delete(zones, self.GetAddress())
-	return byPreference(self, zones)
+	return sortByPreference(self, zones)
 }
 
 func addCoordinators(zones map[string]string, nodes []*tierpb.Node) {
@@ -35,13 +35,13 @@
 		if node.Role != tierpb.Role_ROLE_COORDINATOR || node.Address == "" {
 			continue
 		}
-		if _, known := zones[node.Address]; !known || node.Zone != "" { // the first voters have no zone
+		if _, known := zones[node.Address]; !known || node.Zone != "" { // the initial voters have no zone
 			zones[node.Address] = node.Zone
 		}
 	}
 }
 
-func byPreference(self *tierpb.Node, zones map[string]string) []Endpoint {
+func sortByPreference(self *tierpb.Node, zones map[string]string) []Endpoint {
 	type candidate struct {
 		endpoint Endpoint
 		ownZone  bool
@@ -73,7 +73,7 @@
 	_, _ = hash.Write([]byte(watcher))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(address))
-	// FNV-1a spreads the last bytes poorly into the high bits, which decide the order: mix them.
+	// The last bytes of the input hardly affect the high bits of FNV-1a, which decide the order, so mix the bits.
 	mixed := hash.Sum64()
 	mixed ^= mixed >> 32
 	mixed *= 0x9e3779b97f4a7c15
--- a/internal/tier/watch/harness_test.go
+++ b/internal/tier/watch/harness_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func testState() (*State, *fakeClock) {
+func newTestState() (*State, *fakeClock) {
 	clock := newFakeClock()
 	return newState(clock.time, clock.after), clock
 }
@@ -62,22 +62,22 @@
 	return &tierpb.Instance{Id: id, Sequence: sequence, State: state, Address: "10.0.0.1:80"}
 }
 
-// described returns an instance with a realistic description.
-func described(i int, sequence uint64, state tierpb.InstanceState) *tierpb.Instance {
+// describedInstance returns an instance with a realistic description.
+func describedInstance(i int, sequence uint64, state tierpb.InstanceState) *tierpb.Instance {
 	return &tierpb.Instance{
 		Id: fmt.Sprintf("i-%010x", i), Backend: "backend-a", Address: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250),
 		Zone: "cheonan-yard", Generation: "v1", Slots: 32, State: state, Sequence: sequence, Models: []string{"m"},
 	}
 }
 
-func ask(t *testing.T, s *State, request *tierpb.WatchRequest) *tierpb.WatchReply {
+func pollState(t *testing.T, s *State, request *tierpb.WatchRequest) *tierpb.WatchReply {
 	t.Helper()
 	reply, err := s.Watch(context.Background(), request)
 	assert.NilError(t, err)
 	return reply
 }
 
-func closed(channel <-chan struct{}) bool {
+func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
 		return true
@@ -90,22 +90,23 @@
 type fault uint8
 
 const (
-	none         fault = iota
-	crashed            // calls fail at once
-	partitioned        // neither requests nor replies arrive
-	repliesLost        // an asymmetric partition: requests arrive, replies do not
-	slowToAnswer       // the source lags
+	noFault     fault = iota
+	crashed           // calls fail at once
+	partitioned       // neither requests nor replies arrive
+	repliesLost       // an asymmetric partition: requests arrive, replies do not
+	lagging           // the source replies late
 )
 
-const oneWay = time.Millisecond
+const oneWayLatency = time.Millisecond // of a request or a reply
 
-// network calls sources by address, with the fault injected for each. It runs in the virtual time of a synctest bubble.
+// network is an rpc.Caller that calls sources by address, with the fault injected for each. It runs in the virtual time of
+// a synctest bubble.
 type network struct {
-	mu      sync.Mutex
-	sources map[string]*State
-	faults  map[string]fault
-	calls   map[string]int
-	bytes   int // of replies
+	mu         sync.Mutex
+	sources    map[string]*State
+	faults     map[string]fault
+	calls      map[string]int
+	replyBytes int // encoded size of all replies
 }
 
 func newNetwork(addresses ...string) *network {
@@ -116,56 +117,56 @@
 	return n
 }
 
-func (n *network) set(address string, to fault) {
+func (n *network) setFault(address string, injected fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.faults[address] = to
+	n.faults[address] = injected
 }
 
-func (n *network) look(address string) (*State, fault) {
+func (n *network) lookup(address string) (*State, fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sources[address], n.faults[address]
 }
 
-func (n *network) count(address string) {
+func (n *network) countCall(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls[address]++
 }
 
-func (n *network) carry(size int) {
+func (n *network) countReplyBytes(size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.bytes += size
+	n.replyBytes += size
 }
 
 func (n *network) Call(ctx context.Context, address string, _ rpc.Method, request, reply rpc.Message) error {
-	n.count(address)
-	source, before := n.look(address)
+	n.countCall(address)
+	source, faultBefore := n.lookup(address)
 	switch {
-	case source == nil || before == crashed:
+	case source == nil || faultBefore == crashed:
 		return rpc.ErrUnreachable
-	case before == partitioned:
+	case faultBefore == partitioned:
 		<-ctx.Done()
 		return rpc.ErrTimeout
-	case before == slowToAnswer:
+	case faultBefore == lagging:
 		time.Sleep(3 * time.Second)
 	}
-	time.Sleep(oneWay)
+	time.Sleep(oneWayLatency)
 	answer, err := source.Watch(ctx, request.(*tierpb.WatchRequest))
 	if err != nil {
 		return rpc.ErrTimeout
 	}
-	time.Sleep(oneWay)
-	if _, after := n.look(address); after == repliesLost || after == partitioned {
+	time.Sleep(oneWayLatency)
+	if _, faultAfter := n.lookup(address); faultAfter == repliesLost || faultAfter == partitioned {
 		<-ctx.Done()
 	}
 	if ctx.Err() != nil {
 		return rpc.ErrTimeout
 	}
 	encoded, _ := answer.MarshalVT()
-	n.carry(len(encoded))
+	n.countReplyBytes(len(encoded))
 	return reply.(*tierpb.WatchReply).UnmarshalVT(encoded)
 }
 
@@ -176,7 +177,7 @@
 	}
 }
 
-func endpoints(addresses ...string) []Endpoint {
+func endpointsOf(addresses ...string) []Endpoint {
 	var all []Endpoint
 	for _, address := range addresses {
 		all = append(all, Endpoint{Address: address, Zone: "zone-" + address[:1]})
@@ -184,11 +185,11 @@
 	return all
 }
 
-// runWatcher runs a Watcher in a bubble and passes it to the test after two seconds.
+// runWatcher runs a Watcher in a synctest bubble and calls test after two seconds of virtual time.
 func runWatcher(t *testing.T, n *network, maxSources int, list func() []Endpoint, test func(*Watcher, *State)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		for address := range n.sources { // made in the bubble, for its clock
+		for address := range n.sources { // created in the bubble, so that they use its clock
 			n.sources[address] = NewState()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -209,11 +210,11 @@
 }
 
 func fixedEndpoints(addresses ...string) func() []Endpoint {
-	return func() []Endpoint { return endpoints(addresses...) }
+	return func() []Endpoint { return endpointsOf(addresses...) }
 }
 
-// arrival returns how long, in virtual time, a control state set now takes to arrive.
-func arrival(n *network, state *State, version uint64) time.Duration {
+// measurePropagation sets a control state at all sources and returns the virtual time until the watcher's state has it.
+func measurePropagation(n *network, state *State, version uint64) time.Duration {
 	start := time.Now()
 	n.setControl(version)
 	for state.Control().GetVersion() < version {
--- a/internal/tier/watch/journal.go
+++ b/internal/tier/watch/journal.go
@@ -1,62 +1,62 @@
 package watch
 
-// event records that an instance changed, and the revision of that change.
-type event struct {
+// journalEntry records a change of an instance and the revision of that change.
+type journalEntry struct {
 	revision uint64
 	id       string
 }
 
-// journal is an append-only list of events in the order of their revisions. Compaction keeps only the newest event of
-// each instance, so its length stays near the number of instances.
+// journal is a log of changes in the order of their revisions. Compaction keeps only the newest entry of each instance,
+// so the length of the journal is proportional to the number of instances.
 type journal struct {
-	events []event
-	newest map[string]uint64 // revision of the newest event by instance id
+	entries        []journalEntry
+	newestRevision map[string]uint64 // by instance id
 }
 
-// compactionSlack is how many superseded events a journal may hold, beyond as many as it has instances, before it is
+// compactionSlack is the number of superseded entries, in addition to one per instance, above which a journal is
 // compacted.
 const compactionSlack = 64
 
-func newJournal() journal { return journal{newest: make(map[string]uint64)} }
+func newJournal() journal { return journal{newestRevision: make(map[string]uint64)} }
 
 func (j *journal) append(revision uint64, id string) {
-	j.events = append(j.events, event{revision: revision, id: id})
-	j.newest[id] = revision
-	if len(j.events) > 2*len(j.newest)+compactionSlack {
+	j.entries = append(j.entries, journalEntry{revision: revision, id: id})
+	j.newestRevision[id] = revision
+	if len(j.entries) > 2*len(j.newestRevision)+compactionSlack {
 		j.compact()
 	}
 }
 
 func (j *journal) compact() {
-	kept := j.events[:0]
-	for _, e := range j.events {
-		if j.newest[e.id] == e.revision {
+	kept := j.entries[:0]
+	for _, e := range j.entries {
+		if j.newestRevision[e.id] == e.revision {
 			kept = append(kept, e)
 		}
 	}
-	j.events = kept
+	j.entries = kept
 }
 
-func (j *journal) forget(id string) { delete(j.newest, id) }
+func (j *journal) forget(id string) { delete(j.newestRevision, id) }
 
-// since calls visit with each instance that changed after a revision and the revision of its newest change, oldest
-// first, each instance once, until visit returns false.
+// since calls visit once for each instance that changed after a revision, with the revision of its newest change, in the
+// order of these revisions. It stops when visit returns false.
 func (j *journal) since(revision uint64, visit func(id string, changedAt uint64) bool) {
-	first := len(j.events)
-	for first > 0 && j.events[first-1].revision > revision {
+	first := len(j.entries)
+	for first > 0 && j.entries[first-1].revision > revision {
 		first--
 	}
-	for _, e := range j.events[first:] {
-		if j.newest[e.id] == e.revision && !visit(e.id, e.revision) {
+	for _, e := range j.entries[first:] {
+		if j.newestRevision[e.id] == e.revision && !visit(e.id, e.revision) {
 			return
 		}
 	}
 }
 
-// last returns the revision of the newest event, 0 if there is none.
+// last returns the revision of the newest entry, 0 if there is none.
 func (j *journal) last() uint64 {
-	if len(j.events) == 0 {
+	if len(j.entries) == 0 {
 		return 0
 	}
-	return j.events[len(j.events)-1].revision
+	return j.entries[len(j.entries)-1].revision
 }
--- a/internal/tier/watch/merge.go
+++ b/internal/tier/watch/merge.go
@@ -14,8 +14,8 @@
 // The kinds of change.
 const (
 	Unchanged Change = iota
-	Heartbeat        // only the sequence or the rest of the slow start differs
-	Material         // the state or the description differs: watchers that send requests need to know
+	Heartbeat        // only the sequence or the remaining slow start changed
+	Material         // the state or the description changed, which affects the routing of requests
 )
 
 // IsTerminal reports whether a state is final: no later update leads out of it.
@@ -23,7 +23,8 @@
 	return state >= tierpb.InstanceState_INSTANCE_DRAINING
 }
 
-// mergeFrom merges a reply of the source at an address and reports whether anything but heartbeats changed.
+// mergeFrom merges a reply and reports whether it changed anything but heartbeats. The parameter source is the address of
+// the replying source, or empty.
 func (s *State) mergeFrom(reply *tierpb.WatchReply, source string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,8 @@
 	return changed
 }
 
-// mergeInstance merges one description and publishes what changed. The source is empty for a call of the store itself.
+// mergeInstance merges one instance, records the change and wakes held polls. The source is empty for an instance that
+// was not received from a source.
 func (s *State) mergeInstance(received *tierpb.Instance, source string) Change {
 	s.expireTombstones()
 	known := s.instances[received.Id]
@@ -56,7 +58,7 @@
 		return change
 	}
 	s.revision++
-	s.replace(known, entry{
+	s.replaceEntry(known, instanceEntry{
 		instance: merged, updatedAt: s.now(), source: source, descriptionRevision: known.descriptionRevision,
 	})
 	if change == Material {
@@ -65,14 +67,14 @@
 		return change
 	}
 	s.heartbeats.append(s.revision, received.Id)
-	if source == "" { // watchers get the other heartbeats from the source that this State got them from
+	if source == "" { // watchers receive all other heartbeats directly from the source
 		s.notify(&s.heartbeatSignal)
 	}
 	return change
 }
 
-// replace stores an entry and updates the summary, the counts and the tombstones that follow from it.
-func (s *State) replace(known, next entry) {
+// replaceEntry stores an entry in place of the known one, and updates the summary, the counts and the tombstones.
+func (s *State) replaceEntry(known, next instanceEntry) {
 	if known.instance == nil || !sameDescription(known.instance, next.instance) {
 		next.descriptionRevision = s.revision
 	}
@@ -88,8 +90,8 @@
 	s.instances[next.instance.Id] = next
 }
 
-// mergeStatus merges a status, which has no description. An unknown instance is ignored unless it is deregistered: that
-// becomes a tombstone.
+// mergeStatus merges a status, which is an update without a description. The status of an unknown instance is ignored,
+// except that a deregistered one becomes a tombstone.
 func (s *State) mergeStatus(status *tierpb.InstanceStatus, source string) Change {
 	known := s.instances[status.Id]
 	if known.instance == nil {
@@ -106,8 +108,8 @@
 	case status.Description == 0 || status.Description == descriptionDigest(updated):
 		updated.Sequence, updated.State = status.Sequence, status.State
 	case IsTerminal(status.State):
-		// The description is newer than the known one. The sequence stays, so that the description that belongs to it
-		// is merged when it comes.
+		// The status belongs to a description that has not arrived yet. Keep the known sequence, so that this
+		// description is merged when it arrives.
 		updated.State = status.State
 	default:
 		return Unchanged
@@ -115,8 +117,9 @@
 	return s.mergeInstance(updated, source)
 }
 
-// isMissing reports whether a digests-only reply names anything that is not known here.
-func (s *State) isMissing(reply *tierpb.WatchReply) bool {
+// isBehind reports whether a digests-only reply names a control state, an instance or a description that this State does
+// not have.
+func (s *State) isBehind(reply *tierpb.WatchReply) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reply.ControlVersion > s.control.GetVersion() {
@@ -171,15 +174,15 @@
 	return Heartbeat
 }
 
-// sameDescription reports whether two messages describe an instance alike, whatever its state.
+// sameDescription reports whether two instances are equal apart from id, state, sequence and remaining slow start.
 func sameDescription(a, b *tierpb.Instance) bool {
 	return a.Address == b.Address && a.Backend == b.Backend && a.Zone == b.Zone && a.Generation == b.Generation &&
 		a.Slots == b.Slots && slices.Equal(a.Models, b.Models)
 }
 
-// at returns the instance with the rest of its slow start as it stands at a time. The rest is relative to when the
-// message was received, as clocks of machines differ.
-func (e entry) at(now time.Time) *tierpb.Instance {
+// instanceAt returns the instance with the slow start that remains at a time. The message holds the duration that remained
+// when it was received, not a point in time, because the clocks of machines differ.
+func (e instanceEntry) at(now time.Time) *tierpb.Instance {
 	elapsed := now.Sub(e.updatedAt)
 	if e.instance.SlowStartRemainingMs == 0 || elapsed < time.Millisecond {
 		return e.instance
--- a/internal/tier/watch/merge_test.go
+++ b/internal/tier/watch/merge_test.go
@@ -17,7 +17,7 @@
 	}
 	for range 200 {
 		rand.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
-		s, _ := testState()
+		s, _ := newTestState()
 		for _, update := range updates {
 			s.Upsert(update)
 		}
@@ -29,7 +29,7 @@
 }
 
 func TestHeartbeatClearsSuspectButNotDraining(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	s.Upsert(instance("i", 1, ready))
 	assert.Equal(t, s.Upsert(instance("i", 1, suspect)), Material)
 	assert.Equal(t, s.Upsert(instance("i", 1, ready)), Unchanged)
@@ -41,7 +41,7 @@
 }
 
 func TestTombstoneRejectsOlderUpdates(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	s.Upsert(instance("i", 5, ready))
 	s.Upsert(&tierpb.Instance{Id: "i", State: deregistered})
 	clock.advance(tombstoneTTL - time.Second)
@@ -50,21 +50,21 @@
 	clock.advance(time.Second)
 	s.Upsert(instance("other", 1, ready))
 	assert.Assert(t, s.Instance("i") == nil)
-	reply := ask(t, s, &tierpb.WatchRequest{})
+	reply := pollState(t, s, &tierpb.WatchRequest{})
 	assert.Equal(t, len(reply.Instances), 1)
 }
 
 func TestControlStateIsMonotonic(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	assert.Assert(t, s.Merge(&tierpb.WatchReply{Control: &tierpb.ControlState{Version: 7}}))
 	assert.Assert(t, !s.Merge(&tierpb.WatchReply{Control: &tierpb.ControlState{Version: 6}}))
 	assert.Equal(t, s.Control().Version, uint64(7))
-	assert.Assert(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 7}).Control == nil)
-	assert.Equal(t, ask(t, s, &tierpb.WatchRequest{ControlVersion: 6}).Control.Version, uint64(7))
+	assert.Assert(t, pollState(t, s, &tierpb.WatchRequest{ControlVersion: 7}).Control == nil)
+	assert.Equal(t, pollState(t, s, &tierpb.WatchRequest{ControlVersion: 6}).Control.Version, uint64(7))
 }
 
 func TestStatusWithNewerSequenceClearsSuspect(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	full := instance("a", 1, ready)
 	full.Backend, full.Slots = "b", 8
 	s.Upsert(full)
@@ -76,13 +76,13 @@
 	assert.Assert(t, s.Instance("unknown") == nil)
 }
 
-func TestSlowStartIsSentAsItStands(t *testing.T) {
-	s, clock := testState()
+func TestRemainingSlowStartIsSent(t *testing.T) {
+	s, clock := newTestState()
 	starting := instance("a", 1, ready)
 	starting.SlowStartRemainingMs = 3000
 	s.Upsert(starting)
 	clock.advance(2 * time.Second)
-	assert.Equal(t, ask(t, s, &tierpb.WatchRequest{}).Instances[0].SlowStartRemainingMs, uint32(1000))
+	assert.Equal(t, pollState(t, s, &tierpb.WatchRequest{}).Instances[0].SlowStartRemainingMs, uint32(1000))
 	clock.advance(2 * time.Second)
 	assert.Equal(t, s.Instances()[0].SlowStartRemainingMs, uint32(0))
 	assert.Equal(t, starting.SlowStartRemainingMs, uint32(3000))
--- a/internal/tier/watch/message_size_test.go
+++ b/internal/tier/watch/message_size_test.go
@@ -11,19 +11,19 @@
 )
 
 func TestIdleRepliesAndStatusesAreSmall(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	for i := range 3000 {
-		s.Upsert(described(i, 1, ready))
+		s.Upsert(describedInstance(i, 1, ready))
 	}
 	position := &tierpb.WatchRequest{}
 	for more := true; more; {
-		reply := ask(t, s, position)
+		reply := pollState(t, s, position)
 		position.Incarnation, position.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
 	}
-	assert.Assert(t, ask(t, s, position).SizeVT() <= 24)
+	assert.Assert(t, pollState(t, s, position).SizeVT() <= 24)
 	clock.advance(time.Second)
-	s.Upsert(described(7, 2, draining))
-	assert.Assert(t, ask(t, s, position).SizeVT() <= 48)
+	s.Upsert(describedInstance(7, 2, draining))
+	assert.Assert(t, pollState(t, s, position).SizeVT() <= 48)
 }
 
 func TestSecondSourceSendsDigestsOnly(t *testing.T) {
@@ -31,14 +31,14 @@
 	n := newNetwork("a", "b", "c")
 	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(_ *Watcher, state *State) {
 		n.mu.Lock()
-		n.bytes = 0
+		n.replyBytes = 0
 		n.mu.Unlock()
 		fullSize := 0
 		for i := range instances {
-			one := described(i, 1, ready)
-			fullSize += one.SizeVT()
+			added := describedInstance(i, 1, ready)
+			fullSize += added.SizeVT()
 			for _, source := range n.sources {
-				source.Upsert(one)
+				source.Upsert(added)
 			}
 			if i%20 == 0 {
 				time.Sleep(time.Millisecond)
@@ -48,7 +48,7 @@
 		assert.Equal(t, len(state.Instances()), instances)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Assert(t, n.bytes < fullSize*7/4, "%d bytes for a list of %d", n.bytes, fullSize)
+		assert.Assert(t, n.replyBytes < fullSize*7/4, "%d bytes for a list of %d", n.replyBytes, fullSize)
 	})
 }
 
@@ -57,7 +57,7 @@
 	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(_ *Watcher, state *State) {
 		body := make([]byte, 100_000)
 		n.mu.Lock()
-		n.bytes = 0
+		n.replyBytes = 0
 		n.mu.Unlock()
 		for version := range uint64(10) {
 			for _, source := range n.sources {
@@ -68,17 +68,18 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Assert(t, n.bytes < 11*len(body), "%d bytes", n.bytes)
+		assert.Assert(t, n.replyBytes < 11*len(body), "%d bytes", n.replyBytes)
 	})
 }
 
-// BenchmarkChange measures what one change costs a source with a number of watchers, up to the encoded replies.
+// BenchmarkChange measures the cost of one change for a source with a number of watchers, including the encoding of the
+// replies.
 func BenchmarkChange(b *testing.B) {
 	for _, watchers := range []int{100, 330} {
 		b.Run(fmt.Sprint(watchers), func(b *testing.B) {
-			s, clock := testState()
+			s, clock := newTestState()
 			for i := range 3000 {
-				s.Upsert(described(i, 1, ready))
+				s.Upsert(describedInstance(i, 1, ready))
 			}
 			revision := s.Revision()
 			sequence, sent := uint64(1), 0
@@ -86,7 +87,7 @@
 			for b.Loop() {
 				sequence++
 				clock.advance(time.Second)
-				s.Upsert(described(7, sequence, tierpb.InstanceState(sequence%2)))
+				s.Upsert(describedInstance(7, sequence, tierpb.InstanceState(sequence%2)))
 				for range watchers {
 					reply, _, _ := s.tryReply(&tierpb.WatchRequest{Incarnation: s.incarnation, Cursor: revision})
 					encoded, _ := reply.MarshalVT()
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times of a poll.
+// Timing of polls.
 const (
 	// DefaultPollWait is how long a source may hold a poll. It bounds how late a watcher notices that a source is dead.
 	DefaultPollWait = 700 * time.Millisecond
@@ -17,14 +17,15 @@
 	// MaxPollDuration is the longest that a poll held for DefaultPollWait may take; after it the poll has failed.
 	MaxPollDuration = DefaultPollWait + pollGrace
 
-	catchUpTimeout = 100 * time.Millisecond // for which the primary may lag behind another source
-	// acceptNotReadyAfter is how long a watcher that knows nothing waits for a source that is ready, before it accepts
-	// a state that may be old.
+	// catchUpTimeout is how long the primary may lag behind another source, before that is asked for full updates.
+	catchUpTimeout = 100 * time.Millisecond
+	// acceptNotReadyAfter is how long a watcher without a control state waits for a source that is ready, before it
+	// accepts a state that may be outdated.
 	acceptNotReadyAfter = 1500 * time.Millisecond
 )
 
-// poll asks a source once and merges the reply. The first poll of a source is not held, so that a source that cannot
-// answer is noticed soon.
+// poll sends one poll to a source and merges the reply. The first poll of a source is not held, so that a source that does
+// not respond is detected early.
 func (w *Watcher) poll(ctx context.Context, address string, first bool) error {
 	wait := w.options.PollWait
 	if first {
@@ -47,18 +48,18 @@
 	if reply.GetResponder().GetNotReady() {
 		return ErrNotReady
 	}
-	w.noteReadySource()
+	w.markReadySource()
 	merged := w.options.State.Control().GetVersion() >= reply.Control.GetVersion()
 	if request.DigestsOnly {
 		merged = w.awaitPrimary(ctx, reply)
 	}
-	w.movePosition(address, request, reply, merged)
+	w.updatePosition(address, request, reply, merged)
 	return nil
 }
 
-// movePosition advances the position in a source past a merged reply. One that could not be merged is asked for again,
-// with the full body.
-func (w *Watcher) movePosition(address string, request *tierpb.WatchRequest, reply *tierpb.WatchReply, merged bool) {
+// updatePosition moves the position in a source past a merged reply. If the reply could not be merged completely, the
+// position stays, and the next poll requests the updates again with the full body.
+func (w *Watcher) updatePosition(address string, request *tierpb.WatchRequest, reply *tierpb.WatchReply, merged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.sources[address]
@@ -80,8 +81,8 @@
 	return w.options.Caller.Call(ctx, address, rpc.MethodWatch, request, reply)
 }
 
-// newRequest asks for what is newer than the position in a source. The first request to a source also carries a
-// summary, as other sources have sent most of what happened since it was last asked.
+// newRequest returns a request for the updates after the position in a source. The first request to a source also has a
+// summary, because other sources have sent most of the updates since this source was last polled.
 func (w *Watcher) newRequest(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
 	request := &tierpb.WatchRequest{
 		ControlVersion: w.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
@@ -89,27 +90,27 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	from := position{}
+	sourcePosition := position{}
 	if s := w.sources[address]; s != nil {
-		from = s.position
+		sourcePosition = s.position
 	}
-	request.Incarnation, request.Cursor = from.incarnation, from.cursor
-	if first || from.cursor == 0 || from.incomplete {
+	request.Incarnation, request.Cursor = sourcePosition.incarnation, sourcePosition.cursor
+	if first || sourcePosition.cursor == 0 || sourcePosition.incomplete {
 		request.Summary = w.options.State.digests()
 	}
 	if w.options.Heartbeats {
 		request.OtherSources = w.respondingSources()
 	}
-	request.DigestsOnly = !w.isPrimary(address) && !from.needsFullBody
-	if w.options.Reconcile && !request.DigestsOnly && from.reconcileDue(time.Now()) {
+	request.DigestsOnly = !w.isPrimary(address) && !sourcePosition.needsFullBody
+	if w.options.Reconcile && !request.DigestsOnly && sourcePosition.reconcileDue(time.Now()) {
 		request.Compare, request.Summary = true, w.options.State.digests()
 	}
-	request.FullBody = from.needsFullBody
+	request.FullBody = sourcePosition.needsFullBody
 	return request
 }
 
-// isPrimary reports whether a source is to send everything. The first source that is asked is the primary until it
-// fails; for a Watcher of all sources each is.
+// isPrimary reports whether a source must send full updates. If there is no primary, the source becomes the primary. A
+// Watcher of all sources (MaxSources 0) requests full updates from each. The caller holds mu.
 func (w *Watcher) isPrimary(address string) bool {
 	if w.options.MaxSources == 0 {
 		return true
@@ -120,7 +121,7 @@
 	return w.primary == address
 }
 
-// resignPrimary lets another source become the primary.
+// resignPrimary ends the role of a source as the primary, if it has it. The caller holds mu.
 func (w *Watcher) resignPrimary(address string) {
 	if w.primary == address {
 		w.primary = ""
@@ -133,13 +134,13 @@
 	return w.primary != ""
 }
 
-// awaitPrimary reports whether everything that a digests-only reply names is known. The primary is given a moment to
-// send what is not.
+// awaitPrimary reports whether the State has everything that a digests-only reply names. If not, it first waits up to
+// catchUpTimeout for the primary to send the rest.
 func (w *Watcher) awaitPrimary(ctx context.Context, reply *tierpb.WatchReply) bool {
 	var timeout <-chan time.Time
 	for {
 		changed := w.options.State.Changed()
-		if !w.options.State.isMissing(reply) {
+		if !w.options.State.isBehind(reply) {
 			return true
 		}
 		if !w.hasPrimary() {
@@ -160,16 +161,16 @@
 	}
 }
 
-// noteReadySource notes that a source that is ready has answered.
-func (w *Watcher) noteReadySource() {
+// markReadySource records that a source that is ready has replied.
+func (w *Watcher) markReadySource() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.readyReplyAt = time.Now()
 	recordReadyReply()
 }
 
-// acceptsNotReady reports whether nothing is known and no source that is ready has answered for long: then a state that
-// may be old is better than none.
+// acceptsNotReady reports whether the State has no control state and no source that is ready has replied for
+// acceptNotReadyAfter. Then a state that may be outdated is better than none.
 func (w *Watcher) acceptsNotReady() bool {
 	if w.options.State.Control() != nil {
 		return false
@@ -179,9 +180,9 @@
 	return time.Since(w.readyReplyAt) > acceptNotReadyAfter
 }
 
-// rewindOthers has the responding sources send the latest heartbeats again: they left out those that the failed source
-// seemed to send. The position in the failed source stays: after a long partition, what it sent before may have been
-// forgotten by all others.
+// rewindOthers makes the responding sources send the latest heartbeats again after a source has failed, because they omitted
+// those that they assumed the failed source to send. The position in the failed source is kept, because after a long
+// partition the other sources may have dropped what only this one can still send. The caller holds mu.
 func (w *Watcher) rewindOthers() {
 	for _, s := range w.sources {
 		if s.responding {
--- a/internal/tier/watch/poll_test.go
+++ b/internal/tier/watch/poll_test.go
@@ -12,39 +12,39 @@
 )
 
 func TestCommittedChangesAreSentToCoordinatorsOnly(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	s.SetControl(&tierpb.ControlState{Version: 1, CommittedChanges: []*tierpb.CommittedChange{{Generation: 1}}})
-	agent := ask(t, s, &tierpb.WatchRequest{Watcher: &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}})
+	agent := pollState(t, s, &tierpb.WatchRequest{Watcher: &tierpb.Node{Role: tierpb.Role_ROLE_AGENT}})
 	assert.Equal(t, len(agent.Control.CommittedChanges), 0)
-	coordinator := ask(t, s, &tierpb.WatchRequest{Watcher: &tierpb.Node{Role: tierpb.Role_ROLE_COORDINATOR}})
+	coordinator := pollState(t, s, &tierpb.WatchRequest{Watcher: &tierpb.Node{Role: tierpb.Role_ROLE_COORDINATOR}})
 	assert.Equal(t, len(coordinator.Control.CommittedChanges), 1)
 }
 
 func TestPollReturnsOnlyChanges(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	s.Upsert(instance("a", 1, ready))
 	s.Upsert(instance("b", 1, ready))
-	first := ask(t, s, &tierpb.WatchRequest{})
+	first := pollState(t, s, &tierpb.WatchRequest{})
 	assert.Equal(t, len(first.Instances), 2)
 	clock.advance(time.Second)
 	s.Upsert(instance("b", 2, draining))
-	next := ask(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation, Cursor: first.Cursor})
+	next := pollState(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation, Cursor: first.Cursor})
 	assert.Equal(t, len(next.Instances), 0)
 	assert.Equal(t, len(next.Statuses), 1)
 	assert.Equal(t, next.Statuses[0].State, draining)
-	other := ask(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation + 2})
+	other := pollState(t, s, &tierpb.WatchRequest{Incarnation: first.Incarnation + 2})
 	assert.Equal(t, len(other.Instances), 2)
 }
 
 func TestHeartbeatsAreSentOnRequestOnly(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	s.Upsert(instance("a", 1, ready))
-	first := ask(t, s, &tierpb.WatchRequest{})
+	first := pollState(t, s, &tierpb.WatchRequest{})
 	clock.advance(time.Second)
 	s.Upsert(instance("a", 2, ready))
 	request := &tierpb.WatchRequest{Incarnation: first.Incarnation, Cursor: first.Cursor}
-	reply, changed, beat := s.tryReply(request)
-	assert.Assert(t, reply == nil && changed != nil && beat == nil)
+	reply, changed, heartbeat := s.tryReply(request)
+	assert.Assert(t, reply == nil && changed != nil && heartbeat == nil)
 	request.Heartbeats = true
 	reply, _, _ = s.tryReply(request)
 	assert.Equal(t, len(reply.Instances), 0)
@@ -54,7 +54,7 @@
 func TestHeldPollIsAnsweredAtChange(t *testing.T) {
 	s := NewState()
 	s.Upsert(instance("a", 1, ready))
-	position := ask(t, s, &tierpb.WatchRequest{})
+	position := pollState(t, s, &tierpb.WatchRequest{})
 	replies := make(chan *tierpb.WatchReply)
 	go func() {
 		reply, _ := s.Watch(context.Background(), &tierpb.WatchRequest{Incarnation: position.Incarnation, Cursor: position.Cursor, WaitMs: 5000})
@@ -65,7 +65,7 @@
 }
 
 func TestEmptyStateHoldsPoll(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	reply, _, _ := s.tryReply(&tierpb.WatchRequest{Incarnation: 3, Cursor: 9, ControlVersion: 4})
 	assert.Assert(t, reply == nil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -75,13 +75,13 @@
 }
 
 func TestTurnStoresGetMembershipOnly(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	s.SetControl(&tierpb.ControlState{
 		Version: 1, Configuration: &tierpb.Configuration{Generation: 4}, Stores: &tierpb.StoreMembership{Epoch: 2},
 	})
 	s.Upsert(instance("a", 1, ready))
 	store := &tierpb.Node{Role: tierpb.Role_ROLE_TURN_STORE}
-	first := ask(t, s, &tierpb.WatchRequest{Watcher: store})
+	first := pollState(t, s, &tierpb.WatchRequest{Watcher: store})
 	assert.Equal(t, len(first.Instances), 0)
 	assert.Equal(t, first.Control.Stores.Epoch, uint64(2))
 	assert.Assert(t, first.Control.Configuration == nil)
@@ -97,11 +97,11 @@
 }
 
 func TestHeartbeatsFromOtherSourcesAreOmitted(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	for _, id := range []string{"own", "from-c", "from-d", "from-watcher"} {
 		s.Upsert(instance(id, 1, ready))
 	}
-	position := ask(t, s, &tierpb.WatchRequest{})
+	position := pollState(t, s, &tierpb.WatchRequest{})
 	clock.advance(time.Second)
 	s.Upsert(instance("own", 2, ready))
 	for _, source := range []string{"c", "d", "watcher"} {
@@ -111,15 +111,15 @@
 		Incarnation: position.Incarnation, Cursor: position.Cursor, Heartbeats: true, OtherSources: []string{"c"},
 		Watcher: &tierpb.Node{Role: tierpb.Role_ROLE_COORDINATOR, Address: "watcher"},
 	}
-	statuses := ask(t, s, request).Statuses
+	statuses := pollState(t, s, request).Statuses
 	assert.Equal(t, len(statuses), 2)
 	assert.Equal(t, statuses[0].Id, "own")
 	assert.Equal(t, statuses[1].Id, "from-d")
 }
 
 func TestWatcherOfAnotherIncarnationGetsDifferencesOnly(t *testing.T) {
-	watcher, _ := testState()
-	source, _ := testState()
+	watcher, _ := newTestState()
+	source, _ := newTestState()
 	for i := range 300 {
 		shared := instance(fmt.Sprint("i-", i), 1, ready)
 		watcher.Upsert(shared)
@@ -130,10 +130,10 @@
 	source.Upsert(instance("i-8", 2, draining))
 	source.Upsert(&tierpb.Instance{Id: "left", State: deregistered})
 	request := &tierpb.WatchRequest{Incarnation: 3, Cursor: 9}
-	first := ask(t, source, request)
+	first := pollState(t, source, request)
 	assert.Assert(t, first.More && first.Cursor == 0 && len(first.Instances) == 0)
 	request.Incarnation, request.Cursor, request.Summary = first.Incarnation, first.Cursor, watcher.digests()
-	second := ask(t, source, request)
+	second := pollState(t, source, request)
 	assert.Assert(t, !second.More)
 	assert.Assert(t, len(second.Instances) < 300/8, "%d instances in the reply", len(second.Instances))
 	watcher.Merge(second)
@@ -144,15 +144,15 @@
 }
 
 func TestSnapshotIsSplitIntoReplies(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	for i := range 3*maxInstancesPerReply + 1 {
 		s.Upsert(instance(fmt.Sprint(i), 1, ready))
 	}
-	watcher, _ := testState()
+	watcher, _ := newTestState()
 	request, replies := &tierpb.WatchRequest{}, 0
 	for more := true; more; replies++ {
 		request.Summary = watcher.digests()
-		reply := ask(t, s, request)
+		reply := pollState(t, s, request)
 		assert.Assert(t, len(reply.Instances) <= maxInstancesPerReply)
 		watcher.Merge(reply)
 		request.Incarnation, request.Cursor, more = reply.Incarnation, reply.Cursor, reply.More
@@ -163,29 +163,29 @@
 }
 
 func TestDigestsOnlyReplyShowsWhatIsMissing(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	s.SetControl(&tierpb.ControlState{Version: 3})
 	s.Upsert(instance("a", 1, ready))
 	request := &tierpb.WatchRequest{DigestsOnly: true}
-	reply := ask(t, s, request)
+	reply := pollState(t, s, request)
 	assert.Assert(t, reply.Control == nil && len(reply.Instances) == 0)
-	watcher, _ := testState()
+	watcher, _ := newTestState()
 	watcher.Merge(reply)
-	assert.Assert(t, watcher.isMissing(reply))
+	assert.Assert(t, watcher.isBehind(reply))
 	watcher.SetControl(&tierpb.ControlState{Version: 3})
-	assert.Assert(t, watcher.isMissing(reply))
+	assert.Assert(t, watcher.isBehind(reply))
 	watcher.Upsert(instance("a", 1, ready))
-	assert.Assert(t, !watcher.isMissing(reply))
+	assert.Assert(t, !watcher.isBehind(reply))
 
 	clock.advance(time.Second)
 	changed := instance("a", 2, draining)
 	changed.Slots = 9
 	s.Upsert(changed)
 	request.Incarnation, request.Cursor, request.ControlVersion = reply.Incarnation, reply.Cursor, 3
-	reply = ask(t, s, request)
+	reply = pollState(t, s, request)
 	watcher.Merge(reply)
 	assert.Equal(t, watcher.Instance("a").State, draining)
-	assert.Assert(t, watcher.isMissing(reply), "missing description not noticed")
+	assert.Assert(t, watcher.isBehind(reply), "missing description not noticed")
 	watcher.Upsert(changed)
-	assert.Assert(t, !watcher.isMissing(reply))
+	assert.Assert(t, !watcher.isBehind(reply))
 }
--- a/internal/tier/watch/position.go
+++ b/internal/tier/watch/position.go
@@ -6,25 +6,25 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// rewindWindow is at least how far back a rewind goes.
+// rewindWindow is the minimum time span that a rewind goes back.
 const rewindWindow = 2 * time.Second
 
-// position is up to where a watcher has merged a source.
+// position is how far a watcher has merged the updates of a source.
 type position struct {
 	incarnation   uint64 // of the source; 0 before its first reply
 	cursor        uint64 // revision of the source
 	incomplete    bool   // the first snapshot has not been merged in full yet
-	needsFullBody bool   // the last reply could not be merged: the next one is to hold the full body
+	needsFullBody bool   // the last reply could not be merged: the next request must ask for the full body
 
 	recentCursor       uint64 // cursor at recentAt
 	rewindCursor       uint64 // cursor at least rewindWindow before recentAt
 	recentAt           time.Time
-	cursorBeforeRewind uint64 // until the source has answered; 0 if it was not rewound
+	cursorBeforeRewind uint64 // restored if the source does not answer after a rewind, else 0
 
-	reconcileAt time.Time // of the next comparison of the lists
+	reconcileAt time.Time // time of the next comparison of the lists of instances
 }
 
-// advance moves past a reply that was merged.
+// advance moves the position past a merged reply.
 func (p *position) advance(reply *tierpb.WatchReply, now time.Time) {
 	if p.incarnation != reply.Incarnation {
 		*p = position{incarnation: reply.Incarnation, reconcileAt: now.Add(jittered(reconcileUnansweredInterval))}
@@ -35,7 +35,7 @@
 	}
 }
 
-// rewind goes back by at least rewindWindow, so that the source sends the updates of that time again.
+// rewind moves the cursor back by at least rewindWindow, so that the source sends the updates since then again.
 func (p *position) rewind() {
 	if p.rewindCursor < p.cursor {
 		p.cursorBeforeRewind = max(p.cursorBeforeRewind, p.cursor)
@@ -43,7 +43,7 @@
 	}
 }
 
-// undoRewind takes back a rewind that the source has not answered.
+// undoRewind reverts a rewind if the source has not answered since.
 func (p *position) undoRewind() {
 	p.cursor, p.cursorBeforeRewind = max(p.cursor, p.cursorBeforeRewind), 0
 }
--- a/internal/tier/watch/publish.go
+++ b/internal/tier/watch/publish.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Shortest time between two wake-ups. A burst of changes costs each watcher one poll in the interval instead of one per
-// change; heartbeats may wait longer, as heartbeat time-outs are longer by far.
+// Minimum intervals between two wake-ups, so that a burst of changes costs each watcher one poll per interval instead of
+// one per change. The interval for heartbeats is longer because heartbeat time-outs are much longer still.
 const (
 	minChangeInterval    = 25 * time.Millisecond
 	minHeartbeatInterval = 250 * time.Millisecond
 )
 
-// signal wakes all that wait on its channel: at once after a quiet time, else when its interval since the last wake-up
-// is over. It is guarded by the State's mutex.
+// signal wakes all goroutines that wait on its channel, at most once per interval. It is guarded by the State's mutex.
 type signal struct {
 	interval time.Duration
 	channel  chan struct{} // closed at the next wake-up
-	firedAt  time.Time
-	pending  bool // a timer for the next wake-up runs
+	firedAt  time.Time     // last wake-up
+	pending  bool          // a timer for the next wake-up is running
 }
 
 func newSignal(interval time.Duration) signal {
 	return signal{interval: interval, channel: make(chan struct{})}
 }
 
-// delay returns how long a change that happens now has to wait for its wake-up.
+// delay returns the time until the next wake-up is allowed.
 func (s *signal) delay(now time.Time) time.Duration {
 	if s.firedAt.IsZero() {
 		return 0
@@ -37,30 +36,30 @@
 	s.channel = make(chan struct{})
 }
 
-// notify wakes those that wait on a signal, now or when its interval is over.
-func (s *State) notify(on *signal) {
-	if on.pending {
+// notify publishes a change: at once if the signal's interval since its last wake-up has passed, else when it has.
+func (s *State) notify(sig *signal) {
+	if sig.pending {
 		return
 	}
-	delay := on.delay(s.now())
+	delay := sig.delay(s.now())
 	if delay == 0 {
-		s.publish(on)
+		s.publish(sig)
 		return
 	}
-	on.pending = true
+	sig.pending = true
 	s.after(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.publish(on)
+		s.publish(sig)
 	})
 }
 
-// publish makes all changes so far visible to held polls and wakes them.
-func (s *State) publish(on *signal) {
-	if on == &s.heartbeatSignal {
+// publish makes all changes so far visible to the held polls that wait for a signal, and wakes them.
+func (s *State) publish(sig *signal) {
+	if sig == &s.heartbeatSignal {
 		s.publishedHeartbeatRevision = s.revision
 	} else {
 		s.publishedRevision = s.revision
 	}
-	on.fire(s.now())
+	sig.fire(s.now())
 }
--- a/internal/tier/watch/readiness.go
+++ b/internal/tier/watch/readiness.go
@@ -10,8 +10,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ErrNotReady is the error of a ReadinessGate that has nothing for the watcher to act on: other sources have newer
-// state. Over rpc the watcher sees rpc.ErrRejected.
+// ErrNotReady is returned by a ReadinessGate that is not ready and has no updates that the watcher may use. The watcher
+// should ask another source. Over rpc it receives rpc.ErrRejected instead.
 var ErrNotReady = eris.New("no contact with a majority of the voters")
 
 // ReadinessOptions configures a ReadinessGate.
@@ -20,39 +20,41 @@
 	State *State
 	// Ready reports whether the process has contact with a majority of the voters. Required.
 	Ready func() bool
-	// Starting reports whether the process has just started, so that watchers may wait for it to be ready. Required.
+	// Starting reports whether the process has just started. While it is true, polls are held until the process is
+	// ready, instead of being rejected. Required.
 	Starting func() bool
-	// OnChange is called when the process becomes ready or stops being ready, with how long the time before lasted. It
-	// must not call the gate. Nil means no call.
-	OnChange func(ready bool, lasted time.Duration)
+	// OnChange is called when the process becomes ready or stops being ready, with the duration of the previous
+	// condition. It must not call the gate. Nil means no call.
+	OnChange func(ready bool, previousDuration time.Duration)
 	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
 }
 
-// ReadinessGate is a Source of a State that is kept by consensus. While its process is not ready, it sends watchers
-// what is newer than what they know and refers them to other sources. Those that know nothing yet get nothing, as they
-// would act on state that may be old. It is safe for concurrent use.
+// ReadinessGate is a Source that serves a State whose control state is chosen by consensus. While its process is not
+// ready, it sends only updates that are newer than what the watcher has, marked as not ready, so that the watcher turns
+// to another source. A watcher without a control state gets an error, as it would act on a state that may be outdated,
+// unless its request accepts that. A ReadinessGate is safe for concurrent use.
 type ReadinessGate struct {
 	options ReadinessOptions
 
-	mu        sync.Mutex
-	ready     bool
-	changedAt time.Time
-	period    context.Context // ends when ready changes
-	endPeriod context.CancelFunc
+	mu                 sync.Mutex
+	ready              bool
+	changedAt          time.Time
+	readinessPeriod    context.Context // canceled when ready changes
+	endReadinessPeriod context.CancelFunc
 }
 
-// NewReadinessGate returns a gate that is not ready yet.
+// NewReadinessGate returns a gate that is not ready until Check or Watch finds that its process is.
 func NewReadinessGate(options ReadinessOptions) *ReadinessGate {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	gate := &ReadinessGate{options: options, changedAt: options.Now()}
-	gate.period, gate.endPeriod = context.WithCancel(context.Background())
+	gate.readinessPeriod, gate.endReadinessPeriod = context.WithCancel(context.Background())
 	return gate
 }
 
-// Check asks whether the process is ready now and reports it. If that has changed, held polls end.
+// Check calls Ready and returns the result. If it has changed, held polls end.
 func (g *ReadinessGate) Check() bool {
 	ready, _ := g.check()
 	return ready
@@ -62,17 +64,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ready = g.options.Ready(); ready == g.ready {
-		return ready, g.period
+		return ready, g.readinessPeriod
 	}
 	now := g.options.Now()
-	lasted := now.Sub(g.changedAt)
+	previousDuration := now.Sub(g.changedAt)
 	g.ready, g.changedAt = ready, now
-	g.endPeriod()
-	g.period, g.endPeriod = context.WithCancel(context.Background())
+	g.endReadinessPeriod()
+	g.readinessPeriod, g.endReadinessPeriod = context.WithCancel(context.Background())
 	if g.options.OnChange != nil {
-		g.options.OnChange(ready, lasted)
+		g.options.OnChange(ready, previousDuration)
 	}
-	return ready, g.period
+	return ready, g.readinessPeriod
 }
 
 // Watch implements Source. It returns ErrNotReady, or the error of ctx.
@@ -87,17 +89,17 @@
 	if !ready {
 		return g.watchNotReady(ctx, request)
 	}
-	held, cancel := context.WithCancel(ctx)
+	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(period, cancel)()
-	reply, err := g.options.State.Watch(held, request)
+	reply, err := g.options.State.Watch(pollCtx, request)
 	if err == nil || ctx.Err() != nil {
 		return reply, err
 	}
 	return g.watchNotReady(ctx, request)
 }
 
-// awaitReady waits for the process to become ready, no longer than the poll may be held.
+// awaitReady waits for the process to become ready, at most as long as the poll may be held, and reports whether it is.
 func (g *ReadinessGate) awaitReady(ctx, period context.Context, request *tierpb.WatchRequest) bool {
 	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, maxPollWait))
 	defer timer.Stop()
@@ -109,8 +111,9 @@
 	return g.Check()
 }
 
-// watchNotReady sends a watcher what is newer than what it knows, marked as possibly old. The coordinators that this
-// process has contact with are left out: they are not all that there are.
+// watchNotReady answers a poll while the process is not ready: with the updates that are newer than what the watcher has,
+// marked as not ready, else with ErrNotReady. It omits the advertised coordinators, because this process may know only
+// some of them.
 func (g *ReadinessGate) watchNotReady(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	if request.ControlVersion == 0 && !request.AcceptNotReady {
 		return nil, ErrNotReady
--- a/internal/tier/watch/reconcile.go
+++ b/internal/tier/watch/reconcile.go
@@ -8,24 +8,26 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// An instance is unconfirmed if a watcher holds it and no coordinator knows it: its store crashed while all coordinators
-// lost their memory, so none of them can notice that its heartbeats have ended. A watcher finds unconfirmed instances by
-// comparing its list with that of a synchronized source.
+// An instance in a watcher's list is unconfirmed if no coordinator knows it. This happens when its store crashes while
+// all coordinators restart without state, so that none of them can notice that its heartbeats stopped. A watcher finds
+// unconfirmed instances by comparing its list with that of a synchronized source.
 
-// Times of the reconciliation.
+// Timing of the reconciliation.
 const (
-	// synchronizedTTL is how long MarkSynchronized holds: a process that did not run since may have missed heartbeats.
+	// synchronizedTTL is how long a State is synchronized after MarkSynchronized. It is short because a process that was
+	// suspended since the call may have missed heartbeats.
 	synchronizedTTL = 2 * time.Second
-	// unconfirmedTimeout is the age of an instance's last update up to which it may be on its way to the source.
+	// unconfirmedTimeout is the age of an instance's last update from which on it is unconfirmed if the source does not
+	// know it. A more recent update may still be in transit to the source.
 	unconfirmedTimeout = 5 * time.Second
 
-	reconcileUnansweredInterval = 3 * time.Second      // to the next comparison if the source was not synchronized
+	reconcileUnansweredInterval = 3 * time.Second      // until the next comparison if the source was not synchronized
 	reconcileDifferentInterval  = 10 * time.Second     // if the lists differed
 	reconcileEqualInterval      = registry.ExpireAfter // if they were equal
 )
 
-// MarkSynchronized states that the State holds every store that sends heartbeats now. It holds for a short time, so
-// it is to be called again and again.
+// MarkSynchronized declares that the State contains every store that currently sends heartbeats. This is valid for
+// synchronizedTTL, so the caller must repeat it.
 func (s *State) MarkSynchronized() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,8 +38,8 @@
 	return !s.synchronizedAt.IsZero() && s.now().Sub(s.synchronizedAt) <= synchronizedTTL
 }
 
-// addDifferences answers a comparison: it names the buckets in which the watcher's summary differs, and all instances
-// in them.
+// addDifferences adds the result of a comparison to a reply: the buckets in which the watcher's summary differs, and the
+// statuses of all instances in these buckets.
 func (s *State) addDifferences(request *tierpb.WatchRequest, reply *tierpb.WatchReply) {
 	if len(request.Summary) != summaryBuckets {
 		return
@@ -58,8 +60,8 @@
 	}
 }
 
-// suspectUnconfirmed applies the heartbeat time-outs to the instances that the source of a comparison does not name,
-// and reports whether any of them changed.
+// suspectUnconfirmed applies the heartbeat time-outs to the instances that the reply to a comparison does not name, and
+// reports whether any of them timed out.
 func (s *State) suspectUnconfirmed(reply *tierpb.WatchReply) bool {
 	if len(reply.DifferingBuckets) == 0 {
 		return false
@@ -91,7 +93,7 @@
 	return p.cursor > 0 && !p.incomplete && !now.Before(p.reconcileAt)
 }
 
-// scheduleReconcile sets the time of the next comparison by the result of the last one.
+// scheduleReconcile sets the time of the next comparison depending on the result of the last one.
 func (p *position) scheduleReconcile(reply *tierpb.WatchReply, now time.Time) {
 	interval := reconcileEqualInterval
 	switch {
--- a/internal/tier/watch/reply.go
+++ b/internal/tier/watch/reply.go
@@ -6,11 +6,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// maxInstancesPerReply is how many instances a reply describes in full. A longer list is sent in several replies, so
-// that each arrives within the watcher's time-out on a slow link.
+// maxInstancesPerReply is the maximum number of full descriptions in a reply. A longer list is split into several replies,
+// so that each arrives within the watcher's time-out on a slow link.
 const maxInstancesPerReply = 512
 
-// buildReply returns what is new for a watcher, which may be nothing.
+// buildReply returns the updates since a watcher's position. There may be none.
 func (s *State) buildReply(request *tierpb.WatchRequest) *tierpb.WatchReply {
 	reply := &tierpb.WatchReply{Incarnation: s.incarnation, Cursor: s.revision}
 	s.addControl(request, reply)
@@ -24,7 +24,7 @@
 	switch {
 	case !wantsInstances(request.Watcher):
 	case request.Incarnation != s.incarnation && request.Cursor > 0 && !hasSummary:
-		reply.Cursor, reply.More = 0, true // its position is in another incarnation: a summary shows what it misses
+		reply.Cursor, reply.More = 0, true // its position is in another incarnation: make it send a summary
 	default:
 		s.addInstances(request, cursor, reply)
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-// replaceBodyByDelta replaces the configuration's body by the delta from the watcher's version, if there is one.
+// replaceBodyByDelta replaces the configuration's body by a delta to the body of the watcher's version, if there is one.
 func (s *State) replaceBodyByDelta(request *tierpb.WatchRequest, reply *tierpb.WatchReply) {
 	if request.FullBody || len(reply.Control.Configuration.GetBody()) == 0 {
 		return
@@ -52,8 +52,8 @@
 	}
 }
 
-// addInstances adds what changed after the cursor: a full instance where the description is new to the watcher, else a
-// status.
+// addInstances adds the instances that changed after the cursor: in full if the description is new to the watcher, else as
+// a status.
 func (s *State) addInstances(request *tierpb.WatchRequest, cursor uint64, reply *tierpb.WatchReply) {
 	now := s.now()
 	s.changes.since(cursor, func(id string, changedAt uint64) bool {
@@ -87,14 +87,14 @@
 	}
 }
 
-// appendHeartbeats appends the heartbeats that a watcher does not get otherwise: neither those of instances that this
-// reply holds anyway, nor those that come from the watcher itself or from its other sources.
+// appendHeartbeats appends the heartbeats after the cursor, except those of instances that the reply contains already and
+// those that this State received from the watcher itself or from another of its sources.
 func (s *State) appendHeartbeats(
 	request *tierpb.WatchRequest, cursor uint64, statuses []*tierpb.InstanceStatus,
 ) []*tierpb.InstanceStatus {
 	s.heartbeats.since(cursor, func(id string, _ uint64) bool {
 		e := s.instances[id]
-		inReply := s.changes.newest[id] > cursor && !s.summary.matches(request.Summary, id)
+		inReply := s.changes.newestRevision[id] > cursor && !s.summary.matches(request.Summary, id)
 		if !inReply && !receivesFrom(request, e.source) {
 			statuses = append(statuses, statusOf(e.instance))
 		}
@@ -103,7 +103,8 @@
 	return statuses
 }
 
-// hasHeartbeatFor reports whether there is a heartbeat that a watcher does not get from another source.
+// hasHeartbeatFor reports whether there is a heartbeat after the cursor that the watcher does not receive from another
+// source.
 func (s *State) hasHeartbeatFor(request *tierpb.WatchRequest, cursor uint64) bool {
 	found := false
 	s.heartbeats.since(cursor, func(id string, _ uint64) bool {
@@ -113,8 +114,8 @@
 	return found
 }
 
-// receivesFrom reports whether a watcher is or watches the source at an address. The address is empty for a call of a
-// store.
+// receivesFrom reports whether a watcher receives the updates of the source at an address directly, because it is that
+// source or watches it. It is false for an empty address, which stands for updates without a source.
 func receivesFrom(request *tierpb.WatchRequest, source string) bool {
 	return source != "" && (request.GetWatcher().GetAddress() == source || slices.Contains(request.OtherSources, source))
 }
@@ -123,9 +124,9 @@
 	return &tierpb.InstanceStatus{Id: instance.Id, Sequence: instance.Sequence, State: instance.State}
 }
 
-// statusWithDigest adds the digest of a description that is newer than the cursor, so that the watcher notices whether
-// its primary has sent it yet.
-func statusWithDigest(e entry, cursor uint64) *tierpb.InstanceStatus {
+// statusWithDigest returns a status with the digest of the description if that is newer than the cursor. By the digest the
+// watcher detects whether its primary has already sent the description.
+func statusWithDigest(e instanceEntry, cursor uint64) *tierpb.InstanceStatus {
 	status := statusOf(e.instance)
 	if e.descriptionRevision > cursor {
 		status.Description = descriptionDigest(e.instance)
--- a/internal/tier/watch/selection.go
+++ b/internal/tier/watch/selection.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Times of the selection of sources.
+// Limits of the selection of sources.
 const (
-	minSourceBackoff    = 2 * time.Second // for which a source is avoided after its first failure; doubles with each
+	minSourceBackoff    = 2 * time.Second // after the first failure; doubles with each further one
 	maxSourceBackoff    = 15 * time.Second
 	maxSourceDoublings  = 4
-	maxRankedFailures   = 100             // more failures than these no longer lower a source's rank
-	maxReselectInterval = 8 * time.Second // after which a worker looks whether a better source is back
+	maxRankedFailures   = 100             // further failures do not lower a source's rank
+	maxReselectInterval = 8 * time.Second // between two checks of a worker for a better source
 )
 
-// claimSource picks the best source that no worker watches, empty if there is none. Needed is false if there are more
-// workers than sources to watch.
+// claimSource marks the best source without a worker as watched and returns its address, empty if there is none. If there
+// are more workers than sources to watch, needed is false and the calling worker must end.
 func (w *Watcher) claimSource() (address string, needed bool) {
 	endpoints := w.options.Endpoints()
 	w.mu.Lock()
@@ -34,8 +34,8 @@
 	return best, true
 }
 
-// bestSource ranks the free sources: those not in backoff first, then those of a zone that no worker watches a source
-// of, then by preference.
+// bestSource returns the best source without a worker, empty if there is none. Sources that are not in backoff come first,
+// then those of a zone in which no source is watched, then those that Endpoints prefers.
 func (w *Watcher) bestSource(endpoints []Endpoint) string {
 	zones := w.watchedZones(endpoints)
 	now := time.Now()
@@ -73,7 +73,7 @@
 	return zones
 }
 
-// pruneSources forgets sources that are neither endpoints any more nor watched, once there are many.
+// pruneSources removes the state of sources that are neither endpoints nor watched, once there are many.
 func (w *Watcher) pruneSources(endpoints []Endpoint) {
 	if len(w.sources) <= 2*len(endpoints)+8 {
 		return
@@ -89,7 +89,8 @@
 	}
 }
 
-// shouldSwitch reports whether the source is no longer an endpoint or, checked at reselectAt, a better one is free.
+// shouldSwitch reports whether a source is no longer an endpoint or there is a better one without a worker. It looks for a
+// better one only from reselectAt on, and then sets the time of the next check.
 func (w *Watcher) shouldSwitch(address string, endpoints []Endpoint, reselectAt *time.Time) bool {
 	if !slices.ContainsFunc(endpoints, func(endpoint Endpoint) bool { return endpoint.Address == address }) {
 		return true
@@ -111,7 +112,7 @@
 	return time.Now().Add(maxReselectInterval/2 + rand.N(maxReselectInterval/2))
 }
 
-// sourceBackoff is how long a source is avoided after so many failures in a row.
+// sourceBackoff returns how long a source is avoided after a number of consecutive failures.
 func sourceBackoff(failures int) time.Duration {
 	return min(minSourceBackoff<<min(failures-1, maxSourceDoublings), maxSourceBackoff)
 }
--- a/internal/tier/watch/serve.go
+++ b/internal/tier/watch/serve.go
@@ -8,21 +8,21 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// maxPollWait is the longest that a source holds a poll, whatever the watcher asks for.
+// maxPollWait limits how long a source holds a poll, even if the watcher requests more.
 const maxPollWait = 5 * time.Second
 
 // Source answers long polls. State and ReadinessGate implement it.
 type Source interface {
-	// Watch returns what is newer than the request's position. It may hold the poll until there is something, no
-	// longer than WaitMs. It may modify the request.
+	// Watch returns the updates after the request's position. It may wait for updates for up to WaitMs, and it may modify
+	// the request.
 	Watch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error)
 }
 
-// Serve registers a source as the server's handler of polls.
+// Serve registers a source as the handler of a server's polls.
 func Serve(server *rpc.Server, source Source) { rpc.Handle(server, rpc.MethodWatch, source.Watch) }
 
-// Watch implements Source. It replies at once if there are updates for the watcher, else when there are or when WaitMs
-// is over. An empty State has no updates, so a watcher that knows more than it waits. The only error is that of ctx.
+// Watch implements Source. It replies as soon as there are updates for the watcher, at the latest after WaitMs. An empty
+// State has no updates, so it holds the polls of watchers that know more than it does. The only error is that of ctx.
 func (s *State) Watch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	var timeout <-chan time.Time
 	for {
@@ -49,8 +49,8 @@
 	}
 }
 
-// tryReply returns the updates for a watcher, or nil and the channels that are closed when there may be some; the second
-// is nil for a watcher without heartbeats.
+// tryReply returns the updates for a watcher. If there are none, it returns nil and the channels that are closed at the
+// next change and at the next heartbeat. The second one is nil if the watcher does not request heartbeats.
 func (s *State) tryReply(request *tierpb.WatchRequest) (*tierpb.WatchReply, <-chan struct{}, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return nil, s.changeSignal.channel, nil
 }
 
-// hasUpdates reports whether a poll is to be answered now. Changes that are not published yet do not count.
+// hasUpdates reports whether a poll must be answered now. It ignores changes that are not published yet.
 func (s *State) hasUpdates(request *tierpb.WatchRequest) bool {
 	if request.Compare {
 		return true
@@ -84,11 +84,11 @@
 	return request.Heartbeats && s.publishedHeartbeatRevision > cursor && s.hasHeartbeatFor(request, cursor)
 }
 
-// listRevision is the revision of the newest change of the instances or the coordinators. A watcher's position in the
-// control state is its version instead.
+// listRevision returns the revision of the newest Material change of an instance or change of the advertised coordinators.
+// Control states are not included, as watchers request them by version.
 func (s *State) listRevision() uint64 { return max(s.changes.last(), s.advertisedRevision) }
 
-// replyNow answers a poll whether there are updates or not; without, the reply holds only the position.
+// replyNow answers a poll without waiting. If there are no updates, the reply contains only the position.
 func (s *State) replyNow(request *tierpb.WatchRequest) *tierpb.WatchReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/watch/state.go
+++ b/internal/tier/watch/state.go
@@ -9,47 +9,48 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// State holds the newest chosen control state and all known instances. It merges updates in any order and from any
-// source, and never goes back. Messages that it holds or returns must not be modified. It is safe for concurrent use.
+// State holds the newest chosen control state and all known instances. It merges updates from any source in any order
+// and never reverts to older data. Messages that are passed to it or returned by it must not be modified. It is safe for
+// concurrent use.
 type State struct {
 	now   func() time.Time
 	after func(time.Duration, func())
 
 	mu          sync.Mutex
-	incarnation uint64 // random id of this State, which its revisions belong to; never 0
+	incarnation uint64 // random id that distinguishes this State's revisions from those of others; never 0
 	revision    uint64 // of the newest change
 
 	control         *tierpb.ControlState
-	controlRevision uint64 // at which control changed
+	controlRevision uint64 // of the last change of control
 	bodies          bodyHistory
 
-	instances    map[string]entry // by id
+	instances    map[string]instanceEntry // by id
 	countByState map[tierpb.InstanceState]int
 	summary      summary
 	changes      journal     // material changes
-	heartbeats   journal     // all other changes
+	heartbeats   journal     // changes of only the sequence or the slow start
 	tombstones   []tombstone // oldest first
 
-	learnedCoordinators    []*tierpb.Node // from sources
-	advertisedCoordinators []*tierpb.Node // to watchers
-	advertisedRevision     uint64         // at which advertisedCoordinators changed
+	learnedCoordinators    []*tierpb.Node // received from sources
+	advertisedCoordinators []*tierpb.Node // sent to watchers
+	advertisedRevision     uint64         // of the last change of advertisedCoordinators
 	synchronizedAt         time.Time      // of the last call of MarkSynchronized
 
-	publishedRevision          uint64 // watchers have been woken for changes up to here
-	publishedHeartbeatRevision uint64
+	publishedRevision          uint64 // held polls have been woken for changes up to this revision
+	publishedHeartbeatRevision uint64 // held polls have been woken for heartbeats up to this revision
 	changeSignal               signal
 	heartbeatSignal            signal
 }
 
-// entry is an instance with what the State notes about it.
-type entry struct {
+// instanceEntry is an instance with the State's bookkeeping for it.
+type instanceEntry struct {
 	instance            *tierpb.Instance
 	updatedAt           time.Time
-	source              string // address of the source that sent it, empty where it came from the store itself
-	descriptionRevision uint64 // at which anything but the state and the sequence changed
+	source              string // address of the source that a Watcher received it from, else empty
+	descriptionRevision uint64 // of the last change of the description
 }
 
-// NewState returns an empty State with an incarnation of its own.
+// NewState returns an empty State with a new incarnation.
 func NewState() *State {
 	return newState(time.Now, func(delay time.Duration, run func()) { time.AfterFunc(delay, run) })
 }
@@ -59,7 +60,7 @@
 		now:             now,
 		after:           after,
 		incarnation:     randomIncarnation(),
-		instances:       make(map[string]entry),
+		instances:       make(map[string]instanceEntry),
 		countByState:    make(map[tierpb.InstanceState]int),
 		changes:         newJournal(),
 		heartbeats:      newJournal(),
@@ -68,17 +69,17 @@
 	}
 }
 
-// randomIncarnation draws an odd number, so that it is never 0, which stands for none.
+// randomIncarnation returns an odd number, because 0 stands for an unknown incarnation.
 func randomIncarnation() uint64 {
 	var drawn [8]byte
 	_, _ = rand.Read(drawn[:])
 	return binary.BigEndian.Uint64(drawn[:]) | 1
 }
 
-// Merge merges a reply of any source and reports whether anything but heartbeats changed.
+// Merge merges a reply whose source is not recorded and reports whether it changed anything but heartbeats.
 func (s *State) Merge(reply *tierpb.WatchReply) bool { return s.mergeFrom(reply, "") }
 
-// Upsert merges one instance, as its store described it, and returns what that changed.
+// Upsert adds or updates an instance as described by its store and returns what kind of change that was.
 func (s *State) Upsert(instance *tierpb.Instance) Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return s.mergeControl(control)
 }
 
-// AdvertiseCoordinators sets the coordinators that replies name to watchers.
+// AdvertiseCoordinators sets the list of coordinators that is sent to watchers.
 func (s *State) AdvertiseCoordinators(nodes []*tierpb.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return s.control
 }
 
-// Coordinators returns the coordinators that the last source to name any advertised.
+// Coordinators returns the list of coordinators most recently received from a source.
 func (s *State) Coordinators() []*tierpb.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,8 +143,8 @@
 	return s.countByState[state]
 }
 
-// ChangedSince returns the instances that changed materially after a revision, oldest change first, and the revision
-// to pass next time. Revision 0 returns all.
+// ChangedSince returns the instances with a Material change after a revision, oldest change first, and the revision to
+// pass to the next call. Revision 0 returns all instances.
 func (s *State) ChangedSince(revision uint64) ([]*tierpb.Instance, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,15 +157,15 @@
 	return changed, s.revision
 }
 
-// Revision returns the number of the newest change, heartbeats included. It belongs to this State alone.
+// Revision returns the number of the newest change, heartbeats included. Revisions of different States are unrelated.
 func (s *State) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Changed returns a channel that is closed at the next change other than a heartbeat. Get it before reading the State,
-// else a change in between is missed.
+// Changed returns a channel that is closed at the next change other than a heartbeat. Callers must call it before they
+// read the State, or they miss a change in between.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/watch/state_test.go
+++ b/internal/tier/watch/state_test.go
@@ -10,31 +10,31 @@
 )
 
 func TestBurstOfChangesWakesOncePerInterval(t *testing.T) {
-	s, clock := testState()
+	s, clock := newTestState()
 	first := s.Changed()
 	s.Upsert(instance("a", 1, ready))
-	assert.Assert(t, closed(first))
+	assert.Assert(t, isClosed(first))
 	second := s.Changed()
 	s.Upsert(instance("b", 1, ready))
 	s.Upsert(instance("c", 1, ready))
-	assert.Assert(t, !closed(second))
+	assert.Assert(t, !isClosed(second))
 	clock.advance(minChangeInterval)
-	assert.Assert(t, closed(second))
+	assert.Assert(t, isClosed(second))
 	assert.Equal(t, len(clock.timers), 0)
 }
 
 func TestJournalIsCompacted(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	for sequence := range uint64(10000) {
 		s.Upsert(instance("a", sequence, ready))
 		s.Upsert(instance("b", sequence, ready))
 	}
-	assert.Assert(t, len(s.heartbeats.events) <= 2*2+compactionSlack)
-	assert.Equal(t, len(ask(t, s, &tierpb.WatchRequest{}).Instances), 2)
+	assert.Assert(t, len(s.heartbeats.entries) <= 2*2+compactionSlack)
+	assert.Equal(t, len(pollState(t, s, &tierpb.WatchRequest{}).Instances), 2)
 }
 
 func TestChangedSinceIsIncremental(t *testing.T) {
-	s, _ := testState()
+	s, _ := newTestState()
 	s.Upsert(instance("a", 1, ready))
 	all, revision := s.ChangedSince(0)
 	assert.Equal(t, len(all), 1)
@@ -45,8 +45,8 @@
 }
 
 func TestSummaryDependsOnInstancesOnly(t *testing.T) {
-	one, _ := testState()
-	other, _ := testState()
+	one, _ := newTestState()
+	other, _ := newTestState()
 	one.Upsert(instance("a", 1, ready))
 	one.Upsert(instance("b", 4, ready))
 	one.Upsert(instance("a", 2, draining))
--- a/internal/tier/watch/tombstones.go
+++ b/internal/tier/watch/tombstones.go
@@ -6,8 +6,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// tombstoneTTL is how long a deregistered instance is kept, so that an older update that arrives late does not bring
-// it back.
+// tombstoneTTL is how long a deregistered instance is kept, so that an older update that arrives late does not add it
+// again.
 const tombstoneTTL = time.Minute
 
 // tombstone refers to a deregistered instance.
@@ -16,7 +16,7 @@
 	createdAt time.Time
 }
 
-// expireTombstones forgets the deregistered instances whose time is over.
+// expireTombstones removes the instances that were deregistered at least tombstoneTTL ago.
 func (s *State) expireTombstones() {
 	for len(s.tombstones) > 0 && s.now().Sub(s.tombstones[0].createdAt) >= tombstoneTTL {
 		id := s.tombstones[0].id
--- a/internal/tier/watch/watcher.go
+++ b/internal/tier/watch/watcher.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Backoff of a worker between two sources. It grows while no source answers.
+// Backoff of a worker before it claims its next source. It doubles while no source answers.
 const (
 	minRetryBackoff = 50 * time.Millisecond
 	maxRetryBackoff = 500 * time.Millisecond
@@ -23,24 +23,24 @@
 	Caller rpc.Caller
 	// State is what replies are merged into. Required.
 	State *State
-	// Endpoints returns the sources in order of preference. It is called again for each poll, so it may change its
-	// result. Required.
+	// Endpoints returns the sources in order of preference. It is called again after each poll, so its result may
+	// change over time. Required.
 	Endpoints func() []Endpoint
 	// MaxSources is how many sources are watched at the same time. 0 means all of them.
 	MaxSources int
 	// PollWait is how long a source may hold a poll. 0 means DefaultPollWait.
 	PollWait time.Duration
-	// Self is the process that watches; sources send what its role needs. Nil means a role that needs everything but
-	// the committed changes.
+	// Self describes the watching process. Sources send only what its role needs; for nil, everything except the
+	// committed changes.
 	Self *tierpb.Node
-	// Heartbeats also asks for updates in which only an instance's sequence rose. Coordinators need them to detect
-	// failures.
+	// Heartbeats also requests the updates that only increase the sequence of an instance. Coordinators need them to
+	// detect failures.
 	Heartbeats bool
-	// Reconcile compares the lists with a source from time to time and times out instances that the source has
-	// forgotten.
+	// Reconcile compares the list of instances periodically with that of a source and times out instances that the
+	// source does not know.
 	Reconcile bool
-	// OnReply is called after a reply was merged, with the time at which the poll was sent, by Now. It precedes
-	// OnSourceChange for the same source. Nil means no call.
+	// OnReply is called after a reply was merged. The time sentAt is that of Now when the poll was sent. If the poll also
+	// changes whether the source responds, OnSourceChange is called afterwards. Nil means no call.
 	OnReply func(address string, reply *tierpb.WatchReply, sentAt time.Time)
 	// Now is the clock for OnReply. Nil means time.Now.
 	Now func() time.Time
@@ -48,30 +48,30 @@
 	OnSourceChange func(address string, responding bool)
 }
 
-// Watcher keeps a State up to date by long polls to several sources at a time, so that one that does not answer or lags
-// delays nothing. When a source fails, another is asked at once, and the failed one is avoided with backoff. It is safe
-// for concurrent use.
+// Watcher keeps a State up to date by long polls. It polls several sources concurrently, so that a source that lags or
+// does not answer delays no updates. A source that fails is replaced by another and avoided with backoff. A Watcher is
+// safe for concurrent use.
 type Watcher struct {
 	options Options
 
 	mu           sync.Mutex
 	sources      map[string]*sourceState // by address
-	primary      string                  // address of the source that sends everything; the others send digests only
-	workers      int
-	readyReplyAt time.Time // of the last reply of a source that is ready; at first the time of the start
-	done         sync.WaitGroup
+	primary      string                  // address of the source that sends full updates; the others send digests only
+	workers      int                     // running workers, each of which watches one source at a time
+	readyReplyAt time.Time               // last reply of a source that is ready; initially when the Watcher was created
+	workersDone  sync.WaitGroup
 }
 
-// sourceState is what a Watcher knows of a source.
+// sourceState is a Watcher's state for one source.
 type sourceState struct {
 	position     position
 	watched      bool // by a worker
 	responding   bool // answered its last poll
-	failures     int  // in a row
+	failures     int  // consecutive
 	backoffUntil time.Time
 }
 
-// NewWatcher returns a Watcher; Run starts it.
+// NewWatcher returns a Watcher that does nothing before Run is called.
 func NewWatcher(options Options) *Watcher {
 	if options.PollWait == 0 {
 		options.PollWait = DefaultPollWait
@@ -80,7 +80,7 @@
 		options.Now = time.Now
 	}
 	if options.Self.GetRole() != tierpb.Role_ROLE_COORDINATOR {
-		// Sources need no more of other roles, and there are many polls.
+		// For other roles, sources use only the role. Omitting the rest keeps polls small.
 		options.Self = &tierpb.Node{Role: options.Self.GetRole()}
 	}
 	return &Watcher{options: options, sources: make(map[string]*sourceState), readyReplyAt: time.Now()}
@@ -93,7 +93,7 @@
 func (w *Watcher) Run(ctx context.Context) {
 	w.startWorkers(ctx, w.options.Endpoints())
 	<-ctx.Done()
-	w.done.Wait()
+	w.workersDone.Wait()
 }
 
 // RespondingSources returns the addresses of the sources that answered their last poll, in no particular order.
@@ -113,14 +113,14 @@
 	return addresses
 }
 
-// startWorkers starts workers until there are as many as sources to watch, and at least one.
+// startWorkers starts the workers that are missing: one for each source to watch, and at least one.
 func (w *Watcher) startWorkers(ctx context.Context, endpoints []Endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for w.workers < w.wantedWorkers(endpoints) && ctx.Err() == nil {
 		w.workers++
-		w.done.Add(1)
-		go w.work(ctx)
+		w.workersDone.Add(1)
+		go w.runWorker(ctx)
 	}
 }
 
@@ -132,9 +132,9 @@
 	return max(wanted, 1)
 }
 
-// work watches one source at a time until ctx ends or there are too many workers.
-func (w *Watcher) work(ctx context.Context) {
-	defer w.done.Done()
+// runWorker watches one source after another until ctx ends or there are more workers than sources to watch.
+func (w *Watcher) runWorker(ctx context.Context) {
+	defer w.workersDone.Done()
 	backoff := minRetryBackoff
 	for ctx.Err() == nil {
 		address, needed := w.claimSource()
@@ -152,8 +152,8 @@
 	}
 }
 
-// watchSource polls a source until it fails, is no longer an endpoint or a better one is free. It reports whether the
-// source ever answered.
+// watchSource polls a source until it fails, is no longer an endpoint, or a better source has no worker. It reports
+// whether the source answered any poll.
 func (w *Watcher) watchSource(ctx context.Context, address string) bool {
 	answered := false
 	reselectAt := nextReselect()
--- a/internal/tier/watch/watcher_test.go
+++ b/internal/tier/watch/watcher_test.go
@@ -12,16 +12,16 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func TestUpdatesAreNotDelayedByOneFaultySource(t *testing.T) {
-	for _, kind := range []fault{none, crashed, partitioned, repliesLost, slowToAnswer} {
-		for _, victim := range []string{"a", "b"} {
-			t.Run(fmt.Sprint(kind, victim), func(t *testing.T) {
+func TestOneFaultySourceDoesNotDelayUpdates(t *testing.T) {
+	for _, injected := range []fault{noFault, crashed, partitioned, repliesLost, lagging} {
+		for _, faulty := range []string{"a", "b"} {
+			t.Run(fmt.Sprint(injected, faulty), func(t *testing.T) {
 				n := newNetwork("a", "b", "c")
 				runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(_ *Watcher, state *State) {
-					assert.Assert(t, arrival(n, state, 1) <= 2*oneWay)
-					n.set(victim, kind)
+					assert.Assert(t, measurePropagation(n, state, 1) <= 2*oneWayLatency)
+					n.setFault(faulty, injected)
 					for version := range uint64(40) {
-						assert.Assert(t, arrival(n, state, version+2) <= minChangeInterval+catchUpTimeout+6*oneWay)
+						assert.Assert(t, measurePropagation(n, state, version+2) <= minChangeInterval+catchUpTimeout+6*oneWayLatency)
 						time.Sleep(130 * time.Millisecond)
 					}
 				})
@@ -33,23 +33,23 @@
 func TestFailedSourcesAreReplaced(t *testing.T) {
 	n := newNetwork("a", "b", "c", "d")
 	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c", "d"), func(watcher *Watcher, state *State) {
-		n.set("a", crashed)
-		n.set("b", partitioned)
+		n.setFault("a", crashed)
+		n.setFault("b", partitioned)
 		time.Sleep(DefaultPollWait + pollGrace + time.Second)
 		got := watcher.RespondingSources()
 		slices.Sort(got)
 		assert.DeepEqual(t, got, []string{"c", "d"})
-		assert.Assert(t, arrival(n, state, 9) <= 2*oneWay)
+		assert.Assert(t, measurePropagation(n, state, 9) <= 2*oneWayLatency)
 	})
 }
 
 func TestPreferredSourceIsSelectedAgainAfterRecovery(t *testing.T) {
 	n := newNetwork("a", "b", "c")
 	runWatcher(t, n, 2, fixedEndpoints("a", "b", "c"), func(watcher *Watcher, _ *State) {
-		n.set("a", crashed)
+		n.setFault("a", crashed)
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, !slices.Contains(watcher.RespondingSources(), "a"))
-		n.set("a", none)
+		n.setFault("a", noFault)
 		time.Sleep(maxSourceBackoff + 4*maxReselectInterval)
 		assert.Assert(t, slices.Contains(watcher.RespondingSources(), "a"))
 	})
@@ -58,11 +58,11 @@
 func TestWatcherRecoversAfterAllSourcesFailed(t *testing.T) {
 	n := newNetwork("a", "b")
 	runWatcher(t, n, 2, fixedEndpoints("a", "b"), func(_ *Watcher, state *State) {
-		n.set("a", partitioned)
-		n.set("b", partitioned)
+		n.setFault("a", partitioned)
+		n.setFault("b", partitioned)
 		time.Sleep(time.Minute)
-		n.set("b", none)
-		assert.Assert(t, arrival(n, state, 5) <= 4*time.Second)
+		n.setFault("b", noFault)
+		assert.Assert(t, measurePropagation(n, state, 5) <= 4*time.Second)
 	})
 }
 
@@ -78,34 +78,34 @@
 func TestRemovedEndpointIsNoLongerWatched(t *testing.T) {
 	n := newNetwork("a", "b", "c")
 	var mu sync.Mutex
-	current := endpoints("a", "b")
+	current := endpointsOf("a", "b")
 	runWatcher(t, n, 2, func() []Endpoint {
 		mu.Lock()
 		defer mu.Unlock()
 		return current
 	}, func(watcher *Watcher, state *State) {
 		mu.Lock()
-		current = endpoints("b", "c")
+		current = endpointsOf("b", "c")
 		mu.Unlock()
 		time.Sleep(2 * time.Second)
 		got := watcher.RespondingSources()
 		slices.Sort(got)
 		assert.DeepEqual(t, got, []string{"b", "c"})
-		assert.Assert(t, arrival(n, state, 3) <= 2*oneWay)
+		assert.Assert(t, measurePropagation(n, state, 3) <= 2*oneWayLatency)
 	})
 }
 
 func TestAllSourcesAreWatchedWithoutMaxSources(t *testing.T) {
 	n := newNetwork("a", "b", "c")
 	var mu sync.Mutex
-	current := endpoints("a")
+	current := endpointsOf("a")
 	runWatcher(t, n, 0, func() []Endpoint {
 		mu.Lock()
 		defer mu.Unlock()
 		return current
 	}, func(watcher *Watcher, _ *State) {
 		mu.Lock()
-		current = endpoints("a", "b", "c")
+		current = endpointsOf("a", "b", "c")
 		mu.Unlock()
 		time.Sleep(2*maxReselectInterval + time.Second)
 		assert.Equal(t, len(watcher.RespondingSources()), 3)
@@ -128,7 +128,7 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, state.Control().Version, uint64(7))
 		assert.Equal(t, state.Instance("i").State, draining)
-		assert.Assert(t, arrival(n, state, 8) <= 2*oneWay)
+		assert.Assert(t, measurePropagation(n, state, 8) <= 2*oneWayLatency)
 	})
 }
 
