--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the role that runs beside the proxy on each machine. It watches the coordinators and serves what they
-// know to the proxy over loopback, so that a proxy's watch stays on its machine and the coordinators have one watcher a
-// machine. It holds no state that must survive a restart.
+// Package agent implements the agent, the role that runs beside the proxy on each machine. It watches the coordinators and
+// serves their control state and list of instances to the proxy over loopback, so that the coordinators have only one
+// watcher per machine. It keeps no state across restarts.
 package agent
 
 import (
@@ -17,11 +17,11 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// watchedCoordinators is how many coordinators an agent watches at a time. With two, one that does not answer or lags
-// delays nothing; more would only add load.
-const watchedCoordinators = 2
+// maxWatchedCoordinators is how many coordinators an agent watches at a time. With two, a coordinator that lags or does not
+// answer delays no updates; more would only add load.
+const maxWatchedCoordinators = 2
 
-// agent is one running agent.
+// agent holds the parts of a running agent.
 type agent struct {
 	settings *settings.Live
 	log      hclog.Logger
@@ -41,11 +41,11 @@
 		return err
 	}
 	log.Info("agent started", "node", a.self.Name, "address", a.self.Address)
-	var running sync.WaitGroup
-	running.Go(func() { a.sampler.Run(ctx) })
-	running.Go(func() { a.logChanges(ctx) })
-	running.Go(func() { watch.Run(ctx, a.watchOptions()) })
-	running.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { a.sampler.Run(ctx) })
+	tasks.Go(func() { a.logChanges(ctx) })
+	tasks.Go(func() { watch.Run(ctx, a.watchOptions()) })
+	tasks.Wait()
 	log.Info("agent stopped")
 	return nil
 }
@@ -62,15 +62,15 @@
 		settings: live, log: log, self: self,
 		client: rpc.NewClient(), server: rpc.NewServer(), state: watch.NewState(),
 	}
-	a.sampler = peers.NewSampler(a.self, a.client, a.seeds)
+	a.sampler = peers.NewSampler(a.self, a.client, a.seedAddresses)
 	a.sampler.Serve(a.server)
 	watch.Serve(a.server, a.state)
 	rpc.Handle(a.server, rpc.MethodPing, a.ping)
 	return a
 }
 
-// listen opens the internal listener for other machines and the one for the proxy: a socket bound to the machine's address
-// cannot be reached at the loopback address.
+// listen opens the listener at the machine's internal address and, if it differs, the one at the loopback address for the
+// proxy: a socket bound to the machine's address cannot be reached at the loopback address.
 func (a *agent) listen(ctx context.Context) error {
 	addresses := []string{a.self.Address}
 	if local := a.settings.Current().AgentAddress(); local != a.self.Address {
@@ -90,20 +90,20 @@
 	return &tierpb.PingReply{Node: a.self}, nil
 }
 
-func (a *agent) seeds() []string { return a.settings.Current().SeedCoordinators() }
+func (a *agent) seedAddresses() []string { return a.settings.Current().SeedCoordinators() }
 
 func (a *agent) watchOptions() watch.Options {
 	return watch.Options{
 		Caller:         a.client,
 		State:          a.state,
 		Endpoints:      a.endpoints,
-		MaxSources:     watchedCoordinators,
+		MaxSources:     maxWatchedCoordinators,
 		Self:           a.self,
 		Reconcile:      true,
-		OnSourceChange: a.logCoordinator,
+		OnSourceChange: a.logSourceChange,
 	}
 }
 
 func (a *agent) endpoints() []watch.Endpoint {
-	return watch.CoordinatorEndpoints(a.self, a.state, a.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), a.seeds())
+	return watch.CoordinatorEndpoints(a.self, a.state, a.sampler.Nodes(tierpb.Role_ROLE_COORDINATOR), a.seedAddresses())
 }
--- a/internal/tier/agent/harness_test.go
+++ b/internal/tier/agent/harness_test.go
@@ -15,10 +15,11 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-const testTimeout = 30 * time.Second // ends a test that hangs; no test waits for it
+const testTimeout = 30 * time.Second // bounds tests that hang; passing tests never wait this long
 
-// machine returns a loopback address that only this test process uses.
-func machine(number int) string {
+// loopbackAddress returns the loopback address with a number. The addresses depend on the process id, so that test
+// processes that run concurrently use different ones.
+func loopbackAddress(number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, os.Getpid()/64%250, number)
 }
 
@@ -33,7 +34,7 @@
 	return parsed
 }
 
-// startCoordinator serves polls as a coordinator does.
+// startCoordinator serves polls at a coordinator's address until the test ends and returns the State that it serves.
 func startCoordinator(t *testing.T, current *settings.Settings) *watch.State {
 	t.Helper()
 	state, server := watch.NewState(), rpc.NewServer()
@@ -57,7 +58,7 @@
 	})
 }
 
-// startProxy watches the agent as the proxy does.
+// startProxy watches the agent as the proxy does, until the test ends, and returns the State that it keeps up to date.
 func startProxy(t *testing.T, current *settings.Settings) *watch.State {
 	t.Helper()
 	state, client := watch.NewState(), rpc.NewClient()
@@ -77,8 +78,8 @@
 	return state
 }
 
-// await waits until a condition on the state holds.
-func await(t *testing.T, state *watch.State, condition func() bool) {
+// waitForState waits until a condition on the state holds. It fails the test after testTimeout.
+func waitForState(t *testing.T, state *watch.State, condition func() bool) {
 	t.Helper()
 	timer := time.NewTimer(testTimeout)
 	defer timer.Stop()
--- a/internal/tier/agent/log.go
+++ b/internal/tier/agent/log.go
@@ -6,7 +6,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func (a *agent) logCoordinator(address string, responding bool) {
+// logSourceChange logs that a coordinator started or stopped responding.
+func (a *agent) logSourceChange(address string, responding bool) {
 	if responding {
 		a.log.Info("coordinator reachable", "address", address)
 		return
@@ -14,9 +15,9 @@
 	a.log.Warn("coordinator unreachable", "address", address)
 }
 
-// logChanges logs new control states and changes of the number of stores until ctx ends.
+// logChanges logs new control states and changes in the number of instances by state until ctx ends.
 func (a *agent) logChanges(ctx context.Context) {
-	counts, version := storeCounts{}, uint64(0)
+	counts, version := instanceCounts{}, uint64(0)
 	for {
 		changed := a.state.Changed()
 		if control := a.state.Control(); control.GetVersion() != version {
@@ -24,7 +25,7 @@
 			a.log.Info("control state updated", "version", version, "generation", control.Configuration.GetGeneration(),
 				"voter_sets", len(control.Voters), "turn_stores", len(control.Stores.GetCurrent()))
 		}
-		if current := a.countStores(); current != counts {
+		if current := a.countInstances(); current != counts {
 			counts = current
 			a.log.Info("stores updated", "ready", counts.ready, "suspect", counts.suspect, "draining", counts.draining)
 		}
@@ -36,11 +37,11 @@
 	}
 }
 
-// storeCounts is the number of stores by state.
-type storeCounts struct{ ready, suspect, draining int }
+// instanceCounts is the number of instances by state. An instance is one incarnation of a store.
+type instanceCounts struct{ ready, suspect, draining int }
 
-func (a *agent) countStores() storeCounts {
-	return storeCounts{
+func (a *agent) countInstances() instanceCounts {
+	return instanceCounts{
 		ready:    a.state.Count(tierpb.InstanceState_INSTANCE_READY),
 		suspect:  a.state.Count(tierpb.InstanceState_INSTANCE_SUSPECT),
 		draining: a.state.Count(tierpb.InstanceState_INSTANCE_DRAINING),
