--- a/internal/tier/watch/harness_test.go
+++ b/internal/tier/watch/harness_test.go
@@ -186,7 +186,7 @@
 }
 
 // runWatcher runs a Watcher in a synctest bubble and calls test after two seconds of virtual time.
-func runWatcher(t *testing.T, n *network, maxSources int, list func() []Endpoint, test func(*Watcher, *State)) {
+func runWatcher(t *testing.T, n *network, maxSources int, endpoints func() []Endpoint, test func(*Watcher, *State)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		for address := range n.sources { // created in the bubble, so that they use its clock
@@ -194,7 +194,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		state := NewState()
-		watcher := NewWatcher(Options{Caller: n, State: state, Endpoints: list, MaxSources: maxSources})
+		watcher := NewWatcher(Options{Caller: n, State: state, Endpoints: endpoints, MaxSources: maxSources})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
--- a/internal/tier/watch/merge.go
+++ b/internal/tier/watch/merge.go
@@ -103,7 +103,7 @@
 	if status.Sequence <= known.instance.Sequence && status.State <= known.instance.State {
 		return Unchanged
 	}
-	updated := known.at(s.now()).CloneVT()
+	updated := known.instanceAt(s.now()).CloneVT()
 	switch {
 	case status.Description == 0 || status.Description == descriptionDigest(updated):
 		updated.Sequence, updated.State = status.Sequence, status.State
@@ -180,9 +180,9 @@
 		a.Slots == b.Slots && slices.Equal(a.Models, b.Models)
 }
 
-// instanceAt returns the instance with the slow start that remains at a time. The message holds the duration that remained
+// instanceAt returns the instance with the slow start that remains instanceAt a time. The message holds the duration that remained
 // when it was received, not a point in time, because the clocks of machines differ.
-func (e instanceEntry) at(now time.Time) *tierpb.Instance {
+func (e instanceEntry) instanceAt(now time.Time) *tierpb.Instance {
 	elapsed := now.Sub(e.updatedAt)
 	if e.instance.SlowStartRemainingMs == 0 || elapsed < time.Millisecond {
 		return e.instance
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -12,12 +12,13 @@
 const (
 	// DefaultPollWait is how long a source may hold a poll. It bounds how late a watcher notices that a source is dead.
 	DefaultPollWait = 700 * time.Millisecond
-	// pollGrace is the time for a held poll to be answered after its wait is over.
+	// pollGrace is how long the reply to a poll may take in addition to the time for which the source may hold it.
 	pollGrace = 400 * time.Millisecond
-	// MaxPollDuration is the longest that a poll held for DefaultPollWait may take; after it the poll has failed.
+	// MaxPollDuration is the time-out of a poll that is held for DefaultPollWait.
 	MaxPollDuration = DefaultPollWait + pollGrace
 
-	// catchUpTimeout is how long the primary may lag behind another source, before that is asked for full updates.
+	// catchUpTimeout is how long the primary may lag behind another source before the watcher requests full updates
+	// from that source.
 	catchUpTimeout = 100 * time.Millisecond
 	// acceptNotReadyAfter is how long a watcher without a control state waits for a source that is ready, before it
 	// accepts a state that may be outdated.
--- a/internal/tier/watch/readiness.go
+++ b/internal/tier/watch/readiness.go
@@ -77,7 +77,7 @@
 	return ready, g.readinessPeriod
 }
 
-// Watch implements Source. It returns ErrNotReady, or the error of ctx.
+// Watch implements Source. Its only errors are ErrNotReady and that of ctx.
 func (g *ReadinessGate) Watch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	ready, period := g.check()
 	if !ready && g.options.Starting() {
--- a/internal/tier/watch/reconcile.go
+++ b/internal/tier/watch/reconcile.go
@@ -17,8 +17,8 @@
 	// synchronizedTTL is how long a State is synchronized after MarkSynchronized. It is short because a process that was
 	// suspended since the call may have missed heartbeats.
 	synchronizedTTL = 2 * time.Second
-	// unconfirmedTimeout is the age of an instance's last update from which on it is unconfirmed if the source does not
-	// know it. A more recent update may still be in transit to the source.
+	// unconfirmedTimeout is the minimum age of the last update of an unconfirmed instance. A more recent update may still
+	// be in transit to the source.
 	unconfirmedTimeout = 5 * time.Second
 
 	reconcileUnansweredInterval = 3 * time.Second      // until the next comparison if the source was not synchronized
@@ -88,7 +88,7 @@
 	return len(timedOut) > 0
 }
 
-// reconcileDue reports whether the next poll of a source is to compare the lists.
+// reconcileDue reports whether the next poll of a source must request a comparison of the lists.
 func (p *position) reconcileDue(now time.Time) bool {
 	return p.cursor > 0 && !p.incomplete && !now.Before(p.reconcileAt)
 }
--- a/internal/tier/watch/reply.go
+++ b/internal/tier/watch/reply.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// replaceBodyByDelta replaces the configuration's body by a delta to the body of the watcher's version, if there is one.
+// replaceBodyByDelta replaces the configuration's body by a delta against that of the watcher's version, if there is
+// one.
 func (s *State) replaceBodyByDelta(request *tierpb.WatchRequest, reply *tierpb.WatchReply) {
 	if request.FullBody || len(reply.Control.Configuration.GetBody()) == 0 {
 		return
@@ -70,7 +71,7 @@
 			reply.More = true
 			return false
 		default:
-			reply.Instances = append(reply.Instances, e.at(now))
+			reply.Instances = append(reply.Instances, e.instanceAt(now))
 		}
 		reply.Cursor = changedAt
 		return true
--- a/internal/tier/watch/state.go
+++ b/internal/tier/watch/state.go
@@ -131,7 +131,7 @@
 	now := s.now()
 	all := make([]*tierpb.Instance, 0, len(s.instances))
 	for _, e := range s.instances {
-		all = append(all, e.at(now))
+		all = append(all, e.instanceAt(now))
 	}
 	return all
 }
@@ -151,7 +151,7 @@
 	now := s.now()
 	var changed []*tierpb.Instance
 	s.changes.since(revision, func(id string, _ uint64) bool {
-		changed = append(changed, s.instances[id].at(now))
+		changed = append(changed, s.instances[id].instanceAt(now))
 		return true
 	})
 	return changed, s.revision
