--- a/internal/tier/agent/agent.go
+++ b/internal/tier/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent implements the agent, the role that runs beside the proxy on each machine. It watches the coordinators and
-// serves their control state and list of instances to the proxy over loopback, so that the coordinators have only one
-// watcher per machine. It keeps no state across restarts.
+// serves their control state and list of instances to the proxy over loopback, so that the proxy's watch does not leave
+// the machine and the coordinators have only one watcher per machine. It keeps no state across restarts.
 package agent
 
 import (
--- a/internal/tier/watch/summary.go
+++ b/internal/tier/watch/summary.go
@@ -7,7 +7,7 @@
 const summaryBuckets = 64
 
 // summary holds a digest of the registered instances for each bucket of instance ids. The digest of a bucket is the sum of
-// the digests of its instances, so it does not depend on the order of changes and is updated incrementally.
+// the digests of its instances, so it does not depend on the order of changes, and each change costs two additions.
 type summary [summaryBuckets]uint32
 
 func (s *summary) add(instance *tierpb.Instance) {
