--- a/internal/tier/coordinator/changefetch/fetcher.go
+++ b/internal/tier/coordinator/changefetch/fetcher.go
@@ -1,9 +1,9 @@
 // Package changefetch completes a coordinator's history of configuration changes.
 //
-// The control state holds the newest changes itself and names older ones by the digests of their segments. Each coordinator
-// keeps those segments on its own disk (changelog.SegmentStore). One that was down or lost its disk lacks some; a Fetcher asks the
-// other coordinators for them, and answers those that ask. Until it has a segment, a coordinator cannot know whether a change
-// in it was committed, and answers such a request without a verdict.
+// The control state holds the newest changes itself and refers to older ones by the digests of their segments. Each coordinator
+// stores these segments on its own disk (changelog.SegmentStore). A coordinator that was down or lost its disk may lack some of
+// them. Its Fetcher requests them from the other coordinators, and serves their requests in turn. Without a segment, a
+// coordinator cannot tell whether a change in it was committed, so it neither acknowledges nor rejects that change.
 package changefetch
 
 import (
@@ -22,7 +22,7 @@
 
 const (
 	checkInterval      = time.Second
-	maxBackoff         = 30 * time.Second // between two attempts to find segments that nobody had
+	maxBackoff         = 30 * time.Second // between two attempts to fetch segments that no coordinator had
 	callTimeout        = 2 * time.Second
 	maxSegmentsPerCall = 16 // about 70 kB
 )
@@ -30,7 +30,7 @@
 // Options of a Fetcher. All are required.
 type Options struct {
 	History *changelog.SegmentStore
-	// Control returns the newest control state that is known to be chosen; nil where none is.
+	// Control returns the newest control state known to be chosen, or nil.
 	Control func() *tierpb.ControlState
 	// Targets returns the other coordinators.
 	Targets func() []watch.Endpoint
@@ -38,21 +38,21 @@
 	Log     hclog.Logger
 }
 
-// Fetcher fetches missing change segments. HandleChangeSegments is safe for concurrent use; Run wants a goroutine of its own.
+// Fetcher fetches missing change segments. HandleChangeSegments is safe for concurrent use; Run needs its own goroutine.
 type Fetcher struct {
-	options Options
-	missing int // segments, as last logged; Run's goroutine alone uses it
+	options       Options
+	loggedMissing int // number of missing segments logged last; used only by Run's goroutine
 }
 
-// New returns a Fetcher that does nothing until it is run.
+// New returns a Fetcher. It fetches nothing until Run is called.
 func New(options Options) *Fetcher { return &Fetcher{options: options} }
 
-// RegisterHandlers registers the call by which other coordinators ask for segments.
+// RegisterHandlers registers the handler for requests for segments from other coordinators.
 func (f *Fetcher) RegisterHandlers(server *rpc.Server) {
 	rpc.Handle(server, rpc.MethodChangeSegments, f.HandleChangeSegments)
 }
 
-// Run keeps the segments that the control state names, and asks others for those that are missing, until ctx ends.
+// Run fetches the segments that the control state refers to and that are missing on disk, until ctx ends.
 func (f *Fetcher) Run(ctx context.Context) {
 	var complete *tierpb.ControlState
 	wait := checkInterval
@@ -69,11 +69,11 @@
 	}
 }
 
-// completeHistory fetches the segments that a control state names for as long as some are found, and reports whether all are
-// on disk here.
+// completeHistory fetches the missing segments that a control state refers to until none are missing or no progress is made.
+// It reports whether all of them are on the local disk.
 func (f *Fetcher) completeHistory(ctx context.Context, known *tierpb.ControlState) bool {
 	fetched := 0
-	for before := -1; ; {
+	for missingBefore := -1; ; {
 		found := f.fetch(ctx, f.options.History.Missing(known))
 		if err := f.options.History.Reconcile(known, found); err != nil {
 			f.options.Log.Warn("saving change segments failed", "error", err)
@@ -81,28 +81,30 @@
 		}
 		missing := len(f.options.History.Missing(known))
 		fetched += len(found)
-		if len(found) == 0 || missing == 0 || missing == before {
+		if len(found) == 0 || missing == 0 || missing == missingBefore {
 			f.logProgress(fetched, missing)
 			return missing == 0
 		}
-		before = missing
+		missingBefore = missing
 	}
 }
 
-// logProgress logs when segments were fetched, and when segments begin or cease to be missing.
+// logProgress logs if segments were fetched or the number of missing segments has changed.
 func (f *Fetcher) logProgress(fetched, missing int) {
-	if fetched > 0 || missing != f.missing {
+	if fetched > 0 || missing != f.loggedMissing {
 		f.options.Log.Info("change segments fetched", "fetched", fetched, "missing", missing)
 	}
-	f.missing = missing
+	f.loggedMissing = missing
 }
 
-// fetch asks the other coordinators, one after the other, for segments; it returns those of the first that has any.
+// fetch requests up to maxSegmentsPerCall missing segments from one coordinator after another, and returns those of the first
+// coordinator that has any.
 func (f *Fetcher) fetch(ctx context.Context, missing [][]byte) []*tierpb.ChangeSegment {
 	if len(missing) == 0 {
 		return nil
 	}
-	first := rand.N(max(1, len(missing)-maxSegmentsPerCall+1)) // some may be lost for good
+	// The first segment is random: if segments are permanently lost, a fixed range could hold nothing but those.
+	first := rand.N(max(1, len(missing)-maxSegmentsPerCall+1))
 	request := &tierpb.ChangeSegmentsRequest{Digests: missing[first:min(first+maxSegmentsPerCall, len(missing))]}
 	for _, target := range f.options.Targets() {
 		if segments := f.fetchFrom(ctx, target.Address, request); len(segments) > 0 {
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// fetchFrom asks one coordinator; one that does not answer counts as one that has none.
+// fetchFrom requests segments from one coordinator. It returns nil if the call fails.
 func (f *Fetcher) fetchFrom(ctx context.Context, address string, request *tierpb.ChangeSegmentsRequest) []*tierpb.ChangeSegment {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -123,7 +125,7 @@
 	return reply.Segments
 }
 
-// HandleChangeSegments answers another coordinator that lacks segments with those that are here.
+// HandleChangeSegments returns those of the requested segments that are on the local disk.
 func (f *Fetcher) HandleChangeSegments(
 	_ context.Context, request *tierpb.ChangeSegmentsRequest,
 ) (*tierpb.ChangeSegmentsReply, error) {
--- a/internal/tier/coordinator/changefetch/fetcher_test.go
+++ b/internal/tier/coordinator/changefetch/fetcher_test.go
@@ -18,7 +18,7 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// directCaller hands calls to the Fetcher at an address; it counts those that were answered.
+// directCaller passes calls directly to the Fetcher at an address and counts the answered ones.
 type directCaller struct {
 	fetchers map[string]*Fetcher
 	answered int
@@ -47,7 +47,7 @@
 	return store
 }
 
-// commitChanges returns a control state after so many changes, of which a store has observed each.
+// commitChanges returns a control state after count changes, each of which the store has observed.
 func commitChanges(store *changelog.SegmentStore, count uint64) *tierpb.ControlState {
 	state := &tierpb.ControlState{}
 	for generation := uint64(1); generation <= count; generation++ {
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestMissingSegmentsAreFetchedFromWhoeverHasThem(t *testing.T) {
+func TestMissingSegmentsAreFetchedFromACoordinatorThatHasThem(t *testing.T) {
 	const changes = 40 * changelog.SegmentLength
 	caller, log := &directCaller{fetchers: make(map[string]*Fetcher)}, &bytes.Buffer{}
 	source, target := emptyStore(t), emptyStore(t)
@@ -86,7 +86,7 @@
 	assert.Assert(t, caller.answered >= missing/maxSegmentsPerCall)
 }
 
-func TestSegmentsThatNobodyHasAreLoggedOnce(t *testing.T) {
+func TestUnavailableSegmentsAreLoggedOnce(t *testing.T) {
 	caller, log := &directCaller{fetchers: make(map[string]*Fetcher)}, &bytes.Buffer{}
 	state := commitChanges(emptyStore(t), 4*changelog.SegmentLength)
 	caller.fetchers["empty"] = newFetcher(emptyStore(t), caller, log)
@@ -97,7 +97,7 @@
 	assert.Equal(t, strings.Count(log.String(), "change segments fetched: fetched=0"), 1, log.String())
 }
 
-func TestReplyHoldsNoMoreSegmentsThanACallMayAskFor(t *testing.T) {
+func TestReplyHoldsAtMostMaxSegmentsPerCall(t *testing.T) {
 	store := emptyStore(t)
 	state := commitChanges(store, 40*changelog.SegmentLength)
 	request := &tierpb.ChangeSegmentsRequest{Digests: emptyStore(t).Missing(state)}
