--- a/internal/tier/coordinator/placementcontrol/controller.go
+++ b/internal/tier/coordinator/placementcontrol/controller.go
@@ -1,24 +1,26 @@
-// Package placementcontrol changes the voters of the control state and the members of the turn stores: it replaces those
-// that are lost, takes in those that join, and moves records off machines that are retired.
+// Package placementcontrol changes the voters of the control state and the members of the turn stores: it replaces lost
+// nodes, adds joining nodes, and moves records off machines that are being retired.
 //
-// # Who acts
+// # Lease and fencing
 //
-// All coordinators run a Controller, and only the holder of the placement lease acts. The lease keeps two from working
-// against each other; what makes their changes safe is the fencing token of the role, the term (fencing.go): each acquisition
-// of the lease raises it by a change of the register before anything else is changed, and every later change is rejected if
-// the newest value has another term, if the lease is lost, or if the view that it was decided on is too old.
+// Every coordinator runs a Controller, but only the holder of the placement lease makes changes. The lease only keeps two
+// holders from undoing each other's changes; safety comes from the fencing token, the placement term (fencing.go). Each
+// acquisition of the lease raises the term by a change of the register before any other change. A later change is rejected if
+// the newest value has another term, if the lease was lost, or if the view behind the decision is too old.
 //
 // # How a change is made
 //
-// Package placement decides, as a pure function of the control state and a placement.View. The Controller first decides on
-// what it knows, which costs no call; where that asks for a change, it decides again inside a change of the register, on the
-// newest value and a view of that moment. A change that fails or is rejected is tried again after retryInterval.
+// Package placement makes the decisions, as pure functions of the control state and a placement.View. The Controller first
+// decides on the locally known control state, which needs no call. If a change is needed, it decides again inside a
+// change of the register, on the newest value and a view taken at that moment. A change that fails or is rejected is retried
+// after retryInterval.
 //
 // # State and goroutines
 //
-// Controller.Run is one goroutine; the term, the acquisition it belongs to and the redundancy timer belong to it. It starts a
-// second one for the stall detector of ViewSource; both are safe for concurrent use. VoteTransfer is called by the
-// shutdown, while Run still goes on; it takes no vote but the own and needs no lease.
+// Controller.Run owns the tenure (the term and the acquisition it belongs to) and the redundancy timer. It starts a second
+// goroutine for the stall detector of the ViewSource; ViewSource and stall detector are safe for concurrent use. VoteTransfer
+// runs during the shutdown, while Controller.Run is still running. It needs no lease because it gives up only the vote of its
+// own process.
 package placementcontrol
 
 import (
@@ -40,40 +42,41 @@
 const Role = "placement"
 
 const (
-	checkInterval = 250 * time.Millisecond // between two looks whether a change is called for
-	retryInterval = 400 * time.Millisecond // after a change that failed
+	checkInterval = 250 * time.Millisecond // between two checks whether a change is needed
+	retryInterval = 400 * time.Millisecond // after a failed change
 	changeTimeout = 2 * time.Second        // of one change of the register
 )
 
-// Lease is what the Controller needs of its candidacy for the placement lease.
+// Lease is this process's candidacy for the placement lease.
 type Lease interface {
-	// OwnsLease reports whether the newest voters known grant the lease to this process.
+	// OwnsLease reports whether the newest known voters grant the lease to this process.
 	OwnsLease() bool
-	// OwnsLeaseOf reports whether these voters do.
+	// OwnsLeaseOf reports whether the given voters grant the lease to this process.
 	OwnsLeaseOf(voters []*tierpb.VoterSet) bool
-	// Acquisition is the number of the newest acquisition of the lease; it rises with each.
+	// Acquisition returns the number of the newest acquisition of the lease. Each acquisition increases it.
 	Acquisition() uint64
-	// Resign gives the lease up.
+	// Resign gives up the lease.
 	Resign()
 }
 
 // Register changes the control state.
 type Register interface {
-	// Change replaces the newest value by what the function makes of it, nil for no change, and returns the value chosen.
+	// Change applies a function to the newest value and returns the value that is chosen. The function returns nil for no
+	// change.
 	Change(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
-	// Reconfigure does the same for a change of the voters, by way of joint voters.
+	// Reconfigure does the same for a change of the voters, which takes two steps: joint voters, then the new voters.
 	Reconfigure(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
-	// LeaveJoint completes a change of voters that was left between its two steps.
+	// LeaveJoint completes a change of the voters that was interrupted between its two steps.
 	LeaveJoint(ctx context.Context) (*tierpb.ControlState, error)
 }
 
 // Options of a Controller. All but Faults are required.
 type Options struct {
-	// Identity is that of this process, and the holder in the terms that it raises.
+	// Identity is the identity of this process, recorded as the holder of each term that it raises.
 	Identity uint64
 	Lease    Lease
 	Register Register
-	// Control returns the newest value that is known to be chosen; nil where none is.
+	// Control returns the newest value known to be chosen, or nil.
 	Control func() *tierpb.ControlState
 	Views   *ViewSource
 	Log     hclog.Logger
@@ -81,19 +84,19 @@
 	Faults  *failpoint.Points // nil outside tests
 }
 
-// Controller makes the changes of placement while its process holds the lease.
+// Controller changes voters and turn store members while its process holds the placement lease.
 type Controller struct {
 	options Options
 
-	// What follows belongs to Run's goroutine.
+	// The following fields are used only by Run's goroutine.
 	tenure     placement.Tenure
 	redundancy redundancyTimer
 }
 
-// New returns a Controller that does nothing until it is run.
+// New returns a Controller. It does nothing until Run is called.
 func New(options Options) *Controller { return &Controller{options: options} }
 
-// Run changes voters and turn stores where that is called for, until ctx ends.
+// Run makes the changes that are needed until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	background := &sync.WaitGroup{}
 	background.Go(func() { c.options.Views.stalls.run(ctx) })
@@ -102,7 +105,7 @@
 	for clock.Sleep(ctx, wait) {
 		wait = checkInterval
 		if !c.options.Lease.OwnsLease() {
-			c.redundancy = redundancyTimer{} // another one measures
+			c.redundancy = redundancyTimer{} // the lease holder measures
 			continue
 		}
 		if err := c.reconcile(ctx); err != nil {
@@ -112,7 +115,7 @@
 	}
 }
 
-// reconcile makes the changes that are called for by what is known.
+// reconcile makes the changes that the known control state and the current view require.
 func (c *Controller) reconcile(ctx context.Context) error {
 	if err := c.ensureTerm(ctx); err != nil {
 		return err
@@ -126,7 +129,8 @@
 	return c.reconcileStores(ctx, c.options.Control())
 }
 
-// reconcileVoters replaces voters. What is known only decides whether to try: the choice is made on the newest value.
+// reconcileVoters replaces voters if necessary. The known value only decides whether to try; the new voters are computed from
+// the newest value.
 func (c *Controller) reconcileVoters(ctx context.Context, known *tierpb.ControlState) error {
 	if placement.NextVoters(known, c.options.Views.View(known)) == nil {
 		return nil
@@ -151,7 +155,8 @@
 	return nil
 }
 
-// reconcileStores changes the members of the turn stores, in the same way.
+// reconcileStores changes the turn store members if necessary. As with the voters, the new members are computed from the newest
+// value.
 func (c *Controller) reconcileStores(ctx context.Context, known *tierpb.ControlState) error {
 	c.observeRedundancy(known.GetStores())
 	if _, reason := placement.NextStores(known.CloneVT(), c.options.Views.View(known)); reason == "" {
@@ -161,8 +166,8 @@
 	defer cancel()
 	reason := ""
 	change := c.fenced(func(current *tierpb.ControlState, view *placement.View) *tierpb.ControlState {
-		next, why := placement.NextStores(current, view)
-		if reason = why; reason == "" {
+		next, nextReason := placement.NextStores(current, view)
+		if reason = nextReason; reason == "" {
 			return nil
 		}
 		return next
@@ -180,7 +185,7 @@
 	return nil
 }
 
-// observeRedundancy logs the moment at which every record is on as many turn stores as are guaranteed again.
+// observeRedundancy logs when every record is stored on the guaranteed number of turn stores again.
 func (c *Controller) observeRedundancy(stores *tierpb.StoreMembership) {
 	if took, restored := c.redundancy.observe(stores, c.options.Now()); restored {
 		c.options.Log.Info("redundancy restored", "epoch", stores.GetEpoch(), "seconds", took.Seconds(),
--- a/internal/tier/coordinator/placementcontrol/fencing.go
+++ b/internal/tier/coordinator/placementcontrol/fencing.go
@@ -10,8 +10,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// ensureTerm raises the term once after each acquisition of the lease, before anything is changed under it. When that is
-// chosen, nothing that an earlier holder has under way can be chosen any more: it has a lower proposal number.
+// ensureTerm raises the term once per acquisition of the lease, before any change under that acquisition. Once the raised term
+// is chosen, no change that an earlier holder has in flight can still be chosen, because its proposal number is lower.
 func (c *Controller) ensureTerm(ctx context.Context) error {
 	acquisition := c.options.Lease.Acquisition()
 	if acquisition == c.tenure.Acquisition() {
@@ -36,17 +36,19 @@
 	return nil
 }
 
-// ownsLeaseSince reports whether the voters of a value grant the lease to this process, as they did since an acquisition.
+// ownsLeaseSince reports whether the voters of a value grant the lease to this process and it was not lost since the given
+// acquisition.
 func (c *Controller) ownsLeaseSince(acquisition uint64, current *tierpb.ControlState) bool {
 	owned := c.options.Lease.OwnsLeaseOf(current.GetVoters())
-	return owned && c.options.Lease.Acquisition() == acquisition // in this order: it may be lost and acquired in between
+	// The acquisition is read after the ownership: the lease may be lost and acquired again between the two reads.
+	return owned && c.options.Lease.Acquisition() == acquisition
 }
 
-// decideFunc computes the next value, nil where nothing is to be done. It may alter the current one.
+// decideFunc computes the next value, or nil if no change is needed. It may modify current.
 type decideFunc func(current *tierpb.ControlState, view *placement.View) *tierpb.ControlState
 
-// fenced returns the change of a lease holder: it is computed on the newest value from a view of that moment, and
-// rejected where the lease, the view or the term does not hold any more.
+// fenced wraps a decision of the lease holder as a change of the register. The decision is made on the newest value and a view
+// taken at that moment. The change is rejected if the term, the lease or the view is no longer valid.
 func (c *Controller) fenced(decide decideFunc) register.ChangeFunc {
 	return func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 		view := c.options.Views.View(current)
@@ -65,7 +67,8 @@
 	}
 }
 
-// checkTenure ends a tenure that is known to be overtaken, before anything is sent under its term.
+// checkTenure returns placement.ErrFenced if a newer term than that of this holder is known, so that nothing is sent under the
+// old term.
 func (c *Controller) checkTenure() error {
 	c.tenure.Observe(placement.TermOf(c.options.Control()))
 	if c.tenure.Overtaken() {
@@ -74,25 +77,25 @@
 	return nil
 }
 
-// handleFailure logs why a change was not made. A holder whose term was overtaken has to acquire the lease anew; one whose
-// lease is lost has none to resign, and one whose view was old looks again.
-func (c *Controller) handleFailure(reason error) {
-	if !isRejectedByFence(reason) {
-		c.options.Log.Info("placement change failed", "reason", reason)
+// handleFailure logs why a change was not made, and resigns the lease if a newer term is known: the lease must then be acquired
+// again to raise the term. A lost lease cannot be resigned, and after a stale view it is enough to try again.
+func (c *Controller) handleFailure(err error) {
+	if !isRejectedByFence(err) {
+		c.options.Log.Info("placement change failed", "reason", err)
 		return
 	}
 	newest := placement.TermOf(c.options.Control())
-	c.options.Log.Info("stale lease holder rejected", "reason", reason, "own", c.tenure.Term().Number,
+	c.options.Log.Info("stale lease holder rejected", "reason", err, "own", c.tenure.Term().Number,
 		"term", newest.Number, "holder", newest.Holder)
-	if errors.Is(reason, placement.ErrFenced) {
+	if errors.Is(err, placement.ErrFenced) {
 		c.options.Lease.Resign()
 	}
 }
 
-// isRejectedByFence reports whether placement.CheckFence rejected a change.
-func isRejectedByFence(reason error) bool {
+// isRejectedByFence reports whether an error is one of those that placement.CheckFence returns.
+func isRejectedByFence(err error) bool {
 	for _, rejection := range []error{placement.ErrFenced, placement.ErrLeaseLost, placement.ErrStaleView} {
-		if errors.Is(reason, rejection) {
+		if errors.Is(err, rejection) {
 			return true
 		}
 	}
--- a/internal/tier/coordinator/placementcontrol/fencing_test.go
+++ b/internal/tier/coordinator/placementcontrol/fencing_test.go
@@ -17,18 +17,19 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// wrongLease is a lease that two processes own, as may happen where clocks fail: resigning does not end it.
-type wrongLease struct {
+// alwaysOwnedLease is a lease that this process believes to own even after it resigned. It stands for a lease that two
+// processes own at once because of a clock fault.
+type alwaysOwnedLease struct {
 	acquisition atomic.Uint64
 	resigned    atomic.Int64
 }
 
-func (l *wrongLease) OwnsLease() bool                     { return true }
-func (l *wrongLease) OwnsLeaseOf([]*tierpb.VoterSet) bool { return true }
-func (l *wrongLease) Acquisition() uint64                 { return l.acquisition.Load() }
-func (l *wrongLease) Resign()                             { l.resigned.Add(1) }
+func (l *alwaysOwnedLease) OwnsLease() bool                     { return true }
+func (l *alwaysOwnedLease) OwnsLeaseOf([]*tierpb.VoterSet) bool { return true }
+func (l *alwaysOwnedLease) Acquisition() uint64                 { return l.acquisition.Load() }
+func (l *alwaysOwnedLease) Resign()                             { l.resigned.Add(1) }
 
-// countingRegister is a register of one process that counts the calls.
+// countingRegister is an in-memory register that counts calls of Change.
 type countingRegister struct {
 	mu    sync.Mutex
 	value *tierpb.ControlState // guarded by mu
@@ -69,7 +70,7 @@
 	return r.value, nil
 }
 
-// joiningMembership is a view of the other nodes in which turn stores ask to join, once they do: then a change is called for.
+// joiningMembership reports a turn store that asks to join once joining is set, so that a change of the members is needed.
 type joiningMembership struct{ joining atomic.Bool }
 
 func (m *joiningMembership) Voters() []*tierpb.VoterSet          { return nil }
@@ -85,20 +86,20 @@
 	return []placement.Join{{Request: &tierpb.JoinRequest{Node: node}, FirstSeen: time.Now().Add(-time.Minute), LastSeen: time.Now()}}
 }
 
-// callsForChange reports whether the controller would change the turn stores by what it knows.
-func callsForChange(c *Controller) bool {
+// needsStoreChange reports whether the known control state makes the controller change the turn store members.
+func needsStoreChange(c *Controller) bool {
 	known := c.options.Control()
 	_, reason := placement.NextStores(known.CloneVT(), c.options.Views.View(known))
 	return reason != ""
 }
 
-// A holder whose term was overtaken, though it owns the lease as far as it knows, sends nothing under that term any more. It
-// may have learned of the newer term by a rejection, or from the control state alone where the rejection was lost.
-func TestOvertakenTermIsPresentedNoMore(t *testing.T) {
-	const observed = 30 * time.Second // many times the lease's TTL
+// A holder whose term was superseded sends no more changes under that term, even if it still believes to own the lease. It
+// learns of the newer term from a rejection or, if that was lost, from the control state.
+func TestNoChangeIsSentUnderSupersededTerm(t *testing.T) {
+	const observationTime = 30 * time.Second // many times the TTL of the lease
 	for _, rejectionLost := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			lease := &wrongLease{}
+			lease := &alwaysOwnedLease{}
 			lease.acquisition.Store(1)
 			changes := &countingRegister{value: &tierpb.ControlState{Version: 1}}
 			known, others := changes.value, &joiningMembership{}
@@ -111,10 +112,10 @@
 			})
 			ctx := t.Context()
 			assert.NilError(t, controller.ensureTerm(ctx))
-			own := controller.tenure.Term()
+			ownTerm := controller.tenure.Term()
 			value, _ := changes.get()
 			newer := value.CloneVT()
-			own.Next(8).Stamp(newer)
+			ownTerm.Next(8).Stamp(newer)
 			changes.set(newer)
 			if rejectionLost {
 				known = newer
@@ -125,22 +126,22 @@
 				assert.ErrorIs(t, err, placement.ErrFenced)
 			}
 			others.joining.Store(true)
-			assert.Assert(t, callsForChange(controller), "otherwise nothing would be sent in any case")
+			assert.Assert(t, needsStoreChange(controller), "the test needs a pending change")
 			_, before := changes.get()
 			running, stop := context.WithCancel(ctx)
 			go controller.Run(running)
-			time.Sleep(observed)
+			time.Sleep(observationTime)
 			synctest.Wait()
 			_, calls := changes.get()
-			assert.Equal(t, calls, before, "called under a term that was overtaken")
+			assert.Equal(t, calls, before, "the register was called under a superseded term")
 			assert.Assert(t, lease.resigned.Load() > 0)
 
-			lease.acquisition.Add(1) // acquired anew
+			lease.acquisition.Add(1)
 			time.Sleep(2 * retryInterval)
 			synctest.Wait()
 			value, _ = changes.get()
 			assert.Equal(t, placement.TermOf(value), placement.TermOf(newer).Next(7))
-			assert.Equal(t, len(value.GetStores().GetCurrent()), 1, "under the new term the change is made")
+			assert.Equal(t, len(value.GetStores().GetCurrent()), 1, "the change was not made under the new term")
 			stop()
 			synctest.Wait()
 		})
--- a/internal/tier/coordinator/placementcontrol/redundancy.go
+++ b/internal/tier/coordinator/placementcontrol/redundancy.go
@@ -6,13 +6,13 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// redundancyTimer measures for how long the records of the turn stores have been moving to their members. It is not safe for
+// redundancyTimer measures how long the records of the turn stores take to move to the current members. It is not safe for
 // concurrent use.
 type redundancyTimer struct {
-	since time.Time // when the move under way was first seen; zero where none is
+	since time.Time // when the current move was first observed; zero if no records move
 }
 
-// observe takes in a membership. Where a move has ended it returns for how long it had been seen.
+// observe processes the newest membership. When a move has ended, it returns how long the move was observed.
 func (r *redundancyTimer) observe(stores *tierpb.StoreMembership, now time.Time) (took time.Duration, restored bool) {
 	moving := len(stores.GetPrevious()) > 0
 	switch {
--- a/internal/tier/coordinator/placementcontrol/redundancy_test.go
+++ b/internal/tier/coordinator/placementcontrol/redundancy_test.go
@@ -10,7 +10,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-func TestTimeToFullRedundancyCountsFromTheFirstOfChainedChanges(t *testing.T) {
+// If members change again while records move, the time counts from the first change.
+func TestRedundancyTimeSpansConsecutiveChanges(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var timer redundancyTimer
 	observe := func(after time.Duration, epoch uint64, previous ...int) (time.Duration, bool) {
--- a/internal/tier/coordinator/placementcontrol/stall.go
+++ b/internal/tier/coordinator/placementcontrol/stall.go
@@ -8,38 +8,38 @@
 	"pulleygw.example/pulleygw/internal/tier/clock"
 )
 
-// maxStall is how long this process may go without running and still count as having received what others sent.
+// maxStall is the longest time without running that does not count as a stall.
 const maxStall = time.Second
 
-// stallDetector notices that this process did not run for a while, for it was frozen: what it did not receive then is
-// nobody's failure. It is safe for concurrent use.
+// stallDetector detects that this process was frozen and did not run for a while. Messages that it did not receive during
+// a stall are no evidence that other nodes failed. It is safe for concurrent use.
 type stallDetector struct {
 	now func() time.Time
 
-	mu    sync.Mutex
-	start time.Time // since when there was no stall
-	last  time.Time // when it last looked
+	mu           sync.Mutex
+	lastStallEnd time.Time // end of the last stall, or the start of the process
+	lastCheck    time.Time // time of the last check
 }
 
 func newStallDetector(now func() time.Time) *stallDetector {
-	return &stallDetector{now: now, start: now(), last: now()}
+	return &stallDetector{now: now, lastStallEnd: now(), lastCheck: now()}
 }
 
-// run looks again and again until ctx ends.
+// run checks for stalls at every checkInterval until ctx ends.
 func (d *stallDetector) run(ctx context.Context) {
 	for clock.Sleep(ctx, checkInterval) {
 		d.runningSince()
 	}
 }
 
-// runningSince is the time since when this process has run without a stall.
+// runningSince checks for a stall and returns the time since which this process has run without one.
 func (d *stallDetector) runningSince() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	if now.Sub(d.last) > maxStall {
-		d.start = now
+	if now.Sub(d.lastCheck) > maxStall {
+		d.lastStallEnd = now
 	}
-	d.last = now
-	return d.start
+	d.lastCheck = now
+	return d.lastStallEnd
 }
--- a/internal/tier/coordinator/placementcontrol/stall_test.go
+++ b/internal/tier/coordinator/placementcontrol/stall_test.go
@@ -16,5 +16,5 @@
 		assert.Equal(t, d.runningSince(), start)
 	}
 	now = now.Add(maxStall + time.Millisecond)
-	assert.Equal(t, d.runningSince(), now, "it was frozen")
+	assert.Equal(t, d.runningSince(), now, "a longer pause is a stall")
 }
--- a/internal/tier/coordinator/placementcontrol/view.go
+++ b/internal/tier/coordinator/placementcontrol/view.go
@@ -9,17 +9,17 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Membership is what placement needs to know of the other nodes.
+// Membership provides what placement needs to know about the other nodes.
 type Membership interface {
-	// Voters returns the newest voter sets known, chosen or not.
+	// Voters returns the newest known voter sets, whether or not they were chosen.
 	Voters() []*tierpb.VoterSet
-	// RecentJoins returns the join requests of the last minute.
+	// RecentJoins returns the latest join request of each node within the last minute.
 	RecentJoins() []placement.Join
-	// Zones returns the zones of the coordinators by internal address.
+	// Zones returns the zone of each coordinator by internal address.
 	Zones() map[string]string
-	// UnreachableFor is how long the coordinator at an internal address has not answered, 0 for one that does.
+	// UnreachableFor returns how long the coordinator at an internal address has not answered; 0 if it answers.
 	UnreachableFor(address string) time.Duration
-	// Stopping reports whether this process shuts down.
+	// Stopping reports whether this process is shutting down.
 	Stopping() bool
 }
 
@@ -31,27 +31,27 @@
 	Now        func() time.Time
 }
 
-// ViewSource makes the views that placement decides on. It is safe for concurrent use.
+// ViewSource builds the views on which package placement decides. It is safe for concurrent use.
 type ViewSource struct {
 	options ViewOptions
 	stalls  *stallDetector
 
-	mu   sync.Mutex
-	move observedMove // guarded by mu
+	mu       sync.Mutex
+	observed observedMembership // guarded by mu
 }
 
-// observedMove is a membership of the turn stores and when this process first looked at it.
-type observedMove struct {
-	epoch uint64
-	at    time.Time
+// observedMembership is an epoch of the turn store membership and when this process first saw it.
+type observedMembership struct {
+	epoch     uint64
+	firstSeen time.Time
 }
 
-// NewViewSource returns a ViewSource of a process that runs since now.
+// NewViewSource returns a ViewSource for a process that starts now.
 func NewViewSource(options ViewOptions) *ViewSource {
 	return &ViewSource{options: options, stalls: newStallDetector(options.Now)}
 }
 
-// View returns what this process has seen itself up to this moment, for a change of a value.
+// View returns what this process has observed by now, as the basis for a decision about current.
 func (v *ViewSource) View(current *tierpb.ControlState) *placement.View {
 	zones := v.options.Membership.Zones()
 	live := v.options.Live.Current()
@@ -67,11 +67,12 @@
 			return min(v.options.Membership.UnreachableFor(address), now.Sub(since))
 		},
 		FailureDomain:  func(node *tierpb.Node) string { return live.FailureDomain(zones[node.Address]) },
-		MembershipSeen: v.moveSeen(current.GetStores().GetEpoch()),
+		MembershipSeen: v.membershipSeen(current.GetStores().GetEpoch()),
 	}
 }
 
-// ownUnreachableFor says, once this process shuts down, that it is no standby any more; its vote is transferred at the end.
+// ownUnreachableFor returns how long this process counts as unreachable. During the shutdown that is more than zero, so that it
+// is no longer a standby, but too short for its own vote to be replaced: VoteTransfer moves that vote.
 func (v *ViewSource) ownUnreachableFor() time.Duration {
 	if v.options.Membership.Stopping() {
 		return time.Nanosecond
@@ -79,12 +80,12 @@
 	return 0
 }
 
-// moveSeen is when the newest membership of the turn stores was first looked at.
-func (v *ViewSource) moveSeen(epoch uint64) time.Time {
+// membershipSeen returns when the membership of this epoch was first seen. An older epoch leaves the recorded one unchanged.
+func (v *ViewSource) membershipSeen(epoch uint64) time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if epoch > v.move.epoch || v.move.at.IsZero() {
-		v.move = observedMove{epoch: epoch, at: v.options.Now()}
+	if epoch > v.observed.epoch || v.observed.firstSeen.IsZero() {
+		v.observed = observedMembership{epoch: epoch, firstSeen: v.options.Now()}
 	}
-	return v.move.at
+	return v.observed.firstSeen
 }
