--- a/internal/tier/coordinator/catchup/catchup.go
+++ b/internal/tier/coordinator/catchup/catchup.go
@@ -1,8 +1,12 @@
-// Package catchup brings a coordinator up to date that was down, isolated or has lost its disk, and logs when it is.
+// Package catchup brings a coordinator up to date after it was down, was isolated or lost its disk, and logs when it has
+// caught up.
 //
-// Two things may lag. The state that a process serves lacks a value that its own acceptor has: whether that was chosen is
-// found out by a read of the register. Or the acceptor of a voter lacks a value that is known to be chosen, for it was down
-// at that time: a read that finds voters with different values writes the newest to all (read repair).
+// Two things can lag behind:
+//
+//   - The known control state can be older than the value in the local acceptor. A read of the register determines whether
+//     that value was chosen.
+//   - The local acceptor of a voter can be older than the known chosen value, because the voter was down when the value was
+//     chosen. A read that finds different values at the voters writes the newest value to all of them (read repair).
 package catchup
 
 import (
@@ -18,14 +22,14 @@
 )
 
 const (
-	startupCheckInterval = 20 * time.Millisecond  // mean time between two looks whether a majority answers
-	startupReadTimeout   = 500 * time.Millisecond // of the read at the start
+	startupCheckInterval = 20 * time.Millisecond  // mean time between two checks for quorum contact at the start
+	startupReadTimeout   = 500 * time.Millisecond // of a read at the start
 	readTimeout          = 2 * time.Second        // of later reads
-	maxReadDelay         = 250 * time.Millisecond // before a read that others may be about to do, too
+	maxReadDelay         = 250 * time.Millisecond // random delay before a read, because other coordinators may read as well
 
-	initialRepairBackoff = 500 * time.Millisecond // for which an acceptor may lag before it is repaired
-	maxRepairBackoff     = time.Minute            // between two repairs
-	unknownBeforeRead    = 2                      // steps in a row that find the acceptor ahead before the register is read
+	initialRepairBackoff = 500 * time.Millisecond // how long an acceptor may lag before it is repaired
+	maxRepairBackoff     = time.Minute            // longest time between two repairs
+	stepsBeforeRead      = 2                      // consecutive steps with the acceptor ahead after which the register is read
 )
 
 // Register reads the control state from a majority of the voters.
@@ -33,25 +37,25 @@
 	Read(ctx context.Context) (*tierpb.ControlState, error)
 }
 
-// Membership is what a Tracker needs to know of the other coordinators.
+// Membership provides what a Tracker needs to know about the other coordinators.
 type Membership interface {
-	// InContact reports whether a quorum of the voters answers this process.
-	InContact() bool
-	// Starting reports that this process may not have had the time to find the others yet.
+	// HasQuorumContact reports whether a quorum of the voters has answered this process recently.
+	HasQuorumContact() bool
+	// Starting reports that this process may not have had enough time since its start to find the others.
 	Starting() bool
-	// CheckReadiness serves followers as soon as there is contact.
+	// CheckReadiness updates whether followers are served.
 	CheckReadiness()
 }
 
 // Options of a Tracker. All are required.
 type Options struct {
-	// Identity is that of the own acceptor.
+	// Identity is the identity of the local acceptor.
 	Identity uint64
-	// Control returns the newest value that is known to be chosen; nil where none is.
+	// Control returns the newest value known to be chosen, or nil.
 	Control func() *tierpb.ControlState
-	// Accepted returns the newest value of the own acceptor, chosen or not; nil where there is none.
+	// Accepted returns the newest value that the local acceptor has accepted, whether or not it was chosen, or nil.
 	Accepted func() *tierpb.ControlState
-	// ReceivedBytes is how many bytes the calls of this process have brought in.
+	// ReceivedBytes returns how many bytes this process has received in replies to its calls.
 	ReceivedBytes func() uint64
 	Register      Register
 	Membership    Membership
@@ -59,66 +63,67 @@
 	Now           func() time.Time
 }
 
-// Tracker follows how far this process is behind the others. RunAtStart and Step may run in two goroutines; Step belongs to
-// one.
+// Tracker tracks whether this process has caught up with the others. RunAtStart and Step may run concurrently; Step must always
+// be called from the same goroutine.
 type Tracker struct {
 	options Options
 
-	// What follows belongs to Step's goroutine.
-	progress     progress
-	repair       repair
-	unknownSteps int // in a row that found the acceptor ahead of the known state
+	// The following fields are used only by Step's goroutine.
+	lag        lag
+	repair     repair
+	stepsAhead int // consecutive steps that found the acceptor ahead of the known control state
 }
 
-// progress is how far this process was behind when it lost contact or started.
-type progress struct {
-	behind   bool
-	since    time.Time // when it fell behind
-	version  uint64    // of the newest value that it had then
-	received uint64    // bytes by then
+// lag is a period in which this process is behind, from its start or a loss of quorum contact until it has caught up.
+type lag struct {
+	active       bool
+	since        time.Time // start of the period
+	startVersion uint64    // newest version that the process had at the start of the period
+	startBytes   uint64    // bytes received before the period
 }
 
-// repair is when the value is to be written to a lagging acceptor again.
+// repair schedules the next read repair of a lagging acceptor.
 type repair struct {
-	version uint64        // of the acceptor's value that lags
-	at      time.Time     // of the next attempt
-	backoff time.Duration // before the next attempt; 0 where nothing lags
+	version     uint64        // version of the acceptor's outdated value
+	nextAttempt time.Time     // time of the next attempt
+	backoff     time.Duration // delay before the next attempt; 0 if the acceptor does not lag
 }
 
-// New returns the Tracker of a process that has just started, and is behind.
+// New returns a Tracker for a process that has just started and counts as behind.
 func New(options Options) *Tracker {
 	t := &Tracker{options: options}
-	t.fallBehind(options.Now(), options.Accepted().GetVersion(), 0)
+	t.markBehind(options.Now(), options.Accepted().GetVersion(), 0)
 	return t
 }
 
-// RunAtStart finds out at the start which value is chosen, as soon as a majority answers, and returns. Where all
-// coordinators were killed at once, those that answer do not know either, and agents wait.
+// RunAtStart reads the chosen value as soon as there is quorum contact. It returns when the value is known or the startup grace
+// is over. The read is needed after all coordinators were killed at once: none of them knows which value is chosen, and agents
+// wait for it.
 func (t *Tracker) RunAtStart(ctx context.Context) {
 	for t.options.Membership.Starting() && clock.Sleep(ctx, startupCheckInterval/2+rand.N(startupCheckInterval)) {
-		if !t.options.Membership.InContact() {
+		if !t.options.Membership.HasQuorumContact() {
 			continue
 		}
 		t.options.Membership.CheckReadiness()
 		if !t.acceptorAhead() {
 			return
 		}
-		t.read(ctx, startupReadTimeout) // where it fails Step tries again
+		t.read(ctx, startupReadTimeout) // a failed read is retried here or by Step
 	}
 }
 
-// Step learns the chosen value where the own acceptor may know more than this process, and repairs the acceptor where it
-// knows less. It may take as long as a read of the register.
+// Step reads the register if the local acceptor has a newer value than the known control state, and repairs the acceptor if its
+// value is older. It may take as long as a read of the register.
 func (t *Tracker) Step(ctx context.Context) {
 	if !t.acceptorAhead() {
-		t.unknownSteps = 0
-	} else if t.unknownSteps++; t.unknownSteps >= unknownBeforeRead {
-		t.learnChosen(ctx)
+		t.stepsAhead = 0
+	} else if t.stepsAhead++; t.stepsAhead >= stepsBeforeRead {
+		t.readChosen(ctx)
 	}
 	now := t.options.Now()
 	switch {
-	case !t.options.Membership.InContact():
-		t.fallBehind(now, t.options.Control().GetVersion(), t.options.ReceivedBytes())
+	case !t.options.Membership.HasQuorumContact():
+		t.markBehind(now, t.options.Control().GetVersion(), t.options.ReceivedBytes())
 	case t.acceptorBehind():
 		t.repairAcceptor(ctx, now)
 	default:
@@ -127,70 +132,71 @@
 	}
 }
 
-// fallBehind records that this process has started, or lost contact with the others.
-func (t *Tracker) fallBehind(now time.Time, version, received uint64) {
-	if !t.progress.behind {
-		t.progress = progress{behind: true, since: now, version: version, received: received}
+// markBehind starts a lag, unless one is under way, because this process has started or lost quorum contact.
+func (t *Tracker) markBehind(now time.Time, version, received uint64) {
+	if !t.lag.active {
+		t.lag = lag{active: true, since: now, startVersion: version, startBytes: received}
 	}
 }
 
-// acceptorAhead reports that the own acceptor has a value that may have been chosen without this process knowing it.
+// acceptorAhead reports whether the local acceptor has a newer value than the known control state. It may have been chosen.
 func (t *Tracker) acceptorAhead() bool {
 	accepted, known := t.options.Accepted(), t.options.Control()
 	return accepted.GetVersion() > known.GetVersion()
 }
 
-// acceptorBehind reports that this process votes and that its acceptor holds an older value than the chosen one.
+// acceptorBehind reports whether this process is a voter and its acceptor has an older value than the known chosen one.
 func (t *Tracker) acceptorBehind() bool {
 	known := t.options.Control()
 	return register.IsVoter(known, t.options.Identity) && t.options.Accepted().GetVersion() < known.GetVersion()
 }
 
-// learnChosen finds out which value is chosen. The others may be about to do the same.
-func (t *Tracker) learnChosen(ctx context.Context) {
+// readChosen reads the register after a random delay, unless the chosen value has become known in the meantime: another
+// coordinator may have read it.
+func (t *Tracker) readChosen(ctx context.Context) {
 	if !clock.Sleep(ctx, rand.N(maxReadDelay)) || !t.acceptorAhead() {
 		return
 	}
-	t.read(ctx, readTimeout) // without a quorum the next step tries again
+	t.read(ctx, readTimeout) // a failed read is retried by the next step
 }
 
-// repairAcceptor has the value written again where the acceptor has lagged for a while at the same version: it was down
-// when the value was chosen.
+// repairAcceptor reads the register, which writes the chosen value to the acceptor, if the acceptor has stayed at the same
+// older version for the current backoff. An acceptor that lags only briefly needs no repair.
 func (t *Tracker) repairAcceptor(ctx context.Context, now time.Time) {
 	version := t.options.Accepted().GetVersion()
 	if t.repair.backoff == 0 || t.repair.version != version {
-		t.repair = repair{version: version, backoff: initialRepairBackoff, at: now.Add(initialRepairBackoff)}
+		t.repair = repair{version: version, backoff: initialRepairBackoff, nextAttempt: now.Add(initialRepairBackoff)}
 	}
-	if now.Before(t.repair.at) {
+	if now.Before(t.repair.nextAttempt) {
 		return
 	}
-	t.read(ctx, readTimeout) // where it fails it is tried again
+	t.read(ctx, readTimeout) // a failed read is retried after the backoff
 	t.repair.backoff = min(2*t.repair.backoff, maxRepairBackoff)
-	t.repair.at = t.options.Now().Add(t.repair.backoff)
+	t.repair.nextAttempt = t.options.Now().Add(t.repair.backoff)
 }
 
-// read has the register bring out what is chosen. Its value reaches this process as any chosen one does.
+// read reads the register. The value that it finds reaches the known control state like any other chosen value.
 func (t *Tracker) read(ctx context.Context, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, _ = t.options.Register.Read(ctx) // all callers try again, and the register's clients report that there is no quorum
+	_, _ = t.options.Register.Read(ctx) // errors are ignored: all callers retry, and clients of the register report a missing quorum
 }
 
-// reportCaughtUp logs the end of a time in which this process was behind.
+// reportCaughtUp ends and logs a lag. While no value is known at all, it restarts the lag instead.
 func (t *Tracker) reportCaughtUp(now time.Time) {
 	known := t.options.Control()
-	if !t.progress.behind {
+	if !t.lag.active {
 		return
 	}
-	if known == nil { // nor do those know any value that answer
-		t.progress.since, t.progress.received = now, t.options.ReceivedBytes()
+	if known == nil { // the coordinators that answer know no value either
+		t.lag.since, t.lag.startBytes = now, t.options.ReceivedBytes()
 		return
 	}
-	t.progress.behind = false
+	t.lag.active = false
 	const bytesPerMegabyte = 1e6
 	t.options.Log.Info("caught up",
-		"after_s", now.Sub(t.progress.since).Seconds(),
-		"mb", float64(t.options.ReceivedBytes()-t.progress.received)/bytesPerMegabyte,
-		"versions_behind", known.Version-min(t.progress.version, known.Version), "version", known.Version,
+		"after_s", now.Sub(t.lag.since).Seconds(),
+		"mb", float64(t.options.ReceivedBytes()-t.lag.startBytes)/bytesPerMegabyte,
+		"versions_behind", known.Version-min(t.lag.startVersion, known.Version), "version", known.Version,
 		"votes", register.IsVoter(known, t.options.Identity))
 }
--- a/internal/tier/coordinator/catchup/catchup_test.go
+++ b/internal/tier/coordinator/catchup/catchup_test.go
@@ -15,23 +15,23 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// fakeCoordinator is the process around a Tracker: what it knows, what its acceptor has and whether it reaches the others.
+// fakeCoordinator is the process around a Tracker: its known and accepted values and its quorum contact.
 type fakeCoordinator struct {
-	mu                  sync.Mutex
-	known, accepted     *tierpb.ControlState
-	inContact, starting bool
-	reads               int
-	now                 time.Time
-	log                 bytes.Buffer
+	mu                      sync.Mutex
+	known, accepted         *tierpb.ControlState
+	quorumContact, starting bool
+	reads                   int
+	now                     time.Time
+	log                     bytes.Buffer
 }
 
 func (f *fakeCoordinator) Starting() bool  { return f.starting }
 func (f *fakeCoordinator) CheckReadiness() {}
 
-func (f *fakeCoordinator) InContact() bool {
+func (f *fakeCoordinator) HasQuorumContact() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.inContact
+	return f.quorumContact
 }
 
 func (f *fakeCoordinator) control() *tierpb.ControlState {
@@ -47,7 +47,7 @@
 	return f.known, nil
 }
 
-// set changes a field while a Tracker runs.
+// set runs a change of the fields under the mutex.
 func (f *fakeCoordinator) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,16 +64,16 @@
 
 func (f *fakeCoordinator) caughtUpLines() int { return strings.Count(f.log.String(), "caught up") }
 
-// stateOf is a value of a version, in which identity 1 votes.
+// stateOf returns a value of the given version, with identity 1 as the only voter.
 func stateOf(version uint64) *tierpb.ControlState {
 	return &tierpb.ControlState{Version: version, Voters: []*tierpb.VoterSet{{Nodes: []*tierpb.Node{{Identity: 1}}}}}
 }
 
-func TestLaggingAcceptorIsRepairedWithABackoffThatDoubles(t *testing.T) {
-	f := &fakeCoordinator{known: stateOf(5), accepted: stateOf(3), inContact: true, now: time.Unix(1000, 0)}
+func TestLaggingAcceptorIsRepairedWithExponentialBackoff(t *testing.T) {
+	f := &fakeCoordinator{known: stateOf(5), accepted: stateOf(3), quorumContact: true, now: time.Unix(1000, 0)}
 	tracker := f.newTracker()
 	tracker.Step(t.Context())
-	assert.Equal(t, f.reads, 0, "it may come up to date by itself")
+	assert.Equal(t, f.reads, 0, "the acceptor was repaired before initialRepairBackoff")
 	backoff := initialRepairBackoff
 	for repairs := 1; repairs <= 10; repairs++ {
 		f.now = f.now.Add(backoff - 1)
@@ -91,23 +91,23 @@
 	assert.Equal(t, f.caughtUpLines(), 1)
 }
 
-func TestCatchingUpIsLoggedOnceForEachLossOfContact(t *testing.T) {
+func TestCaughtUpIsLoggedOncePerLossOfContact(t *testing.T) {
 	f := &fakeCoordinator{known: stateOf(5), accepted: stateOf(5), now: time.Unix(1000, 0)}
 	tracker := f.newTracker()
 	for losses := range 3 {
-		f.inContact = false
+		f.quorumContact = false
 		tracker.Step(t.Context())
 		assert.Equal(t, f.caughtUpLines(), losses)
-		f.inContact = true
+		f.quorumContact = true
 		tracker.Step(t.Context())
 		tracker.Step(t.Context())
 		assert.Equal(t, f.caughtUpLines(), losses+1)
 	}
 }
 
-func TestRegisterIsReadOnceTheAcceptorHasBeenAheadForTwoSteps(t *testing.T) {
+func TestRegisterIsReadAfterTwoStepsWithTheAcceptorAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeCoordinator{known: stateOf(5), accepted: stateOf(6), inContact: true, now: time.Now()}
+		f := &fakeCoordinator{known: stateOf(5), accepted: stateOf(6), quorumContact: true, now: time.Now()}
 		tracker := f.newTracker()
 		tracker.Step(t.Context())
 		assert.Equal(t, f.reads, 0)
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestStartReadsAsSoonAsThereIsContact(t *testing.T) {
+func TestStartupReadWaitsForQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCoordinator{accepted: stateOf(6), starting: true, now: time.Now()}
 		tracker, done := f.newTracker(), make(chan struct{})
@@ -135,7 +135,7 @@
 			return f.reads
 		}
 		assert.Equal(t, sleep(), 0)
-		f.set(func() { f.inContact = true })
+		f.set(func() { f.quorumContact = true })
 		assert.Assert(t, sleep() > 0)
 		f.set(func() { f.known = f.accepted })
 		sleep()
--- a/internal/tier/coordinator/cluster_network_test.go
+++ b/internal/tier/coordinator/cluster_network_test.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// isolate blocks all calls between a machine and the others, or heals it.
+// isolate blocks or unblocks all calls between a machine and the others.
 func (c *cluster) isolate(name string, blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,7 +18,7 @@
 	}
 }
 
-// setBlocked blocks one direction, or heals it.
+// setBlocked blocks or unblocks messages from one machine to another.
 func (c *cluster) setBlocked(from, to string, blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +31,7 @@
 	return c.blocked[[2]string{from, to}]
 }
 
-// caller makes the calls of one machine.
+// caller is the rpc.Caller of one machine.
 type caller struct{ from *machine }
 
 const callDelay = time.Millisecond
@@ -44,24 +44,24 @@
 		<-ctx.Done()
 		return rpc.ErrTimeout
 	}
-	p := cluster.at(to.name)
+	p := cluster.process(to.name)
 	if p == nil {
 		return rpc.ErrUnreachable
 	}
-	payload := encoded(request)
+	payload := encode(request)
 	cluster.transfer(c.from, to, len(payload))
 	answer, err := p.dispatch(ctx, method, payload)
 	if ctx.Err() != nil || cluster.isBlocked(to.name, c.from.name) {
 		<-ctx.Done()
 		return rpc.ErrTimeout
 	}
-	if cluster.at(to.name) != p {
+	if cluster.process(to.name) != p {
 		return rpc.ErrUnreachable
 	}
 	if err != nil {
 		return rpc.ErrRejected
 	}
-	payload = encoded(answer)
+	payload = encode(answer)
 	cluster.transfer(to, c.from, len(payload))
 	if ctx.Err() != nil {
 		return rpc.ErrTimeout
@@ -72,7 +72,7 @@
 	return reply.UnmarshalVT(payload)
 }
 
-// transfer takes the time that some bytes need on the links of two machines, one message after the other.
+// transfer waits until a message has passed the links of both machines. Each link carries one message at a time per direction.
 func (c *cluster) transfer(from, to *machine, size int) {
 	c.mu.Lock()
 	to.received += size
@@ -81,13 +81,13 @@
 		return
 	}
 	start := time.Now()
-	for _, free := range []time.Time{from.busyOut, to.busyIn} {
+	for _, free := range []time.Time{from.outboundBusyUntil, to.inboundBusyUntil} {
 		if free.After(start) {
 			start = free
 		}
 	}
 	end := start.Add(time.Duration(size) * time.Second / time.Duration(c.rate))
-	from.busyOut, to.busyIn = end, end
+	from.outboundBusyUntil, to.inboundBusyUntil = end, end
 	c.mu.Unlock()
 	<-time.After(time.Until(end))
 }
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func encoded(message rpc.Message) []byte {
+func encode(message rpc.Message) []byte {
 	payload := make([]byte, message.SizeVT())
 	if _, err := message.MarshalToSizedBufferVT(payload); err != nil {
 		panic(err)
@@ -109,28 +109,28 @@
 	return payload
 }
 
-// dispatch hands a call to the part of the process that answers it.
+// dispatch passes a call to its handler.
 func (p *process) dispatch(ctx context.Context, method rpc.Method, payload []byte) (rpc.Message, error) {
 	switch method {
 	case rpc.MethodPrepare:
-		return p.acceptor.Prepare(decoded(&tierpb.PrepareRequest{}, payload)), nil
+		return p.acceptor.Prepare(decode(&tierpb.PrepareRequest{}, payload)), nil
 	case rpc.MethodAccept:
-		return p.acceptor.Accept(decoded(&tierpb.AcceptRequest{}, payload)), nil
+		return p.acceptor.Accept(decode(&tierpb.AcceptRequest{}, payload)), nil
 	case rpc.MethodLease:
-		return p.lessor.Handle(decoded(&tierpb.LeaseRequest{}, payload)), nil
+		return p.lessor.Handle(decode(&tierpb.LeaseRequest{}, payload)), nil
 	case rpc.MethodWatch:
-		return p.membership.HandleWatch(ctx, decoded(&tierpb.WatchRequest{}, payload))
+		return p.membership.HandleWatch(ctx, decode(&tierpb.WatchRequest{}, payload))
 	case rpc.MethodAnnounce:
-		return p.announcer.HandleAnnounce(ctx, decoded(&tierpb.AnnounceRequest{}, payload))
+		return p.announcer.HandleAnnounce(ctx, decode(&tierpb.AnnounceRequest{}, payload))
 	case rpc.MethodChangeSegments:
-		return p.fetcher.HandleChangeSegments(ctx, decoded(&tierpb.ChangeSegmentsRequest{}, payload))
+		return p.fetcher.HandleChangeSegments(ctx, decode(&tierpb.ChangeSegmentsRequest{}, payload))
 	case rpc.MethodJoin:
-		return p.membership.HandleJoin(ctx, decoded(&tierpb.JoinRequest{}, payload))
+		return p.membership.HandleJoin(ctx, decode(&tierpb.JoinRequest{}, payload))
 	}
 	return nil, rpc.ErrRejected
 }
 
-func decoded[T rpc.Message](message T, payload []byte) T {
+func decode[T rpc.Message](message T, payload []byte) T {
 	if err := message.UnmarshalVT(payload); err != nil {
 		panic(err)
 	}
--- a/internal/tier/coordinator/cluster_test.go
+++ b/internal/tier/coordinator/cluster_test.go
@@ -29,24 +29,24 @@
 
 const testHeartbeatMs = 1000
 
-// machineCount is how many machines there are at least, running or not.
-const machineCount = 8
+// minMachines is the smallest number of machines in a cluster, whether or not a coordinator runs on them.
+const minMachines = 8
 
-// cluster is a set of coordinators in one process, under the clock of a synctest bubble. Calls take a millisecond;
-// those to a machine that is down fail at once, those over a blocked link get no answer.
+// cluster is a set of coordinators in one process, under the simulated clock of a synctest bubble. Calls take callDelay unless
+// a test changes delay. Calls to a machine that is down fail at once; calls over a blocked link time out.
 type cluster struct {
-	t         *testing.T
-	seeds     []string
-	tolerance int
-	mu        sync.Mutex
-	machines  map[string]*machine // by name
-	blocked   map[[2]string]bool  // by names, from and to
-	calls     map[rpc.Method]int  // answered
-	rate      int                 // bytes a second of each machine's link and direction; 0 for no limit
-	delay     atomic.Int64        // of each call, in nanoseconds
-	lines     []string            // of the logs
-	leader    string              // the only candidate for the lease until free is closed; empty for all
-	free      chan struct{}
+	t             *testing.T
+	seeds         []string
+	tolerance     int
+	mu            sync.Mutex
+	machines      map[string]*machine // by name
+	blocked       map[[2]string]bool  // by the names of sender and receiver
+	calls         map[rpc.Method]int  // number of answered calls
+	rate          int                 // bytes per second of each machine's link in each direction; 0 for no limit
+	delay         atomic.Int64        // delay of each call in nanoseconds
+	logLines      []string            // log lines of all machines
+	soleCandidate string              // the only machine that may acquire the lease until openCandidacy is closed; empty if all may
+	openCandidacy chan struct{}       // closed to let all machines compete for the lease; used only with soleCandidate
 }
 
 // machine is a core machine: its disk and the process on it, if one runs.
@@ -57,28 +57,29 @@
 	hardware *simulation.Machine
 	running  *process
 
-	received        int // bytes of requests and answers; guarded by the cluster's mutex, as are the next
-	busyIn, busyOut time.Time
+	received                            int       // bytes of received requests and replies; guarded by the cluster's mutex
+	inboundBusyUntil, outboundBusyUntil time.Time // until when the link is busy in each direction; guarded by the cluster's mutex
 
-	ahead atomic.Int64 // nanoseconds by which the process's clock is past the bubble's
+	clockOffset atomic.Int64 // nanoseconds by which the process's clock is ahead of the bubble's
 }
 
-// now is the clock of the machine's process.
-func (m *machine) now() time.Time { return time.Now().Add(time.Duration(m.ahead.Load())) }
+// now returns the time by the clock of the machine's process.
+func (m *machine) now() time.Time { return time.Now().Add(time.Duration(m.clockOffset.Load())) }
 
-// stall has a process find, at its next step, that its clock went on for a while in which it did nothing.
-func (m *machine) stall(duration time.Duration) { m.ahead.Add(int64(duration)) }
+// advanceClock moves the clock of the machine's process forward, as the process finds it after a freeze.
+func (m *machine) advanceClock(duration time.Duration) { m.clockOffset.Add(int64(duration)) }
 
+// process is a running coordinator.
 type process struct {
 	*coordinator
-	points  *failpointHook
-	handler http.Handler
-	stop    context.CancelFunc
-	done    *sync.WaitGroup
+	failpoints *failpointHook
+	handler    http.Handler
+	stop       context.CancelFunc
+	done       *sync.WaitGroup
 }
 
-// inCluster runs a test with coordinators core-1 to core-count, of which the first three are the seeds.
-func inCluster(t *testing.T, count, tolerance int, test func(*cluster)) {
+// withCluster runs a test with coordinators core-1 to core-count. The first three are the seeds.
+func withCluster(t *testing.T, count, tolerance int, test func(*cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
@@ -86,8 +87,8 @@
 			calls: make(map[rpc.Method]int),
 		}
 		c.delay.Store(int64(callDelay))
-		network := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.LinkConditions{}) // for its machines' disks alone
-		for i := range max(count+3, machineCount) {
+		network := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.LinkConditions{}) // used only for its disks
+		for i := range max(count+3, minMachines) {
 			name, address := fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.%d.1:7000", i+1)
 			hardware := network.NewMachine(address, rand.New(rand.NewPCG(2, uint64(i))))
 			c.machines[name] = &machine{cluster: c, name: name, address: address, hardware: hardware}
@@ -99,13 +100,13 @@
 			c.start(fmt.Sprintf("core-%d", i+1), true)
 		}
 		defer c.stopAll()
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 		test(c)
 	})
 }
 
-// pass lets simulated time go by.
-func (c *cluster) pass(duration time.Duration) {
+// advance lets simulated time pass and waits until all goroutines of the bubble are blocked.
+func (c *cluster) advance(duration time.Duration) {
 	c.t.Helper()
 	<-time.After(duration)
 	synctest.Wait()
@@ -120,19 +121,19 @@
 	}
 }
 
-// start starts the process of a machine.
+// start starts a coordinator on a machine.
 func (c *cluster) start(name string, bootstrap bool) {
 	c.t.Helper()
 	m := c.machines[name]
-	own := c.settingsOf(m, bootstrap)
+	nodeSettings := c.settingsOf(m, bootstrap)
 	disk := m.hardware.Start().Mount()
 	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{
-		Disk: disk, Folder: registerFolder, Address: m.address, Bootstrap: bootstrap, Seeds: own.SeedCoordinators(),
+		Disk: disk, Folder: registerFolder, Address: m.address, Bootstrap: bootstrap, Seeds: nodeSettings.SeedCoordinators(),
 	})
 	assert.NilError(c.t, err)
 	self := &tierpb.Node{
-		Name: m.name, Address: m.address, Zone: own.Zone, Role: tierpb.Role_ROLE_COORDINATOR,
-		Identity: acceptor.Identity(), Control: own.Listen.Control,
+		Name: m.name, Address: m.address, Zone: nodeSettings.Zone, Role: tierpb.Role_ROLE_COORDINATOR,
+		Identity: acceptor.Identity(), Control: nodeSettings.Listen.Control,
 	}
 	history, err := changelog.OpenSegmentStore(disk, changesFolder)
 	assert.NilError(c.t, err)
@@ -140,13 +141,13 @@
 	assert.NilError(c.t, err)
 	points := &failpointHook{}
 	coordinator := newCoordinator(options{
-		live: settings.Fixed(own), log: c.log(m.name), self: self, caller: &caller{from: m}, now: m.now,
-		faults: &failpoint.Points{ShouldStop: points.pass}, acceptor: acceptor, history: history, drains: drains,
+		live: settings.Fixed(nodeSettings), log: c.log(m.name), self: self, caller: &caller{from: m}, now: m.now,
+		faults: &failpoint.Points{ShouldStop: points.shouldStop}, acceptor: acceptor, history: history, drainTable: drains,
 	})
-	p := &process{coordinator: coordinator, points: points, handler: coordinator.api.Handler(), done: &sync.WaitGroup{}}
+	p := &process{coordinator: coordinator, failpoints: points, handler: coordinator.api.Handler(), done: &sync.WaitGroup{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
-	for _, run := range append(coordinator.loops(), c.candidacy(name, coordinator.candidate)) {
+	for _, run := range append(coordinator.backgroundTasks(), c.candidateTask(name, coordinator.candidate)) {
 		p.done.Go(func() { run(ctx) })
 	}
 	c.mu.Lock()
@@ -154,7 +155,7 @@
 	m.running = p
 }
 
-// kill ends a process; its disk stays.
+// kill ends the process of a machine without a shutdown. Its disk is kept.
 func (c *cluster) kill(name string) {
 	c.mu.Lock()
 	p := c.machines[name].running
@@ -166,7 +167,7 @@
 	}
 }
 
-// wipe gives a machine an empty disk.
+// wipe replaces the disk of a machine by an empty one.
 func (c *cluster) wipe(name string) { c.machines[name].hardware.Wipe() }
 
 func (c *cluster) stopAll() {
@@ -176,16 +177,17 @@
 			p.done.Wait()
 		}
 	}
-	c.pass(draining.AnnounceTimeout + time.Second) // announcements under way end by themselves
+	c.advance(draining.AnnounceTimeout + time.Second) // until the announcements in flight have ended
 }
 
-func (c *cluster) at(name string) *process {
+// process returns the process that runs on a machine, or nil.
+func (c *cluster) process(name string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machines[name].running
 }
 
-// send makes a call of the control API and returns the status and the body.
+// send makes a request to the control API and returns the status and the body.
 func (p *process) send(method, path, ifMatch, body string) (int, string) {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if ifMatch != "" {
@@ -196,31 +198,31 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// putConfiguration sends a configuration.
+// putConfiguration sends a configuration and returns the status.
 func (p *process) putConfiguration(ifMatch int, body string) int {
 	status, _ := p.send(http.MethodPut, "/v1/config", fmt.Sprint(ifMatch), body)
 	return status
 }
 
-// configurationOf is a small configuration; variants of one generation differ.
+// configurationOf returns a small configuration. The variant distinguishes configurations of the same generation.
 func configurationOf(generation int, variant string) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[{"name":"r-%s","hostname":"h.example","pathPrefix":"/%s/","kind":"idempotent",`+
 		`"timeoutMs":1000,"backend":"s"}],"services":[{"name":"s"}],"limits":{}}`, generation, variant, variant)
 }
 
-// generations are the generations that machines know to be chosen, 0 for none.
+// generations returns the configuration generations that machines know to be chosen, 0 if none.
 func (c *cluster) generations(names ...string) []uint64 {
 	var known []uint64
 	for _, name := range names {
-		known = append(known, c.at(name).state.Control().GetConfiguration().GetGeneration())
+		known = append(known, c.process(name).state.Control().GetConfiguration().GetGeneration())
 	}
 	return known
 }
 
-// voterNames are the voters as a machine knows them, by address.
+// voterNames returns the sorted names of the voters that a machine knows.
 func (c *cluster) voterNames(name string) []string {
 	var names []string
-	for _, set := range c.at(name).state.Control().GetVoters() {
+	for _, set := range c.process(name).state.Control().GetVoters() {
 		for _, node := range set.Nodes {
 			names = append(names, c.machineAt(node.Address).name)
 		}
@@ -229,17 +231,17 @@
 	return names
 }
 
-// joinStore makes a turn store's call to join reach all coordinators that run.
-func (c *cluster) joinStore(request *tierpb.JoinRequest) {
+// joinTurnStore delivers a turn store's join request to all running coordinators.
+func (c *cluster) joinTurnStore(request *tierpb.JoinRequest) {
 	for name := range c.machines {
-		if p := c.at(name); p != nil {
+		if p := c.process(name); p != nil {
 			_, err := p.membership.HandleJoin(context.Background(), request.CloneVT())
 			assert.NilError(c.t, err)
 		}
 	}
 }
 
-// poll asks a coordinator as a follower of a role that knows nothing yet.
+// poll sends a follower's poll to a coordinator.
 func (p *process) poll(request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	return p.membership.HandleWatch(context.Background(), request)
 }
--- a/internal/tier/coordinator/controlapi/api.go
+++ b/internal/tier/coordinator/controlapi/api.go
@@ -1,26 +1,27 @@
-// Package controlapi is the HTTP interface of a coordinator: operators send configurations and retire machines, instances
-// register, send heartbeats, drain and deregister.
+// Package controlapi is the HTTP API of a coordinator. Operators use it to change the configuration and to retire machines;
+// instances use it to register, send heartbeats, drain and deregister.
 //
-//	GET    /v1/readyz          200 while a quorum of the voters answers this coordinator
-//	GET    /v1/config          the configuration in force, with its generation as ETag
-//	PUT    /v1/config          replaces the configuration that If-Match names
-//	PUT    /v1/instances/{id}  a heartbeat of an instance
+//	GET    /v1/readyz          returns 200 while this coordinator has quorum contact
+//	GET    /v1/config          returns the current configuration, with its generation as ETag
+//	PUT    /v1/config          replaces the configuration whose generation is given in If-Match
+//	PUT    /v1/instances/{id}  receives a heartbeat of an instance
 //	DELETE /v1/instances/{id}  deregisters an instance
-//	POST   /v1/retire/{node}   has a turn store's machine emptied
-//	GET    /v1/retire/{node}   whether it is empty
+//	POST   /v1/retire/{node}   starts the retirement of a turn store's machine: its records move to other machines
+//	GET    /v1/retire/{node}   returns the state of that retirement
 //
-// # Answers
+// # Errors
 //
-// Every error is a result.Error: a status, a code and often the field at fault. A fault of the request itself (400, 404
-// for a path, 405, 408, 413) is found without the control state; any other rejection (404, 409, 412) rests on a value that is
-// known to be chosen. After a 408 the outcome is open. Where no quorum answers in time, or the outcome is not known, the answer is 503, and the caller
-// sends the same request again, here or to another coordinator: all requests are idempotent. Bounds of time (callTimeout) lie
-// below the second after which callers go on by themselves.
+// Every error is a result.Error: a status, a code and often the invalid field. Errors in the request itself (400, 404 for
+// an unknown path, 405, 408, 413) are detected without the control state. Other rejections (404, 409, 412) are based on
+// a value known to be chosen. A 408 is no rejection: the change may have been committed elsewhere. If no quorum answers in
+// time or the outcome is unknown, the response is 503, and the caller repeats the request here or at another coordinator. This
+// is safe because all requests are idempotent. The timeout of a call with a small body (callTimeout) is below the second after
+// which callers switch to another coordinator.
 //
 // # State
 //
-// The API keeps one number, the newest generation that it has acknowledged or returned, as a check that what it reads from the
-// register is never older. All else belongs to what it calls: the register, the membership and the announcer.
+// The only state of the API is the newest generation that it has acknowledged or returned. It serves to check that reads of
+// the register never return an older one. All other state belongs to the register, the membership and the announcer.
 package controlapi
 
 import (
@@ -39,23 +40,24 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// Bounds of calls. Callers move on after a second without an answer, later where the body is large.
+// Timeouts and size limits of calls. Callers switch to another coordinator after one second without a response, and later than
+// that if the body is large.
 const (
 	callTimeout            = 880 * time.Millisecond // of a call with an empty body
-	callTimeoutPerMebibyte = time.Second            // added for the body
+	callTimeoutPerMebibyte = time.Second            // added per MiB of the body
 	maxCallTimeout         = 3 * time.Second
-	isolatedCallTimeout    = 300 * time.Millisecond // without quorum contact, so that callers go on sooner
+	isolatedCallTimeout    = 300 * time.Millisecond // without quorum contact, so that callers switch sooner
 
 	maxConfigurationBytes = 32 << 20
 	maxRetirementBytes    = 16 << 10
 	bytesPerMebibyte      = 1 << 20
 )
 
-// Register is the control state that a quorum of the voters keeps.
+// Register holds the control state, replicated on the voters.
 type Register interface {
-	// Change replaces the newest value by what the function makes of it, and returns the value chosen.
+	// Change applies a function to the newest value and returns the value that is chosen.
 	Change(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error)
-	// ChangeUnlessDecided does the same, without a write where the outcome is decided already on a chosen value.
+	// ChangeUnlessDecided does the same, but writes nothing if a chosen value already decides the outcome of the change.
 	ChangeUnlessDecided(
 		ctx context.Context, isDecided func(*tierpb.ControlState) bool, change register.ChangeFunc,
 	) (*tierpb.ControlState, error)
@@ -63,28 +65,28 @@
 	Read(ctx context.Context) (*tierpb.ControlState, error)
 }
 
-// Membership is what the API needs to know of the other nodes.
+// Membership provides what the API needs to know about the other nodes.
 type Membership interface {
-	// InContact reports whether a quorum of the voters answers this process.
-	InContact() bool
-	// Isolated reports that no quorum answers, though there was time to find one.
+	// HasQuorumContact reports whether a quorum of the voters has answered this process recently.
+	HasQuorumContact() bool
+	// Isolated reports that there is no quorum contact although the startup grace is over.
 	Isolated() bool
-	// Starting reports that this process may not have had the time to find the others yet.
+	// Starting reports that this process may not have had enough time since its start to find the others.
 	Starting() bool
-	// PendingStore returns the turn store of a name that asks to join, nil where none does.
+	// PendingStore returns the turn store with this name that is asking to join, or nil.
 	PendingStore(name string) *tierpb.Node
 }
 
-// Announcer replicates final states of instances.
+// Announcer replicates terminal states of instances.
 type Announcer interface {
-	// Announce reports whether a quorum of the voters has the state on disk before ctx ends.
+	// Announce replicates the state of an instance and reports whether a quorum of the voters has saved it before ctx ends.
 	Announce(ctx context.Context, instance *tierpb.Instance) bool
 }
 
 // Options of an API. All are required.
 type Options struct {
-	Live       *settings.Live // fault tolerance
-	State      *watch.State   // the instances
+	Live       *settings.Live // source of the fault tolerance
+	State      *watch.State   // holds the instances
 	Register   Register
 	Membership Membership
 	Announcer  Announcer
@@ -92,16 +94,16 @@
 	Log        hclog.Logger
 }
 
-// API serves the control API. It is safe for concurrent use.
+// API handles the requests of the control API. It is safe for concurrent use.
 type API struct {
 	options      Options
 	acknowledged generationWatermark
 }
 
-// New returns an API; Handler serves it.
+// New returns an API. Its requests are served by Handler.
 func New(options Options) *API { return &API{options: options} }
 
-// Handler returns the routes of the control API.
+// Handler returns a handler with all routes of the control API.
 func (a *API) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.NotFound(func(w http.ResponseWriter, _ *http.Request) { writeError(w, result.UnknownPath) })
@@ -117,14 +119,14 @@
 }
 
 func (a *API) getReadiness(w http.ResponseWriter, _ *http.Request) {
-	if !a.options.Membership.InContact() {
+	if !a.options.Membership.HasQuorumContact() {
 		writeError(w, result.NoQuorum)
 		return
 	}
 	writeJSON(w, struct{}{})
 }
 
-// timeoutFor is how long a call with a body of this size may take. An isolated coordinator sends callers on sooner.
+// timeoutFor returns how long a call with a body of this size may take. It is shorter while this coordinator is isolated.
 func (a *API) timeoutFor(bytes int) time.Duration {
 	if a.options.Membership.Isolated() {
 		return isolatedCallTimeout
--- a/internal/tier/coordinator/controlapi/body.go
+++ b/internal/tier/coordinator/controlapi/body.go
@@ -16,13 +16,13 @@
 	"pulleygw.example/pulleygw/internal/tier/result"
 )
 
-// readBody reads a complete body of at most so many bytes.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, *result.Error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+// readBody reads a complete body of at most limit bytes.
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *result.Error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return nil, result.New(result.BodyTooLarge, "")
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) { // no rejection: the change may have been committed elsewhere
+	if errors.Is(err, os.ErrDeadlineExceeded) { // not a rejection: the change may have been committed elsewhere
 		return nil, result.New(result.BodyTooSlow, "")
 	}
 	if err != nil {
@@ -31,18 +31,19 @@
 	return body, nil
 }
 
-// invalid says which field of a body is at fault.
-func invalid(code result.Code, err error) *result.Error {
-	if fault := (*configuration.FieldError)(nil); errors.As(err, &fault) {
-		return result.InField(code, fault.Field, fault.Reason)
+// validationError converts an error in a body into a result.Error that names the invalid field if it is known.
+func validationError(code result.Code, err error) *result.Error {
+	if invalidField := (*configuration.FieldError)(nil); errors.As(err, &invalidField) {
+		return result.InField(code, invalidField.Field, invalidField.Reason)
 	}
-	if fault := (*registry.FieldError)(nil); errors.As(err, &fault) {
-		return result.InField(code, fault.Field, fault.Problem)
+	if invalidField := (*registry.FieldError)(nil); errors.As(err, &invalidField) {
+		return result.InField(code, invalidField.Field, invalidField.Problem)
 	}
 	return result.New(code, err.Error())
 }
 
-// resultOf turns the end of a change into an answer. Only what was decided on a chosen value is a rejection.
+// resultOf converts the error of a register call into a result.Error. An error is a rejection only if it is already
+// a *result.Error: those are returned for decisions based on a chosen value.
 func resultOf(err error) *result.Error {
 	if rejection := (*result.Error)(nil); errors.As(err, &rejection) {
 		return rejection
@@ -67,5 +68,5 @@
 func writeBytes(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text) // a caller that left needs no answer
+	_, _ = w.Write(text) // fails only if the caller has disconnected
 }
--- a/internal/tier/coordinator/controlapi/change.go
+++ b/internal/tier/coordinator/controlapi/change.go
@@ -8,23 +8,23 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// configurationChange is a configuration that an operator sent, and the generation that it is to replace.
+// configurationChange is an operator's request to replace the configuration of one generation by a new one.
 type configurationChange struct {
 	changelog.Change
-	body    []byte
-	changes changelog.Segments // older changes that were committed
+	body         []byte
+	olderChanges changelog.Segments // older committed changes
 }
 
 func newConfigurationChange(ifMatch, generation uint64, body []byte, changes changelog.Segments) *configurationChange {
-	return &configurationChange{Change: changelog.NewChange(ifMatch, generation, body), body: body, changes: changes}
+	return &configurationChange{Change: changelog.NewChange(ifMatch, generation, body), body: body, olderChanges: changes}
 }
 
-// apply is a register.ChangeFunc. It puts the configuration in force where that builds on the current generation. A change
-// that was committed before changes nothing; any other ends with a *result.Error, which is a rejection only where the change
-// is known not to have been committed.
+// apply is a register.ChangeFunc. It sets the configuration if the change is based on the current generation. A change that was
+// committed before leaves the value as it is. In all other cases it returns a *result.Error, which is a rejection only if
+// the change is known not to have been committed.
 func (c *configurationChange) apply(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	generation := current.GetConfiguration().GetGeneration()
-	switch changelog.Classify(current, c.changes, c.Change) {
+	switch changelog.Classify(current, c.olderChanges, c.Change) {
 	case changelog.Committed:
 		return current, nil
 	case changelog.Rejected:
@@ -43,12 +43,12 @@
 	return current, nil
 }
 
-// isDecided reports that a chosen control state and all later ones give the change one and the same outcome: it was committed,
-// or it builds on a generation that is no longer current.
+// isDecided reports whether the outcome of the change can no longer differ after this chosen control state: the change was
+// committed, or it is based on a generation that is no longer current.
 func (c *configurationChange) isDecided(chosen *tierpb.ControlState) bool {
 	if c.IfMatch >= chosen.GetConfiguration().GetGeneration() {
 		return false
 	}
-	outcome := changelog.Classify(chosen, c.changes, c.Change)
+	outcome := changelog.Classify(chosen, c.olderChanges, c.Change)
 	return outcome == changelog.Committed || outcome == changelog.Rejected
 }
--- a/internal/tier/coordinator/controlapi/configuration.go
+++ b/internal/tier/coordinator/controlapi/configuration.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/result"
 )
 
-// generationBody answers a configuration that was committed.
+// generationBody is the response to a committed configuration.
 type generationBody struct {
 	Generation uint64 `json:"generation"`
 }
@@ -40,7 +40,7 @@
 	writeJSON(w, generationBody{Generation: change.Generation})
 }
 
-// parseChange reads a configuration and the generation that it replaces.
+// parseChange parses a configuration and the generation in If-Match that it replaces.
 func (a *API) parseChange(ifMatch string, body []byte) (*configurationChange, *result.Error) {
 	base, err := strconv.ParseUint(strings.Trim(ifMatch, `" `), 10, 64)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	parsed, err := configuration.Parse(body)
 	if err != nil {
-		return nil, invalid(result.InvalidConfiguration, err)
+		return nil, validationError(result.InvalidConfiguration, err)
 	}
 	return newConfigurationChange(base, parsed.Generation, body, a.options.Changes), nil
 }
--- a/internal/tier/coordinator/controlapi/instances.go
+++ b/internal/tier/coordinator/controlapi/instances.go
@@ -19,7 +19,7 @@
 	}
 	instance, err := registry.ParseHeartbeat(chi.URLParam(r, "id"), body)
 	if err != nil {
-		result.Write(w, invalid(result.InvalidInstance, err))
+		result.Write(w, validationError(result.InvalidInstance, err))
 		return
 	}
 	a.updateInstance(w, r, instance)
@@ -38,8 +38,8 @@
 	a.updateInstance(w, r, deregistered)
 }
 
-// updateInstance merges what an instance said of itself. A final state is acknowledged when a quorum of the voters has it on
-// disk.
+// updateInstance merges the state that an instance reported. A terminal state is acknowledged once a quorum of the voters has it
+// on disk, any other state at once.
 func (a *API) updateInstance(w http.ResponseWriter, r *http.Request, update *tierpb.Instance) {
 	before := a.options.State.Instance(update.Id)
 	a.options.State.Upsert(update)
@@ -60,7 +60,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// acknowledgeHeartbeat sends an instance to another coordinator where this one cannot pass its heartbeats on.
+// acknowledgeHeartbeat acknowledges a heartbeat. While this coordinator is isolated it cannot replicate heartbeats, so it answers
+// with an error that makes the instance switch to another coordinator.
 func (a *API) acknowledgeHeartbeat(w http.ResponseWriter) {
 	if a.options.Membership.Isolated() {
 		writeError(w, result.NoQuorum)
--- a/internal/tier/coordinator/controlapi/retirement.go
+++ b/internal/tier/coordinator/controlapi/retirement.go
@@ -7,23 +7,22 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// maxRetirements is how many retirements the register remembers, the newest.
+// maxRetirements is how many retirements the control state remembers. Older ones are dropped.
 const maxRetirements = 256
 
-// retirement is an operator's request to empty a turn store's machine.
+// retirement is an operator's request to retire a turn store's machine: to move its records to other machines.
 type retirement struct {
 	node      string       // name of the machine
 	tolerance int          // how many turn stores may be lost at once
-	pending   *tierpb.Node // a turn store of that name that is no member yet; may be nil
+	pending   *tierpb.Node // turn store with this name that asks to join; may be nil
 }
 
-// apply is a register.ChangeFunc. It takes the machine out of the members; its records move while the members before keep
-// being asked. A request sent again changes nothing. Whether the machine is empty is for the placement to say, never for
-// the request.
+// apply is a register.ChangeFunc. It removes the machine from the turn store members. While its records move, the previous
+// members are still queried. A repeated request changes nothing. Only the placement controller marks a retirement as completed.
 func (r *retirement) apply(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-	member := nodeNamed(current.GetStores().GetCurrent(), r.node)
+	member := findNode(current.GetStores().GetCurrent(), r.node)
 	if member == nil {
-		return r.applyOutside(current)
+		return r.applyToNonMember(current)
 	}
 	stores := current.Stores
 	if left := len(stores.Current) - 1; left < r.minMembers() {
@@ -32,19 +31,19 @@
 	if len(stores.Previous) == 0 {
 		stores.Previous = stores.Current
 	}
-	stores.Current = without(stores.Current, member.Identity)
+	stores.Current = withoutNode(stores.Current, member.Identity)
 	stores.Epoch++
 	addRetirement(current, &tierpb.Retirement{Node: r.node, Identity: member.Identity})
 	return current, nil
 }
 
-// applyOutside records the request for a machine whose store is no member now: it asks to become one, or it was one
-// until lately and may hold what still moves.
-func (r *retirement) applyOutside(current *tierpb.ControlState) (*tierpb.ControlState, error) {
+// applyToNonMember records the request for a machine whose turn store is not a current member: the store is asking to join, or it
+// is a previous member that may hold records that still have to move.
+func (r *retirement) applyToNonMember(current *tierpb.ControlState) (*tierpb.ControlState, error) {
 	stores := current.GetStores()
 	node := r.pending
 	if node == nil {
-		node = nodeNamed(stores.GetPrevious(), r.node)
+		node = findNode(stores.GetPrevious(), r.node)
 	}
 	last := findRetirement(current, r.node)
 	switch {
@@ -52,14 +51,14 @@
 		return current, nil
 	case node == nil:
 		return nil, result.New(result.UnknownMachine, fmt.Sprintf("no turn store is named %q", r.node))
-	case len(stores.GetCurrent()) < r.minMembers(): // members wait for it
+	case len(stores.GetCurrent()) < r.minMembers(): // the store is needed as a member
 		return nil, r.tooFewMembers(len(stores.GetCurrent()))
 	}
 	addRetirement(current, &tierpb.Retirement{Node: r.node, Identity: node.Identity})
 	return current, nil
 }
 
-// minMembers is the number of turn stores that bears the loss of as many as are tolerated.
+// minMembers returns the number of turn stores that is needed to tolerate the loss of r.tolerance of them.
 func (r *retirement) minMembers() int { return 2*r.tolerance + 1 }
 
 func (r *retirement) tooFewMembers(left int) error {
@@ -73,7 +72,7 @@
 	}
 }
 
-// findRetirement returns the newest retirement of a machine, nil where there is none.
+// findRetirement returns the newest retirement of a machine, or nil.
 func findRetirement(current *tierpb.ControlState, node string) *tierpb.Retirement {
 	list := current.GetRetirements()
 	for i := len(list) - 1; i >= 0; i-- {
@@ -84,7 +83,7 @@
 	return nil
 }
 
-func nodeNamed(nodes []*tierpb.Node, name string) *tierpb.Node {
+func findNode(nodes []*tierpb.Node, name string) *tierpb.Node {
 	for _, node := range nodes {
 		if node.Name == name {
 			return node
@@ -93,7 +92,7 @@
 	return nil
 }
 
-func without(nodes []*tierpb.Node, identity uint64) []*tierpb.Node {
+func withoutNode(nodes []*tierpb.Node, identity uint64) []*tierpb.Node {
 	var kept []*tierpb.Node
 	for _, node := range nodes {
 		if node.Identity != identity {
--- a/internal/tier/coordinator/controlapi/retirement_test.go
+++ b/internal/tier/coordinator/controlapi/retirement_test.go
@@ -33,8 +33,8 @@
 	assert.Equal(t, newest.Completed, completed)
 }
 
-// A store that was abandoned and asks to join again is no member, and may hold the only copy of what moves.
-func TestRetirementOfAPreviousMemberIsNotCompletedAtOnce(t *testing.T) {
+// A previous member may hold the only copy of records that are still moving, even if it asks to join again.
+func TestRetirementOfPreviousMemberStartsIncomplete(t *testing.T) {
 	stores := &tierpb.StoreMembership{Epoch: 2, Current: storeNodes(1, 2, 3), Previous: storeNodes(1, 2, 3, 4)}
 	for _, pending := range []*tierpb.Node{nil, storeNode(4)} {
 		state := &tierpb.ControlState{Stores: stores.CloneVT()}
@@ -44,25 +44,26 @@
 		expectRetirement(t, state, storeNode(4).Identity, false)
 		state, err = request.apply(state)
 		assert.NilError(t, err)
-		assert.Equal(t, len(state.Retirements), 1, "the request sent again")
+		assert.Equal(t, len(state.Retirements), 1, "a repeated request added a retirement")
 	}
 }
 
-// A machine that was emptied and comes again is not empty for long.
-func TestRetirementOfAMachineThatCameAgainIsARequestOfItsOwn(t *testing.T) {
-	came := storeNode(4)
-	came.Identity = 40
+// A retired machine that joins again with a new identity receives records, so its retirement has to start anew.
+func TestRetirementOfMachineThatJoinsAgainStartsAnew(t *testing.T) {
+	rejoined := storeNode(4)
+	rejoined.Identity = 40
 	state := &tierpb.ControlState{
 		Stores:      &tierpb.StoreMembership{Epoch: 3, Current: storeNodes(1, 2, 3)},
 		Retirements: []*tierpb.Retirement{{Node: "store-4", Identity: storeNode(4).Identity, Completed: true}},
 	}
-	state, err := (&retirement{node: "store-4", tolerance: 1, pending: came}).apply(state)
+	state, err := (&retirement{node: "store-4", tolerance: 1, pending: rejoined}).apply(state)
 	assert.NilError(t, err)
-	expectRetirement(t, state, came.Identity, false)
+	expectRetirement(t, state, rejoined.Identity, false)
 	assert.Equal(t, len(state.Retirements), 2)
 }
 
-func TestRetirementOfTheSameMachineStaysCompleted(t *testing.T) {
+// A repeated request for a machine that was retired and did not get a new identity leaves the retirement completed.
+func TestRetirementOfSameIdentityStaysCompleted(t *testing.T) {
 	state := &tierpb.ControlState{
 		Stores:      &tierpb.StoreMembership{Epoch: 3, Current: storeNodes(1, 2, 3)},
 		Retirements: []*tierpb.Retirement{{Node: "store-4", Identity: storeNode(4).Identity, Completed: true}},
@@ -85,6 +86,6 @@
 	state.Stores.Current = storeNodes(1, 2, 3, 5)
 	state, err = (&retirement{node: "store-3", tolerance: 1}).apply(state)
 	assert.NilError(t, err)
-	assert.Equal(t, len(state.Stores.Previous), 4, "the set that was whole last")
+	assert.Equal(t, len(state.Stores.Previous), 4, "the previous members must stay until the records have moved")
 	assert.Equal(t, len(state.Stores.Current), 3)
 }
--- a/internal/tier/coordinator/controlapi/retirements.go
+++ b/internal/tier/coordinator/controlapi/retirements.go
@@ -11,18 +11,18 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// States of a retirement, as the operator reads them.
+// States of a retirement in responses to the operator.
 const (
 	retirementRunning   = "running"
 	retirementCompleted = "completed"
 )
 
-// retirementRequest is the body of a request to empty a machine.
+// retirementRequest is the body of a request to retire a machine.
 type retirementRequest struct {
 	DeadlineS float64 `json:"deadlineS"`
 }
 
-// retirementBody answers a retirement.
+// retirementBody is the response to requests about a retirement.
 type retirementBody struct {
 	State string `json:"state"`
 }
@@ -53,8 +53,8 @@
 	writeRetirement(w, findRetirement(chosen, name))
 }
 
-// retirementError is the answer to a request that failed. Whether a machine that is no member is known rests on its
-// calls, of which a coordinator that has just started has had none.
+// retirementError returns the response to a failed request. A machine that is no member is known only by its join requests,
+// and a coordinator that has just started may not have received any yet, so it does not report the machine as unknown.
 func (a *API) retirementError(err error) *result.Error {
 	failure := resultOf(err)
 	if failure.Code == result.UnknownMachine && a.options.Membership.Starting() {
@@ -63,7 +63,8 @@
 	return failure
 }
 
-// getRetirement reads the register: the operator takes a machine away on what this answers, with its disk.
+// getRetirement answers from a read of the register rather than from the locally known control state, because the operator
+// removes the machine together with its disk when the response reports the retirement as completed.
 func (a *API) getRetirement(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "node")
 	ctx, cancel := context.WithTimeout(r.Context(), a.timeoutFor(0))
@@ -73,15 +74,15 @@
 		result.Write(w, resultOf(err))
 		return
 	}
-	writeRetirement(w, retirementInForce(current, name))
+	writeRetirement(w, currentRetirement(current, name))
 }
 
-// retirementInForce returns the newest retirement of a machine, nil where there is none: one that was completed is not
-// about a machine of that name which came again and holds records.
-func retirementInForce(current *tierpb.ControlState, name string) *tierpb.Retirement {
+// currentRetirement returns the newest retirement of a machine, or nil. A completed retirement no longer applies if a machine with
+// the same name has joined again, because that machine holds records.
+func currentRetirement(current *tierpb.ControlState, name string) *tierpb.Retirement {
 	found := findRetirement(current, name)
 	stores := current.GetStores()
-	if found.GetCompleted() && (nodeNamed(stores.GetCurrent(), name) != nil || nodeNamed(stores.GetPrevious(), name) != nil) {
+	if found.GetCompleted() && (findNode(stores.GetCurrent(), name) != nil || findNode(stores.GetPrevious(), name) != nil) {
 		return nil
 	}
 	return found
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -1,48 +1,49 @@
-// Package coordinator is the role of the core machines. The coordinators together keep the control state (configuration,
-// voters, members of the turn stores, retirements) and the list of instances, and bring both out to all other processes.
+// Package coordinator implements the coordinator role, which runs on the core machines. The coordinators replicate the control
+// state (configuration, voters, turn store members, retirements) and the list of instances, and distribute both to all other
+// processes.
 //
 // # Components
 //
-// The package itself only wires components together, opens the listeners and shuts down in order. Each component owns its
-// state and reaches the others through a small interface of its own:
+// The package itself only connects the components, opens the listeners and shuts down in order. Each component owns its state
+// and accesses the others through a small interface that it declares:
 //
-//	register (acceptor, proposer)  the control state; the acceptor's files below dataDir/register
+//	register (acceptor, proposer)  the control state; the acceptor's files are below dataDir/register
 //	watch.State                    the newest chosen control state, the instances, the coordinators; in memory
 //	membership                     the other coordinators, quorum contact, join requests; in memory
 //	catchup                        how far this process is behind; in memory
-//	changefetch                    older configuration changes; changelog.SegmentStore below dataDir/orders
-//	draining                       final states of instances; draining.Table below dataDir/departures
-//	placementcontrol               term and redundancy, while this process holds the placement lease; in memory
-//	controlapi                     the HTTP interface; the newest acknowledged generation, in memory
-//	instanceMonitor                when each instance last sent a heartbeat; in memory
+//	changefetch                    older configuration changes, in a changelog.SegmentStore below dataDir/orders
+//	draining                       terminal states of instances, in a draining.Table below dataDir/departures
+//	placementcontrol               placement term and redundancy timer while this process holds the lease; in memory
+//	controlapi                     the HTTP API and the newest acknowledged generation; in memory
+//	instanceMonitor                when each instance sent its last heartbeat; in memory
 //
 // # Goroutines
 //
-//	membership.Follow         polls the other coordinators
-//	membership.RunJoin        asks to become a voter, where this process is none
-//	membership.RunSampler     gossip sample of nodes
-//	catchup.RunAtStart        first read of the register; ends early
-//	coordinator.runMaintenance  readiness, list of coordinators, instanceMonitor, catchup.Step: one after the other
-//	changefetch.Run           fetches segments of the change log
-//	placementcontrol.Run      changes of voters and turn stores
-//	lease.Candidate.Run       candidacy for the placement lease
+//	membership.RunWatcher       polls the other coordinators
+//	membership.RunJoin          asks to become a voter if this process is not one
+//	membership.RunSampler       refreshes the gossip sample of nodes
+//	catchup.RunAtStart          reads the register at the start, then ends
+//	coordinator.runMaintenance  readiness, list of coordinators, instanceMonitor and catchup.Step, in this order
+//	changefetch.Run             fetches missing segments of the change log
+//	placementcontrol.Run        changes voters and turn store members
+//	lease.Candidate.Run         acquires and renews the placement lease
 //
-// besides those of the two servers, a goroutine a call.
+// In addition, the internal server and the HTTP server run one goroutine per call.
 //
-// # How requests flow
+// # Data flow
 //
-// A configuration goes from controlapi through register.Proposer to the acceptors of the voters; once chosen, it is set in
-// the watch.State of the proposing process, from where followers (coordinators, agents, turn stores) get it with their next
-// poll. A heartbeat goes into the watch.State of the coordinator that got it, and to the others by their polls. A drain or a
-// deregistration is also written to the disks of a quorum before it is acknowledged (draining).
+// A configuration goes from controlapi through register.Proposer to the acceptors of the voters. Once chosen, it is set in the
+// watch.State of the proposing process, and followers (coordinators, agents, turn stores) receive it with their next poll.
+// A heartbeat updates the watch.State of the coordinator that received it; the other coordinators get it through their polls.
+// A drain or a deregistration is also written to the disks of a quorum before it is acknowledged (package draining).
 //
 // # Failures
 //
-// Without contact with a quorum of the voters a coordinator answers writes and reads of the control state with 503, and
-// sends agents and instances on to other coordinators; it keeps its state, and catches up when contact is back. A process
-// that was frozen notices that, and neither marks instances suspect nor replaces voters for what it has missed. A disk that
-// is lost makes the process another voter identity, which joins anew. At a shutdown the calls in flight are answered, then
-// the vote is transferred to a standby where there is one.
+// Without quorum contact a coordinator answers reads and writes of the control state with 503 and makes agents and instances
+// switch to other coordinators. It keeps its state and catches up when quorum contact is established again. A process that was
+// frozen detects this: it neither marks instances suspect nor replaces voters because of messages that it missed. A process
+// whose disk is lost gets a new voter identity and joins again. At a shutdown the calls in flight are answered first; then the
+// vote is transferred to a standby, if there is one.
 package coordinator
 
 import (
@@ -73,17 +74,17 @@
 // Folders below dataDir.
 const (
 	registerFolder = "register" // files of the acceptor
-	changesFolder  = "orders"   // segments of the change log; the name on disk is that of the first release
+	changesFolder  = "orders"   // segments of the change log; the name is kept for compatibility with the first release
 )
 
-const defaultHeartbeat = time.Second // period of the instances' heartbeats, where the settings have none
+const defaultHeartbeat = time.Second // heartbeat period of instances if the settings give none
 
 var (
 	errNoControlListener = eris.New("coordinator: listen.control is missing")
 	errNoDataDir         = eris.New("coordinator: dataDir is missing")
 )
 
-// Run serves the role until ctx ends and all is shut down in order.
+// Run runs a coordinator until ctx ends, then shuts it down and returns.
 func Run(ctx context.Context, live *settings.Live, log hclog.Logger) error {
 	if err := checkSettings(live.Current()); err != nil {
 		return err
@@ -100,7 +101,7 @@
 	return serve(ctx, options)
 }
 
-// checkSettings finds what other roles can do without.
+// checkSettings checks settings that are required for this role but optional for others.
 func checkSettings(current *settings.Settings) error {
 	if current.Listen.Control == "" {
 		return errNoControlListener
@@ -111,20 +112,20 @@
 	return nil
 }
 
-// options are what a coordinator is made of: the process's settings, identity and files.
+// options are the settings, the identity and the opened files from which a coordinator is built.
 type options struct {
-	live     *settings.Live
-	log      hclog.Logger
-	self     *tierpb.Node
-	caller   rpc.Caller
-	now      func() time.Time
-	faults   *failpoint.Points // nil outside tests
-	acceptor *register.Acceptor
-	history  *changelog.SegmentStore
-	drains   *draining.Table
+	live       *settings.Live
+	log        hclog.Logger
+	self       *tierpb.Node
+	caller     rpc.Caller
+	now        func() time.Time
+	faults     *failpoint.Points // nil outside tests
+	acceptor   *register.Acceptor
+	history    *changelog.SegmentStore
+	drainTable *draining.Table
 }
 
-// openDisk opens the files below dataDir. Which node this process is follows from them.
+// openDisk opens the files below dataDir. They determine the identity of this process.
 func openDisk(current *settings.Settings) (opened options, err error) {
 	disk := storage.Local()
 	if err := disk.MkdirAll(current.DataDir); err != nil {
@@ -142,7 +143,7 @@
 	if err != nil {
 		return options{}, err
 	}
-	opened.drains, err = draining.OpenTable(disk, filepath.Join(current.DataDir, draining.Folder))
+	opened.drainTable, err = draining.OpenTable(disk, filepath.Join(current.DataDir, draining.Folder))
 	if err != nil {
 		return options{}, err
 	}
@@ -153,7 +154,7 @@
 	return opened, nil
 }
 
-// coordinator is the components of one process of the role. None of its fields is changed after newCoordinator.
+// coordinator holds the components of one coordinator process. Its fields do not change after newCoordinator.
 type coordinator struct {
 	options
 	state      *watch.State
@@ -170,14 +171,14 @@
 	api        *controlapi.API
 }
 
-// newCoordinator makes the components, in the order in which they need each other. Nothing runs yet.
+// newCoordinator creates the components in the order of their dependencies. It starts no goroutine.
 func newCoordinator(o options) *coordinator {
 	c := &coordinator{options: o, state: watch.NewState()}
 	c.membership = membership.New(membership.Options{
 		Self: o.self, Caller: o.caller, State: c.state, Accepted: o.acceptor.AcceptedValue, Log: o.log, Now: o.now,
 		Seeds: func() []string { return o.live.Current().SeedCoordinators() },
 	})
-	for _, instance := range o.drains.Instances() { // so that followers get them from the start
+	for _, instance := range o.drainTable.Instances() { // before the first follower is served
 		c.state.Upsert(instance)
 	}
 	c.register = newControlRegister(o, c.state)
@@ -190,7 +191,7 @@
 	return c
 }
 
-// addReplication makes the components that keep this process and the others up to date.
+// addReplication creates the components that keep this process and the others up to date.
 func (c *coordinator) addReplication() {
 	c.catchUp = catchup.New(catchup.Options{
 		Identity: c.self.Identity, Control: c.state.Control, Accepted: c.acceptor.AcceptedValue, ReceivedBytes: c.receivedBytes,
@@ -200,15 +201,15 @@
 		History: c.history, Control: c.state.Control, Targets: c.membership.Targets, Caller: c.caller, Log: c.log,
 	})
 	c.announcer = draining.NewAnnouncer(draining.AnnouncerOptions{
-		Self: c.self, Caller: c.caller, State: c.state, Membership: c.membership, Table: c.drains, Log: c.log,
+		Self: c.self, Caller: c.caller, State: c.state, Membership: c.membership, Table: c.drainTable, Log: c.log,
 	})
 	c.instances = newInstanceMonitor(instanceMonitorOptions{
-		heartbeat: heartbeatPeriod(c.live.Current()), state: c.state, inContact: c.membership.InContact, log: c.log, now: c.now,
-		forgetters: []forgetter{c.announcer, c.drains},
+		heartbeat: heartbeatPeriod(c.live.Current()), state: c.state, hasQuorumContact: c.membership.HasQuorumContact, log: c.log, now: c.now,
+		pruners: []pruner{c.announcer, c.drainTable},
 	})
 }
 
-// addPlacement makes the candidacy for the placement lease and what is done under it.
+// addPlacement creates the candidate for the placement lease and the components that change voters and turn store members.
 func (c *coordinator) addPlacement() {
 	c.lessor = c.newLessor()
 	c.candidate = lease.NewCandidate(lease.CandidateOptions{
@@ -228,8 +229,8 @@
 	}
 }
 
-// newLessor grants leases on behalf of the acceptor's voter. It grants none for a while where it may have granted some before
-// this start.
+// newLessor returns the lessor of the local voter. It grants no lease for lease.MaxTTL after the start, because leases that it
+// granted before a restart may still be valid. Only a process that bootstraps the cluster on an empty disk need not wait.
 func (c *coordinator) newLessor() *lease.Lessor {
 	gracePeriod := lease.MaxTTL
 	if c.acceptor.Fresh() && c.live.Current().Bootstrap {
@@ -238,12 +239,12 @@
 	return lease.NewLessor(c.self.Identity, gracePeriod)
 }
 
-// heartbeatPeriod is how often instances send heartbeats.
+// heartbeatPeriod returns the time between two heartbeats of an instance.
 func heartbeatPeriod(current *settings.Settings) time.Duration {
 	return settings.Milliseconds(float64(current.HeartbeatMs), defaultHeartbeat)
 }
 
-// receivedBytes returns the bytes that the calls of this process have brought in, 0 for a caller that doesn't count them.
+// receivedBytes returns how many bytes this process has received in replies to its calls; 0 if the caller does not count them.
 func (c *coordinator) receivedBytes() uint64 {
 	if counting, ok := c.caller.(interface{ Counters() rpc.Counters }); ok {
 		return counting.Counters().BytesReceived
--- a/internal/tier/coordinator/coordinator_test.go
+++ b/internal/tier/coordinator/coordinator_test.go
@@ -23,40 +23,40 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-func TestSettingsThatACoordinatorNeeds(t *testing.T) {
+func TestMissingRequiredSettingsAreReported(t *testing.T) {
 	err := Run(context.Background(), settings.Fixed(&settings.Settings{DataDir: t.TempDir()}), hclog.NewNullLogger())
 	assert.ErrorContains(t, err, "listen.control")
-	own := &settings.Settings{Listen: settings.Listen{Control: "127.0.0.1:1"}}
-	err = Run(context.Background(), settings.Fixed(own), hclog.NewNullLogger())
+	nodeSettings := &settings.Settings{Listen: settings.Listen{Control: "127.0.0.1:1"}}
+	err = Run(context.Background(), settings.Fixed(nodeSettings), hclog.NewNullLogger())
 	assert.ErrorContains(t, err, "dataDir")
 }
 
-// TestRunServesAndStops runs the role whole, alone on loopback, and takes a configuration over its socket.
+// Runs a single coordinator with real sockets on loopback, sends it a configuration, and stops it.
 func TestRunServesAndStops(t *testing.T) {
 	control := net.JoinHostPort("127.0.0.1", strconv.Itoa(freePort(t)))
-	inner := freePort(t)
-	own := &settings.Settings{
-		NodeName: "core", IP: "127.0.0.1", EphemeralPorts: []int{inner, inner + 10}, Bootstrap: true, DataDir: t.TempDir(),
+	internalPort := freePort(t)
+	nodeSettings := &settings.Settings{
+		NodeName: "core", IP: "127.0.0.1", EphemeralPorts: []int{internalPort, internalPort + 10}, Bootstrap: true, DataDir: t.TempDir(),
 		Seeds: []string{control}, Listen: settings.Listen{Control: control}, HeartbeatMs: testHeartbeatMs,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	started := make(chan struct{})
 	ended := make(chan error, 1)
 	log := hclog.New(&hclog.LoggerOptions{Output: &closeOnWrite{closed: started}})
-	go func() { ended <- Run(ctx, settings.Fixed(own), log) }()
+	go func() { ended <- Run(ctx, settings.Fixed(nodeSettings), log) }()
 	<-started
 	status := 0
 	for status != http.StatusOK {
-		status = putOver(t, control, configurationOf(1, "a"))
+		status = putOverSocket(t, control, configurationOf(1, "a"))
 	}
 	cancel()
 	assert.NilError(t, <-ended)
 	_, err := net.Dial("tcp4", control)
-	assert.Assert(t, err != nil, "the listener is closed")
+	assert.Assert(t, err != nil, "the listener is still open")
 }
 
-// putOver sends a configuration over a socket; 0 while nothing listens yet.
-func putOver(t *testing.T, control, body string) int {
+// putOverSocket sends a configuration over a socket and returns the status, or 0 if the request fails.
+func putOverSocket(t *testing.T, control, body string) int {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPut, "http://"+control+"/v1/config", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -69,7 +69,7 @@
 	return answer.StatusCode
 }
 
-// closeOnWrite closes a channel at the first line of a log.
+// closeOnWrite is a log output that closes a channel when the first line is written.
 type closeOnWrite struct {
 	once   sync.Once
 	closed chan struct{}
--- a/internal/tier/coordinator/draining/announcer.go
+++ b/internal/tier/coordinator/draining/announcer.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	// AnnounceTimeout is for how long a coordinator that does not answer is called again, whether the caller of Announce
-	// still waits or not.
+	// AnnounceTimeout is how long calls to a coordinator that does not answer are retried, even after the caller of Announce
+	// has stopped waiting.
 	AnnounceTimeout = 2500 * time.Millisecond
 
 	announceCallTimeout = 400 * time.Millisecond // of one call
-	announceBackoff     = 50 * time.Millisecond  // after a call that failed
+	announceBackoff     = 50 * time.Millisecond  // after a failed call
 )
 
 var errNotSaved = eris.New("draining: announced states could not be saved")
 
-// Membership is what an Announcer needs to know of the coordinators.
+// Membership provides what an Announcer needs to know about the coordinators.
 type Membership interface {
-	// NewestVoters returns the value with the newest voters known, chosen or not; nil where none is known.
+	// NewestVoters returns the value with the newest known voters, whether or not it was chosen, or nil.
 	NewestVoters() *tierpb.ControlState
 	// Targets returns the other coordinators.
 	Targets() []watch.Endpoint
-	// InContact reports whether a quorum of the voters answers this process.
-	InContact() bool
-	// RecordContact records that a coordinator has called.
-	RecordContact(node *tierpb.Node)
+	// HasQuorumContact reports whether a quorum of the voters has answered this process recently.
+	HasQuorumContact() bool
+	// RecordCoordinator records that a coordinator has called.
+	RecordCoordinator(node *tierpb.Node)
 }
 
 // AnnouncerOptions of an Announcer. All are required.
 type AnnouncerOptions struct {
-	Self       *tierpb.Node // this process; its identity is its vote
+	Self       *tierpb.Node // this process; acknowledgements carry its identity
 	Caller     rpc.Caller
-	State      *watch.State // takes in what others announce
+	State      *watch.State // updated with states that others announce
 	Membership Membership
-	Table      *Table // the own disk
+	Table      *Table // terminal states on the local disk
 	Log        hclog.Logger
 }
 
-// Announcer replicates final states of instances to the coordinators. It is safe for concurrent use.
+// Announcer replicates terminal states of instances to the coordinators. It is safe for concurrent use.
 type Announcer struct {
 	options   AnnouncerOptions
 	confirmed *confirmedStates
 }
 
-// NewAnnouncer returns an Announcer that knows of no state that it is replicated.
+// NewAnnouncer returns an Announcer that has no confirmed states yet.
 func NewAnnouncer(options AnnouncerOptions) *Announcer {
 	return &Announcer{options: options, confirmed: newConfirmedStates()}
 }
 
-// RegisterHandlers registers the call by which other coordinators announce.
+// RegisterHandlers registers the handler for announcements from other coordinators.
 func (a *Announcer) RegisterHandlers(server *rpc.Server) {
 	rpc.Handle(server, rpc.MethodAnnounce, a.HandleAnnounce)
 }
 
-// Announce sends the final state of an instance to all coordinators and reports whether a majority of each voter set has it on
-// disk before ctx ends. Those that do not answer are called again for AnnounceTimeout, whatever the result.
+// Announce sends the terminal state of an instance to all coordinators and reports whether a majority of each voter set has
+// saved it before ctx ends. Coordinators that do not answer are called again until AnnounceTimeout, regardless of the result.
 func (a *Announcer) Announce(ctx context.Context, instance *tierpb.Instance) bool {
-	// Without contact, those that had it may have started anew.
-	if a.confirmed.includes(instance) && a.options.Membership.InContact() {
+	// Without quorum contact a confirmed state is announced again: the coordinators that confirmed it may have restarted.
+	if a.confirmed.includes(instance) && a.options.Membership.HasQuorumContact() {
 		return true
 	}
 	if !a.awaitQuorum(ctx, a.sendToAll(ctx, instance)) {
@@ -78,28 +78,28 @@
 	return true
 }
 
-// sendToAll saves a state here and sends it to the other coordinators; the votes of those that saved it come over the
-// channel, which holds them all.
+// sendToAll saves a state locally and sends it to the other coordinators. The acknowledgements of those that saved it arrive
+// on the returned channel, which is large enough that no sender blocks.
 func (a *Announcer) sendToAll(ctx context.Context, instance *tierpb.Instance) <-chan *tierpb.AnnounceReply {
 	targets := a.options.Membership.Targets()
-	votes := make(chan *tierpb.AnnounceReply, len(targets)+1)
+	acks := make(chan *tierpb.AnnounceReply, len(targets)+1)
 	go func() {
-		if vote := a.save(instance); vote != nil {
-			votes <- vote
+		if ack := a.save(instance); ack != nil {
+			acks <- ack
 		}
 	}()
 	for _, target := range targets {
 		go func() {
-			if vote := a.sendTo(context.WithoutCancel(ctx), target.Address, instance); vote != nil {
-				votes <- vote
+			if ack := a.sendTo(context.WithoutCancel(ctx), target.Address, instance); ack != nil {
+				acks <- ack
 			}
 		}()
 	}
-	return votes
+	return acks
 }
 
-// awaitQuorum collects votes until they are a quorum of the newest voters, and reports whether that was before ctx ended.
-func (a *Announcer) awaitQuorum(ctx context.Context, votes <-chan *tierpb.AnnounceReply) bool {
+// awaitQuorum collects acknowledgements until they come from a quorum of the newest voters. It returns false if ctx ends first.
+func (a *Announcer) awaitQuorum(ctx context.Context, acks <-chan *tierpb.AnnounceReply) bool {
 	var received []*tierpb.AnnounceReply
 	for {
 		changed := a.options.State.Changed()
@@ -107,27 +107,27 @@
 			return true
 		}
 		select {
-		case vote := <-votes:
-			received = append(received, vote)
-		case <-changed: // the voters may be others now
+		case ack := <-acks:
+			received = append(received, ack)
+		case <-changed: // the voters may have changed
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// isQuorum reports whether those that voted are a quorum of the newest voters. As with contact, one that knows of later
-// voters does not count.
-func (a *Announcer) isQuorum(votes []*tierpb.AnnounceReply) bool {
+// isQuorum reports whether acknowledgements come from a quorum of the newest voters. As with quorum contact, an acknowledgement
+// from a coordinator that knows later voters does not count.
+func (a *Announcer) isQuorum(acks []*tierpb.AnnounceReply) bool {
 	newest := a.options.Membership.NewestVoters()
 	return register.HasQuorum(newest.GetVoters(), func(identity uint64) bool {
-		return slices.ContainsFunc(votes, func(vote *tierpb.AnnounceReply) bool {
-			return vote.Identity == identity && vote.Epoch <= newest.GetEpoch()
+		return slices.ContainsFunc(acks, func(ack *tierpb.AnnounceReply) bool {
+			return ack.Identity == identity && ack.Epoch <= newest.GetEpoch()
 		})
 	})
 }
 
-// sendTo calls one coordinator until it has answered, and returns nil after AnnounceTimeout.
+// sendTo calls one coordinator until it answers. It returns nil if there is no answer within AnnounceTimeout.
 func (a *Announcer) sendTo(ctx context.Context, address string, instance *tierpb.Instance) *tierpb.AnnounceReply {
 	ctx, cancel := context.WithTimeout(ctx, AnnounceTimeout)
 	defer cancel()
@@ -146,23 +146,23 @@
 	}
 }
 
-// HandleAnnounce takes in what another coordinator announces, and answers with this process's vote when it is on disk.
+// HandleAnnounce applies the states that another coordinator announces and acknowledges them once they are on disk.
 func (a *Announcer) HandleAnnounce(_ context.Context, request *tierpb.AnnounceRequest) (*tierpb.AnnounceReply, error) {
-	a.options.Membership.RecordContact(request.From)
+	a.options.Membership.RecordCoordinator(request.From)
 	for _, instance := range request.Instances {
 		a.options.State.Upsert(instance)
 	}
-	vote := a.save(request.Instances...)
-	if vote == nil {
+	ack := a.save(request.Instances...)
+	if ack == nil {
 		return nil, errNotSaved
 	}
-	return vote, nil
+	return ack, nil
 }
 
-// save writes final states to the disk and returns this process's vote for them, nil where the disk does not take them.
+// save writes terminal states to disk and returns this process's acknowledgement, or nil if they could not be saved.
 func (a *Announcer) save(instances ...*tierpb.Instance) *tierpb.AnnounceReply {
 	if err := a.options.Table.Save(instances...); err != nil {
-		a.options.Log.Warn("saving final instance states failed", "error", err)
+		a.options.Log.Warn("saving terminal instance states failed", "error", err)
 		return nil
 	}
 	return &tierpb.AnnounceReply{
@@ -170,5 +170,6 @@
 	}
 }
 
-// Forget drops what is known of instances that are not listed any more, so that their states would be announced anew.
-func (a *Announcer) Forget(isListed func(id string) bool) { a.confirmed.forget(isListed) }
+// Prune drops the confirmations of instances that are no longer listed. If such an instance repeats its state, the state is
+// announced again.
+func (a *Announcer) Prune(isListed func(id string) bool) { a.confirmed.prune(isListed) }
--- a/internal/tier/coordinator/draining/announcer_test.go
+++ b/internal/tier/coordinator/draining/announcer_test.go
@@ -17,12 +17,12 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// fakePeers are two other coordinators, two and three, as the Announcer of identity 1 sees them.
+// fakePeers stands for two other coordinators at the addresses "two" and "three". The Announcer under test has identity 1.
 type fakePeers struct {
-	inContact bool
+	quorumContact bool
 
 	mu    sync.Mutex
-	votes map[string]*tierpb.AnnounceReply // by address; one that is missing does not answer
+	acks  map[string]*tierpb.AnnounceReply // by address; peers without an entry do not answer
 	calls int
 }
 
@@ -34,22 +34,22 @@
 func (p *fakePeers) Targets() []watch.Endpoint {
 	return []watch.Endpoint{{Address: "two"}, {Address: "three"}}
 }
-func (p *fakePeers) InContact() bool            { return p.inContact }
-func (p *fakePeers) RecordContact(*tierpb.Node) {}
-func (p *fakePeers) vote(address string) *tierpb.AnnounceReply {
+func (p *fakePeers) HasQuorumContact() bool         { return p.quorumContact }
+func (p *fakePeers) RecordCoordinator(*tierpb.Node) {}
+func (p *fakePeers) ack(address string) *tierpb.AnnounceReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	return p.votes[address]
+	return p.acks[address]
 }
 
 func (p *fakePeers) Call(_ context.Context, address string, _ rpc.Method, _, reply rpc.Message) error {
-	vote := p.vote(address)
-	if vote == nil {
+	ack := p.ack(address)
+	if ack == nil {
 		return rpc.ErrUnreachable
 	}
 	answer := reply.(*tierpb.AnnounceReply)
-	answer.Identity, answer.Epoch = vote.Identity, vote.Epoch
+	answer.Identity, answer.Epoch = ack.Identity, ack.Epoch
 	return nil
 }
 
@@ -71,54 +71,54 @@
 	})
 }
 
-// announce announces that an instance drains, for less than the time in which silent coordinators are called again.
+// announce announces a draining instance and waits for less time than AnnounceTimeout.
 func announce(t *testing.T, announcer *Announcer) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	defer time.Sleep(2 * AnnounceTimeout) // calls under way end by themselves
+	defer time.Sleep(2 * AnnounceTimeout) // until the calls in flight have ended
 	return announcer.Announce(ctx, &tierpb.Instance{Id: "i-1", State: draining})
 }
 
-func TestFinalStateIsConfirmedByAQuorumOnly(t *testing.T) {
+func TestTerminalStateIsConfirmedOnlyByAQuorum(t *testing.T) {
 	for name, test := range map[string]struct {
-		votes     map[string]*tierpb.AnnounceReply
+		acks      map[string]*tierpb.AnnounceReply
 		confirmed bool
 	}{
-		"nobody answers":                  {nil, false},
-		"one answers":                     {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 4}}, true},
-		"one with older voters":           {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 3}}, true},
-		"one with later voters":           {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 5}}, false},
-		"another node at that address":    {map[string]*tierpb.AnnounceReply{"two": {Identity: 9, Epoch: 4}}, false},
-		"the same voter at two addresses": {map[string]*tierpb.AnnounceReply{"two": {Identity: 1}, "three": {Identity: 1}}, false},
+		"no peer answers":                 {nil, false},
+		"one peer answers":                {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 4}}, true},
+		"peer with older voters":          {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 3}}, true},
+		"peer with later voters":          {map[string]*tierpb.AnnounceReply{"two": {Identity: 2, Epoch: 5}}, false},
+		"another node at the address":     {map[string]*tierpb.AnnounceReply{"two": {Identity: 9, Epoch: 4}}, false},
+		"same identity at both addresses": {map[string]*tierpb.AnnounceReply{"two": {Identity: 1}, "three": {Identity: 1}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				assert.Equal(t, announce(t, newTestAnnouncer(t, &fakePeers{votes: test.votes})), test.confirmed)
+				assert.Equal(t, announce(t, newTestAnnouncer(t, &fakePeers{acks: test.acks})), test.confirmed)
 			})
 		})
 	}
 }
 
-func TestConfirmedStateIsAnnouncedAgainWithoutContactOnly(t *testing.T) {
+func TestConfirmedStateIsAnnouncedAgainOnlyWithoutQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peers := &fakePeers{inContact: true, votes: map[string]*tierpb.AnnounceReply{"two": {Identity: 2}, "three": {Identity: 3}}}
+		peers := &fakePeers{quorumContact: true, acks: map[string]*tierpb.AnnounceReply{"two": {Identity: 2}, "three": {Identity: 3}}}
 		announcer := newTestAnnouncer(t, peers)
 		assert.Assert(t, announce(t, announcer))
 		assert.Equal(t, peers.callCount(), 2)
 		assert.Assert(t, announce(t, announcer))
-		assert.Equal(t, peers.callCount(), 2, "no call is needed")
-		peers.inContact = false
+		assert.Equal(t, peers.callCount(), 2, "a confirmed state was announced again")
+		peers.quorumContact = false
 		assert.Assert(t, announce(t, announcer))
 		assert.Equal(t, peers.callCount(), 4)
-		peers.inContact = true
-		announcer.Forget(func(string) bool { return false })
+		peers.quorumContact = true
+		announcer.Prune(func(string) bool { return false })
 		assert.Assert(t, announce(t, announcer))
 		assert.Equal(t, peers.callCount(), 6)
 	})
 }
 
-func TestCoordinatorThatDoesNotAnswerIsCalledAgainAfterTheCallerLeft(t *testing.T) {
+func TestSilentCoordinatorIsCalledAgainAfterAnnounceReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers := &fakePeers{}
 		assert.Assert(t, !announce(t, newTestAnnouncer(t, peers)))
--- a/internal/tier/coordinator/draining/confirmed.go
+++ b/internal/tier/coordinator/draining/confirmed.go
@@ -6,11 +6,11 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// confirmedStates remembers which final states a quorum of the voters has on disk, so that an instance that repeats itself
-// is answered without calls. It is safe for concurrent use.
+// confirmedStates remembers which terminal states a quorum of the voters has on disk, so that repeated requests of an instance
+// are answered without calls. It is safe for concurrent use.
 type confirmedStates struct {
 	mu     sync.Mutex
-	states map[string]tierpb.InstanceState // by instance
+	states map[string]tierpb.InstanceState // by instance ID
 }
 
 func newConfirmedStates() *confirmedStates {
@@ -29,8 +29,8 @@
 	c.states[instance.Id] = max(c.states[instance.Id], instance.State)
 }
 
-// forget drops instances that are not listed any more.
-func (c *confirmedStates) forget(isListed func(id string) bool) {
+// prune drops instances that are no longer listed.
+func (c *confirmedStates) prune(isListed func(id string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.states {
--- a/internal/tier/coordinator/draining/table.go
+++ b/internal/tier/coordinator/draining/table.go
@@ -1,11 +1,12 @@
-// Package draining keeps the final states of instances (draining, deregistered) safe.
+// Package draining replicates the terminal states of instances (draining, deregistered) to the disks of the coordinators.
 //
-// An instance announces its other states again with each heartbeat. A drain or a deregistration it says once, and once that
-// was acknowledged it says nothing more: if it were forgotten, proxies would send requests to an instance that is about to
-// end. So a final state is acknowledged only when a quorum of the voters has it on disk.
+// An instance repeats its other states with each heartbeat. It stops repeating a drain or a deregistration once that was
+// acknowledged. If the coordinators then lost it, proxies would send requests to an instance that is about to end. A terminal
+// state is therefore acknowledged only when a quorum of the voters has it on disk.
 //
-//   - Table is one coordinator's file of final states, below dataDir.
-//   - Announcer sends a final state to all coordinators, answers those of the others, and counts the votes.
+//   - Table stores terminal states in a file below dataDir.
+//   - Announcer sends a terminal state to all coordinators and waits for the acknowledgements of a quorum. It also handles the
+//     announcements of other coordinators.
 package draining
 
 import (
@@ -21,42 +22,42 @@
 )
 
 const (
-	// Folder is where a Table keeps its files, below dataDir. The name on disk is that of the first release.
+	// Folder is the folder of a Table's files below dataDir. The name is kept for compatibility with the first release.
 	Folder = "departures"
 
-	fileSeries = "departures" // name of the files, as in the first release
-	maxEntries = 4096         // the newest are kept
+	fileSeries = "departures" // file name prefix, kept for compatibility with the first release
+	maxEntries = 4096         // older entries are dropped
 )
 
-// Table keeps on disk which instances are draining or deregistered. It is safe for concurrent use.
+// Table stores on disk which instances are draining or deregistered. It is safe for concurrent use.
 //
-// Writers queue for one token. Each writes a snapshot of the whole table, so that those behind it often find
-// their own change on disk already.
+// Saves are grouped: writers queue for one token, and the writer that holds it writes a snapshot of the whole table. Writers
+// that get the token later often find their change on disk already.
 type Table struct {
-	writer chan struct{}   // holds one token; its owner may write the disk
-	files  *storage.Series // nil before a folder is opened
-	saved  uint64          // changes that are on disk; belongs to the token's owner
+	writeToken  chan struct{}   // holds one token; only its owner may write to disk
+	files       *storage.Series // nil before a folder is opened
+	savedChange uint64          // number of the newest change on disk; accessed only by the token's owner
 
-	mu      sync.Mutex
-	changes uint64
-	entries map[string]entry // by instance
+	mu         sync.Mutex
+	lastChange uint64           // number of the newest change
+	entries    map[string]entry // by instance ID
 }
 
-// entry is the newest final state of an instance.
+// entry is the newest terminal state of an instance.
 type entry struct {
 	instance *tierpb.Instance
-	change   uint64 // number of the change that brought it
+	change   uint64 // number of the change that set it
 }
 
 var errNoFolder = eris.New("draining: no folder is open")
 
 func newTable() *Table {
-	t := &Table{writer: make(chan struct{}, 1), entries: make(map[string]entry)}
-	t.writer <- struct{}{}
+	t := &Table{writeToken: make(chan struct{}, 1), entries: make(map[string]entry)}
+	t.writeToken <- struct{}{}
 	return t
 }
 
-// OpenTable reads the final states in a folder. A file that is not complete counts as none.
+// OpenTable reads the terminal states stored in a folder. An incomplete file is ignored.
 func OpenTable(disk storage.Disk, folder string) (*Table, error) {
 	stored := &tierpb.AnnounceRequest{}
 	files, found, err := storage.OpenMessage(disk, folder, fileSeries, stored)
@@ -71,52 +72,53 @@
 	for _, instance := range stored.Instances {
 		t.record(instance)
 	}
-	t.saved = t.changes
+	t.savedChange = t.lastChange
 	return t, nil
 }
 
-// Instances lists the instances with a final state, the oldest change first.
+// Instances returns the instances with a terminal state, the oldest change first.
 func (t *Table) Instances() []*tierpb.Instance {
 	snapshot, _ := t.snapshot()
 	return snapshot.Instances
 }
 
-// Save returns nil when the final states of instances are on disk. Those that come while the disk is written go together.
+// Save stores the terminal states of instances and returns nil once they are on disk. Concurrent calls share disk writes.
 func (t *Table) Save(instances ...*tierpb.Instance) error {
 	needed := uint64(0)
 	for _, instance := range instances {
 		needed = max(needed, t.record(instance))
 	}
-	<-t.writer
-	defer func() { t.writer <- struct{}{} }()
+	<-t.writeToken
+	defer func() { t.writeToken <- struct{}{} }()
 	switch {
 	case t.files == nil:
 		return errNoFolder
-	case t.saved >= needed:
+	case t.savedChange >= needed:
 		return nil
 	}
 	snapshot, changes := t.snapshot()
 	if err := t.files.SaveMessage(snapshot); err != nil {
 		return err
 	}
-	t.saved = changes
+	t.savedChange = changes
 	return nil
 }
 
-// record takes a final state in and returns the number of the change that brought it.
+// record adds a terminal state and returns the number of its change. A state that is not later than the known one is ignored;
+// the number of the known state's change is returned.
 func (t *Table) record(instance *tierpb.Instance) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if known, ok := t.entries[instance.Id]; ok && known.instance.State >= instance.State {
 		return known.change
 	}
-	t.changes++
-	t.entries[instance.Id] = entry{instance: instance, change: t.changes}
-	return t.changes
+	t.lastChange++
+	t.entries[instance.Id] = entry{instance: instance, change: t.lastChange}
+	return t.lastChange
 }
 
-// snapshot lists the newest entries, the oldest change first, and how many changes they hold. It drops those beyond
-// maxEntries.
+// snapshot returns all entries, the oldest change first, and the number of the newest change. It drops the oldest entries beyond
+// maxEntries from the table.
 func (t *Table) snapshot() (*tierpb.AnnounceRequest, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,11 +133,11 @@
 	for _, known := range sorted {
 		snapshot.Instances = append(snapshot.Instances, known.instance)
 	}
-	return snapshot, t.changes
+	return snapshot, t.lastChange
 }
 
-// Forget drops instances that are not listed any more. The disk follows with the next Save.
-func (t *Table) Forget(isListed func(id string) bool) {
+// Prune drops instances that are no longer listed. They stay on disk until the next Save.
+func (t *Table) Prune(isListed func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id := range t.entries {
--- a/internal/tier/coordinator/draining/table_test.go
+++ b/internal/tier/coordinator/draining/table_test.go
@@ -17,8 +17,8 @@
 	deregistered = tierpb.InstanceState_INSTANCE_DEREGISTERED
 )
 
-// Of instances that drain together each is on disk when Save returns, and one that is not listed any more is dropped.
-func TestTableIsReadBack(t *testing.T) {
+// Each terminal state is on disk when its Save returns, even if many are saved concurrently; pruned instances are not saved again.
+func TestSavedTableIsReadBack(t *testing.T) {
 	disk := simulation.NewNetwork(rand.New(rand.NewPCG(1, 1)), simulation.LinkConditions{}).
 		NewMachine("10.0.0.1:1", rand.New(rand.NewPCG(1, 2))).Start().Mount()
 	kept, err := OpenTable(disk, Folder)
@@ -38,7 +38,7 @@
 	for _, instance := range read.Instances() {
 		assert.Equal(t, instance.State, deregistered)
 	}
-	read.Forget(func(id string) bool { return id == "7" })
+	read.Prune(func(id string) bool { return id == "7" })
 	assert.NilError(t, read.Save(&tierpb.Instance{Id: "more", State: deregistered}))
 	read, err = OpenTable(disk, Folder)
 	assert.NilError(t, err)
--- a/internal/tier/coordinator/draining_test.go
+++ b/internal/tier/coordinator/draining_test.go
@@ -12,15 +12,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// The acknowledgement of a deregistration binds when all coordinators are killed right behind it: the instance says nothing more, and
-// edges that had not heard of it would send it requests for as long as it lives.
-func TestAcknowledgedDeregistrationSurvivesAKillOfAll(t *testing.T) {
+// An acknowledged deregistration must survive a kill of all coordinators right after the acknowledgement. The instance does not
+// repeat it, so if it were lost, edges that had not received it would keep sending requests to the instance.
+func TestAcknowledgedDeregistrationSurvivesKillOfAll(t *testing.T) {
 	for _, size := range []struct{ coordinators, tolerated int }{{3, 1}, {5, 2}} {
-		inCluster(t, size.coordinators, size.tolerated, func(c *cluster) {
-			names := coreNames(size.coordinators)
-			assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
-			c.pass(time.Second)
-			status, _ := c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
+		withCluster(t, size.coordinators, size.tolerated, func(c *cluster) {
+			names := coordinatorNames(size.coordinators)
+			assert.Equal(t, c.process("core-1").putHeartbeat("ready", 1), http.StatusOK)
+			c.advance(time.Second)
+			status, _ := c.process("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 			assert.Equal(t, status, http.StatusOK)
 			for _, name := range names {
 				c.kill(name)
@@ -28,26 +28,26 @@
 			for _, name := range names {
 				c.start(name, false)
 			}
-			c.pass(time.Second)
+			c.advance(time.Second)
 			for _, name := range names {
-				assert.DeepEqual(t, c.states(name), []tierpb.InstanceState{stateDeregistered})
+				assert.DeepEqual(t, c.instanceStates(name), []tierpb.InstanceState{stateDeregistered})
 			}
 			fresh := c.startEdge("edge", names...)
 			defer fresh.stop()
-			c.pass(time.Second)
+			c.advance(time.Second)
 			assert.Equal(t, fresh.state.Instance("i-1").GetState(), stateDeregistered)
 		})
 	}
 }
 
-// The same where as many disks are lost with it as are tolerated.
-func TestAcknowledgedDeregistrationSurvivesAKillOfAllAndALostDisk(t *testing.T) {
+// The same if in addition one disk is lost, which is as many as the cluster tolerates.
+func TestAcknowledgedDeregistrationSurvivesKillOfAllAndLostDisk(t *testing.T) {
 	for lost := range 3 {
-		inCluster(t, 3, 1, func(c *cluster) {
-			names := coreNames(3)
-			assert.Equal(t, c.at("core-2").putHeartbeat("ready", 1), http.StatusOK)
-			assert.Equal(t, c.at("core-2").putHeartbeat("draining", 2), http.StatusOK)
-			status, _ := c.at("core-2").send(http.MethodDelete, "/v1/instances/i-1", "", "")
+		withCluster(t, 3, 1, func(c *cluster) {
+			names := coordinatorNames(3)
+			assert.Equal(t, c.process("core-2").putHeartbeat("ready", 1), http.StatusOK)
+			assert.Equal(t, c.process("core-2").putHeartbeat("draining", 2), http.StatusOK)
+			status, _ := c.process("core-2").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 			assert.Equal(t, status, http.StatusOK)
 			for _, name := range names {
 				c.kill(name)
@@ -56,14 +56,14 @@
 			for _, name := range names {
 				c.start(name, false)
 			}
-			c.pass(5 * time.Second)
-			assert.DeepEqual(t, c.states(names...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
+			c.advance(5 * time.Second)
+			assert.DeepEqual(t, c.instanceStates(names...), []tierpb.InstanceState{stateDeregistered, stateDeregistered, stateDeregistered})
 		})
 	}
 }
 
-// coreNames are the names of the first machines of a cluster.
-func coreNames(count int) []string {
+// coordinatorNames returns the names of the first machines of a cluster.
+func coordinatorNames(count int) []string {
 	names := make([]string, count)
 	for i := range names {
 		names[i] = fmt.Sprintf("core-%d", i+1)
@@ -71,19 +71,20 @@
 	return names
 }
 
-// A final state that the disk did not take is no vote for its acknowledgement; the others' disks may do.
-func TestFinalStateIsAcknowledgedByDisksThatSavedIt(t *testing.T) {
-	inCluster(t, 3, 1, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
-		c.pass(time.Second)
+// A coordinator that could not save a terminal state does not count for its acknowledgement. The disks of the others may still
+// form a quorum.
+func TestTerminalStateIsAcknowledgedOnlyIfAQuorumSavedIt(t *testing.T) {
+	withCluster(t, 3, 1, func(c *cluster) {
+		assert.Equal(t, c.process("core-1").putHeartbeat("ready", 1), http.StatusOK)
+		c.advance(time.Second)
 		c.machines["core-1"].hardware.Disk.SetFault(simulation.DiskFault{Full: true})
-		assert.Equal(t, c.at("core-1").putHeartbeat("draining", 2), http.StatusOK, "two others have it")
+		assert.Equal(t, c.process("core-1").putHeartbeat("draining", 2), http.StatusOK, "two others saved it")
 		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{SyncFails: true})
-		status, _ := c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
+		status, _ := c.process("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		c.machines["core-2"].hardware.Disk.SetFault(simulation.DiskFault{})
-		c.pass(time.Second)
-		status, _ = c.at("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
+		c.advance(time.Second)
+		status, _ = c.process("core-1").send(http.MethodDelete, "/v1/instances/i-1", "", "")
 		assert.Equal(t, status, http.StatusOK)
 	})
 }
--- a/internal/tier/coordinator/followers_test.go
+++ b/internal/tier/coordinator/followers_test.go
@@ -15,13 +15,13 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// edge is a machine with an agent that follows two coordinators.
+// edge is an edge machine with an agent that follows two coordinators.
 type edge struct {
 	state *watch.State
 	stop  func()
 }
 
-// startEdge starts an agent that prefers the coordinators in the change of their names.
+// startEdge starts an agent that prefers coordinators in the given order.
 func (c *cluster) startEdge(name string, coordinators ...string) *edge {
 	var targets []watch.Endpoint
 	for _, coordinator := range coordinators {
@@ -42,136 +42,136 @@
 
 func (e *edge) generation() uint64 { return e.state.Control().GetConfiguration().GetGeneration() }
 
-// until returns the time until an edge has a generation, and the generations that it had before.
-func (c *cluster) until(e *edge, generation uint64, bound time.Duration) (took time.Duration, before map[uint64]bool) {
+// awaitGeneration waits until an edge has a generation. It returns how long that took and which generations the edge had before.
+func (c *cluster) awaitGeneration(e *edge, generation uint64, limit time.Duration) (took time.Duration, earlier map[uint64]bool) {
 	c.t.Helper()
-	began := time.Now()
-	before = make(map[uint64]bool)
+	started := time.Now()
+	earlier = make(map[uint64]bool)
 	for e.generation() < generation {
-		before[e.generation()] = true
-		assert.Assert(c.t, time.Since(began) <= bound, "generation %d of %d after %v", e.generation(), generation, bound)
-		c.pass(5 * time.Millisecond)
+		earlier[e.generation()] = true
+		assert.Assert(c.t, time.Since(started) <= limit, "generation %d of %d after %v", e.generation(), generation, limit)
+		c.advance(5 * time.Millisecond)
 	}
-	return time.Since(began), before
+	return time.Since(started), earlier
 }
 
-// isolateMinority partitions two of five coordinators from the other three, or heals that; agents reach all.
+// isolateMinority blocks or unblocks all messages between two of five coordinators and the other three. Agents reach all.
 func (c *cluster) isolateMinority(blocked bool) {
-	c.partitionMinority(direction{out: blocked, inward: blocked})
+	c.partitionMinority(partitionDirection{outbound: blocked, inbound: blocked})
 }
 
-// partitionMinority is the same for a partition of one direction.
-func (c *cluster) partitionMinority(to direction) {
-	for _, minority := range five[:2] {
-		for _, majority := range five[2:] {
-			c.setBlocked(minority, majority, to.out)
-			c.setBlocked(majority, minority, to.inward)
+// partitionMinority does the same, but may block only one direction.
+func (c *cluster) partitionMinority(lost partitionDirection) {
+	for _, minority := range fiveCoordinators[:2] {
+		for _, majority := range fiveCoordinators[2:] {
+			c.setBlocked(minority, majority, lost.outbound)
+			c.setBlocked(majority, minority, lost.inbound)
 		}
 	}
 }
 
-// inFive runs a test with five coordinators that all vote.
-func inFive(t *testing.T, test func(*cluster)) {
+// withFiveVoters runs a test with five coordinators that are all voters.
+func withFiveVoters(t *testing.T, test func(*cluster)) {
 	t.Helper()
-	inCluster(t, 5, 2, func(c *cluster) {
-		c.pass(2 * time.Second)
-		assert.DeepEqual(t, c.voterNames("core-1"), five)
+	withCluster(t, 5, 2, func(c *cluster) {
+		c.advance(2 * time.Second)
+		assert.DeepEqual(t, c.voterNames("core-1"), fiveCoordinators)
 		test(c)
 	})
 }
 
-var five = []string{"core-1", "core-2", "core-3", "core-4", "core-5"}
+var fiveCoordinators = []string{"core-1", "core-2", "core-3", "core-4", "core-5"}
 
-const interZoneDelay = 20 * time.Millisecond // between zones
+const interZoneDelay = 20 * time.Millisecond // delay of calls between zones
 
-// propagationTimeout is the longest after which an agent that can reach the majority has what was acknowledged there: a
-// coordinator's polls that were under way bring it or fail, and then the agent goes on to another. It is well below
-// configMs, 2 s.
+// propagationTimeout is the longest time until an agent that can reach the majority receives what was acknowledged there: the
+// polls in flight deliver it or fail, and then the agent switches to another coordinator. It is well below configMs, 2 s.
 const propagationTimeout = watch.MaxPollDuration + 200*time.Millisecond
 
-// TestFollowersLeaveIsolatedCoordinators has both sources of an agent isolated, at several moments of their polls, with
-// updates at any moment and without any, nor heartbeats.
+// Both coordinators that an agent follows are isolated, at various moments of its polls. The agent switches to others in time,
+// whether or not the isolated coordinators still have updates to send.
 func TestFollowersLeaveIsolatedCoordinators(t *testing.T) {
-	for _, way := range directions {
-		for _, gap := range []time.Duration{0, interZoneDelay / 2} {
-			t.Run(fmt.Sprintf("%s, updates every %v", way.name, gap), func(t *testing.T) {
-				inFive(t, func(c *cluster) {
+	for _, lost := range partitionDirections {
+		for _, interval := range []time.Duration{0, interZoneDelay / 2} {
+			t.Run(fmt.Sprintf("%s, updates every %v", lost.name, interval), func(t *testing.T) {
+				withFiveVoters(t, func(c *cluster) {
 					c.delay.Store(int64(interZoneDelay))
 					longest := time.Duration(0)
 					for generation := 1; generation < 24; generation += 3 {
-						assert.Equal(t, c.at("core-1").putConfiguration(generation-1, configurationOf(generation, "a")), http.StatusOK)
-						edge := c.startEdge("edge-1", five...)
-						c.pass(2*time.Second + time.Duration(generation)*50*time.Millisecond)
-						c.partitionMinority(way)
-						stop := c.registerStores(gap, "core-1", "core-2")
-						for _, next := range []int{generation + 1, generation + 2} { // polls under way may still bring the first
-							assert.Equal(t, c.at("core-3").putConfiguration(next-1, configurationOf(next, "a")), http.StatusOK)
-							took, _ := c.until(edge, uint64(next), propagationTimeout)
+						assert.Equal(t, c.process("core-1").putConfiguration(generation-1, configurationOf(generation, "a")), http.StatusOK)
+						edge := c.startEdge("edge-1", fiveCoordinators...)
+						c.advance(2*time.Second + time.Duration(generation)*50*time.Millisecond)
+						c.partitionMinority(lost)
+						stop := c.registerInstances(interval, "core-1", "core-2")
+						for _, next := range []int{generation + 1, generation + 2} { // polls in flight may still deliver the first
+							assert.Equal(t, c.process("core-3").putConfiguration(next-1, configurationOf(next, "a")), http.StatusOK)
+							took, _ := c.awaitGeneration(edge, uint64(next), propagationTimeout)
 							longest = max(longest, took)
 						}
 						stop()
 						edge.stop()
 						c.isolateMinority(false)
-						c.pass(3 * time.Second)
+						c.advance(3 * time.Second)
 					}
-					t.Logf("a configuration came %v after its acknowledgement at most", longest)
+					t.Logf("configurations arrived at most %v after their acknowledgement", longest)
 				})
 			})
 		}
 	}
 }
 
-// registerStores has new stores register at coordinators, one in each gap, until it is stopped.
-func (c *cluster) registerStores(gap time.Duration, names ...string) (stop func()) {
+// registerInstances registers a new instance at each of the named coordinators in every interval, until it is stopped. It does
+// nothing if the interval is 0.
+func (c *cluster) registerInstances(interval time.Duration, names ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := &sync.WaitGroup{}
 	for _, name := range names {
-		if gap == 0 {
+		if interval == 0 {
 			break
 		}
 		running.Go(func() {
-			for number := 0; clock.Sleep(ctx, gap); {
+			for number := 0; clock.Sleep(ctx, interval); {
 				number++
-				told := &tierpb.Instance{Id: fmt.Sprintf("i-%d-%s", number, name), Backend: "s", Address: "10.9.0.9:80", Sequence: 1}
-				c.at(name).state.Upsert(told)
+				instance := &tierpb.Instance{Id: fmt.Sprintf("i-%d-%s", number, name), Backend: "s", Address: "10.9.0.9:80", Sequence: 1}
+				c.process(name).state.Upsert(instance)
 			}
 		})
 	}
 	return func() { cancel(); running.Wait() }
 }
 
-// TestFreshAgentTakesNothingOldFromAnIsolatedCoordinator starts agents that know nothing during a partition, whose first choices
-// are both isolated.
-func TestFreshAgentTakesNothingOldFromAnIsolatedCoordinator(t *testing.T) {
-	inFive(t, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
-		c.pass(100 * time.Millisecond)
+// Agents start during a partition, and the coordinators that they prefer are both isolated. They must not apply an outdated
+// configuration.
+func TestNewAgentIgnoresOutdatedStateOfIsolatedCoordinator(t *testing.T) {
+	withFiveVoters(t, func(c *cluster) {
+		assert.Equal(t, c.process("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
+		c.advance(100 * time.Millisecond)
 		c.isolateMinority(true)
-		assert.Equal(t, c.at("core-3").putConfiguration(1, configurationOf(2, "a")), http.StatusOK)
-		c.pass(propagationTimeout)
+		assert.Equal(t, c.process("core-3").putConfiguration(1, configurationOf(2, "a")), http.StatusOK)
+		c.advance(propagationTimeout)
 		for number := range 20 {
-			edge := c.startEdge(fmt.Sprintf("edge-%d", number), five...)
-			_, before := c.until(edge, 2, time.Second)
+			edge := c.startEdge(fmt.Sprintf("edge-%d", number), fiveCoordinators...)
+			_, earlier := c.awaitGeneration(edge, 2, time.Second)
 			edge.stop()
-			assert.Assert(t, !before[1], "an old configuration was in force for a moment")
+			assert.Assert(t, !earlier[1], "the outdated configuration was applied for a moment")
 		}
 	})
 }
 
-// TestAgentThatReachesNobodyElseTakesWhatAnIsolatedCoordinatorHas keeps an edge machine on the isolated side in service.
-func TestAgentThatReachesNobodyElseTakesWhatAnIsolatedCoordinatorHas(t *testing.T) {
-	inFive(t, func(c *cluster) {
-		assert.Equal(t, c.at("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
-		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
-		c.pass(100 * time.Millisecond)
+// An agent that reaches only isolated coordinators uses their state, so that edge machines on the isolated side stay in service.
+func TestAgentUsesIsolatedCoordinatorIfItReachesNoOther(t *testing.T) {
+	withFiveVoters(t, func(c *cluster) {
+		assert.Equal(t, c.process("core-1").putConfiguration(0, configurationOf(1, "a")), http.StatusOK)
+		assert.Equal(t, c.process("core-1").putHeartbeat("ready", 1), http.StatusOK)
+		c.advance(100 * time.Millisecond)
 		c.isolateMinority(true)
-		c.pass(propagationTimeout)
-		for _, majority := range five[2:] {
+		c.advance(propagationTimeout)
+		for _, majority := range fiveCoordinators[2:] {
 			c.setBlocked("edge-1", majority, true)
 		}
-		edge := c.startEdge("edge-1", five...)
+		edge := c.startEdge("edge-1", fiveCoordinators...)
 		defer edge.stop()
-		c.until(edge, 1, 4*time.Second)
+		c.awaitGeneration(edge, 1, 4*time.Second)
 		assert.Equal(t, edge.state.Instance("i-1").GetState(), stateReady)
 	})
 }
--- a/internal/tier/coordinator/instance_monitor.go
+++ b/internal/tier/coordinator/instance_monitor.go
@@ -11,26 +11,26 @@
 
 const (
 	failureCheckInterval = 750 * time.Millisecond
-	// maxFailureCheckGap is the longest time between two checks in which the process counts as having run meanwhile.
+	// maxFailureCheckGap is the longest time between two checks. After a longer gap, this process is assumed to have been frozen.
 	maxFailureCheckGap = failureCheckInterval + 2*maintenanceInterval
 )
 
-// forgetter keeps something of each instance for as long as it is listed.
-type forgetter interface {
-	Forget(isListed func(id string) bool)
+// pruner stores data about instances and drops that of instances that are no longer listed.
+type pruner interface {
+	Prune(isListed func(id string) bool)
 }
 
 type instanceMonitorOptions struct {
-	heartbeat  time.Duration // period of the instances' heartbeats
-	state      *watch.State
-	inContact  func() bool
-	forgetters []forgetter
-	log        hclog.Logger
-	now        func() time.Time
+	heartbeat        time.Duration // time between two heartbeats of an instance
+	state            *watch.State
+	hasQuorumContact func() bool
+	pruners          []pruner
+	log              hclog.Logger
+	now              func() time.Time
 }
 
-// instanceMonitor marks instances suspect whose heartbeats stay away, and has instances forgotten that are not listed any
-// more. One goroutine uses it.
+// instanceMonitor marks instances suspect that stop sending heartbeats, and prunes the data about instances that are no longer
+// listed. It is not safe for concurrent use.
 type instanceMonitor struct {
 	options   instanceMonitorOptions
 	detector  *registry.FailureDetector
@@ -41,28 +41,29 @@
 	return &instanceMonitor{options: options, detector: registry.NewFailureDetector(options.heartbeat)}
 }
 
-// checkIfDue checks once every failureCheckInterval.
+// checkIfDue calls check if failureCheckInterval has passed since the last check.
 func (m *instanceMonitor) checkIfDue() {
 	if m.options.now().Sub(m.lastCheck) >= failureCheckInterval {
 		m.check()
 	}
 }
 
-// check marks instances without heartbeats. A process that did not run for a while has received none in that time, and one
-// without quorum contact not those that the others received.
+// check marks instances whose heartbeats have timed out. Missing heartbeats do not count after a freeze, because this process
+// received none during the freeze. They do not count without quorum contact either, because this process then does not get
+// the heartbeats that other coordinators receive.
 func (m *instanceMonitor) check() {
 	now := m.options.now()
-	ran := now.Sub(m.lastCheck) <= maxFailureCheckGap
+	wasRunning := now.Sub(m.lastCheck) <= maxFailureCheckGap
 	m.lastCheck = now
 	state := m.options.state
-	for _, instance := range m.detector.Observe(now, ran && m.options.inContact(), state.Instances()) {
+	for _, instance := range m.detector.Observe(now, wasRunning && m.options.hasQuorumContact(), state.Instances()) {
 		state.Upsert(instance)
 		m.options.log.Info("instance state changed", "id", instance.Id, "address", instance.Address, "state", instance.State)
 	}
 	if m.detector.Synchronized(now) {
 		state.MarkSynchronized()
 	}
-	for _, f := range m.options.forgetters {
-		f.Forget(func(id string) bool { return state.Instance(id) != nil })
+	for _, p := range m.options.pruners {
+		p.Prune(func(id string) bool { return state.Instance(id) != nil })
 	}
 }
--- a/internal/tier/coordinator/instance_monitor_test.go
+++ b/internal/tier/coordinator/instance_monitor_test.go
@@ -13,19 +13,20 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// A freeze that is shorter than contact lasts is no heartbeat time-out of instances that send heartbeats often.
+// Instances with a short heartbeat period must not be marked suspect because this process was frozen, even if the freeze was too
+// short for quorum contact to lapse.
 func TestShortFreezeMarksNoInstanceSuspect(t *testing.T) {
 	const period = 500 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
-	own := &settings.Settings{HeartbeatMs: int(period / time.Millisecond)}
+	nodeSettings := &settings.Settings{HeartbeatMs: int(period / time.Millisecond)}
 	clock := func() time.Time { return now }
 	state := watch.NewState()
 	members := membership.New(membership.Options{
 		Self: &tierpb.Node{Identity: 1}, State: state, Accepted: func() *tierpb.ControlState { return nil },
-		Seeds: own.SeedCoordinators, Log: hclog.NewNullLogger(), Now: clock,
+		Seeds: nodeSettings.SeedCoordinators, Log: hclog.NewNullLogger(), Now: clock,
 	})
 	monitor := newInstanceMonitor(instanceMonitorOptions{
-		heartbeat: heartbeatPeriod(own), state: state, inContact: members.InContact, log: hclog.NewNullLogger(), now: clock,
+		heartbeat: heartbeatPeriod(nodeSettings), state: state, hasQuorumContact: members.HasQuorumContact, log: hclog.NewNullLogger(), now: clock,
 	})
 	voters := &tierpb.VoterSet{Nodes: []*tierpb.Node{{Identity: 1}}}
 	state.SetControl(&tierpb.ControlState{Version: 1, Voters: []*tierpb.VoterSet{voters}})
@@ -39,11 +40,11 @@
 		assert.Equal(t, check(sequence), stateReady)
 		now = now.Add(failureCheckInterval)
 	}
-	now = now.Add(membership.ContactTimeout - failureCheckInterval) // nothing was heard, nor could be
+	now = now.Add(membership.ContactTimeout - failureCheckInterval) // the process is frozen and receives nothing
 	assert.Equal(t, check(sequence-1), stateReady)
 	for range 3 * int(5*period/failureCheckInterval) {
 		now = now.Add(failureCheckInterval)
 		check(sequence - 1)
 	}
-	assert.Equal(t, check(sequence-1), stateSuspect, "an instance without heartbeats once the process runs again")
+	assert.Equal(t, check(sequence-1), stateSuspect, "missing heartbeats must count again after the freeze")
 }
--- a/internal/tier/coordinator/membership/contact_test.go
+++ b/internal/tier/coordinator/membership/contact_test.go
@@ -14,7 +14,7 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// newTestMembership is that of identity 1, by a clock that tests set; it makes no calls.
+// newTestMembership returns a Membership for identity 1 that makes no calls and reads the time from now.
 func newTestMembership(now *time.Time, accepted func() *tierpb.ControlState) *Membership {
 	return New(Options{
 		Self: &tierpb.Node{Identity: 1}, State: watch.NewState(), Accepted: accepted, Seeds: func() []string { return nil },
@@ -24,8 +24,8 @@
 
 func nothingAccepted() *tierpb.ControlState { return nil }
 
-// The bound itself, to the nanosecond: two voters answered a poll that was sent at one time.
-func TestContactCountsUpToItsBound(t *testing.T) {
+// A reply counts as contact for exactly ContactTimeout after its poll was sent, and not a nanosecond longer.
+func TestReplyCountsAsContactForContactTimeout(t *testing.T) {
 	for _, test := range []struct {
 		age    time.Duration
 		status int
@@ -44,9 +44,9 @@
 	}
 }
 
-// A reply that tells of later voters neither renews contact nor ends what there is of it, also where it repeats the
-// identity; another process at the address has its own.
-func TestContactBelongsToAnIncarnation(t *testing.T) {
+// A reply that names later voters neither renews existing contact nor ends it, even if it repeats the responder's identity.
+// Another process at the same address replaces the previous one.
+func TestContactIsTrackedPerIncarnation(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := newTestMembership(&now, nothingAccepted)
 	const address = "10.0.2.1:7000"
@@ -58,19 +58,19 @@
 	assert.Assert(t, m.hasContact(2))
 	now = now.Add(ContactTimeout)
 	m.recordReply(address, reply(5, 2, 7), now)
-	assert.Assert(t, m.hasContact(2), "ended before its time")
+	assert.Assert(t, m.hasContact(2), "contact ended before ContactTimeout")
 	now = now.Add(1)
-	assert.Assert(t, !m.hasContact(2), "renewed by one that knows of later voters")
+	assert.Assert(t, !m.hasContact(2), "contact was renewed by a reply that names later voters")
 	m.recordReply(address, reply(5, 0, 0), now)
 	assert.Assert(t, m.hasContact(2))
 	m.recordReply(address, reply(6, 0, 0), now)
-	assert.Assert(t, m.hasContact(2), "of the incarnation before, whose poll was answered")
+	assert.Assert(t, m.hasContact(2), "the new incarnation has no identity yet, so the previous one still counts")
 	m.recordReply(address, reply(6, 3, 0), now)
 	assert.Assert(t, m.hasContact(3) && !m.hasContact(2))
 }
 
-// Voters that this process accepted and that were not chosen are none once it knows what was chosen in their version.
-func TestVotersThatWereNotChosenAreForgotten(t *testing.T) {
+// Voters that were accepted locally but lost to another value are dropped once the chosen value of their version is known.
+func TestAcceptedVotersThatWereNotChosenAreDropped(t *testing.T) {
 	state := func(version, epoch uint64) *tierpb.ControlState {
 		return &tierpb.ControlState{Version: version, Epoch: epoch, Voters: []*tierpb.VoterSet{{}}}
 	}
@@ -79,7 +79,7 @@
 	m := newTestMembership(&now, func() *tierpb.ControlState { return accepted })
 	assert.Equal(t, m.NewestVoters().Epoch, uint64(2))
 	m.options.State.SetControl(state(2, 1))
-	assert.Equal(t, m.NewestVoters().Epoch, uint64(2), "they may have been chosen")
+	assert.Equal(t, m.NewestVoters().Epoch, uint64(2), "the accepted voters may have been chosen")
 	m.options.State.SetControl(state(3, 1))
 	assert.Equal(t, m.NewestVoters().Epoch, uint64(1))
 	assert.Equal(t, m.responder(&tierpb.WatchRequest{Incarnation: 1}, &tierpb.WatchReply{Incarnation: 1}).GetEpoch(), uint64(0))
--- a/internal/tier/coordinator/membership/directory.go
+++ b/internal/tier/coordinator/membership/directory.go
@@ -11,57 +11,57 @@
 )
 
 const (
-	contactTTL = 20 * time.Second // for which a coordinator that makes no calls remains a target
-	joinTTL    = time.Minute      // for which a join request is remembered
+	coordinatorTTL = 20 * time.Second // how long a coordinator stays listed after its last call
+	joinTTL        = time.Minute      // how long a join request is remembered
 )
 
-// directory is what this process has seen itself of the other nodes: which coordinators call it, which of them answer its
+// directory records what this process has observed of other nodes: which coordinators call it, which of them answer its
 // polls, and which nodes ask to join. It is safe for concurrent use.
 type directory struct {
 	now     func() time.Time
 	started time.Time
 
-	mu       sync.Mutex
-	contacts map[string]contact    // coordinators by internal address
-	peers    map[string]peerStatus // by internal address
-	joins    map[uint64]placement.Join
+	mu           sync.Mutex
+	coordinators map[string]knownCoordinator // by internal address
+	peers        map[string]peerStatus       // by internal address
+	joins        map[uint64]placement.Join   // by identity
 }
 
-// contact is a coordinator that has called.
-type contact struct {
+// knownCoordinator is a coordinator that has called this process.
+type knownCoordinator struct {
 	node     *tierpb.Node
 	lastSeen time.Time
 }
 
-// peerStatus is what the polls of an address have shown.
+// peerStatus is the state of one polled address.
 type peerStatus struct {
 	reachable   bool
-	since       time.Time // of the last change of reachable; zero before the first
-	incarnation uint64    // of the source that answered
-	identity    uint64    // of the process behind that incarnation
-	lastPoll    time.Time // when its last poll that counts as contact was sent
+	changedAt   time.Time // when reachable changed last; zero if it never did
+	incarnation uint64    // incarnation that answered last with its identity
+	identity    uint64    // identity of the process with that incarnation
+	lastContact time.Time // when the newest poll whose reply counts as contact was sent
 }
 
 func newDirectory(now func() time.Time) *directory {
 	return &directory{
-		now: now, started: now(), contacts: make(map[string]contact), peers: make(map[string]peerStatus),
+		now: now, started: now(), coordinators: make(map[string]knownCoordinator), peers: make(map[string]peerStatus),
 		joins: make(map[uint64]placement.Join),
 	}
 }
 
-// recordContact records a call of another coordinator.
-func (d *directory) recordContact(node *tierpb.Node) {
+// recordCoordinator records a call from another coordinator. Nodes of other roles are ignored.
+func (d *directory) recordCoordinator(node *tierpb.Node) {
 	if node.GetRole() != tierpb.Role_ROLE_COORDINATOR || node.Address == "" {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.contacts[node.Address] = contact{node: node, lastSeen: d.now()}
+	d.coordinators[node.Address] = knownCoordinator{node: node, lastSeen: d.now()}
 }
 
-// recordJoin records a join request.
+// recordJoin records a join request. The time of a node's first request is kept while it repeats the request within joinTTL.
 func (d *directory) recordJoin(request *tierpb.JoinRequest) {
-	d.recordContact(request.Node)
+	d.recordCoordinator(request.Node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -73,17 +73,16 @@
 	d.joins[request.Node.Identity] = join
 }
 
-// setReachable records that a coordinator begins or ceases to answer polls.
+// setReachable records that the coordinator at an address has started or stopped answering polls.
 func (d *directory) setReachable(address string, reachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	peer := d.peers[address]
-	peer.reachable, peer.since = reachable, d.now()
+	peer.reachable, peer.changedAt = reachable, d.now()
 	d.peers[address] = peer
 }
 
-// setIdentity records the identity of the process behind an incarnation at an address. Another process starts without
-// contact.
+// setIdentity records the identity and the incarnation of the process at an address. A change of either clears its contact.
 func (d *directory) setIdentity(address string, incarnation, identity uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,43 +90,44 @@
 	if peer.incarnation == incarnation && peer.identity == identity {
 		return
 	}
-	peer.incarnation, peer.identity, peer.lastPoll = incarnation, identity, time.Time{}
+	peer.incarnation, peer.identity, peer.lastContact = incarnation, identity, time.Time{}
 	d.peers[address] = peer
 }
 
-// recordReply records that an incarnation answered a poll of its address, and when that was sent.
+// recordReply records when a poll that was answered by an incarnation was sent. It ignores incarnations other than the one
+// last given to setIdentity.
 func (d *directory) recordReply(address string, incarnation uint64, sent time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if peer := d.peers[address]; peer.incarnation == incarnation {
-		peer.lastPoll = sent
+		peer.lastContact = sent
 		d.peers[address] = peer
 	}
 }
 
-// hasRecentReply reports whether the last poll of some address was answered under an identity, and sent no longer than
-// ContactTimeout ago.
+// hasRecentReply reports whether a reachable peer has this identity and answered a poll that was sent at most ContactTimeout
+// ago.
 func (d *directory) hasRecentReply(identity uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
 	for _, peer := range d.peers {
-		if peer.reachable && peer.identity == identity && now.Sub(peer.lastPoll) <= ContactTimeout {
+		if peer.reachable && peer.identity == identity && now.Sub(peer.lastContact) <= ContactTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// isReachable reports whether the last poll of a coordinator was answered.
+// isReachable reports whether the coordinator at an address answered the last poll.
 func (d *directory) isReachable(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.peers[address].reachable
 }
 
-// unreachableFor is how long a coordinator has not answered polls, 0 for one that does. One that never did counts from the
-// start of this process.
+// unreachableFor returns how long the coordinator at an address has not answered polls; 0 if it answers. If it never
+// answered, the time since the start of this process is returned.
 func (d *directory) unreachableFor(address string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,20 +135,20 @@
 	switch {
 	case peer.reachable:
 		return 0
-	case peer.since.IsZero():
+	case peer.changedAt.IsZero():
 		return d.now().Sub(d.started)
 	}
-	return d.now().Sub(peer.since)
+	return d.now().Sub(peer.changedAt)
 }
 
-// coordinators returns the coordinators that called within contactTTL, by address.
-func (d *directory) coordinators() []*tierpb.Node {
+// recentCoordinators returns the coordinators that called within coordinatorTTL, sorted by address.
+func (d *directory) recentCoordinators() []*tierpb.Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var nodes []*tierpb.Node
-	for address, known := range d.contacts {
-		if d.now().Sub(known.lastSeen) > contactTTL {
-			delete(d.contacts, address)
+	for address, known := range d.coordinators {
+		if d.now().Sub(known.lastSeen) > coordinatorTTL {
+			delete(d.coordinators, address)
 			continue
 		}
 		nodes = append(nodes, known.node)
@@ -157,7 +157,7 @@
 	return nodes
 }
 
-// recentJoins returns the join requests within joinTTL, by name.
+// recentJoins returns the latest join request of each node within joinTTL, sorted by node name.
 func (d *directory) recentJoins() []placement.Join {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +175,7 @@
 	return joins
 }
 
-// pendingStore returns the turn store of a name that asks to join, nil where none does.
+// pendingStore returns the turn store with this name that is asking to join, or nil.
 func (d *directory) pendingStore(name string) *tierpb.Node {
 	for _, join := range d.recentJoins() {
 		node := join.Request.Node
--- a/internal/tier/coordinator/membership/join.go
+++ b/internal/tier/coordinator/membership/join.go
@@ -17,7 +17,7 @@
 	joinCallTimeout = 700 * time.Millisecond
 )
 
-// RunJoin asks to become a voter until the control state names this process as one; it ends with ctx or with the shutdown.
+// RunJoin asks to become a voter whenever this process is not one. It returns when ctx ends or the shutdown begins.
 func (m *Membership) RunJoin(ctx context.Context) {
 	for ctx.Err() == nil && !m.stopping.Load() {
 		if !register.IsVoter(m.options.State.Control(), m.options.Self.Identity) && !m.isInitialVoter() {
@@ -29,12 +29,12 @@
 	}
 }
 
-// isInitialVoter reports that nothing is known yet but the first voters, of which this process is one.
+// isInitialVoter reports that no chosen value is known yet and that this process is a voter of the locally accepted value.
 func (m *Membership) isInitialVoter() bool {
 	return m.options.State.Control() == nil && register.IsVoter(m.options.Accepted(), m.options.Self.Identity)
 }
 
-// join sends a join request to all other coordinators, and records its own.
+// join sends a join request to all other coordinators and records it locally.
 func (m *Membership) join(ctx context.Context) {
 	request := &tierpb.JoinRequest{Node: m.options.Self}
 	m.directory.recordJoin(request)
@@ -43,14 +43,14 @@
 	calls := &sync.WaitGroup{}
 	for _, target := range m.Targets() {
 		calls.Go(func() {
-			// One that fails is sent again at the next interval.
+			// Errors are ignored: the request is repeated after the next interval.
 			_ = m.options.Caller.Call(ctx, target.Address, rpc.MethodJoin, request, &tierpb.JoinReply{})
 		})
 	}
 	calls.Wait()
 }
 
-// HandleJoin records the join request of a coordinator or a turn store; the holder of the placement lease acts on it.
+// HandleJoin records the join request of a coordinator or a turn store. The holder of the placement lease acts on it.
 func (m *Membership) HandleJoin(_ context.Context, request *tierpb.JoinRequest) (*tierpb.JoinReply, error) {
 	if request.GetNode().GetIdentity() == 0 {
 		return nil, errNoIdentity
--- a/internal/tier/coordinator/membership/names.go
+++ b/internal/tier/coordinator/membership/names.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// NodeNames lists nodes for a log line: their names, or addresses where they have none, sorted and separated by spaces.
+// NodeNames formats nodes for a log line: their names, or their addresses if they have none, sorted and separated by spaces.
 func NodeNames(nodes []*tierpb.Node) string {
 	var names []string
 	for _, node := range nodes {
--- a/internal/tier/coordinator/membership/watch.go
+++ b/internal/tier/coordinator/membership/watch.go
@@ -8,23 +8,24 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// Follow polls all other coordinators until ctx ends: it brings the state up to date and keeps contact.
-func (m *Membership) Follow(ctx context.Context) {
+// RunWatcher polls all other coordinators until ctx ends. The replies update the state, the reachability of the others and
+// quorum contact.
+func (m *Membership) RunWatcher(ctx context.Context) {
 	watch.Run(ctx, watch.Options{
 		Caller: m.options.Caller, State: m.options.State, Endpoints: m.Targets, Self: m.options.Self, Heartbeats: true,
 		Now: m.options.Now, OnReply: m.recordReply, OnSourceChange: m.recordReachability,
 	})
 }
 
-// recordReachability records that a coordinator begins or ceases to answer polls.
+// recordReachability records and logs that a coordinator has started or stopped answering polls.
 func (m *Membership) recordReachability(address string, reachable bool) {
 	m.directory.setReachable(address, reachable)
 	m.options.Log.Info("coordinator reachability changed", "address", address, "reachable", reachable)
 	m.readiness.Check()
 }
 
-// recordReply records the reply to a poll, and when that was sent. One that names later voters renews no contact until
-// this process knows them too.
+// recordReply records the reply to a poll that was sent at the given time. A reply that names later voters than this process
+// knows does not renew contact.
 func (m *Membership) recordReply(address string, reply *tierpb.WatchReply, sent time.Time) {
 	if identity := reply.GetResponder().GetIdentity(); identity != 0 {
 		m.directory.setIdentity(address, reply.Incarnation, identity)
@@ -35,16 +36,17 @@
 	}
 }
 
-// HandleWatch answers a poll. Coordinators get all that they lack; agents and turn stores are served by the readiness gate.
+// HandleWatch answers a poll. Coordinators always get the changes that they lack; agents and turn stores are served through
+// the readiness gate.
 func (m *Membership) HandleWatch(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
-	m.directory.recordContact(request.Watcher)
+	m.directory.recordCoordinator(request.Watcher)
 	if request.GetWatcher().GetRole() == tierpb.Role_ROLE_COORDINATOR {
 		return m.watchAsCoordinator(ctx, request)
 	}
 	return m.readiness.Watch(ctx, request)
 }
 
-// watchAsCoordinator sends another coordinator what it lacks, and who sends it.
+// watchAsCoordinator returns the changes that another coordinator lacks, and identifies this process as the responder.
 func (m *Membership) watchAsCoordinator(ctx context.Context, request *tierpb.WatchRequest) (*tierpb.WatchReply, error) {
 	reply, err := m.options.State.Watch(ctx, request)
 	if err != nil {
@@ -54,8 +56,9 @@
 	return reply, nil
 }
 
-// responder is what another coordinator needs to count this one's vote, nil where it knows: an incarnation belongs to one
-// process, and most often the newest voters are those of the control state that the reply brings it up to.
+// responder returns what another coordinator needs to count this process as a voter that answered: its identity and the
+// epoch of the newest voters that it knows. The identity is left out if the requester knows this incarnation, and the epoch
+// if it is that of the control state, which the requester receives anyway. It returns nil if nothing is left to send.
 func (m *Membership) responder(request *tierpb.WatchRequest, reply *tierpb.WatchReply) *tierpb.Responder {
 	responder := &tierpb.Responder{}
 	if request.Incarnation != reply.Incarnation {
--- a/internal/tier/coordinator/partition_workload_test.go
+++ b/internal/tier/coordinator/partition_workload_test.go
@@ -9,19 +9,19 @@
 	"pulleygw.example/pulleygw/internal/tier/changelog"
 )
 
-// operate is an operator that puts changes on top of what it reads, and sends a change again until it is clear.
-func (r *partitionRun) operate(name string) {
-	for number := 0; r.wait(); number++ {
-		base, read := r.readBase()
+// runOperator sends changes based on the generation that it reads, each one until it is acknowledged or rejected.
+func (r *partitionRun) runOperator(name string) {
+	for number := 0; r.pause(); number++ {
+		base, read := r.readGeneration()
 		if !read {
 			continue
 		}
-		generation := base + 1 + uint64(r.draw(2))
+		generation := base + 1 + uint64(r.randomInt(2))
 		body := configurationOf(int(generation), fmt.Sprintf("%s%d", name, number))
 		sent := sentChange{change: changelog.NewChange(base, generation, []byte(body)), generation: generation}
 		for sent.status == 0 || sent.status == http.StatusServiceUnavailable {
 			sent.status, _ = r.call(http.MethodPut, "/v1/config", fmt.Sprint(base), body)
-			if !r.wait() {
+			if !r.pause() {
 				break
 			}
 		}
@@ -32,39 +32,39 @@
 	}
 }
 
-// readBase reads the generation in force, which is not to be older than what was acknowledged before.
-func (r *partitionRun) readBase() (uint64, bool) {
-	least := r.acknowledged(time.Now())
+// readGeneration reads the current generation, which must not be older than any that was acknowledged before.
+func (r *partitionRun) readGeneration() (uint64, bool) {
+	required := r.newestAcknowledged(time.Now())
 	status, answer := r.call(http.MethodGet, "/v1/config", "", "")
 	if status != http.StatusOK {
 		return 0, false
 	}
 	read := struct{ Generation uint64 }{}
-	if err := json.Unmarshal([]byte(answer), &read); err != nil || read.Generation < least {
-		r.problem("read %d after %d was acknowledged: %v", read.Generation, least, err)
+	if err := json.Unmarshal([]byte(answer), &read); err != nil || read.Generation < required {
+		r.addProblem("read generation %d after %d was acknowledged, error %v", read.Generation, required, err)
 	}
 	return read.Generation, true
 }
 
-// wait lets a moment pass and reports whether the run goes on.
-func (r *partitionRun) wait() bool {
+// pause waits a random time. It returns false if the workload was stopped.
+func (r *partitionRun) pause() bool {
 	select {
-	case <-time.After(time.Duration(20+r.draw(150)) * time.Millisecond):
+	case <-time.After(time.Duration(20+r.randomInt(150)) * time.Millisecond):
 		return true
 	case <-r.stopped:
 		return false
 	}
 }
 
-// drainStores has one store after another register, drain and wait for the acknowledgement.
-func (r *partitionRun) drainStores() {
+// drainInstances lets one instance after another register and then drain, and records when the drain was acknowledged.
+func (r *partitionRun) drainInstances() {
 	for number := 0; ; number++ {
 		id := fmt.Sprintf("i-%d", number)
 		for sequence, state := 1, "ready"; state != "done"; sequence++ {
-			if !r.wait() {
+			if !r.pause() {
 				return
 			}
-			status, _ := r.storeCall(id, state, sequence)
+			status, _ := r.sendHeartbeat(id, state, sequence)
 			switch {
 			case status == http.StatusOK && state == "ready":
 				state = "draining"
@@ -78,45 +78,46 @@
 	}
 }
 
-// storeCall is a heartbeat at any coordinator. One that says ready may be committed until the loss of contact is noticed.
-func (r *partitionRun) storeCall(id, state string, sequence int) (int, string) {
+// sendHeartbeat sends a heartbeat to a random coordinator. An isolated coordinator must not acknowledge a drain, but it
+// acknowledges other heartbeats until it notices the loss of quorum contact.
+func (r *partitionRun) sendHeartbeat(id, state string, sequence int) (int, string) {
 	path := "/v1/instances/" + id
 	if state == "draining" {
 		return r.call(http.MethodPut, path, "", heartbeat(state, sequence))
 	}
-	return r.at(r.names[r.draw(len(r.names))]).send(http.MethodPut, path, "", heartbeat(state, sequence))
+	return r.process(r.names[r.randomInt(len(r.names))]).send(http.MethodPut, path, "", heartbeat(state, sequence))
 }
 
-// retire has a machine emptied and asks until it is.
-func (r *partitionRun) retire(name string) {
+// retireMachine starts the retirement of a machine, then keeps requesting its state. Once completed, it must stay completed.
+func (r *partitionRun) retireMachine(name string) {
 	status := 0
-	for status != http.StatusOK && r.wait() {
+	for status != http.StatusOK && r.pause() {
 		status, _ = r.call(http.MethodPost, "/v1/retire/"+name, "", `{"deadlineS":10}`)
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
-			r.problem("retirement rejected with %d", status)
+			r.addProblem("retirement rejected with %d", status)
 			return
 		}
 	}
-	for r.wait() {
+	for r.pause() {
 		status, answer := r.call(http.MethodGet, "/v1/retire/"+name, "", "")
 		switch {
 		case status == http.StatusServiceUnavailable:
 		case answer == `{"state":"completed"}`:
-			r.markEmptied(name)
-		case answer != `{"state":"running"}` || r.isEmptied(name):
-			r.problem("the retirement of %s is %d %s, completed before: %v", name, status, answer, r.isEmptied(name))
+			r.markRetired(name)
+		case answer != `{"state":"running"}` || r.isRetired(name):
+			r.addProblem("state of the retirement of %s: %d %s, completed before: %v", name, status, answer, r.isRetired(name))
 		}
 	}
 }
 
-func (r *partitionRun) markEmptied(name string) {
+func (r *partitionRun) markRetired(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.emptied[name] = true
+	r.retired[name] = true
 }
 
-func (r *partitionRun) isEmptied(name string) bool {
+func (r *partitionRun) isRetired(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.emptied[name]
+	return r.retired[name]
 }
--- a/internal/tier/coordinator/random_placement_faults_test.go
+++ b/internal/tier/coordinator/random_placement_faults_test.go
@@ -16,24 +16,24 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// placementSchedules is how many random schedules are played, each of placementScheduleTime in the bubble's time.
+// Number and duration of the random schedules, in simulated time.
 const (
 	placementSchedules    = 12
 	placementScheduleTime = 60 * time.Second
-	extraFreezeTime       = 10 * time.Second // by which a freeze lasts longer than other faults
+	extraFreezeTime       = 10 * time.Second // added to the duration of a freeze, compared to other faults
 )
 
-// valueHistory looks at the values that become known, at any machine, and keeps one of each version.
+// valueHistory collects the chosen values that any machine knows, one per version.
 type valueHistory struct {
 	t      *testing.T
 	values map[uint64]*tierpb.ControlState
 }
 
-// observe fails if two values share a version, and where one is known whose neighbour is, if the step between them breaks
-// a rule of placement.
-func (w *valueHistory) observe(c *cluster) {
+// collect collects the values that the machines know. The test fails if two values of one version have different terms or
+// epochs, or if checkStep fails between consecutive versions.
+func (w *valueHistory) collect(c *cluster) {
 	for name := range c.machines {
-		p := c.at(name)
+		p := c.process(name)
 		if p == nil || p.state.Control() == nil {
 			continue
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkStep: a step that raises the term does nothing else, and one with other members leaves the term.
+// checkStep checks that a change of the term raises it by one and changes neither the voters nor the turn store members.
 func (w *valueHistory) checkStep(from, to *tierpb.ControlState) {
 	if from == nil || to == nil {
 		return
@@ -61,123 +61,124 @@
 	}
 	assert.Equal(w.t, after.Number, before.Number+1, "version %d", to.Version)
 	assert.Equal(w.t, from.Epoch, to.Epoch, "version %d changes the term and the voters", to.Version)
-	assert.Equal(w.t, from.GetStores().GetEpoch(), to.GetStores().GetEpoch(), "version %d changes the term and the stores", to.Version)
+	assert.Equal(w.t, from.GetStores().GetEpoch(), to.GetStores().GetEpoch(), "version %d changes the term and the turn stores", to.Version)
 }
 
-// placementSchedule is one random schedule of five coordinators of which three vote.
+// placementSchedule is a random schedule of faults for five coordinators, three of which are voters.
 type placementSchedule struct {
 	*cluster
-	random   *rand.Rand
-	watched  *valueHistory
-	away     map[string]time.Time // when a machine is to come back
-	frozen   map[string]*frozenMachine
-	isolated map[string]bool
-	tally    *placementTally
+	random      *rand.Rand
+	history     *valueHistory
+	faultEnds   map[string]time.Time // when the fault of each faulty machine ends
+	frozen      map[string]*frozenMachine
+	isolated    map[string]bool
+	faultCounts *placementFaultCounts
 }
 
-// placementTally counts what the schedules held.
-type placementTally struct{ Wipes, Freezes, Stops int }
+// placementFaultCounts counts the faults of all schedules.
+type placementFaultCounts struct{ Wipes, Freezes, Stops int }
 
-// TestRandomFaultsDuringPlacement kills, stops, isolates and wipes coordinators and freezes lease holders at the
-// points of a change, one disk at a time and none while a voter is missing. At rest three voters run and commit changes, no
-// two values shared a version, and what raised the term did nothing else.
+// Coordinators are killed, shut down, isolated and wiped at random, and lease holders are frozen at the failpoints of a change.
+// A disk is wiped only while all voters run and have the newest value. After the faults have ended three voters must run and
+// commit changes. At no time may two values of one version differ, or a change that raises the term change anything else.
 func TestRandomFaultsDuringPlacement(t *testing.T) {
-	tally := &placementTally{}
+	faultCounts := &placementFaultCounts{}
 	for seed := range uint64(placementSchedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inCluster(t, 5, 1, func(c *cluster) {
+			withCluster(t, 5, 1, func(c *cluster) {
 				s := &placementSchedule{
-					cluster: c, random: rand.New(rand.NewPCG(seed, 5)), away: make(map[string]time.Time),
-					frozen: make(map[string]*frozenMachine), isolated: make(map[string]bool), tally: tally,
-					watched: &valueHistory{t: c.t, values: make(map[uint64]*tierpb.ControlState)},
+					cluster: c, random: rand.New(rand.NewPCG(seed, 5)), faultEnds: make(map[string]time.Time),
+					frozen: make(map[string]*frozenMachine), isolated: make(map[string]bool), faultCounts: faultCounts,
+					history: &valueHistory{t: c.t, values: make(map[uint64]*tierpb.ControlState)},
 				}
 				defer s.thawAll()
-				s.play()
+				s.run()
 			})
 		})
 	}
-	t.Logf("%d schedules: %+v", placementSchedules, *tally)
-	assert.Assert(t, tally.Wipes >= placementSchedules && tally.Freezes >= placementSchedules, "hardly anything happened")
+	t.Logf("%d schedules: %+v", placementSchedules, *faultCounts)
+	assert.Assert(t, faultCounts.Wipes >= placementSchedules && faultCounts.Freezes >= placementSchedules, "too few faults were injected")
 }
 
-func (s *placementSchedule) play() {
-	assert.Equal(s.t, s.at("core-1").putConfiguration(0, configurationOf(1, "a")), 200)
+// run runs the schedule and checks that the cluster recovers.
+func (s *placementSchedule) run() {
+	assert.Equal(s.t, s.process("core-1").putConfiguration(0, configurationOf(1, "a")), 200)
 	for ends := time.Now().Add(placementScheduleTime); time.Now().Before(ends); {
 		for range 5 + s.random.IntN(30) {
-			s.pass(50 * time.Millisecond)
-			s.watched.observe(s.cluster)
+			s.advance(50 * time.Millisecond)
+			s.history.collect(s.cluster)
 		}
 		s.heal(time.Now())
 		s.injectFault(fmt.Sprintf("core-%d", 1+s.random.IntN(5)))
 	}
 	s.heal(time.Now().Add(time.Hour))
 	s.awaitStableVoters(3, 1)
-	s.watched.observe(s.cluster)
+	s.history.collect(s.cluster)
 }
 
-// injectFault does one thing to a machine that has no fault yet.
+// injectFault injects a random fault, or none, unless the machine is already faulty. Freezes hit the lease holder if possible.
 func (s *placementSchedule) injectFault(name string) {
-	if _, found := s.away[name]; found {
+	if _, found := s.faultEnds[name]; found {
 		return
 	}
-	back := time.Now().Add(time.Duration(s.random.IntN(8000)) * time.Millisecond)
+	faultEnd := time.Now().Add(time.Duration(s.random.IntN(8000)) * time.Millisecond)
 	switch s.random.IntN(8) {
 	case 0:
 		s.kill(name)
-		s.away[name] = back
+		s.faultEnds[name] = faultEnd
 	case 1:
 		s.isolate(name, true)
 		s.isolated[name] = true
-		s.away[name] = back
+		s.faultEnds[name] = faultEnd
 	case 2:
-		s.tally.Stops++
-		s.at(name).membership.BeginShutdown()
-		s.at(name).transfer.Run(context.Background())
+		s.faultCounts.Stops++
+		s.process(name).membership.BeginShutdown()
+		s.process(name).transfer.Run(context.Background())
 		s.kill(name)
-		s.away[name] = back
+		s.faultEnds[name] = faultEnd
 	case 3, 4:
 		s.heal(time.Now().Add(time.Hour))
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		if s.fullyReplicated() {
-			s.tally.Wipes++
+			s.faultCounts.Wipes++
 			s.kill(name)
 			s.wipe(name)
-			s.away[name] = back
+			s.faultEnds[name] = faultEnd
 		}
 	case 5, 6:
 		name = s.leaseHolderOr(name)
 		points := []failpoint.Point{failpoint.PlacementDecided, failpoint.PrepareDone, failpoint.AcceptSending, failpoint.VotersJoint}
 		s.frozen[name] = s.freezeAt(name, points[s.random.IntN(len(points))])
-		s.away[name] = back.Add(extraFreezeTime)
+		s.faultEnds[name] = faultEnd.Add(extraFreezeTime)
 	}
 }
 
-// leaseHolderOr is the machine that holds the lease where that has no fault, else another.
+// leaseHolderOr returns the machine that holds the lease if it is not faulty, and the given one otherwise.
 func (s *placementSchedule) leaseHolderOr(other string) string {
 	for _, name := range s.runningMachines() {
-		if _, found := s.away[name]; !found && s.at(name).candidate.OwnsLease() {
+		if _, found := s.faultEnds[name]; !found && s.process(name).candidate.OwnsLease() {
 			return name
 		}
 	}
 	return other
 }
 
-// fullyReplicated reports that all voters of the newest value run and have it.
+// fullyReplicated reports whether all voters run and all running machines know the same version, which all voters have accepted.
 func (s *placementSchedule) fullyReplicated() bool {
 	var versions []uint64
 	for _, name := range s.runningMachines() {
-		if !s.votersRun(name) {
+		if !s.allVotersRun(name) {
 			return false
 		}
-		versions = append(versions, s.at(name).state.Control().GetVersion())
-		if register.IsVoter(s.at(name).state.Control(), s.at(name).self.Identity) {
-			versions = append(versions, s.at(name).acceptor.AcceptedValue().GetVersion())
+		versions = append(versions, s.process(name).state.Control().GetVersion())
+		if register.IsVoter(s.process(name).state.Control(), s.process(name).self.Identity) {
+			versions = append(versions, s.process(name).acceptor.AcceptedValue().GetVersion())
 		}
 	}
 	return len(slices.Compact(versions)) == 1
 }
 
-// thawMachine ends the freeze of a machine, or the wait for it.
+// thawMachine ends the freeze of a machine, or cancels it if the machine has not reached the failpoint yet.
 func (s *placementSchedule) thawMachine(name string) {
 	machine := s.frozen[name]
 	if machine == nil {
@@ -185,9 +186,9 @@
 	}
 	delete(s.frozen, name)
 	if machine.isFrozen() {
-		s.tally.Freezes++
+		s.faultCounts.Freezes++
 	}
-	s.at(name).points.set(nil)
+	s.process(name).failpoints.set(nil)
 	machine.thaw()
 }
 
@@ -197,17 +198,18 @@
 	}
 }
 
-// heal ends the faults that are over by a time.
+// heal ends the faults whose time is over at the given time, and isolates again the machines that are still faulty: ending a
+// fault may have unblocked their links.
 func (s *placementSchedule) heal(by time.Time) {
-	for name, back := range s.away {
-		if back.After(by) {
+	for name, faultEnd := range s.faultEnds {
+		if faultEnd.After(by) {
 			continue
 		}
-		delete(s.away, name)
+		delete(s.faultEnds, name)
 		s.thawMachine(name)
 		delete(s.isolated, name)
 		s.isolate(name, false)
-		if s.at(name) == nil {
+		if s.process(name) == nil {
 			s.start(name, false)
 		}
 	}
--- a/internal/tier/coordinator/register.go
+++ b/internal/tier/coordinator/register.go
@@ -8,10 +8,10 @@
 	"pulleygw.example/pulleygw/internal/tier/watch"
 )
 
-// controlRegister is the proposer that changes the control state, with its changes of voters as methods.
+// controlRegister is the proposer for the control state, extended by methods that change the voters.
 type controlRegister struct{ *register.Proposer }
 
-// newControlRegister makes a proposer. Whatever it finds to be chosen goes into the state, and into the change history.
+// newControlRegister returns a proposer. Each value that it finds to be chosen updates the state and the change history.
 func newControlRegister(o options, state *watch.State) controlRegister {
 	return controlRegister{register.NewProposer(register.ProposerOptions{
 		Caller: o.caller, Local: o.acceptor, KnownState: state.Control, Failpoints: o.faults,
@@ -22,12 +22,12 @@
 	})}
 }
 
-// Reconfigure changes the voters by way of joint voters.
+// Reconfigure changes the voters in two steps: joint voters, then the new voters.
 func (r controlRegister) Reconfigure(ctx context.Context, change register.ChangeFunc) (*tierpb.ControlState, error) {
 	return register.Reconfigure(ctx, r.Proposer, change)
 }
 
-// LeaveJoint completes a change of voters that was left between its two steps.
+// LeaveJoint completes a change of voters that was interrupted between its two steps.
 func (r controlRegister) LeaveJoint(ctx context.Context) (*tierpb.ControlState, error) {
 	return register.LeaveJoint(ctx, r.Proposer)
 }
--- a/internal/tier/coordinator/serve.go
+++ b/internal/tier/coordinator/serve.go
@@ -13,22 +13,22 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-// Times of the control listener and the shutdown.
+// Timeouts of the control listener and the shutdown.
 const (
 	headerTimeout   = 5 * time.Second
 	bodyTimeout     = 15 * time.Second
 	idleTimeout     = time.Minute
-	shutdownReserve = 2 * time.Second // of graceS, kept for the rest of the shutdown
-	defaultGrace    = 8 * time.Second // where the settings have no graceS
+	shutdownReserve = 2 * time.Second // part of graceS that is left for the vote transfer after the HTTP server has stopped
+	defaultGrace    = 8 * time.Second // if the settings have no graceS
 )
 
-// maintenanceInterval is the time between two steps of the maintenance.
+// maintenanceInterval is the time between two runs of the maintenance.
 const maintenanceInterval = 250 * time.Millisecond
 
-// serve runs all components until ctx ends, then shuts down: calls in flight are answered, the vote is transferred, and the
+// serve runs all components until ctx ends. Then it shuts down: calls in flight are answered, the vote is transferred, and the
 // components stop.
 func serve(ctx context.Context, options options) error {
-	inner, err := net.Listen("tcp4", options.self.Address)
+	internal, err := net.Listen("tcp4", options.self.Address)
 	if err != nil {
 		return eris.Wrap(err, "internal listener")
 	}
@@ -38,14 +38,14 @@
 	c.registerHandlers(server)
 	control, err := net.Listen("tcp4", c.self.Control)
 	if err != nil {
-		_ = inner.Close()
+		_ = internal.Close()
 		return eris.Wrap(err, "control listener")
 	}
-	go func() { _ = server.Serve(inner) }()
+	go func() { _ = server.Serve(internal) }()
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	running := &sync.WaitGroup{}
-	for _, run := range append(c.loops(), c.membership.RunSampler, c.candidate.Run) {
+	for _, run := range append(c.backgroundTasks(), c.membership.RunSampler, c.candidate.Run) {
 		running.Go(func() { run(background) })
 	}
 	err = c.serveControl(ctx, control)
@@ -56,7 +56,7 @@
 	return err
 }
 
-// registerHandlers registers the calls of other processes.
+// registerHandlers registers the handlers for calls from other processes.
 func (c *coordinator) registerHandlers(server *rpc.Server) {
 	c.acceptor.Serve(server)
 	c.lessor.Serve(server)
@@ -65,15 +65,16 @@
 	c.fetcher.RegisterHandlers(server)
 }
 
-// loops are the goroutines of the components, but for the gossip and the candidacy, which tests run in their own way.
-func (c *coordinator) loops() []func(context.Context) {
+// backgroundTasks returns the functions that run in goroutines of their own, except for the gossip sampler and the lease
+// candidate: tests do not run the first and control the second.
+func (c *coordinator) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
-		c.membership.Follow, c.catchUp.RunAtStart, c.membership.RunJoin, c.runMaintenance, c.fetcher.Run, c.placement.Run,
+		c.membership.RunWatcher, c.catchUp.RunAtStart, c.membership.RunJoin, c.runMaintenance, c.fetcher.Run, c.placement.Run,
 	}
 }
 
-// runMaintenance does at intervals what no call asks for, one step after the other. Where the register has to be read a step
-// takes longer, and the next ones wait.
+// runMaintenance runs the periodic checks at every maintenanceInterval. A run that has to read the register takes longer and
+// delays the next one.
 func (c *coordinator) runMaintenance(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -90,7 +91,7 @@
 	}
 }
 
-// serveControl serves the control API until ctx ends and the calls in flight are answered.
+// serveControl serves the control API until ctx ends, then waits for the calls in flight for a part of the grace period.
 func (c *coordinator) serveControl(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler: c.api.Handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout, IdleTimeout: idleTimeout,
@@ -106,9 +107,9 @@
 	c.log.Info("stopping")
 	c.membership.BeginShutdown()
 	grace := settings.Seconds(c.live.Current().Bounds.GraceS, defaultGrace)
-	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(grace-shutdownReserve, grace/2))
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(grace-shutdownReserve, grace/2))
 	defer cancel()
-	if err := server.Shutdown(limited); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		_ = server.Close()
 	}
 	return nil
--- a/internal/tier/coordinator/unconfirmed_instance_test.go
+++ b/internal/tier/coordinator/unconfirmed_instance_test.go
@@ -10,15 +10,15 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// An instance that crashes while all coordinators lose their memory is announced by nobody again: no coordinator knows of it, so
-// none marks it suspect. An edge that held it has to mark it suspect all the same, as its address goes to other services.
-func TestInstanceThatCrashedWithAllCoordinatorsIsSuspectAtEdges(t *testing.T) {
-	inCluster(t, 3, 1, func(c *cluster) {
-		names := coreNames(3)
-		assert.Equal(t, c.at("core-1").putHeartbeat("ready", 1), http.StatusOK)
+// An instance crashes at the same time as all coordinators. After their restart no coordinator knows the instance, so none marks it
+// suspect. Edges that still know it must mark it suspect themselves, because its address may be reused by another service.
+func TestEdgeSuspectsInstanceThatCrashedTogetherWithAllCoordinators(t *testing.T) {
+	withCluster(t, 3, 1, func(c *cluster) {
+		names := coordinatorNames(3)
+		assert.Equal(t, c.process("core-1").putHeartbeat("ready", 1), http.StatusOK)
 		edge := c.startEdge("edge", names...)
 		defer edge.stop()
-		c.pass(time.Second)
+		c.advance(time.Second)
 		assert.Equal(t, edge.state.Instance("i-1").GetState(), tierpb.InstanceState_INSTANCE_READY)
 		for _, name := range names {
 			c.kill(name)
@@ -26,8 +26,8 @@
 		for _, name := range names {
 			c.start(name, false)
 		}
-		c.pass(30 * time.Second)
+		c.advance(30 * time.Second)
 		assert.Assert(t, edge.state.Instance("i-1").GetState() != tierpb.InstanceState_INSTANCE_READY,
-			"30 s without a heartbeat the edge still sends to it")
+			"the edge still considers the instance ready after 30 s without a heartbeat")
 	})
 }
