--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -17,7 +17,7 @@
 )
 
 func parse(text string) ([]*aggs.Node, *query.Error) {
-	if e := query.Check(text); e != nil {
+	if e := query.CheckObject(text); e != nil {
 		return nil, e
 	}
 	var list []*aggs.Node
@@ -276,7 +276,7 @@
 	}
 	list, _ := parse(`{"a":{"h":{"histogram":{"field":"x","interval":1}}}}`)
 	parts, _ := aggs.Decode(list, gjson.Parse(`{"h":{"buckets":[{"key":0,"doc_count":1},{"key":1e9,"doc_count":1}]}}`))
-	if _, err := aggs.Merge(list, [][]aggs.Partial{parts}, false); !errors.Is(err, aggs.ErrTooMany) {
+	if _, err := aggs.Merge(list, [][]aggs.Partial{parts}, false); !errors.Is(err, aggs.ErrTooManyBuckets) {
 		t.Errorf("a billion empty buckets: %v", err)
 	}
 }
--- a/internal/gatherer/aggs/histogram.go
+++ b/internal/gatherer/aggs/histogram.go
@@ -79,7 +79,7 @@
 	var full []*mergedBucket
 	for k, at := lo, 0; k <= hi || at < len(list); k = n.nextKey(k) {
 		if len(full) > MaxBuckets {
-			return nil, ErrTooMany
+			return nil, ErrTooManyBuckets
 		}
 		// Keys from ranges may lie just before the computed one, by rounding or because the time zone changed its offset. They are
 		// kept as they are.
--- a/internal/gatherer/aggs/merge.go
+++ b/internal/gatherer/aggs/merge.go
@@ -16,8 +16,8 @@
 	Estimate Bound = "estimate" // the true value may be more or less
 )
 
-// ErrTooMany is returned if a merged answer would have too many buckets, or too many would be in memory while merging.
-var ErrTooMany = errors.New("more buckets than an answer may have")
+// ErrTooManyBuckets is returned if a merged answer would have too many buckets, or too many would be in memory while merging.
+var ErrTooManyBuckets = errors.New("more buckets than an answer may have")
 
 // maxMergedBuckets limits the buckets that are in memory while answers are merged.
 const maxMergedBuckets = 16 * MaxBuckets
@@ -130,7 +130,7 @@
 	b := all[name]
 	if b == nil {
 		if m.mergedBuckets++; m.mergedBuckets > maxMergedBuckets {
-			return nil, ErrTooMany
+			return nil, ErrTooManyBuckets
 		}
 		b = &mergedBucket{bucket: *x}
 		b.docs = 0
@@ -146,7 +146,7 @@
 // appendBucket encodes a bucket. The given members, such as its key, come first.
 func (m *merger) appendBucket(b []byte, n *Node, x *mergedBucket, members ...string) ([]byte, error) {
 	if m.resultBuckets++; m.resultBuckets > MaxBuckets {
-		return nil, ErrTooMany
+		return nil, ErrTooManyBuckets
 	}
 	text := object(append(members, "doc_count", formatInteger(x.docs))...)
 	b = append(b, text[:len(text)-1]...)
--- a/internal/gatherer/aggs/parse.go
+++ b/internal/gatherer/aggs/parse.go
@@ -35,7 +35,7 @@
 	if !v.IsObject() {
 		return nil, p.errorAt(v, "aggregations are not an object")
 	}
-	e = query.Members(p.text, v, func(k, x gjson.Result) *query.Error {
+	e = query.ForEachMember(p.text, v, func(k, x gjson.Result) *query.Error {
 		if k.Str == "" || len(k.Str) > 128 || strings.ContainsAny(k.Str, "[]>\x00") || strings.Contains(k.Str, "::") {
 			return p.errorAt(k, "not a name of an aggregation: [%.40s]", k.Str)
 		}
@@ -108,17 +108,17 @@
 // members parses the body of an aggregation by the parsers of its known members. With ofField, the members field, which is
 // required, and missing are known as well. Any other member is an error.
 func (p *parser) members(n *Node, v gjson.Result, ofField bool, known map[string]memberParser) (e *query.Error) {
-	e = query.Members(p.text, v, func(k, x gjson.Result) (e *query.Error) {
+	e = query.ForEachMember(p.text, v, func(k, x gjson.Result) (e *query.Error) {
 		read := known[k.Str]
 		switch {
 		case read != nil:
 			e = read(x)
 		case ofField && k.Str == "field":
-			if n.Field = x.Str; x.Type != gjson.String || n.Field == "" || len(n.Field) > query.MaxField {
-				e = p.errorAt(x, "[field] is not a field's name of at most %d bytes", query.MaxField)
+			if n.Field = x.Str; x.Type != gjson.String || n.Field == "" || len(n.Field) > query.MaxFieldName {
+				e = p.errorAt(x, "[field] is not a field's name of at most %d bytes", query.MaxFieldName)
 			}
 		case ofField && k.Str == "missing":
-			if n.Missing = x.Raw; x.Type == gjson.JSON || x.Type == gjson.Null || len(x.Raw) > query.MaxField {
+			if n.Missing = x.Raw; x.Type == gjson.JSON || x.Type == gjson.Null || len(x.Raw) > query.MaxFieldName {
 				e = p.errorAt(x, "[missing] is not a short value")
 			}
 		default:
@@ -168,8 +168,8 @@
 // boundedString returns a parser of strings of at most query.MaxField bytes.
 func (p *parser) boundedString(to *string) memberParser {
 	return func(v gjson.Result) *query.Error {
-		if v.Type != gjson.String || len(v.Str) > query.MaxField {
-			return p.errorAt(v, "not a string of at most %d bytes", query.MaxField)
+		if v.Type != gjson.String || len(v.Str) > query.MaxFieldName {
+			return p.errorAt(v, "not a string of at most %d bytes", query.MaxFieldName)
 		}
 		*to = v.Str
 		return nil
--- a/internal/gatherer/decision/decision.go
+++ b/internal/gatherer/decision/decision.go
@@ -20,9 +20,9 @@
 // Record is what a scheduler has learned about a server, for a successor. It holds ages in place of times, as the
 // clocks of two processes differ.
 type Record struct {
-	Server           ServerID
-	Answers          []float64     // decayed number of answers in each bucket of the latency histogram
-	Latency, Failing float64       // smoothed latency in seconds, 0 for none; smoothed failure rate, 0 to 1
-	Cap              float64       // concurrency cap: how many subqueries may be in flight at the server
-	SlowStartAge     time.Duration // since the server was last seen to restart; -1 for never
+	Server               ServerID
+	LatencyCounts        []float64     // decayed number of answers in each bucket of the latency histogram
+	Latency, FailureRate float64       // smoothed latency in seconds, 0 for none; smoothed failure rate, 0 to 1
+	Cap                  float64       // concurrency cap: how many subqueries may be in flight at the server
+	SlowStartAge         time.Duration // since the server was last seen to restart; -1 for never
 }
--- a/internal/gatherer/decision/events.go
+++ b/internal/gatherer/decision/events.go
@@ -66,13 +66,13 @@
 
 // SubqueryArrived reports one subquery, of the first step or of the second.
 type SubqueryArrived struct {
-	ID     SubqueryID
-	Query  QueryID
-	Shard  int
-	Weight float64  // its fraction of the answer; the weights of a step add up to 1
-	Later  bool     // in the first step of a phased query: not sent until a Planned event requests it
-	Prefer ServerID // server to prefer if it is as good as others; 0 for none
-	Used   int      // attempts already made for the same shard in the first step
+	ID           SubqueryID
+	Query        QueryID
+	Shard        int
+	Weight       float64  // its fraction of the answer; the weights of a step add up to 1
+	Deferred     bool     // in the first step of a phased query: not sent until a Planned event requests it
+	Preferred    ServerID // server to prefer if it is as good as others; 0 for none
+	UsedAttempts int      // attempts already made for the same shard in the first step
 }
 
 // Planned reports a decision of a phased query's planner. Request lists subqueries of the first step to send. Skip
--- a/internal/gatherer/decision/settings.go
+++ b/internal/gatherer/decision/settings.go
@@ -18,15 +18,15 @@
 
 // Class describes one class of query.
 type Class struct {
-	LatencyTarget time.Duration // a complete answer within this has the full Value
-	Deadline      time.Duration // time-out of a client over all its retries; 0 if not known
-	Value         float64       // value of a complete answer, relative to other classes
-	Effect        Effect
-	Window        time.Duration // Deduplicated: how long after the first attempt servers drop repeats
-	Need          float64       // fraction of the subqueries' weight that makes a complete answer
-	Floor         float64       // least fraction of the subqueries' weight for a partial answer
-	Fetch         int           // largest number of subqueries of the second step; 0 for a single step
-	MaxAttempts   int           // most attempts for one subquery, including the first; 0 for Settings.MaxAttempts
+	LatencyTarget       time.Duration // a complete answer within this has the full Value
+	Deadline            time.Duration // time-out of a client over all its retries; 0 if not known
+	Value               float64       // value of a complete answer, relative to other classes
+	Effect              Effect
+	DeduplicationWindow time.Duration // Deduplicated: how long after the first attempt servers drop repeats
+	CompleteFraction    float64       // fraction of the subqueries' weight that makes a complete answer
+	PartialFraction     float64       // least fraction of the subqueries' weight for a partial answer
+	Fetch               int           // largest number of subqueries of the second step; 0 for a single step
+	MaxAttempts         int           // most attempts for one subquery, including the first; 0 for Settings.MaxAttempts
 }
 
 // Tenant describes one tenant of the service.
@@ -41,7 +41,7 @@
 	SlowStart        time.Duration // time until a started server has its full capacity
 	OverloadMultiple float64       // a server in slow start fails if it is sent more than this multiple of its capacity ...
 	OverloadSpan     time.Duration // ... for this long
-	BudgetOn         bool          // whether further attempts are rationed by the retry budget below
+	BudgetEnabled    bool          // whether further attempts are rationed by the retry budget below
 	BudgetFree       float64       // further attempts allowed in any span, independent of traffic
 	BudgetRatio      float64       // further attempts allowed in addition for each query and subquery received in the span
 	BudgetSpan       time.Duration
@@ -96,7 +96,7 @@
 		return fmt.Errorf("settings: Tick is %v, want more than 0", set.Tick)
 	}
 	for i, c := range set.Classes {
-		if c.LatencyTarget <= 0 || c.Need <= 0 || c.Need > 1 || c.Floor <= 0 || c.Floor > c.Need || c.Fetch < 0 || c.MaxAttempts < 0 {
+		if c.LatencyTarget <= 0 || c.CompleteFraction <= 0 || c.CompleteFraction > 1 || c.PartialFraction <= 0 || c.PartialFraction > c.CompleteFraction || c.Fetch < 0 || c.MaxAttempts < 0 {
 			return fmt.Errorf("settings: Classes[%d]: latency target, fraction of a complete or partial answer, Fetch or MaxAttempts is out of range", i)
 		}
 	}
--- a/internal/gatherer/gather/admit.go
+++ b/internal/gatherer/gather/admit.go
@@ -47,7 +47,7 @@
 		q.subqueries = append(q.subqueries, p)
 		c.inFlight.AddSubquery(p.id, p)
 		c.events = append(c.events, decision.SubqueryArrived{ID: decision.SubqueryID(p.id), Query: decision.QueryID(r.id),
-			Shard: s.Number, Weight: s.Weight, Later: phased && !slices.Contains(first.Request, i)})
+			Shard: s.Number, Weight: s.Weight, Deferred: phased && !slices.Contains(first.Request, i)})
 	}
 	c.applyOrders(q, search.Orders{Skip: first.Skip})
 }
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -35,8 +35,8 @@
 	set := settings.Settings{Classes: []string{"search", "bid"}, Zones: []string{"a"}, Shards: 100, OpenCap: 60, StreamsPerConn: 32}
 	set.Policy = decision.Settings{Instances: 1, Tick: time.Millisecond, Cells: 1, Width: 1, Batch: 8, CallCost: time.Millisecond, MaxAttempts: 4,
 		Cancel: true, MaxRetryAfter: 500 * time.Millisecond, Classes: []decision.Class{
-			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 0.7},
-			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Need: 1, Floor: 1, Effect: decision.Deduplicated, Window: 4 * time.Second}}}
+			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, CompleteFraction: 1, PartialFraction: 0.7},
+			{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, CompleteFraction: 1, PartialFraction: 1, Effect: decision.Deduplicated, DeduplicationWindow: 4 * time.Second}}}
 	tr := &transport{make(chan []*Attempt, 100), make(chan *Attempt, 100), make(chan decision.ServerState, 100)}
 	c, err := New(set, 1, tr, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -86,7 +86,7 @@
 func (c *Core) Restore(s Snapshot) { c.post(restored{s}) }
 
 func (c *Core) snapshot() Snapshot {
-	s := Snapshot{Servers: c.servers.Listed(), Records: map[string]decision.Record{}, PerSecond: c.scheduler.PerSecond()}
+	s := Snapshot{Servers: c.servers.Known(), Records: map[string]decision.Record{}, PerSecond: c.scheduler.PerSecond()}
 	s.Banned, s.Back = c.servers.Bans()
 	names := map[decision.ServerID]string{}
 	for _, x := range s.Servers {
@@ -101,10 +101,10 @@
 }
 
 func (c *Core) restore(s Snapshot) {
-	c.servers.Inherit(s.Banned, s.Back)
+	c.servers.AdoptBans(s.Banned, s.Back)
 	c.list(List{Kind: decision.Cached, Servers: s.Servers})
 	var records []decision.Record
-	for _, x := range c.servers.Listed() {
+	for _, x := range c.servers.Known() {
 		if r, ok := s.Records[x.Name]; ok {
 			r.Server = x.ID
 			records = append(records, r)
--- a/internal/gatherer/gather/recorder.go
+++ b/internal/gatherer/gather/recorder.go
@@ -35,7 +35,7 @@
 		}
 		in.Hedging = c.set.Policy.Hedging
 		if k.Effect == decision.Deduplicated {
-			in.Window = k.Window.Microseconds()
+			in.Window = k.DeduplicationWindow.Microseconds()
 		}
 		if r.gate != nil {
 			l := r.gate.Limits
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -26,7 +26,7 @@
 	k := c.set.Policy.Classes[p.q.Class]
 	if k.Effect == decision.Deduplicated && p.mayRun > 0 {
 		// Two ticks short of the window: the way to the lot store takes time as well.
-		a.NotAfter = c.start.Add(p.mayRun - epoch + k.Window - 2*c.set.Policy.Tick)
+		a.NotAfter = c.start.Add(p.mayRun - epoch + k.DeduplicationWindow - 2*c.set.Policy.Tick)
 	}
 	if p.mayRun == 0 {
 		p.mayRun = now
--- a/internal/gatherer/gather/second.go
+++ b/internal/gatherer/gather/second.go
@@ -84,7 +84,7 @@
 		q.second = append(q.second, p)
 		c.inFlight.AddSubquery(p.id, p)
 		c.events = append(c.events, decision.SubqueryArrived{ID: decision.SubqueryID(p.id), Query: decision.QueryID(q.id),
-			Shard: p.res.Shard, Weight: x.weight, Prefer: x.prefer, Used: x.used})
+			Shard: p.res.Shard, Weight: x.weight, Preferred: x.prefer, UsedAttempts: x.used})
 	}
 }
 
--- a/internal/gatherer/gather/second_test.go
+++ b/internal/gatherer/gather/second_test.go
@@ -14,7 +14,7 @@
 // twoSteps gives the first class a second step of three subqueries, and no partial answers.
 func twoSteps(c *Core) {
 	k := &c.set.Policy.Classes[0]
-	k.Fetch, k.Floor = 3, 1
+	k.Fetch, k.PartialFraction = 3, 1
 	c.scheduler, _ = policy.New(c.set.Policy, 1)
 }
 
@@ -135,7 +135,7 @@
 func TestLateFirstStep(t *testing.T) {
 	c, tr := start(t, func(c *Core) {
 		k := &c.set.Policy.Classes[0]
-		k.Fetch, k.Need, k.Floor = 1, 0.5, 0.5
+		k.Fetch, k.CompleteFraction, k.PartialFraction = 1, 0.5, 0.5
 		c.scheduler, _ = policy.New(c.set.Policy, 1)
 	})
 	r := newRequest(0, 2, 20*time.Second)
--- a/internal/gatherer/lifecycle/handover.go
+++ b/internal/gatherer/lifecycle/handover.go
@@ -198,8 +198,8 @@
 		if r.SlowStartAge >= 0 {
 			slowStart = r.SlowStartAge.Milliseconds()
 		}
-		x.Records = append(x.Records, handover.Record{Name: name, Answers: r.Answers, Latency: r.Latency,
-			Failing: r.Failing, Cap: r.Cap, SlowStartMs: slowStart})
+		x.Records = append(x.Records, handover.Record{Name: name, Answers: r.LatencyCounts, Latency: r.Latency,
+			Failing: r.FailureRate, Cap: r.Cap, SlowStartMs: slowStart})
 	}
 	return x
 }
@@ -223,7 +223,7 @@
 		if r.SlowStartMs >= 0 {
 			slowStart = time.Duration(r.SlowStartMs) * time.Millisecond
 		}
-		s.Records[r.Name] = decision.Record{Answers: r.Answers, Latency: r.Latency, Failing: r.Failing, Cap: r.Cap, SlowStartAge: slowStart}
+		s.Records[r.Name] = decision.Record{LatencyCounts: r.Answers, Latency: r.Latency, FailureRate: r.Failing, Cap: r.Cap, SlowStartAge: slowStart}
 	}
 	return s, nil
 }
--- a/internal/gatherer/lifecycle/limits.go
+++ b/internal/gatherer/lifecycle/limits.go
@@ -27,8 +27,8 @@
 		if attempts == 0 {
 			attempts = set.Policy.MaxAttempts
 		}
-		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], LatencyTarget: k.LatencyTarget, Timeout: k.Deadline, Window: k.Window,
-			Attempts: attempts, Floor: k.Floor})
+		list = append(list, limits.Class{Name: name, Effect: effects[k.Effect], LatencyTarget: k.LatencyTarget, Timeout: k.Deadline, Window: k.DeduplicationWindow,
+			Attempts: attempts, Floor: k.PartialFraction})
 	}
 	return list
 }
@@ -74,7 +74,7 @@
 		k.MaxAttempts = l.Attempts
 	}
 	if l.MinWeight > 0 {
-		k.Floor = max(k.Floor, min(l.MinWeight, k.Need))
+		k.PartialFraction = max(k.PartialFraction, min(l.MinWeight, k.CompleteFraction))
 	}
 }
 
--- a/internal/gatherer/lifecycle/operations.go
+++ b/internal/gatherer/lifecycle/operations.go
@@ -37,7 +37,7 @@
 			return nil, fmt.Errorf("store.dir: %w", err)
 		}
 		changed := func(values map[string]string) { x.changed(c, values) }
-		if x.store, err = store.Open(store.Config{Name: c.Name, Dir: o.Dir, Nodes: o.Nodes, Log: slog.NewLogLogger(d.log.Handler(), slog.LevelInfo).Writer(), Changed: changed}); err != nil {
+		if x.store, err = store.Open(store.Config{Name: c.Name, Dir: o.Dir, Nodes: o.Nodes, Log: slog.NewLogLogger(d.log.Handler(), slog.LevelInfo).Writer(), OnChange: changed}); err != nil {
 			return nil, err
 		}
 	}
@@ -109,7 +109,7 @@
 	case !isState || x.store == nil:
 		return http1.Text(404, "nothing is here")
 	case r.Method == "GET" && key == "":
-		b, err := json.Marshal(x.store.All())
+		b, err := json.Marshal(x.store.Values())
 		if err != nil {
 			return http1.Text(500, err.Error())
 		}
--- a/internal/gatherer/mem/cluster/list.go
+++ b/internal/gatherer/mem/cluster/list.go
@@ -65,7 +65,7 @@
 		}
 		s := st.Servers[i.ID]
 		if s == nil {
-			s = &Server{Latencies: curve.NewRecord()}
+			s = &Server{Latencies: curve.NewLatencyHistogram()}
 			st.Servers[i.ID] = s
 			st.SortedServers = append(st.SortedServers, s)
 			s.Started = -1
@@ -116,7 +116,7 @@
 // Prune bounds the memory of a long-lived process. It drops unlisted servers and fingerprints without activity since
 // unused, and the counts of received queries from before received.
 func (st *State) Prune(unused, received time.Duration) {
-	st.Received.Since(received)
+	st.Received.SumSince(received)
 	maps.DeleteFunc(st.Poisoned, func(_ uint64, at time.Duration) bool { return at < unused })
 	st.SortedServers = slices.DeleteFunc(st.SortedServers, func(s *Server) bool {
 		old := !s.Listed && len(s.InFlight) == 0 && len(s.Queue) == 0 &&
--- a/internal/gatherer/mem/cluster/query.go
+++ b/internal/gatherer/mem/cluster/query.go
@@ -202,7 +202,7 @@
 // subquery. It returns nil if there is no spare.
 func (q *Query) UseSpare() (best *Subquery) {
 	for _, sub := range q.Current {
-		if sub.Spare && !sub.Later && !sub.Failed && (best == nil || sub.ReplicaWeight > best.ReplicaWeight) {
+		if sub.Spare && !sub.Deferred && !sub.Failed && (best == nil || sub.ReplicaWeight > best.ReplicaWeight) {
 			best = sub
 		}
 	}
--- a/internal/gatherer/mem/cluster/records.go
+++ b/internal/gatherer/mem/cluster/records.go
@@ -11,7 +11,7 @@
 // PerSecond returns how many subqueries per second all servers together have answered for this scheduler lately.
 func (st *State) PerSecond() float64 {
 	span := st.Tuning.ThroughputWindow
-	return st.Answered.Since(st.Now-span) / curve.Seconds(max(min(span, st.Now-st.StartedAt), st.Settings.Tick))
+	return st.Answered.SumSince(st.Now-span) / curve.Seconds(max(min(span, st.Now-st.StartedAt), st.Settings.Tick))
 }
 
 // Survey updates the median of the servers' latencies, and returns the total nominal capacity of the listed servers
@@ -34,10 +34,10 @@
 // Records returns what has been learned about the servers, as of the last step.
 func (st *State) Records() (all []decision.Record) {
 	for _, s := range st.SortedServers {
-		r := decision.Record{Server: s.ID, Answers: slices.Clone(s.Latencies.Weights), Latency: s.Latency, Failing: s.FailureRate,
+		r := decision.Record{Server: s.ID, LatencyCounts: slices.Clone(s.Latencies.Weights), Latency: s.Latency, FailureRate: s.FailureRate,
 			Cap: s.Cap, SlowStartAge: -1}
-		for i := range r.Answers {
-			r.Answers[i] /= s.Latencies.Weight(st.Now)
+		for i := range r.LatencyCounts {
+			r.LatencyCounts[i] /= s.Latencies.Weight(st.Now)
 		}
 		if s.SlowStartFrom > 0 {
 			r.SlowStartAge = st.Now - s.SlowStartFrom
@@ -58,15 +58,15 @@
 	}
 	for _, r := range e.Records {
 		s := st.Servers[r.Server]
-		if s == nil || len(r.Answers) != len(s.Latencies.Weights) {
+		if s == nil || len(r.LatencyCounts) != len(s.Latencies.Weights) {
 			continue
 		}
-		s.Latencies, s.CDFValid = curve.NewRecord(), false
-		for i, n := range r.Answers {
+		s.Latencies, s.CDFValid = curve.NewLatencyHistogram(), false
+		for i, n := range r.LatencyCounts {
 			s.Latencies.AddToBucket(st.Now, i, n)
 			st.Pool.AddToBucket(st.Now, i, n)
 		}
-		s.Latency, s.LatencyAt, s.FailureRate, s.FailureRateAt = r.Latency, st.Now, r.Failing, st.Now
+		s.Latency, s.LatencyAt, s.FailureRate, s.FailureRateAt = r.Latency, st.Now, r.FailureRate, st.Now
 		s.Cap = min(max(r.Cap, st.Tuning.CapMin), st.Tuning.CapMax)
 		if r.SlowStartAge >= 0 {
 			s.SlowStartFrom = st.Now - r.SlowStartAge
@@ -83,7 +83,7 @@
 		return st.PoolCDF
 	}
 	if !s.CDFValid {
-		s.CDF = curve.Blend(s.CDF, s.Latencies, st.Pool, curve.RecordPrior, st.Now)
+		s.CDF = curve.Blend(s.CDF, s.Latencies, st.Pool, curve.PriorWeight, st.Now)
 		s.MaxAge = min(st.PoolTail, st.Pool.Quantile(s.CDF, st.Tuning.TailPercentile))
 		s.CDFValid = true
 	}
@@ -96,7 +96,7 @@
 	pool := st.Pool
 	if pool.Total == 0 { // before any answer: assumes a distribution derived from the shortest latency target
 		least := slices.MinFunc(st.Settings.Classes, func(a, b decision.Class) int { return cmp.Compare(a.LatencyTarget, b.LatencyTarget) })
-		pool = curve.NewRecord()
+		pool = curve.NewLatencyHistogram()
 		pool.FillUniform(curve.Seconds(least.LatencyTarget) * st.Tuning.InitialTailFraction)
 	}
 	st.PoolCDF = curve.Blend(st.PoolCDF, pool, pool, 0, st.Now)
--- a/internal/gatherer/mem/cluster/state.go
+++ b/internal/gatherer/mem/cluster/state.go
@@ -90,7 +90,7 @@
 func New(set decision.Settings, rng *rand.Rand, t Tuning) State {
 	return State{
 		Tuning: t, Settings: set.WithDefaults(), RNG: rng, Queries: map[decision.QueryID]*Query{}, Subqueries: map[decision.SubqueryID]*Subquery{},
-		Servers: map[decision.ServerID]*Server{}, Pool: curve.NewRecord(), Poisoned: map[uint64]time.Duration{},
+		Servers: map[decision.ServerID]*Server{}, Pool: curve.NewLatencyHistogram(), Poisoned: map[uint64]time.Duration{},
 		Replicas: make([][]*Server, set.Cells), PollBackoff: initialPollBackoff, PollAt: -1, SurveyedAt: -1, StartedAt: math.MaxInt64,
 	}
 }
--- a/internal/gatherer/mem/servers.go
+++ b/internal/gatherer/mem/servers.go
@@ -125,17 +125,17 @@
 	return slices.Sorted(maps.Keys(l.banned)), maps.Clone(l.unbannedAt)
 }
 
-// Inherit adds the bans of another process. The server list must be applied afterwards for them to take effect.
-func (l *Servers) Inherit(banned []string, lifted map[string]time.Time) {
+// AdoptBans adds the bans of another process. The server list must be applied afterwards for them to take effect.
+func (l *Servers) AdoptBans(banned []string, lifted map[string]time.Time) {
 	for _, name := range banned {
 		l.banned[name] = struct{}{}
 	}
 	maps.Copy(l.unbannedAt, lifted)
 }
 
-// Listed returns every known server as the server list describes it: bans are not applied, and lately deregistered
+// Known returns every known server as the server list describes it: bans are not applied, and lately deregistered
 // servers are included.
-func (l *Servers) Listed() (all []Server) {
+func (l *Servers) Known() (all []Server) {
 	for _, s := range l.byName {
 		all = append(all, *s)
 	}
--- a/internal/gatherer/net/frames/conn.go
+++ b/internal/gatherer/net/frames/conn.go
@@ -185,7 +185,7 @@
 	if !idle {
 		return false
 	}
-	_, ended := peek.Look(c.nc)
+	_, ended := peek.Status(c.nc)
 	return ended
 }
 
--- a/internal/gatherer/net/frames/crossings_test.go
+++ b/internal/gatherer/net/frames/crossings_test.go
@@ -29,7 +29,7 @@
 // awaitPeerClose waits until the close of the other side has arrived, which nobody has read yet.
 func awaitPeerClose(c *conn) {
 	for ended := false; !ended; {
-		_, ended = peek.Look(c.nc)
+		_, ended = peek.Status(c.nc)
 	}
 }
 
--- a/internal/gatherer/net/http1/client.go
+++ b/internal/gatherer/net/http1/client.go
@@ -75,7 +75,7 @@
 // on a connection that the peer closed while it was idle would fail after it was written, and would count as one that may
 // have run.
 func (c *Client) Alive() bool {
-	waiting, ended := peek.Look(c.nc)
+	waiting, ended := peek.Status(c.nc)
 	return c.Open() && !waiting && !ended
 }
 
--- a/internal/gatherer/net/opensearch/documents.go
+++ b/internal/gatherer/net/opensearch/documents.go
@@ -63,7 +63,7 @@
 	if e := allowOnly(params, "timeout", "routing", "_source"); e != nil {
 		return nil, e
 	}
-	if wrong := query.Check(string(r.Body)); wrong != nil {
+	if wrong := query.CheckObject(string(r.Body)); wrong != nil {
 		return nil, parseError(wrong)
 	}
 	body := gjson.ParseBytes(r.Body)
@@ -150,7 +150,7 @@
 	if !http1.IsName(id) {
 		return nil, illegalArgument("the document id is missing, too long or has characters other than letters, digits, - and _")
 	}
-	if wrong := query.Check(string(body)); wrong != nil {
+	if wrong := query.CheckObject(string(body)); wrong != nil {
 		return nil, &apiError{400, "mapper_parsing_exception", wrong.Error()}
 	}
 	if routing == "" {
--- a/internal/gatherer/net/opensearch/parse.go
+++ b/internal/gatherer/net/opensearch/parse.go
@@ -91,7 +91,7 @@
 
 // parseOpaque parses the size of a search whose lot stores speak frames. They get the text unchanged.
 func parseOpaque(body []byte, params url.Values) (size int, e *apiError) {
-	if wrong := query.Check(string(body)); wrong != nil {
+	if wrong := query.CheckObject(string(body)); wrong != nil {
 		return 0, parseError(wrong)
 	}
 	size = defaultSize
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -224,7 +224,7 @@
 				}
 				done = true
 				set := *r.front.Settings.Load()
-				set.Policy.Classes = append(slices.Clone(set.Policy.Classes), decision.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Need: 1, Floor: 1, MaxAttempts: 1})
+				set.Policy.Classes = append(slices.Clone(set.Policy.Classes), decision.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, CompleteFraction: 1, PartialFraction: 1, MaxAttempts: 1})
 				set.Classes = append(slices.Clone(set.Classes), "other")
 				go func() {
 					r.core.ChangeSettings(set)
--- a/internal/gatherer/net/opensearch/phases_test.go
+++ b/internal/gatherer/net/opensearch/phases_test.go
@@ -151,7 +151,7 @@
 				t.Errorf("a good search takes %v after bad ones", time.Since(begin))
 			}
 			for _, rec := range r.core.Snapshot().Records {
-				if rec.Failing > 0 {
+				if rec.FailureRate > 0 {
 					t.Errorf("%+v", rec)
 				}
 			}
--- a/internal/gatherer/net/opensearch/points.go
+++ b/internal/gatherer/net/opensearch/points.go
@@ -95,7 +95,7 @@
 
 // closePoints parses the closing of points in time. They hold no resources, so a valid token stays valid until it expires.
 func (f *Front) closePoints(r *http1.Request) (*clientCall, *apiError) {
-	if wrong := query.Check(string(r.Body)); wrong != nil {
+	if wrong := query.CheckObject(string(r.Body)); wrong != nil {
 		return nil, parseError(wrong)
 	}
 	ids := gjson.GetBytes(r.Body, "pit_id")
--- a/internal/gatherer/net/opensearch/query.go
+++ b/internal/gatherer/net/opensearch/query.go
@@ -59,11 +59,11 @@
 // parseBody parses the search body and the parameters that stand for members of it. Ties says that lot stores break ties
 // by id.
 func parseBody(text string, params url.Values, ties bool) (*searchBody, *apiError) {
-	if wrong := query.Check(text); wrong != nil {
+	if wrong := query.CheckObject(text); wrong != nil {
 		return nil, parseError(wrong)
 	}
 	q := &search.Query{Size: defaultSize, Count: search.CountAnyhow, Ties: ties}
-	p := &bodyParser{text: text, body: &searchBody{Query: q, query: query.All{}}, seen: map[string]bool{}}
+	p := &bodyParser{text: text, body: &searchBody{Query: q, query: query.MatchAll{}}, seen: map[string]bool{}}
 	if e := p.members(); e != nil {
 		return nil, e
 	}
@@ -117,7 +117,7 @@
 		if p.seen["query"] {
 			return illegalArgument("[q] and [query] cannot be given together")
 		}
-		tree, wrong := query.Short(params.Get("q"), params.Get("df"), strings.EqualFold(params.Get("default_operator"), "and"))
+		tree, wrong := query.ParseQueryString(params.Get("q"), params.Get("df"), strings.EqualFold(params.Get("default_operator"), "and"))
 		if p.body.query = tree; wrong != nil {
 			return illegalArgument("[q] %s", wrong.Error())
 		}
@@ -244,13 +244,13 @@
 	fields := func(v gjson.Result) bool {
 		if v.IsArray() {
 			for _, f := range v.Array() {
-				if f.Type != gjson.String || len(f.Str) > query.MaxField {
+				if f.Type != gjson.String || len(f.Str) > query.MaxFieldName {
 					return false
 				}
 			}
 			return len(v.Array()) <= maxSourceFields
 		}
-		return v.Type == gjson.String && len(v.Str) <= query.MaxField
+		return v.Type == gjson.String && len(v.Str) <= query.MaxFieldName
 	}
 	ok := v.IsBool() || fields(v)
 	if v.IsObject() {
@@ -382,5 +382,5 @@
 	for _, k := range q.Keys {
 		fmt.Fprintf(&b, "|%q %v %v", k.Field, k.Desc, k.MissingFirst)
 	}
-	q.Name, q.Clauses, q.Plain = b.String(), query.Clauses(tree), query.Plain(tree)
+	q.Name, q.Clauses, q.Plain = b.String(), query.ScoringClauses(tree), query.IsSingleClause(tree)
 }
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -70,7 +70,7 @@
 	set.Policy = decision.Settings{Instances: 1, Tick: 5 * time.Millisecond, Cells: cells, Width: 1, Batch: 8, CallCost: callWork, MaxAttempts: 4,
 		Cancel: true, HealthChecks: true, MaxRetryAfter: 500 * time.Millisecond,
 		Rules:   decision.Rules{StartCapacity: 0.15, SlowStart: 17 * time.Second, OverloadMultiple: 3, OverloadSpan: 1500 * time.Millisecond},
-		Classes: []decision.Class{{LatencyTarget: 1200 * time.Millisecond, Deadline: 3 * time.Second, Value: 3, Need: 1, Floor: 0.7, MaxAttempts: 4}}}
+		Classes: []decision.Class{{LatencyTarget: 1200 * time.Millisecond, Deadline: 3 * time.Second, Value: 3, CompleteFraction: 1, PartialFraction: 0.7, MaxAttempts: 4}}}
 	if o.change != nil {
 		o.change(&set)
 	}
--- a/internal/gatherer/net/opensearch/searches.go
+++ b/internal/gatherer/net/opensearch/searches.go
@@ -45,7 +45,7 @@
 	text := strings.TrimSuffix(string(body), "\n")
 	for n, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
-		if wrong := query.Check(line); wrong != nil {
+		if wrong := query.CheckObject(line); wrong != nil {
 			return nil, parsingException("line %d: %s", n+1, (&query.Error{Line: n + 1, Column: wrong.Column, Reason: wrong.Reason}).Error())
 		}
 		list = append(list, line)
@@ -156,7 +156,7 @@
 	if len(body) == 0 {
 		body = []byte("{}")
 	}
-	if wrong := query.Check(string(body)); wrong != nil {
+	if wrong := query.CheckObject(string(body)); wrong != nil {
 		return nil, parseError(wrong)
 	}
 	var other string
--- a/internal/gatherer/query/leaves.go
+++ b/internal/gatherer/query/leaves.go
@@ -69,7 +69,7 @@
 		return nil, e
 	}
 	e = p.members(body, &q.Boost, map[string]memberParser{"gt": p.value(&q.GT), "gte": p.value(&q.GTE), "lt": p.value(&q.LT), "lte": p.value(&q.LTE),
-		"format": p.boundedString(&q.Format, MaxField), "time_zone": p.boundedString(&q.TimeZone, MaxField)})
+		"format": p.boundedString(&q.Format, MaxFieldName), "time_zone": p.boundedString(&q.TimeZone, MaxFieldName)})
 	switch {
 	case e != nil:
 	case q.GT != "" && q.GTE != "" || q.LT != "" && q.LTE != "":
@@ -102,7 +102,7 @@
 // exists parses an exists query.
 func (p *parser) exists(v gjson.Result, _ int) (Query, *Error) {
 	q := Exists{}
-	e := p.members(v, &q.Boost, map[string]memberParser{"field": p.boundedString(&q.Field, MaxField)})
+	e := p.members(v, &q.Boost, map[string]memberParser{"field": p.boundedString(&q.Field, MaxFieldName)})
 	if e == nil && q.Field == "" {
 		e = p.errorAt(v, "[exists] lacks [field]")
 	}
--- a/internal/gatherer/query/members.go
+++ b/internal/gatherer/query/members.go
@@ -26,9 +26,9 @@
 	return key, value, nil
 }
 
-// Members calls read for each member of an object of text, in order, up to the first error. A duplicate name is an error. V
+// ForEachMember calls read for each member of an object of text, in order, up to the first error. A duplicate name is an error. V
 // must come from an iteration over the parsed text: its Index is the position that errors report.
-func Members(text string, v gjson.Result, read func(key, value gjson.Result) *Error) (e *Error) {
+func ForEachMember(text string, v gjson.Result, read func(key, value gjson.Result) *Error) (e *Error) {
 	seen := map[string]bool{}
 	v.ForEach(func(key, value gjson.Result) bool {
 		if seen[key.Str] {
@@ -48,7 +48,7 @@
 // members parses an object by the parsers of its known members. Beside these it accepts boost, where the argument is not
 // nil, and _name, which is ignored. Any other member is an error.
 func (p *parser) members(v gjson.Result, boost *float64, known map[string]memberParser) *Error {
-	return Members(p.text, v, func(k, x gjson.Result) *Error {
+	return ForEachMember(p.text, v, func(k, x gjson.Result) *Error {
 		read := known[k.Str]
 		switch {
 		case read != nil:
@@ -113,7 +113,7 @@
 // numberOrString returns a parser of numbers and short strings, both of which are stored as strings.
 func (p *parser) numberOrString(to *string) memberParser {
 	return func(v gjson.Result) *Error {
-		if v.Type != gjson.String && v.Type != gjson.Number || len(v.Raw) > MaxField {
+		if v.Type != gjson.String && v.Type != gjson.Number || len(v.Raw) > MaxFieldName {
 			return p.errorAt(v, "not a number or a short string")
 		}
 		*to = v.String()
@@ -149,8 +149,8 @@
 
 // fieldName checks the name of a field.
 func (p *parser) fieldName(k gjson.Result) *Error {
-	if k.Str == "" || len(k.Str) > MaxField || strings.ContainsAny(k.Str, "\x00\n") {
-		return p.errorAt(k, "not a field's name of at most %d bytes", MaxField)
+	if k.Str == "" || len(k.Str) > MaxFieldName || strings.ContainsAny(k.Str, "\x00\n") {
+		return p.errorAt(k, "not a field's name of at most %d bytes", MaxFieldName)
 	}
 	return nil
 }
--- a/internal/gatherer/query/parse.go
+++ b/internal/gatherer/query/parse.go
@@ -28,8 +28,8 @@
 	return &Error{Line: 1 + strings.Count(before, "\n"), Column: offset - strings.LastIndexByte(before, '\n'), Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check returns an error unless the text is one JSON object in UTF-8.
-func Check(text string) *Error {
+// CheckObject returns an error unless the text is one JSON object in UTF-8.
+func CheckObject(text string) *Error {
 	if !utf8.ValidString(text) {
 		for i, c := range text {
 			if _, n := utf8.DecodeRuneInString(text[i:]); c == utf8.RuneError && n == 1 {
@@ -104,7 +104,7 @@
 
 // matchAll parses a match_all query.
 func (p *parser) matchAll(v gjson.Result, _ int) (Query, *Error) {
-	q := All{}
+	q := MatchAll{}
 	e := p.members(v, &q.Boost, nil)
 	return q, e
 }
--- a/internal/gatherer/query/query.go
+++ b/internal/gatherer/query/query.go
@@ -18,7 +18,7 @@
 	MaxClauses          = 1024     // queries in one tree
 	MaxTerms            = 65536    // values of one terms or ids query
 	MaxMultiMatchFields = 64       // fields of one multi_match query
-	MaxField            = 256      // bytes of a field name
+	MaxFieldName        = 256      // bytes of a field name
 	MaxText             = 32 << 10 // bytes of a text or value to match
 )
 
@@ -31,8 +31,8 @@
 // Value is a JSON value: a string, number, boolean or null, in canonical form.
 type Value string
 
-// All matches every lot.
-type All struct{ Boost float64 }
+// MatchAll matches every lot.
+type MatchAll struct{ Boost float64 }
 
 // MatchNone matches no lot.
 type MatchNone struct{}
@@ -183,7 +183,7 @@
 	return ""
 }
 
-func (q All) append(b []byte) []byte       { return appendQuery(b, "match_all", q.Boost) }
+func (q MatchAll) append(b []byte) []byte  { return appendQuery(b, "match_all", q.Boost) }
 func (q MatchNone) append(b []byte) []byte { return appendQuery(b, "match_none", 0) }
 
 func (q Match) append(b []byte) []byte {
@@ -273,9 +273,9 @@
 	return string(append(b, ']'))
 }
 
-// Clauses returns the canonical forms of the queries whose scores add up to a lot's score. It returns nil for a Bool with a
+// ScoringClauses returns the canonical forms of the queries whose scores add up to a lot's score. It returns nil for a Bool with a
 // boost, whose score is not such a sum.
-func Clauses(q Query) (clauses []string) {
+func ScoringClauses(q Query) (clauses []string) {
 	b, ok := q.(Bool)
 	if !ok {
 		return []string{string(JSON(q))}
@@ -289,8 +289,8 @@
 	return clauses
 }
 
-// Plain reports whether a query is a single clause rather than a Bool.
-func Plain(q Query) bool {
+// IsSingleClause reports whether a query is a single clause rather than a Bool.
+func IsSingleClause(q Query) bool {
 	_, ok := q.(Bool)
 	return !ok
 }
--- a/internal/gatherer/query/query_test.go
+++ b/internal/gatherer/query/query_test.go
@@ -10,7 +10,7 @@
 )
 
 func parse(text string) (Query, *Error) {
-	if e := Check(text); e != nil {
+	if e := CheckObject(text); e != nil {
 		return nil, e
 	}
 	var q Query
@@ -101,17 +101,17 @@
 		`title:"a \"b\""~3`:                 `{"match_phrase":{"title":{"query":"a \"b\"","slop":3}}}`,
 		`a:1 OR b:2 AND c:3`:                `{"bool":{"should":[{"match":{"a":{"query":"1"}}},{"bool":{"must":[{"match":{"b":{"query":"2"}}},{"match":{"c":{"query":"3"}}}]}}]}}`,
 	} {
-		if q, e := Short(text, "", false); e != nil || string(JSON(q)) != want {
+		if q, e := ParseQueryString(text, "", false); e != nil || string(JSON(q)) != want {
 			t.Errorf("%s: %v\n got %s\nwant %s", text, e, JSON(orMatchNone(q)), want)
 		}
 	}
-	if q, e := Short("a b", "title", true); e != nil || string(JSON(q)) != `{"bool":{"must":[{"match":{"title":{"query":"a"}}},{"match":{"title":{"query":"b"}}}]}}` {
+	if q, e := ParseQueryString("a b", "title", true); e != nil || string(JSON(q)) != `{"bool":{"must":[{"match":{"title":{"query":"a"}}},{"match":{"title":{"query":"b"}}}]}}` {
 		t.Errorf("%s %v", JSON(orMatchNone(q)), e)
 	}
 	for text, want := range map[string]string{"": "no query", "make:": "column 6", "(a": "column 3", "a)": "column 2", "year:[1 TO": "", "[1 TO 2]": "wants a field",
 		"a^x": "boost", `"a"~x`: "slop", "t:a~7": "fuzziness", "x*y": "wants a field", strings.Repeat("(", 1000) + "a": "nested deeper",
 		strings.Repeat("a ", 3000): "longer than", `"a`: "", strings.Repeat("a ", 1500): "more than"} {
-		if q, e := Short(text, "", false); e == nil || !strings.Contains(e.Error(), want) {
+		if q, e := ParseQueryString(text, "", false); e == nil || !strings.Contains(e.Error(), want) {
 			t.Errorf("%.20q: %v %v, want %q", text, q, e, want)
 		}
 	}
@@ -147,7 +147,7 @@
 
 // checkQueryStringCanonical does the same for a query string.
 func checkQueryStringCanonical(b []byte) error {
-	q, e := Short(string(b), "", false)
+	q, e := ParseQueryString(string(b), "", false)
 	if e != nil {
 		return e
 	}
--- a/internal/gatherer/query/querystring.go
+++ b/internal/gatherer/query/querystring.go
@@ -69,9 +69,9 @@
 		{Name: "Punct", Pattern: `[():^~!+\-\[\]{}]`},
 	})))
 
-// Short parses a query string. Words without a field are searched in defaultField, or in every field if that is empty. With
+// ParseQueryString parses a query string. Words without a field are searched in defaultField, or in every field if that is empty. With
 // requireAll, words in sequence must all match; else any of them is enough.
-func Short(text, defaultField string, requireAll bool) (Query, *Error) {
+func ParseQueryString(text, defaultField string, requireAll bool) (Query, *Error) {
 	if len(text) > MaxQueryString {
 		return nil, At(text, MaxQueryString, "longer than %d bytes", MaxQueryString)
 	}
@@ -190,8 +190,8 @@
 	if clause.Field != "" {
 		field = unescape(clause.Field)
 	}
-	if len(field) > MaxField {
-		return nil, At(s.text, 0, "a field's name is longer than %d bytes", MaxField)
+	if len(field) > MaxFieldName {
+		return nil, At(s.text, 0, "a field's name is longer than %d bytes", MaxFieldName)
 	}
 	boost := 0.0
 	if clause.Boost != "" {
@@ -276,7 +276,7 @@
 	hasWildcard := strings.ContainsAny(strings.ReplaceAll(strings.ReplaceAll(clause.Word, `\*`, ""), `\?`, ""), "*?")
 	switch {
 	case clause.Word == "*" && field == "":
-		return All{Boost: boost}, nil
+		return MatchAll{Boost: boost}, nil
 	case clause.Word == "*":
 		return Exists{Field: field, Boost: boost}, nil
 	case hasWildcard && field == "":
--- a/internal/gatherer/query/text.go
+++ b/internal/gatherer/query/text.go
@@ -71,7 +71,7 @@
 		},
 		"fields": func(v gjson.Result) *Error {
 			for _, f := range v.Array() {
-				if f.Type != gjson.String || f.Str == "" || len(f.Str) > MaxField || len(q.Fields) == MaxMultiMatchFields {
+				if f.Type != gjson.String || f.Str == "" || len(f.Str) > MaxFieldName || len(q.Fields) == MaxMultiMatchFields {
 					return p.errorAt(v, "[fields] is not a list of at most %d field names", MaxMultiMatchFields)
 				}
 				q.Fields = append(q.Fields, f.Str)
--- a/internal/gatherer/settings/daemon.go
+++ b/internal/gatherer/settings/daemon.go
@@ -120,7 +120,7 @@
 		return fmt.Errorf("settings: classes[%d].onTimeUs is not above 0", i)
 	case effect != "safe" && effect != "keyed" && effect != "unsafe":
 		return fmt.Errorf("settings: classes[%d].effect: %.40q is not known", i, effect)
-	case k.Effect == decision.Deduplicated && k.Window <= 0:
+	case k.Effect == decision.Deduplicated && k.DeduplicationWindow <= 0:
 		return fmt.Errorf("settings: classes[%d].memorySpanUs is missing or not above 0", i)
 	}
 	return nil
--- a/internal/gatherer/settings/settings.go
+++ b/internal/gatherer/settings/settings.go
@@ -104,7 +104,7 @@
 		Rules: decision.Rules{
 			PollWithin: us(r.AskWithinUs), StartCapacity: r.StartCapacity,
 			SlowStart: us(r.RampTimeUs), OverloadMultiple: r.FallMultiple, OverloadSpan: us(r.FallUs),
-			BudgetOn: r.ExtraPerRequest != nil || r.BudgetFree != nil, BudgetSpan: us(r.BudgetSpanUs),
+			BudgetEnabled: r.ExtraPerRequest != nil || r.BudgetFree != nil, BudgetSpan: us(r.BudgetSpanUs),
 		},
 	}
 	if l.RetryAfter {
@@ -138,8 +138,8 @@
 	class, family := o.Classes[i], o.FamilyInfo
 	k := decision.Class{
 		Deadline:      us(class.DeadlineUs),
-		LatencyTarget: us(class.OnTimeUs), Value: class.Worth, Window: us(class.MemorySpanUs),
-		Need: valueAt(family.CompleteFrom, i, 1), Floor: valueAt(family.LeastShare, i, 1), MaxAttempts: o.Limits.MaxAttempts,
+		LatencyTarget: us(class.OnTimeUs), Value: class.Worth, DeduplicationWindow: us(class.MemorySpanUs),
+		CompleteFraction: valueAt(family.CompleteFrom, i, 1), PartialFraction: valueAt(family.LeastShare, i, 1), MaxAttempts: o.Limits.MaxAttempts,
 	}
 	if i < len(family.FetchParts) {
 		k.Fetch = family.FetchParts[i]
--- a/internal/gatherer/settings/settings_test.go
+++ b/internal/gatherer/settings/settings_test.go
@@ -24,7 +24,7 @@
 	}
 	s := all.Policy
 	c := s.Classes[0]
-	if !s.Polling || !s.Rules.BudgetOn || s.Rules.BudgetFree != 5 || c.Need != 1 || c.Floor != 1 || c.Fetch != 0 {
+	if !s.Polling || !s.Rules.BudgetEnabled || s.Rules.BudgetFree != 5 || c.CompleteFraction != 1 || c.PartialFraction != 1 || c.Fetch != 0 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/gatherer/store/store.go
+++ b/internal/gatherer/store/store.go
@@ -31,9 +31,9 @@
 	Dir   string
 	Nodes []Node
 	Log   io.Writer
-	// Changed is called with all values after each change, and after a snapshot is restored. It runs on Raft's goroutine, so it
+	// OnChange is called with all values after each change, and after a snapshot is restored. It runs on Raft's goroutine, so it
 	// delays further changes.
-	Changed func(map[string]string)
+	OnChange func(map[string]string)
 	// Listener is used instead of listening on the node's address, unless it is nil.
 	Listener net.Listener
 }
@@ -80,7 +80,7 @@
 
 // Open starts a member. A member without state on disk bootstraps the cluster from c.Nodes.
 func Open(c Config) (_ *Store, err error) {
-	s := &Store{nodes: c.Nodes, fsm: &fsm{values: map[string]string{}, changed: c.Changed}}
+	s := &Store{nodes: c.Nodes, fsm: &fsm{values: map[string]string{}, changed: c.OnChange}}
 	var self *Node
 	var cluster raft.Configuration
 	for i, n := range c.Nodes {
@@ -130,8 +130,8 @@
 // LeaderCh returns a channel that receives true when this member becomes the leader, and false when it stops being it.
 func (s *Store) LeaderCh() <-chan bool { return s.raft.LeaderCh() }
 
-// All returns a copy of all values that this member knows, which may lag behind the leader.
-func (s *Store) All() map[string]string { return s.fsm.all() }
+// Values returns a copy of all values that this member knows, which may lag behind the leader.
+func (s *Store) Values() map[string]string { return s.fsm.all() }
 
 // Set sets a value, or deletes the key if the value is empty. Only the leader can; other members return a NotLeaderError.
 func (s *Store) Set(key, value string) error {
--- a/internal/gatherer/store/store_test.go
+++ b/internal/gatherer/store/store_test.go
@@ -19,7 +19,7 @@
 func openMember(t *testing.T, c Config) *testMember {
 	t.Helper()
 	m := &testMember{Config: c, changes: make(chan map[string]string, 100)}
-	m.Changed = func(v map[string]string) { m.changes <- v }
+	m.OnChange = func(v map[string]string) { m.changes <- v }
 	var err error
 	if m.Store, err = Open(m.Config); err != nil {
 		t.Fatal(err)
@@ -82,13 +82,13 @@
 	follower.Listener = nil // the first one is closed; Open listens at the address again
 	follower = openMember(t, follower.Config)
 	follower.waitForValue("drain/n2", "on")
-	if v := follower.All(); v["drain/n1"] != "on" {
+	if v := follower.Values(); v["drain/n1"] != "on" {
 		t.Errorf("the restarted member has the values %v, want drain/n1 on", v)
 	}
 	if err := all[leader].Set("drain/n1", ""); err != nil {
 		t.Fatal(err)
 	}
-	if _, exists := all[leader].All()["drain/n1"]; exists {
+	if _, exists := all[leader].Values()["drain/n1"]; exists {
 		t.Error("the leader still has a deleted key")
 	}
 	if err := all[leader].Set("x", strings.Repeat("x", MaxValue+1)); err == nil {
--- a/internal/shared/curve/curve.go
+++ b/internal/shared/curve/curve.go
@@ -11,11 +11,11 @@
 
 // The parameters of a histogram of response times.
 const (
-	RecordLow         = 0.001            // upper bound of the first bucket, seconds
-	RecordHigh        = 60.0             // upper bound of the last bucket, seconds
-	RecordRatio       = 1.12             // ratio of the bounds of adjacent buckets: finer than any decision needs
+	HistogramLow      = 0.001            // upper bound of the first bucket, seconds
+	HistogramHigh     = 60.0             // upper bound of the last bucket, seconds
+	HistogramRatio    = 1.12             // ratio of the bounds of adjacent buckets: finer than any decision needs
 	HistogramHalfLife = 20 * time.Second // longer than a stall, short enough to follow a change of machine
-	RecordPrior       = 8.0              // weight, in responses, of all servers' distribution when blended into one server's
+	PriorWeight       = 8.0              // weight, in responses, of all servers' distribution when blended into one server's
 )
 
 // Histogram is an exponentially decaying histogram of durations, in buckets whose bounds have a constant ratio. It uses
@@ -52,8 +52,8 @@
 	return math.Exp2(float64(now-h.Epoch) / float64(h.HalfLife))
 }
 
-// Size returns the decayed number of values.
-func (h *Histogram) Size(now time.Duration) float64 { return h.Total / h.Weight(now) }
+// Count returns the decayed number of values.
+func (h *Histogram) Count(now time.Duration) float64 { return h.Total / h.Weight(now) }
 
 // Add adds a duration in seconds.
 func (h *Histogram) Add(now time.Duration, sec float64) { h.AddToBucket(now, h.Bucket(sec), 1) }
@@ -114,8 +114,8 @@
 	w.Times, w.Amounts, w.Sum = append(w.Times, now), append(w.Amounts, n), w.Sum+n
 }
 
-// Since drops the amounts from before a time and returns the sum of the others.
-func (w *SlidingSum) Since(from time.Duration) float64 {
+// SumSince drops the amounts from before a time and returns the sum of the others.
+func (w *SlidingSum) SumSince(from time.Duration) float64 {
 	i := 0
 	for i < len(w.Times) && w.Times[i] < from {
 		w.Sum -= w.Amounts[i]
@@ -160,9 +160,9 @@
 	return x
 }
 
-// NewRecord returns an empty Histogram with the parameters for response times.
-func NewRecord() *Histogram {
-	return NewHistogram(RecordLow, RecordHigh, RecordRatio, HistogramHalfLife)
+// NewLatencyHistogram returns an empty Histogram with the parameters for response times.
+func NewLatencyHistogram() *Histogram {
+	return NewHistogram(HistogramLow, HistogramHigh, HistogramRatio, HistogramHalfLife)
 }
 
 // FillUniform adds as many values as there are buckets, spread uniformly from 0 to top seconds.
--- a/internal/shared/peek/peek.go
+++ b/internal/shared/peek/peek.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// Look reports whether a connection has unread bytes, and whether it has ended: closed by either side, or broken. It does
+// Status reports whether a connection has unread bytes, and whether it has ended: closed by either side, or broken. It does
 // not block, and takes no bytes from a concurrent reader. For a connection that is no socket both results are false.
-func Look(nc net.Conn) (waiting, ended bool) {
+func Status(nc net.Conn) (waiting, ended bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false, false
--- a/internal/shared/peek/peek_test.go
+++ b/internal/shared/peek/peek_test.go
@@ -23,12 +23,12 @@
 	} {
 		here, there := pair(t)
 		x.do(here, there)
-		waiting, ended := peek.Look(here)
+		waiting, ended := peek.Status(here)
 		for x.waiting != waiting || x.ended != ended { // the loopback interface may take a moment
 			if !x.waiting && !x.ended {
 				t.Fatalf("%s: waiting %v, ended %v, want neither", name, waiting, ended)
 			}
-			waiting, ended = peek.Look(here)
+			waiting, ended = peek.Status(here)
 		}
 		if x.waiting {
 			there.CloseWrite()
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	if waiting, ended := peek.Look(nil); waiting || ended {
+	if waiting, ended := peek.Status(nil); waiting || ended {
 		t.Errorf("nil connection: waiting %v, ended %v, want neither", waiting, ended)
 	}
 }
--- a/internal/shared/tailguard/tailguard.go
+++ b/internal/shared/tailguard/tailguard.go
@@ -27,10 +27,10 @@
 	return a.Seq < b.Seq
 }
 
-// Stamp returns the deadline by which a request must leave the queue: the end of its latency target minus the tail latency
+// QueueingDeadline returns the deadline by which a request must leave the queue: the end of its latency target minus the tail latency
 // of unloaded servers, in seconds. At most a share of the remaining time is subtracted. NoBudget is true if the deadline is
 // not after now.
-func Stamp(now, targetAt time.Duration, tail, share float64) (deadline time.Duration, noBudget bool) {
+func QueueingDeadline(now, targetAt time.Duration, tail, share float64) (deadline time.Duration, noBudget bool) {
 	tail = min(tail, share*max(targetAt-now, 0).Seconds())
 	deadline = targetAt - time.Duration(tail*float64(time.Second))
 	return deadline, deadline <= now
@@ -39,19 +39,19 @@
 // LimitRule adapts the concurrency limit of a server, by additive increase and multiplicative decrease, to the ratio of its
 // response time and a baseline.
 type LimitRule struct {
-	Min, Max  float64 // bounds of the limit
-	Near, Far float64 // multiples of the baseline: below the first the limit rises, above the second it falls
-	Fall      float64 // factor by which the limit falls, at most once per response time
+	Min, Max             float64 // bounds of the limit
+	RiseBelow, FallAbove float64 // multiples of the baseline: below the first the limit rises, above the second it falls
+	FallFactor           float64 // factor by which the limit falls, at most once per response time
 }
 
 // Next returns the limit after a response, and when the limit last fell. Latency is the server's smoothed response time and
 // base its baseline, both in seconds.
 func (r LimitRule) Next(limit float64, fellAt, now time.Duration, latency, base float64) (float64, time.Duration) {
 	switch {
-	case latency < r.Near*base:
+	case latency < r.RiseBelow*base:
 		limit = min(limit+1/limit, r.Max)
-	case latency > r.Far*base && (now-fellAt).Seconds() > latency:
-		limit, fellAt = max(limit*r.Fall, r.Min), now
+	case latency > r.FallAbove*base && (now-fellAt).Seconds() > latency:
+		limit, fellAt = max(limit*r.FallFactor, r.Min), now
 	}
 	return limit, fellAt
 }
@@ -59,34 +59,34 @@
 // SheddingRule derives the share of new requests to shed from the miss rate: the fraction of requests that miss their
 // deadline.
 type SheddingRule struct {
-	Share float64 // miss rate above which requests are shed
-	Least float64 // least number of misses that count as evidence
-	Gain  float64 // share to shed per unit of the miss rate above that
-	Fall  float64 // largest decrease of the share to shed per second
+	MissRateThreshold float64 // miss rate above which requests are shed
+	MinMisses         float64 // least number of misses that count as evidence
+	Gain              float64 // share to shed per unit of the miss rate above that
+	FallPerSecond     float64 // largest decrease of the share to shed per second
 }
 
 // Next returns the share of requests to shed. Refused is the last share and since the time since it was computed. Decided is
 // the number of requests known to have met or missed their deadline, and missed the number of those that missed it.
 func (r SheddingRule) Next(refused float64, since time.Duration, missed, decided float64) float64 {
 	target := 0.0
-	if missed >= r.Least {
-		target = min(max(r.Gain*(missed/decided-r.Share), 0), 1)
+	if missed >= r.MinMisses {
+		target = min(max(r.Gain*(missed/decided-r.MissRateThreshold), 0), 1)
 	}
-	return max(target, refused-r.Fall*since.Seconds())
+	return max(target, refused-r.FallPerSecond*since.Seconds())
 }
 
 // FailureRule is the exponential smoothing of a server's failure rate.
 type FailureRule struct {
-	Up   float64 // smoothing factor of a failure, which moves the rate towards 1
-	Down float64 // smoothing factor of a success, which moves the rate towards 0
+	FailureStep float64 // smoothing factor of a failure, which moves the rate towards 1
+	SuccessStep float64 // smoothing factor of a success, which moves the rate towards 0
 }
 
 // Next returns the failure rate after another outcome. Weight scales the effect of a failure.
 func (r FailureRule) Next(failing float64, ok bool, weight float64) float64 {
 	if ok {
-		return failing - r.Down*failing
+		return failing - r.SuccessStep*failing
 	}
-	return failing + r.Up*weight*(1-failing)
+	return failing + r.FailureStep*weight*(1-failing)
 }
 
 // Weight returns the weight of a server: 1 if it is healthy and warm, and less if it fails, is slow or is in slow start. Slow
--- a/internal/shared/tailguard/tailguard_test.go
+++ b/internal/shared/tailguard/tailguard_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestStampSubtractsTheTailFromTheTarget(t *testing.T) {
-	deadline, noBudget := Stamp(0, 300*time.Millisecond, 0.1, 1)
+	deadline, noBudget := QueueingDeadline(0, 300*time.Millisecond, 0.1, 1)
 	assert.Equal(t, deadline, 200*time.Millisecond)
 	assert.Assert(t, !noBudget)
-	_, noBudget = Stamp(0, 300*time.Millisecond, 0.4, 1)
+	_, noBudget = QueueingDeadline(0, 300*time.Millisecond, 0.4, 1)
 	assert.Assert(t, noBudget)
-	deadline, _ = Stamp(0, 300*time.Millisecond, 0.4, 0.5)
+	deadline, _ = QueueingDeadline(0, 300*time.Millisecond, 0.4, 0.5)
 	assert.Equal(t, deadline, 150*time.Millisecond)
 }
 
@@ -24,7 +24,7 @@
 }
 
 func TestLimitGrowsNearTheBaselineAndFallsOncePerResponseTime(t *testing.T) {
-	rule := LimitRule{Min: 2, Max: 8, Near: 1.3, Far: 2, Fall: 0.5}
+	rule := LimitRule{Min: 2, Max: 8, RiseBelow: 1.3, FallAbove: 2, FallFactor: 0.5}
 	limit, fell := rule.Next(4, 0, time.Second, 0.1, 0.1)
 	assert.Equal(t, limit, 4.25)
 	limit, fell = rule.Next(4, fell, time.Second, 0.3, 0.1)
@@ -34,7 +34,7 @@
 }
 
 func TestSheddingFollowsTheMissRateAndFallsSlowly(t *testing.T) {
-	rule := SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
+	rule := SheddingRule{MissRateThreshold: 0.017, MinMisses: 4, Gain: 3, FallPerSecond: 0.15}
 	assert.Equal(t, rule.Next(0, 0, 3, 3), 0.0)
 	assert.Equal(t, rule.Next(0, 0, 10, 10), 1.0)
 	assert.Equal(t, rule.Next(1, time.Second, 0, 100), 0.85)
--- a/internal/tier/admission/core.go
+++ b/internal/tier/admission/core.go
@@ -37,7 +37,7 @@
 		p.rejection = &RejectedError{Reason: NoStore, RetryAfter: noStoreRetryAfter}
 		return
 	}
-	p.key.Deadline, p.key.NoBudget = tailguard.Stamp(now, p.targetAt, s.unloadedTail(p.class, now), maxTailShare)
+	p.key.Deadline, p.key.NoBudget = tailguard.QueueingDeadline(now, p.targetAt, s.unloadedTail(p.class, now), maxTailShare)
 	if c.rejectIfNeeded(svc, p, now, tier) {
 		return
 	}
@@ -85,7 +85,7 @@
 func (c *core) abandon(p *pendingRequest) {
 	if p.grant == nil && p.rejection == nil {
 		p.dequeue()
-		p.rejection = &RejectedError{Reason: ClientGone}
+		p.rejection = &RejectedError{Reason: ContextEnded}
 	}
 }
 
--- a/internal/tier/admission/dispatcher.go
+++ b/internal/tier/admission/dispatcher.go
@@ -124,7 +124,7 @@
 	d.core.abandon(p)
 	if p.grant != nil {
 		d.core.finish(p.grant, d.sinceStart(d.now()), Cancelled)
-		p.grant, p.rejection = nil, &RejectedError{Reason: ClientGone}
+		p.grant, p.rejection = nil, &RejectedError{Reason: ContextEnded}
 	}
 }
 
--- a/internal/tier/admission/dispatcher_test.go
+++ b/internal/tier/admission/dispatcher_test.go
@@ -12,7 +12,7 @@
 	queued := h.acquireQueued(h.request())
 	queued.cancel()
 	<-queued.done
-	assert.Equal(t, queued.rejection.Reason, ClientGone)
+	assert.Equal(t, queued.rejection.Reason, ContextEnded)
 	assert.Equal(t, h.queuedRequests(), 0)
 	grants[0].Finish(Success)
 	assert.Assert(t, h.acquireNow(h.request()) != nil)
--- a/internal/tier/admission/harness_test.go
+++ b/internal/tier/admission/harness_test.go
@@ -179,4 +179,4 @@
 	}
 }
 
-func init() { invariant.FailTests() }
+func init() { invariant.PanicOnViolation() }
--- a/internal/tier/admission/health.go
+++ b/internal/tier/admission/health.go
@@ -77,7 +77,7 @@
 		s.latencyRatio = ratio
 	}
 	smoothing := latencySmoothing
-	if ratio < limitRule.Near {
+	if ratio < limitRule.RiseBelow {
 		smoothing = recoverySmoothing
 	}
 	s.latencyRatio, s.latencyRatioAt = s.latencyRatio+smoothing*(ratio-s.latencyRatio), now
--- a/internal/tier/admission/latency.go
+++ b/internal/tier/admission/latency.go
@@ -34,8 +34,8 @@
 
 func newLatencyClass(target time.Duration, streaming bool) *latencyClass {
 	return &latencyClass{
-		target: target, streaming: streaming, unloaded: curve.NewRecord(),
-		recent: curve.NewHistogram(curve.RecordLow, curve.RecordHigh, curve.RecordRatio, recentHalfLife),
+		target: target, streaming: streaming, unloaded: curve.NewLatencyHistogram(),
+		recent: curve.NewHistogram(curve.HistogramLow, curve.HistogramHigh, curve.HistogramRatio, recentHalfLife),
 	}
 }
 
@@ -48,13 +48,13 @@
 	c.upToDate = true
 	unloaded := c.unloaded
 	if unloaded.Total == 0 {
-		unloaded = curve.NewRecord()
+		unloaded = curve.NewLatencyHistogram()
 		unloaded.FillUniform(c.target.Seconds() * initialTailShare)
 	}
 	c.cdf = curve.Blend(c.cdf, unloaded, unloaded, 0, now)
 	c.median, c.tail = unloaded.Quantile(c.cdf, 0.5), unloaded.Quantile(c.cdf, tailQuantile)
 	c.recentTail = 0
-	if c.recent.Size(now) >= curve.RecordPrior {
+	if c.recent.Count(now) >= curve.PriorWeight {
 		c.recentTail = c.recent.Quantile(curve.Blend(nil, c.recent, c.recent, 0, now), tailQuantile)
 	}
 	c.refreshBaseline(now)
@@ -63,7 +63,7 @@
 // refreshBaseline updates the baseline, which rises by no more than baselineRise per second.
 func (c *latencyClass) refreshBaseline(now time.Duration) {
 	risen := c.baseline * (1 + baselineRise*(now-c.baselineAt).Seconds())
-	if c.baseline == 0 || c.unloaded.Size(now) < curve.RecordPrior {
+	if c.baseline == 0 || c.unloaded.Count(now) < curve.PriorWeight {
 		risen = c.median
 	}
 	c.baseline, c.baselineAt = min(c.median, risen), now
@@ -79,7 +79,7 @@
 func (s *store) recordUnloaded(c *latencyClass, now time.Duration, seconds float64) {
 	own := s.latenciesOf(c)
 	if own == nil {
-		s.latencies = append(s.latencies, storeLatencies{class: c, histogram: curve.NewRecord()})
+		s.latencies = append(s.latencies, storeLatencies{class: c, histogram: curve.NewLatencyHistogram()})
 		own = &s.latencies[len(s.latencies)-1]
 	}
 	own.histogram.Add(now, seconds)
@@ -106,7 +106,7 @@
 		return c.tail
 	}
 	if !own.upToDate {
-		mixed := curve.Blend(nil, own.histogram, c.unloaded, curve.RecordPrior, now)
+		mixed := curve.Blend(nil, own.histogram, c.unloaded, curve.PriorWeight, now)
 		own.tail, own.upToDate = own.histogram.Quantile(mixed, tailQuantile), true
 	}
 	return own.tail
--- a/internal/tier/admission/request.go
+++ b/internal/tier/admission/request.go
@@ -71,8 +71,8 @@
 	NoStore
 	// DeadlineUnreachable means that even a median response would arrive after the request's Deadline.
 	DeadlineUnreachable
-	// ClientGone means that the request's context ended: the client disconnected, the deadline passed or the process stops.
-	ClientGone
+	// ContextEnded means that the request's context ended: the client disconnected, the deadline passed or the process stops.
+	ContextEnded
 )
 
 var rejectReasonNames = [...]string{"load is shed", "queue too long", "no store available", "deadline unreachable", "context ended"}
--- a/internal/tier/admission/shedding.go
+++ b/internal/tier/admission/shedding.go
@@ -63,7 +63,7 @@
 
 // updateShedShare updates and returns the share of new requests to shed, which follows from the miss rate.
 func (svc *service) updateShedShare(now time.Duration) float64 {
-	missed, total := svc.missedDeadlines.Since(now-missWindow), svc.deadlines.Since(now-missWindow)
+	missed, total := svc.missedDeadlines.SumSince(now-missWindow), svc.deadlines.SumSince(now-missWindow)
 	svc.shedShare = sheddingRule.Next(svc.shedShare, now-svc.shedShareAt, missed, total)
 	svc.shedShareAt = now
 	return svc.shedShare
--- a/internal/tier/admission/shedding_test.go
+++ b/internal/tier/admission/shedding_test.go
@@ -137,6 +137,6 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, rejection := h.Acquire(ctx, r)
-		assert.Equal(t, rejection.Reason, ClientGone, "the request must be rejected only because its context has ended")
+		assert.Equal(t, rejection.Reason, ContextEnded, "the request must be rejected only because its context has ended")
 	}
 }
--- a/internal/tier/admission/tuning.go
+++ b/internal/tier/admission/tuning.go
@@ -141,12 +141,12 @@
 var (
 	// limitRule adapts the concurrency limit: it grows while the smoothed response time is below 1.3 times the baseline, and
 	// falls by a fifth while it is above twice the baseline.
-	limitRule = tailguard.LimitRule{Min: 2, Max: 256, Near: 1.3, Far: 2, Fall: 0.8}
+	limitRule = tailguard.LimitRule{Min: 2, Max: 256, RiseBelow: 1.3, FallAbove: 2, FallFactor: 0.8}
 	// sheddingRule sheds three times the share of misses in excess of 1.7%, after at least four misses. The shed share falls
 	// by 0.15 per second.
-	sheddingRule = tailguard.SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
+	sheddingRule = tailguard.SheddingRule{MissRateThreshold: 0.017, MinMisses: 4, Gain: 3, FallPerSecond: 0.15}
 	// lossRule smooths lost responses: a loss is remembered over many successes.
-	lossRule = tailguard.FailureRule{Up: 0.3, Down: 0.02}
+	lossRule = tailguard.FailureRule{FailureStep: 0.3, SuccessStep: 0.02}
 	// failureRule smooths failures.
-	failureRule = tailguard.FailureRule{Up: 0.3, Down: 0.12}
+	failureRule = tailguard.FailureRule{FailureStep: 0.3, SuccessStep: 0.12}
 )
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -96,7 +96,7 @@
 		return eris.Wrap(err, "coordinator")
 	}
 	options.live, options.log, options.caller, options.now = live, log, caller, time.Now
-	log.Info("starting", "identity", options.self.Identity, "fresh", options.acceptor.Fresh(),
+	log.Info("starting", "identity", options.self.Identity, "fresh", options.acceptor.HasNewIdentity(),
 		"bootstrap", live.Current().Bootstrap)
 	return serve(ctx, options)
 }
@@ -233,7 +233,7 @@
 // granted before a restart may still be valid. Only a process that bootstraps the cluster on an empty disk need not wait.
 func (c *coordinator) newLessor() *lease.Lessor {
 	gracePeriod := lease.MaxTTL
-	if c.acceptor.Fresh() && c.live.Current().Bootstrap {
+	if c.acceptor.HasNewIdentity() && c.live.Current().Bootstrap {
 		gracePeriod = 0
 	}
 	return lease.NewLessor(c.self.Identity, gracePeriod)
--- a/internal/tier/coordinator/fencing_test.go
+++ b/internal/tier/coordinator/fencing_test.go
@@ -207,7 +207,7 @@
 	withLeaseHolder(t, "core-1", 3, 1, func(c *cluster) {
 		other := c.process("core-2")
 		chosen, err := other.register.Change(context.Background(), func(current *tierpb.ControlState) (*tierpb.ControlState, error) {
-			placement.TermOf(current).Next(other.self.Identity).Stamp(current)
+			placement.TermOf(current).Next(other.self.Identity).SetIn(current)
 			return current, nil
 		})
 		assert.NilError(t, err)
--- a/internal/tier/coordinator/placementcontrol/fencing.go
+++ b/internal/tier/coordinator/placementcontrol/fencing.go
@@ -25,7 +25,7 @@
 			return nil, placement.ErrLeaseLost
 		}
 		term = placement.TermOf(current).Next(c.options.Identity)
-		term.Stamp(current)
+		term.SetIn(current)
 		return current, nil
 	})
 	if err != nil {
@@ -71,7 +71,7 @@
 // old term.
 func (c *Controller) checkTenure() error {
 	c.tenure.Observe(placement.TermOf(c.options.Control()))
-	if c.tenure.Overtaken() {
+	if c.tenure.Superseded() {
 		return placement.ErrFenced
 	}
 	return nil
--- a/internal/tier/coordinator/placementcontrol/fencing_test.go
+++ b/internal/tier/coordinator/placementcontrol/fencing_test.go
@@ -115,7 +115,7 @@
 			ownTerm := controller.tenure.Term()
 			value, _ := changes.get()
 			newer := value.CloneVT()
-			ownTerm.Next(8).Stamp(newer)
+			ownTerm.Next(8).SetIn(newer)
 			changes.set(newer)
 			if rejectionLost {
 				known = newer
--- a/internal/tier/fleet/main_test.go
+++ b/internal/tier/fleet/main_test.go
@@ -14,7 +14,7 @@
 // hundreds of processes in a bubble that happened in one run of ten. The race detector works by the
 // happens-before order, so it finds races on one processor as well.
 func TestMain(m *testing.M) {
-	invariant.FailTests()
+	invariant.PanicOnViolation()
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
 }
--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -35,8 +35,8 @@
 	state.log = log
 }
 
-// FailTests makes every violation panic. It is called from init functions in test files.
-func FailTests() {
+// PanicOnViolation makes every violation panic. It is called from init functions in test files.
+func PanicOnViolation() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.panics = true
--- a/internal/tier/invariant/invariant_test.go
+++ b/internal/tier/invariant/invariant_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestViolationPanicsInTests(t *testing.T) {
-	FailTests()
+	PanicOnViolation()
 	defer func() {
 		state.mu.Lock()
 		state.panics = false
--- a/internal/tier/modelcheck/lease_change.go
+++ b/internal/tier/modelcheck/lease_change.go
@@ -63,7 +63,7 @@
 			return nil, placement.ErrLeaseLost
 		}
 		term = placement.TermOf(current).Next(p.acceptor.Identity())
-		term.Stamp(current)
+		term.SetIn(current)
 		return current, nil
 	})
 	if err == nil {
--- a/internal/tier/placement/fence.go
+++ b/internal/tier/placement/fence.go
@@ -38,8 +38,8 @@
 // Next returns the term that follows this one, with the given holder.
 func (t Term) Next(holder uint64) Term { return Term{Number: t.Number + 1, Holder: holder} }
 
-// Stamp sets the term in a state.
-func (t Term) Stamp(state *tierpb.ControlState) {
+// SetIn sets the term in a state.
+func (t Term) SetIn(state *tierpb.ControlState) {
 	state.PlacementTerm, state.PlacementHolder = t.Number, t.Holder
 }
 
--- a/internal/tier/placement/fence_test.go
+++ b/internal/tier/placement/fence_test.go
@@ -32,7 +32,7 @@
 	state := &tierpb.ControlState{}
 	assert.Equal(t, TermOf(state), Term{})
 	assert.Equal(t, TermOf(nil), Term{})
-	TermOf(state).Next(8).Stamp(state)
+	TermOf(state).Next(8).SetIn(state)
 	assert.Equal(t, TermOf(state), Term{Number: 1, Holder: 8})
 	assert.Equal(t, TermOf(state).Next(8), Term{Number: 2, Holder: 8}, "acquired again by the same process")
 }
--- a/internal/tier/placement/tenure.go
+++ b/internal/tier/placement/tenure.go
@@ -22,8 +22,8 @@
 // Term returns the fencing token that the holder presents.
 func (t *Tenure) Term() Term { return t.term }
 
-// Overtaken reports whether the holder has observed a newer term than its own.
-func (t *Tenure) Overtaken() bool { return t.superseded }
+// Superseded reports whether the holder has observed a newer term than its own.
+func (t *Tenure) Superseded() bool { return t.superseded }
 
 // Observe processes the term of a chosen value. A newer term supersedes the tenure; an older one is ignored, because the
 // value may be outdated.
--- a/internal/tier/placement/tenure_test.go
+++ b/internal/tier/placement/tenure_test.go
@@ -10,13 +10,13 @@
 	own := Term{Number: 3, Holder: 7}
 	tenure := NewTenure(2, own)
 	tenure.Observe(Term{Number: 2, Holder: 8})
-	assert.Assert(t, !tenure.Overtaken(), "an older term must be ignored")
+	assert.Assert(t, !tenure.Superseded(), "an older term must be ignored")
 	assert.NilError(t, tenure.Check(own, true, 0))
 	assert.Equal(t, tenure.Check(own, false, 0), ErrLeaseLost)
 	assert.Equal(t, tenure.Check(own, true, MaxViewAge+1), ErrStaleView)
-	assert.Assert(t, !tenure.Overtaken(), "a lost lease or a stale view must not end the tenure")
+	assert.Assert(t, !tenure.Superseded(), "a lost lease or a stale view must not end the tenure")
 	assert.Equal(t, tenure.Check(Term{Number: 4, Holder: 8}, true, 0), ErrFenced)
-	assert.Assert(t, tenure.Overtaken())
+	assert.Assert(t, tenure.Superseded())
 	assert.Equal(t, tenure.Check(own, true, 0), ErrFenced, "a superseded tenure must not present its term again")
 }
 
@@ -29,6 +29,6 @@
 	} {
 		tenure := NewTenure(1, Term{Number: 3, Holder: 7})
 		tenure.Observe(newest)
-		assert.Equal(t, tenure.Overtaken(), superseded, "%v", newest)
+		assert.Equal(t, tenure.Superseded(), superseded, "%v", newest)
 	}
 }
--- a/internal/tier/proxy/result_test.go
+++ b/internal/tier/proxy/result_test.go
@@ -85,8 +85,8 @@
 		{t.Context(), &admission.RejectedError{Reason: admission.QueueTooLong}, resultQueueTooLong},
 		{t.Context(), &admission.RejectedError{Reason: admission.NoStore}, resultNoStore},
 		{t.Context(), &admission.RejectedError{Reason: admission.DeadlineUnreachable}, resultDeadlineUnreachable},
-		{t.Context(), &admission.RejectedError{Reason: admission.ClientGone}, resultDeadlineInQueue},
-		{shutdown, &admission.RejectedError{Reason: admission.ClientGone}, resultShutdown},
+		{t.Context(), &admission.RejectedError{Reason: admission.ContextEnded}, resultDeadlineInQueue},
+		{shutdown, &admission.RejectedError{Reason: admission.ContextEnded}, resultShutdown},
 		{shutdown, nil, resultShutdown},
 	} {
 		x, log := newRecordedExchange("r")
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -54,8 +54,8 @@
 // Identity returns the identity under which the acceptor votes.
 func (a *Acceptor) Identity() uint64 { return a.identity }
 
-// Fresh reports whether the acceptor got a new identity at this start, because its disk was empty or its state was lost.
-func (a *Acceptor) Fresh() bool { return a.hasNewIdentity }
+// HasNewIdentity reports whether the acceptor got a new identity at this start, because its disk was empty or its state was lost.
+func (a *Acceptor) HasNewIdentity() bool { return a.hasNewIdentity }
 
 // AcceptedValue returns the accepted value, nil if there is none. The value is not necessarily chosen. The caller must not
 // modify it.
--- a/internal/tier/register/invariant_test.go
+++ b/internal/tier/register/invariant_test.go
@@ -2,4 +2,4 @@
 
 import "pulleygw.example/pulleygw/internal/tier/invariant"
 
-func init() { invariant.FailTests() }
+func init() { invariant.PanicOnViolation() }
--- a/internal/tier/register/reconfigure_test.go
+++ b/internal/tier/register/reconfigure_test.go
@@ -20,7 +20,7 @@
 		c.members[2].machine.Wipe()
 		assert.Assert(t, c.members[2].start(false))
 		acceptor := c.members[2].currentAcceptor()
-		assert.Assert(t, acceptor.Identity() != old && acceptor.Fresh() && acceptor.AcceptedValue() == nil)
+		assert.Assert(t, acceptor.Identity() != old && acceptor.HasNewIdentity() && acceptor.AcceptedValue() == nil)
 		number := &tierpb.ProposalNumber{Counter: 99, Proposer: 1}
 		assert.Assert(t, acceptor.Prepare(&tierpb.PrepareRequest{Identity: old, Proposal: number}).WrongIdentity)
 		assert.Assert(t, acceptor.Accept(&tierpb.AcceptRequest{Identity: old, Proposal: number, Value: InitialState(c.seeds)}).WrongIdentity)
--- a/internal/tier/registry/failure_detector.go
+++ b/internal/tier/registry/failure_detector.go
@@ -57,7 +57,7 @@
 			last = lastHeartbeat{sequence: instance.Sequence, observedAt: now}
 		}
 		current[instance.Id] = last
-		if updated := TimedOut(instance, now.Sub(last.observedAt), suspectAfter); synchronized && updated != nil {
+		if updated := ApplyTimeout(instance, now.Sub(last.observedAt), suspectAfter); synchronized && updated != nil {
 			timedOut = append(timedOut, updated)
 		}
 	}
@@ -71,9 +71,9 @@
 	return !d.contactSince.IsZero() && now.Sub(d.contactSince) >= synchronizedPeriods*d.period
 }
 
-// TimedOut returns a copy of the instance with the state that follows from the time since its last heartbeat: suspect
+// ApplyTimeout returns a copy of the instance with the state that follows from the time since its last heartbeat: suspect
 // after suspectAfter if it was ready, deregistered after ExpireAfter. It returns nil if the state does not change.
-func TimedOut(instance *tierpb.Instance, sinceHeartbeat, suspectAfter time.Duration) *tierpb.Instance {
+func ApplyTimeout(instance *tierpb.Instance, sinceHeartbeat, suspectAfter time.Duration) *tierpb.Instance {
 	state := instance.State
 	switch {
 	case state != tierpb.InstanceState_INSTANCE_DEREGISTERED && sinceHeartbeat >= ExpireAfter:
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -81,6 +81,6 @@
 	if !now.Before(c.idleDeadline) {
 		return false
 	}
-	waiting, ended := peek.Look(c.socket)
+	waiting, ended := peek.Status(c.socket)
 	return !waiting && !ended
 }
--- a/internal/tier/watch/reconcile.go
+++ b/internal/tier/watch/reconcile.go
@@ -78,7 +78,7 @@
 		if confirmed[id] || !slices.Contains(reply.DifferingBuckets, uint32(bucketOf(id))) {
 			continue
 		}
-		if instance := registry.TimedOut(e.instance, s.now().Sub(e.updatedAt), unconfirmedTimeout); instance != nil {
+		if instance := registry.ApplyTimeout(e.instance, s.now().Sub(e.updatedAt), unconfirmedTimeout); instance != nil {
 			timedOut = append(timedOut, instance)
 		}
 	}
--- a/policy/answers_test.go
+++ b/policy/answers_test.go
@@ -65,7 +65,7 @@
 func TestPartialAnswerInTime(t *testing.T) {
 	set := baseSettings()
 	set.Tick, set.Hedging = ms, false
-	set.Classes[0] = decision.Class{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5}
+	set.Classes[0] = decision.Class{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 1, Effect: decision.Idempotent, CompleteFraction: 1, PartialFraction: 0.5}
 	for _, offset := range []time.Duration{1, 3, 7, 9} {
 		b := newFixture(t, set, 0, 1, 2)
 		b.now += 11 * ms
@@ -133,7 +133,7 @@
 // can still be answered.
 func TestSpareSubqueries(t *testing.T) {
 	set := baseSettings()
-	set.Classes[0].Need, set.Classes[0].Floor, set.MaxAttempts, set.Hedging = 0.6, 0.6, 1, false
+	set.Classes[0].CompleteFraction, set.Classes[0].PartialFraction, set.MaxAttempts, set.Hedging = 0.6, 0.6, 1, false
 	set.Width = 1
 	b := newFixture(t, set, 0, 1, 2)
 	b.warmUp(20, 50*ms)
@@ -168,7 +168,7 @@
 // A query whose subqueries have too little weight for any answer ends at once. No host should submit such a query.
 func TestSparesOfTooLittleWeight(t *testing.T) {
 	set := baseSettings()
-	set.Classes[0].Need, set.Classes[0].Floor = 0.6, 0.6
+	set.Classes[0].CompleteFraction, set.Classes[0].PartialFraction = 0.6, 0.6
 	b := newFixture(t, set, 0, 1, 2)
 	b.step(decision.QueryArrived{ID: 1, Remaining: time.Second, Subqueries: 2},
 		decision.SubqueryArrived{ID: 2, Query: 1, Shard: 0}, decision.SubqueryArrived{ID: 3, Query: 1, Shard: 1})
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,7 +14,7 @@
 func (sc *Scheduler) retryable(sub *cluster.Subquery) bool {
 	c := sub.Parent.Spec
 	return sub.FirstRunAt < 0 || c.Effect == decision.Idempotent ||
-		c.Effect == decision.Deduplicated && sc.Now-sub.FirstRunAt < c.Window-sc.Settings.Tick
+		c.Effect == decision.Deduplicated && sc.Now-sub.FirstRunAt < c.DeduplicationWindow-sc.Settings.Tick
 }
 
 // withinBudget reports whether the retry budget allows another attempt. Of the free attempts, which do not
@@ -22,17 +22,17 @@
 func (sc *Scheduler) withinBudget(fraction float64) bool {
 	r := sc.Settings.Rules
 	free, ratio, span := defaultBudgetFree, defaultBudgetRatio, defaultBudgetSpan
-	if r.BudgetOn {
+	if r.BudgetEnabled {
 		free, ratio, span = r.BudgetFree, r.BudgetRatio, r.BudgetSpan
 	}
-	used := sc.Retries.Since(sc.Now - span - sc.Settings.Tick) // includes attempts on the edge of the span
-	return used+1 <= fraction*free+ratio*sc.Received.Since(sc.Now-span+sc.Settings.Tick)
+	used := sc.Retries.SumSince(sc.Now - span - sc.Settings.Tick) // includes attempts on the edge of the span
+	return used+1 <= fraction*free+ratio*sc.Received.SumSince(sc.Now-span+sc.Settings.Tick)
 }
 
 // retry assigns a subquery whose attempts have all failed to a replica again, or marks it as failed if no
 // further attempt is allowed.
 func (sc *Scheduler) retry(sub *cluster.Subquery) {
-	if len(sub.Attempts)+sub.Used < sub.Parent.Spec.MaxAttempts && sc.retryable(sub) {
+	if len(sub.Attempts)+sub.UsedAttempts < sub.Parent.Spec.MaxAttempts && sc.retryable(sub) {
 		subs := []*cluster.Subquery{sub}
 		if sc.needsProof(sub.Parent) { // prefers another shard: the query may have crashed a server of this one
 			subs = sub.Parent.Current
@@ -60,7 +60,7 @@
 	q := sub.Parent
 	attempts := len(sub.Attempts)
 	waiting := sub.QueueIndex >= 0 || attempts == 0
-	if sc.Stalled || sub.Done || waiting || attempts+sub.Used >= q.Spec.MaxAttempts {
+	if sc.Stalled || sub.Done || waiting || attempts+sub.UsedAttempts >= q.Spec.MaxAttempts {
 		return
 	}
 	latest := sub.Attempts[attempts-1]
@@ -72,7 +72,7 @@
 		sc.reroute(sub, latest)
 		return
 	}
-	overloaded := sc.Settings.Rules.BudgetOn && sc.ShedFraction > 0 // hedging would add load
+	overloaded := sc.Settings.Rules.BudgetEnabled && sc.ShedFraction > 0 // hedging would add load
 	expected := curve.Duration(sc.PoolMedian + sc.excessLatency())
 	tooLate := sc.Now+expected > q.ClientTimeoutAt
 	if overloaded || tooLate || !sc.hedgeDue(sub, latest) {
@@ -98,7 +98,7 @@
 	}
 	age := curve.Seconds(sc.Now - latest.SentAt)
 	missesTarget := sc.Now > sub.Deadline-curve.Duration(sc.PoolMedian)
-	rationed := sc.Settings.Rules.BudgetOn
+	rationed := sc.Settings.Rules.BudgetEnabled
 	late := age > latest.Server.MaxAge || !rationed && age > lateMultiple*sc.PoolMedian
 	return missesTarget && late
 }
@@ -135,7 +135,7 @@
 	// Whether this instance sends so rarely that no other answer was to be expected meanwhile.
 	sendsRarely := sc.Settings.Instances >= manyInstancesFrom && sc.ServerRate*age < 1
 	until := sc.answerBy(q)
-	if sendsRarely && q.Spec.Floor >= q.Spec.Need {
+	if sendsRarely && q.Spec.PartialFraction >= q.Spec.CompleteFraction {
 		until = q.ClientTimeoutAt // this class accepts late answers, but no partial ones
 	}
 	firstStep := q.Phased && q.Step == 1
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -23,7 +23,7 @@
 		pending = []*cluster.Subquery{slices.MinFunc(pending, fewest)}
 	}
 	for len(pending) > 0 {
-		first := pending[0].Prefer
+		first := pending[0].Preferred
 		s, cover := sc.chooseReplica(pending)
 		if s == nil { // no replica accepts subqueries now; the next sweep tries again
 			pending = pending[1:]
@@ -31,7 +31,7 @@
 		}
 		sc.Turn, s.LastTurn = sc.Turn+1, sc.Turn+1
 		pending = slices.DeleteFunc(pending, func(sub *cluster.Subquery) bool {
-			taken := cover > 0 && sc.Serves(s, sub.Shard) && !cluster.InFlightAt(sub, s) && sub.Prefer == first
+			taken := cover > 0 && sc.Serves(s, sub.Shard) && !cluster.InFlightAt(sub, s) && sub.Preferred == first
 			if taken {
 				s.Enqueue(sub)
 				cover--
@@ -51,7 +51,7 @@
 	sc.CollectCandidates(subs, sc.accepts)
 	bestTier, bestWait := 0, 0.0
 	for _, c := range sc.Candidates {
-		if c.ID == subs[0].Prefer && c.Cover > 0 && sc.tier(c, subs[0]) == 0 {
+		if c.ID == subs[0].Preferred && c.Cover > 0 && sc.tier(c, subs[0]) == 0 {
 			return c, c.Cover // it answered the first step, so it has the versions that were ranked
 		}
 		if c.Cover == 0 || best != nil && c.Cover < cover && bestTier == 0 {
@@ -76,8 +76,8 @@
 func (sc *Scheduler) preferFastErrors(
 	best *cluster.Server, cover int, sub *cluster.Subquery,
 ) (*cluster.Server, int) {
-	if best == nil || len(sub.Attempts) > sub.Parent.Spec.MaxAttempts-sub.Used-2 ||
-		sc.Settings.Rules.BudgetOn {
+	if best == nil || len(sub.Attempts) > sub.Parent.Spec.MaxAttempts-sub.UsedAttempts-2 ||
+		sc.Settings.Rules.BudgetEnabled {
 		return best, cover
 	}
 	shortest := sc.expectedLatency(best)
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -38,9 +38,9 @@
 	}
 	sc.Seq++
 	if q.Phased && q.Step == 1 {
-		e.Used = 1 // reserves one attempt for the second step
+		e.UsedAttempts = 1 // reserves one attempt for the second step
 	}
-	sub := &cluster.Subquery{SubqueryArrived: e, Parent: q, QueueIndex: -1, FirstRunAt: -1, Spare: e.Later}
+	sub := &cluster.Subquery{SubqueryArrived: e, Parent: q, QueueIndex: -1, FirstRunAt: -1, Spare: e.Deferred}
 	sub.Seq = sc.Seq
 	sc.Subqueries[e.ID] = sub
 	q.Current, q.All = append(q.Current, sub), append(q.All, sub)
@@ -53,7 +53,7 @@
 		return
 	}
 	q.Admitted = true
-	if q.Step == 1 && q.Spec.Need < 1 && !q.Phased {
+	if q.Step == 1 && q.Spec.CompleteFraction < 1 && !q.Phased {
 		sc.withholdSpares(q)
 	}
 	sc.assign(q.Current)
@@ -86,7 +86,7 @@
 // the tail latency of the fan-out on unloaded servers.
 func (sc *Scheduler) setDeadlines(q *cluster.Query) {
 	targetAt := sc.stepTarget(q)
-	deadline, noBudget := tailguard.Stamp(sc.Now, targetAt, sc.FanoutTail(q, tailPercentile), maxTailFraction)
+	deadline, noBudget := tailguard.QueueingDeadline(sc.Now, targetAt, sc.FanoutTail(q, tailPercentile), maxTailFraction)
 	for _, sub := range q.Current {
 		sub.Deadline, sub.NoBudget = deadline, noBudget
 		if sub.QueueIndex >= 0 {
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	q.UseSpares(q.Spec.Need - epsilon)
+	q.UseSpares(q.Spec.CompleteFraction - epsilon)
 }
 
 // Queues: subqueries leave by earliest deadline first, up to the concurrency cap of each server.
@@ -166,7 +166,7 @@
 // the retry budget.
 func (sc *Scheduler) send(sub *cluster.Subquery, s *cluster.Server) {
 	q := sub.Parent
-	if sub.Done || q.Ended || len(sub.Attempts)+sub.Used >= q.Spec.MaxAttempts || !sc.retryable(sub) {
+	if sub.Done || q.Ended || len(sub.Attempts)+sub.UsedAttempts >= q.Spec.MaxAttempts || !sc.retryable(sub) {
 		return
 	}
 	if len(sub.Attempts) > 0 && !sub.CheapRetry {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	sched, err := policy.New(decision.Settings{
 		Instances: 1, Tick: 5 * time.Millisecond, Cells: 2, Width: 2, MaxAttempts: 3,
-		Classes: []decision.Class{{LatencyTarget: time.Second, Value: 1, Need: 1, Floor: 1}},
+		Classes: []decision.Class{{LatencyTarget: time.Second, Value: 1, CompleteFraction: 1, PartialFraction: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -18,10 +18,10 @@
 		Instances: 1, Tick: 5 * ms, Cells: 3, Width: 3, Batch: 1, MaxAttempts: 3,
 		Hedging: true, Cancel: true, MaxRetryAfter: time.Second,
 		Classes: []decision.Class{
-			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 1},
-			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Deduplicated, Window: 300 * ms, Need: 1, Floor: 1},
-			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.NotIdempotent, Need: 1, Floor: 1},
-			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, Need: 1, Floor: 0.5, Fetch: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, CompleteFraction: 1, PartialFraction: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Deduplicated, DeduplicationWindow: 300 * ms, CompleteFraction: 1, PartialFraction: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.NotIdempotent, CompleteFraction: 1, PartialFraction: 1},
+			{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Effect: decision.Idempotent, CompleteFraction: 1, PartialFraction: 0.5, Fetch: 1},
 		},
 		Rules: decision.Rules{StartCapacity: 0.2, SlowStart: 10 * time.Second, OverloadMultiple: 2,
 			OverloadSpan: 3 * time.Second},
@@ -159,8 +159,8 @@
 	set := baseSettings()
 	set.Instances, set.Tick, set.Hedging, set.MaxAttempts = 80, ms, false, 4
 	set.Classes = []decision.Class{
-		{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 3, Effect: decision.Idempotent, Need: 1, Floor: 0.7},
-		{LatencyTarget: 380 * ms, Deadline: 1300 * ms, Value: 2, Effect: decision.Deduplicated, Window: 4 * time.Second, Need: 1, Floor: 1},
+		{LatencyTarget: 300 * ms, Deadline: time.Second, Value: 3, Effect: decision.Idempotent, CompleteFraction: 1, PartialFraction: 0.7},
+		{LatencyTarget: 380 * ms, Deadline: 1300 * ms, Value: 2, Effect: decision.Deduplicated, DeduplicationWindow: 4 * time.Second, CompleteFraction: 1, PartialFraction: 1},
 	}
 	return set
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -168,7 +168,7 @@
 // in flight too long is cancelled, and the subquery is sent again only after the cancellation is confirmed.
 func TestNoHedgeOfDeduplicated(t *testing.T) {
 	set := baseSettings()
-	set.Classes[1].Window = 4 * time.Second
+	set.Classes[1].DeduplicationWindow = 4 * time.Second
 	b := newFixture(t, set, 0, 1, 2)
 	b.warmUp(30, 50*ms)
 	_, parts := b.query(1, 4*time.Second, 0)
@@ -198,7 +198,7 @@
 func TestHedgingBudgetOfManyInstances(t *testing.T) {
 	set := baseSettings()
 	set.Instances = 50
-	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 20, 0.05, 10*time.Second
+	set.Rules.BudgetEnabled, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 20, 0.05, 10*time.Second
 	b := newFixture(t, set, 0, 1, 2, 0, 1, 2)
 	b.warmUp(30, 50*ms)
 	b.run(11 * time.Second)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -42,7 +42,7 @@
 		return
 	}
 	sub.CheapRetry = e.Status == decision.Error && age < fastErrorFraction*sc.PoolMedian &&
-		!sc.Settings.Rules.BudgetOn
+		!sc.Settings.Rules.BudgetEnabled
 	sc.continueSubquery(sub, a, e.Status)
 }
 
--- a/policy/phased_test.go
+++ b/policy/phased_test.go
@@ -18,7 +18,7 @@
 		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
 		b.owner[id] = q
 		ids = append(ids, id)
-		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: i, Weight: 1.0 / 6, Later: i >= later})
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: i, Weight: 1.0 / 6, Deferred: i >= later})
 	}
 	b.step(ev...)
 	return q, ids
@@ -32,7 +32,7 @@
 		id := decision.SubqueryID(b.nextID + uint64(i) + 1)
 		b.owner[id] = q
 		ids = append(ids, id)
-		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards)), Prefer: prefer, Used: used})
+		ev = append(ev, decision.SubqueryArrived{ID: id, Query: q, Shard: s, Weight: 1 / float64(len(shards)), Preferred: prefer, UsedAttempts: used})
 	}
 	b.step(ev...)
 	return ids
@@ -59,7 +59,7 @@
 func phasedSettings() decision.Settings {
 	set := baseSettings()
 	set.Hedging, set.MaxAttempts = false, 4
-	set.Classes[0].Floor = 0.7
+	set.Classes[0].PartialFraction = 0.7
 	return set
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -172,7 +172,7 @@
 	old.sched.Servers[3].SlowStartFrom = old.now
 	successor := newFixture(t, baseSettings(), 0, 1, 2)
 	successor.now += time.Hour
-	successor.step(decision.Learned{Records: append(old.sched.Records(), decision.Record{Server: 9}, decision.Record{Server: 1, Answers: []float64{1}})})
+	successor.step(decision.Learned{Records: append(old.sched.Records(), decision.Record{Server: 9}, decision.Record{Server: 1, LatencyCounts: []float64{1}})})
 	successor.step()
 	sched := successor.sched
 	if sched.PoolMedian != old.sched.PoolMedian || sched.Servers[1].Latency != old.sched.Servers[1].Latency || sched.Servers[2].FailureRate == 0 || sched.slowStartShare(sched.Servers[3]) > 0.21 {
--- a/policy/records.go
+++ b/policy/records.go
@@ -24,12 +24,12 @@
 	if sc.SurveyedAt < 0 || since >= surveyInterval && !sc.Stalled {
 		sc.SurveyedAt = sc.Now
 		sc.Baseline = min(sc.PoolMedian, sc.Baseline*(1+baselineRise*curve.Seconds(since)))
-		if sc.Baseline == 0 || sc.Pool.Size(sc.Now) < curve.RecordPrior {
+		if sc.Baseline == 0 || sc.Pool.Count(sc.Now) < curve.PriorWeight {
 			sc.Baseline = sc.PoolMedian
 		}
 		sc.surveyServers()
 	}
-	missed, decided := sc.Missed.Since(sc.Now-missWindow), sc.Decided.Since(sc.Now-missWindow)
+	missed, decided := sc.Missed.SumSince(sc.Now-missWindow), sc.Decided.SumSince(sc.Now-missWindow)
 	sc.ShedFraction, sc.ShedFractionAt =
 		sheddingRule.Next(sc.ShedFraction, sc.Now-sc.ShedFractionAt, missed, decided), sc.Now
 	sc.SetFlag(&sc.Shedding, sc.ShedFraction > 0, "shedding=%v missed=%.0f of %.0f", missed, decided)
@@ -43,7 +43,7 @@
 	// Lower bound, also before any answer: one subquery from all instances together in the overload span.
 	least := 1 / curve.Seconds(sc.Settings.Rules.OverloadSpan) / float64(sc.Settings.Instances)
 	span := max(min(throughputWindow, sc.Now-sc.StartedAt), sc.Settings.Rules.OverloadSpan, sc.Settings.Tick)
-	sc.ServerRate = max(sc.Answered.Since(sc.Now-throughputWindow)/curve.Seconds(span)/max(size, 1), least)
+	sc.ServerRate = max(sc.Answered.SumSince(sc.Now-throughputWindow)/curve.Seconds(span)/max(size, 1), least)
 	sc.LossRate[1] = min(sc.LossRate[1], curve.Decay(sc.LossRate[1], surveyInterval, latencyHalfLife))
 	sc.SetFlag(&sc.IdleConnsDead, sc.IdleConnsDead && sc.LossRate[1] > minIdleLossRate,
 		"idle connections dead=%v")
@@ -68,7 +68,7 @@
 func (sc *Scheduler) recordLatency(s *cluster.Server, sec float64, unloaded bool) {
 	s.Latency = cmp.Or(s.Latency, sec)
 	w := max(latencyWeight, 1-curve.Decay(1, sc.Now-s.LatencyAt, staleLatencyAge))
-	if sec < capRule.Near*sc.Baseline { // fast again: a slowdown is over
+	if sec < capRule.RiseBelow*sc.Baseline { // fast again: a slowdown is over
 		w = max(w, recoveryWeight)
 	}
 	s.Latency, s.LatencyAt = s.Latency+w*(sec-s.Latency), sc.Now
@@ -107,7 +107,7 @@
 	slow := 0.0
 	if sc.ServerMedian > 0 { // 0 before the first survey
 		slow = s.LatencyNow(sc.ServerMedian, sc.Now, sc.recordHalfLife(latencyHalfLife)) /
-			max(slowMultiple*sc.ServerMedian, curve.RecordLow)
+			max(slowMultiple*sc.ServerMedian, curve.HistogramLow)
 	}
 	failing := curve.Decay(s.FailureRate, sc.Now-s.FailureRateAt, sc.recordHalfLife(failureHalfLife))
 	return tailguard.Weight(failing, slow, sc.slowStartShare(s))
--- a/policy/reply.go
+++ b/policy/reply.go
@@ -19,12 +19,12 @@
 		return
 	}
 	progress := cluster.ProgressOf(q)
-	need, floor := q.Spec.Need, q.Spec.Floor
+	need, floor := q.Spec.CompleteFraction, q.Spec.PartialFraction
 	if q.Step == 2 {
 		progress.Answered *= q.FirstStepWeight // the second step fetches only what the first step has answered
 		progress.Attainable *= q.FirstStepWeight
 		need = 1
-		if q.Spec.Floor >= q.Spec.Need {
+		if q.Spec.PartialFraction >= q.Spec.CompleteFraction {
 			floor = 1
 		}
 	}
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -68,7 +68,7 @@
 // Further attempts stay within the configured budget in every window.
 func TestRetryBudget(t *testing.T) {
 	set := baseSettings()
-	set.Rules.BudgetOn, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 2, 0.05, 10*time.Second
+	set.Rules.BudgetEnabled, set.Rules.BudgetFree, set.Rules.BudgetRatio, set.Rules.BudgetSpan = true, 2, 0.05, 10*time.Second
 	b := newFixture(t, set, 0, 1, 2)
 	received := []time.Duration{} // arrival times of queries and subqueries
 	for range 300 {
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -23,7 +23,7 @@
 		sc.Now+curve.Duration(sc.FanoutTail(q, feasiblePercentile)+sc.excessLatency()) > q.ClientTimeoutAt {
 		return true // no answer is possible, or the client would time out before it
 	}
-	certainlyLate := q.Spec.Floor >= q.Spec.Need &&
+	certainlyLate := q.Spec.PartialFraction >= q.Spec.CompleteFraction &&
 		slices.ContainsFunc(q.Current, func(sub *cluster.Subquery) bool {
 			return sc.queuedEverywhere(sub) &&
 				sc.Now+curve.Duration(sc.excessAtShard(sub)+sc.ServerMedian) > sc.stepTarget(q)
@@ -36,8 +36,8 @@
 		s := sc.pickReplica(sub)
 		return sc.wouldMiss(sub) || shed && (s == nil || len(s.InFlight)+len(s.Queue) >= sc.capacity(s))
 	})
-	tooLittle := remaining < q.Spec.Floor-epsilon ||
-		remaining < q.Spec.Need-epsilon && q.Spec.Fetch > 0
+	tooLittle := remaining < q.Spec.PartialFraction-epsilon ||
+		remaining < q.Spec.CompleteFraction-epsilon && q.Spec.Fetch > 0
 	if tooLittle && !shed {
 		q.SetFailed(func(*cluster.Subquery) bool { return false })
 	}
@@ -56,7 +56,7 @@
 			attainable += sub.Weight
 		}
 	}
-	return attainable < q.Spec.Floor-epsilon
+	return attainable < q.Spec.PartialFraction-epsilon
 }
 
 // wouldMiss reports whether a subquery sent now would still be queued at its server when its deadline
@@ -78,7 +78,7 @@
 // shard exceeds the median. The expected latency of a replica grows with its failure rate, as retries take
 // time.
 func (sc *Scheduler) excessAtShard(sub *cluster.Subquery) float64 {
-	best := curve.RecordHigh
+	best := curve.HistogramHigh
 	for _, s := range sc.Replicas[sub.Shard%sc.Settings.Cells] {
 		if sc.accepts(s) {
 			failing := curve.Decay(s.FailureRate, sc.Now-s.FailureRateAt, sc.recordHalfLife(failureHalfLife))
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -140,7 +140,7 @@
 	}
 	// With partial answers, the query is admitted without the slow shard and answered as soon as the rest is. Such a shard
 	// may be one where operators banned two of the three servers of a cell.
-	b.sched.Settings.Classes[0].Floor = 0.5
+	b.sched.Settings.Classes[0].PartialFraction = 0.5
 	q, _ := b.query(0, 4*time.Second, 0, 1)
 	if len(b.sends) != 1 || b.finals[q] > 0 {
 		t.Fatalf("%d subqueries sent and %d final answers, want 1 and none", len(b.sends), b.finals[q])
@@ -180,7 +180,7 @@
 		rejected             bool
 	}{{0, 200, 200, true}, {0, 200, 0, false}, {0, 2, 2, false}, {4, 200, 200, false}} {
 		set := baseSettings()
-		set.Classes = append(set.Classes, decision.Class{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, Need: 1, Floor: 0.5})
+		set.Classes = append(set.Classes, decision.Class{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1, CompleteFraction: 1, PartialFraction: 0.5})
 		b := newFixture(t, set, 0, 0)
 		b.warmUp(60, 50*ms)
 		for i, n := range []int{x.first, x.second} {
--- a/policy/tuning.go
+++ b/policy/tuning.go
@@ -168,11 +168,11 @@
 var (
 	// The minimum allows one subquery that runs and one on its way. Above the maximum, the server's queue
 	// would decide the order and not the scheduler's.
-	capRule = tailguard.LimitRule{Min: 2, Max: 32, Near: 1.3, Far: 2, Fall: 0.8}
+	capRule = tailguard.LimitRule{Min: 2, Max: 32, RiseBelow: 1.3, FallAbove: 2, FallFactor: 0.8}
 	// Three failures in a row halve the weight. Successes count less, as a server may answer some subqueries
 	// and fail fast on others.
-	failureRule = tailguard.FailureRule{Up: 0.3, Down: 0.12}
+	failureRule = tailguard.FailureRule{FailureStep: 0.3, SuccessStep: 0.12}
 	// The threshold is that of the TailGuard paper. The rejected fraction falls slowly enough that even a
 	// small instance receives queries while it falls.
-	sheddingRule = tailguard.SheddingRule{Share: 0.017, Least: 4, Gain: 3, Fall: 0.15}
+	sheddingRule = tailguard.SheddingRule{MissRateThreshold: 0.017, MinMisses: 4, Gain: 3, FallPerSecond: 0.15}
 )
