--- a/internal/gatherer/gather/admit.go
+++ b/internal/gatherer/gather/admit.go
@@ -9,38 +9,38 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// Admit: a request that the in-flight table has no room for is rejected here, unseen by the scheduler, as in the
-// simulator. The scheduler admits or rejects all others.
+// Admission to the in-flight table: a request that does not fit into it ends here, and the scheduler never sees it, as in
+// the simulator. The scheduler admits or rejects all others.
 
-// admit enters a request into the in-flight table and reports it to the scheduler.
+// admit adds a request to the in-flight table and reports it to the scheduler.
 func (c *Core) admit(r *Request) {
 	switch {
 	case !c.inFlight.Fits(len(r.Shards)):
-		r.leaveRoute(c.now(), false)
+		r.releaseLimiter(c.now(), false)
 		c.recordFinal(r, "refused", ReasonFull)
-		r.Done <- Result{Kind: Rejected, RetryAfter: c.set.Policy.MaxRetryAfter, Reason: ReasonFull, Shards: shardResults(r)}
+		r.Done <- Result{Kind: Rejected, RetryAfter: c.set.Policy.MaxRetryAfter, Reason: ReasonFull, Shards: emptyShardResults(r)}
 		return
 	case c.inFlight.HasName(r.Name, time.Now()):
-		// Lot stores could not distinguish its subqueries from those of the first. What that does is unknown.
-		r.leaveRoute(c.now(), false)
+		// Lot stores could not tell its subqueries from those of the earlier request, with unknown effects.
+		r.releaseLimiter(c.now(), false)
 		c.recordFinal(r, "failed", ReasonDuplicate)
-		r.Done <- Result{Kind: Failed, Reason: ReasonDuplicate, Shards: shardResults(r)}
+		r.Done <- Result{Kind: Failed, Reason: ReasonDuplicate, Shards: emptyShardResults(r)}
 		return
 	}
 	c.lastID++
 	r.id = c.lastID
 	q := &query{Request: r}
 	c.inFlight.AddQuery(r.id, r.Name, q)
-	c.guard(q, func() { c.begin(q) })
+	c.failOnPanic(q, func() { c.startQuery(q) })
 }
 
-// begin reports a query and its subqueries to the scheduler.
-func (c *Core) begin(q *query) {
+// startQuery reports a query and its subqueries to the scheduler, with the first orders of its plan if it is a search.
+func (c *Core) startQuery(q *query) {
 	r := q.Request
 	first, phased, fetch := c.startSearch(q)
 	c.events = append(c.events, decision.QueryArrived{ID: decision.QueryID(r.id), Class: r.Class, Key: fingerprint(r),
 		Remaining: max(time.Until(r.Deadline), 0), Subqueries: len(r.Shards), Phased: phased, Fetch: fetch})
-	results := shardResults(r)
+	results := emptyShardResults(r)
 	for i, s := range r.Shards {
 		c.lastID++
 		p := &subquery{id: c.lastID, q: q, res: &results[i], index: i, search: q.firstStepSearch(i)}
@@ -52,16 +52,16 @@
 	c.applyOrders(q, search.Orders{Skip: first.Skip})
 }
 
-// fingerprint is a hash of what a request asks for. A retry of the client has the same.
+// fingerprint returns a hash of a request's content. A client's retry has the same one.
 func fingerprint(r *Request) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(r.Key)) // a hash does not fail
+	_, _ = h.Write([]byte(r.Key)) // a hash.Hash never returns an error
 	_, _ = h.Write(r.Text)
 	return h.Sum64()
 }
 
-// shardResults are the results of a request's shards before any outcome.
-func shardResults(r *Request) []ShardResult {
+// emptyShardResults returns the results of a request's shards before any attempt has ended.
+func emptyShardResults(r *Request) []ShardResult {
 	results := make([]ShardResult, len(r.Shards))
 	for i, s := range r.Shards {
 		results[i].Shard = s.Number
--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -1,8 +1,9 @@
 // Package gather is the core of the daemon: requests, attempts and outcomes, independent of any wire format.
 //
 // One goroutine owns the scheduler and every table. Fronts, the transport to the lot stores and discovery send it
-// messages through one channel, and it never waits for any of them. Events are batched into one step of the scheduler
-// per tick. A request passes these stages, a file each: inbox, limits, admit, route, send, outcomes, relay.
+// messages through one channel, and it never blocks on any of them. Events are batched into one step of the scheduler
+// per tick. A request passes through these stages, each in its own file: inbox, limits, admit, route, send, outcomes,
+// relay.
 //
 // A front calls [Core.Submit] with a [Request] and receives exactly one [Result] on its Done channel, unless it calls
 // [Core.ClientDisconnected] first. A [Transport] carries the attempts and reports to the core, which is its [Reporter].
@@ -22,29 +23,30 @@
 type Request struct {
 	Name         string // unique among the requests in flight
 	Class        int
-	Key          string    // repeats of a deduplicated class are recognised by it
+	Key          string    // identifies repeats of a request of a deduplicated class
 	Deadline     time.Time // when its client times out
 	Shards       []Shard
 	Text         []byte // sent to every shard unchanged; the front must not modify it
 	CompleteOnly bool   // the client accepts no partial answer
-	// Search, where set, makes the request a search led by a plan: its lot stores report by Found. It is only read.
+	// Search is set for a search, which a search.Plan executes. The transport reports its answers by Found. The core does
+	// not modify it.
 	Search *search.Query
-	// Origin is matched against the routes, where limits are configured; nil for no route.
+	// Origin is matched against the routes; nil if no route applies.
 	Origin *limits.Request
-	// Done receives the one final answer. Its buffer must have room for one, as the core does not wait.
+	// Done receives the one final answer. It must be buffered for it: the core does not block on a front.
 	Done chan Result
 
-	id             uint64
-	ticket         uint64       // number of its arrival
-	gate           *limits.Gate // that admitted it, or in whose queue it waits
-	maxAnswerBytes int          // of lot stores' answers that its route allows; 0 for no bound
+	id             uint64          // assigned when it enters the in-flight table
+	arrivalID      uint64          // assigned on arrival
+	limiter        *limits.Limiter // of its route, until it has been released; nil for no route
+	maxAnswerBytes int             // limit of its route on the total size of lot stores' answers; 0 for no limit
 	arrived        time.Duration
 }
 
-// Shard is one shard that a request asks.
+// Shard is one shard that a request is sent to.
 type Shard struct {
 	Number int
-	Weight float64 // fraction of the answer; the front ensures that they add up to 1, but for rounding
+	Weight float64 // fraction of the answer; the front ensures that the weights add up to 1, except for rounding
 }
 
 // Kind is how a request ended.
@@ -53,21 +55,21 @@
 // The ways a request may end.
 const (
 	Answered Kind = iota
-	Rejected      // a retry is harmless
-	Failed        // nothing is guaranteed
+	Rejected      // a retry is safe
+	Failed        // it may or may not have taken effect
 )
 
 // Result is the final answer of a request.
 type Result struct {
 	Kind       Kind
 	Complete   bool
-	Shards     []ShardResult // every shard, in the order of the request
+	Shards     []ShardResult // one per shard, in the order of the request
 	RetryAfter time.Duration
-	Reason     string        // one of the Reason constants, where not answered
-	Second     []ShardResult // of a plain second step: its values make the answer, not those of the first
-	Search     search.Result // result of a search; Complete says that nothing is missing from it
-	Phases     search.Phases // how a search was executed
-	Detail     string        // where Reason is ReasonQuestion, the lot store's explanation
+	Reason     string        // one of the Reason constants of this package or of package limits; empty if answered
+	Second     []ShardResult // of a second step by score: its values make up the answer instead of those in Shards
+	Search     search.Result // result of a search; Complete means that nothing is missing from it
+	Phases     search.Phases // number of phases that a search was executed in
+	Detail     string        // of a query that lot stores cannot answer: their explanation
 }
 
 // The reasons why a request was not answered, as clients see them.
@@ -83,7 +85,7 @@
 	ReasonQuestion  = "lot stores cannot answer such a question"
 )
 
-// Values are the shards whose values make the answer: those of the last step that the query reached.
+// Values returns the shards whose values make up the answer: those of the last step that the query reached.
 func (r *Result) Values() []ShardResult {
 	if r.Second != nil {
 		return r.Second
@@ -97,26 +99,26 @@
 	OK       bool
 	Value    string
 	Attempts int
-	Last     decision.Status // of the last attempt that ended, where not OK
+	Last     decision.Status // of the last attempt that did not end OK
 	Pending  bool            // not OK, and still pending when the request ended
-	Skipped  bool            // not sent, or cancelled, as it could not change the page
+	Skipped  bool            // not sent, or cancelled, because it could not change the page
 }
 
-// ShardSearch is what an attempt of a search asks for, beside its text.
+// ShardSearch says what an attempt of a search asks for, in addition to its text.
 type ShardSearch struct {
 	Query      *search.Query
-	ScoresOnly bool     // ids and sort values alone
-	IDs        []string // only of these lots; nil for all
-	Extremes   bool     // of the first sort key's field too
+	ScoresOnly bool     // ids and sort values without listings
+	IDs        []string // return only these lots; nil for all
+	Extremes   bool     // also return the least and the greatest value of the first sort key's field
 }
 
-// Load is what an attempt of a plain second step says of the first step.
+// Load tells the lot store about the first step, in an attempt of a second step by score.
 type Load struct {
-	From          []int // the shards that were done, in order
-	FirstComplete bool  // whether the first step's answer was
+	From          []int // shards that answered the first step, in ascending order
+	FirstComplete bool  // whether the first step's answer was complete
 }
 
-// Attempt is one attempt of a subquery at a server. The exported fields are fixed before the transport sees it.
+// Attempt is one attempt of a subquery at a server. The exported fields do not change once the transport has it.
 type Attempt struct {
 	Query  string
 	Class  int
@@ -125,31 +127,31 @@
 	Number int
 	Text   []byte
 	Server decision.ServerID
-	Search *ShardSearch // of a search
-	Load   *Load        // of a plain second step
+	Search *ShardSearch // of a search, else nil
+	Load   *Load        // of a second step by score, else nil
 	Until  time.Time    // when the core stops waiting for it
-	// NotAfter, where set, is the last moment at which it may be written: later, the lot stores would no longer
+	// NotAfter, unless zero, is the latest time at which it may be written: after that, the lot stores would no longer
 	// drop a repeat of a deduplicated subquery.
 	NotAfter time.Time
 
-	subquery    *subquery
-	sent        time.Duration
-	called      bool          // handed to the transport
-	calledAt    time.Duration // when it was handed to the transport
-	cancelledAt time.Duration // when its cancellation is confirmed, 0 before its server has been told
-	ended       bool          // its outcome is known
-	// withdrawn is set by the core before its request gets the final answer, and read by the transport's goroutines.
+	subquery     *subquery
+	sent         time.Duration // time of the step that created it; 0 once it is known never to have run
+	handedOver   bool          // handed to the transport
+	handedOverAt time.Duration // when it was handed to the transport
+	cancelDueAt  time.Duration // when it may be treated as cancelled; 0 until its server has been told
+	ended        bool          // its outcome is known
+	// withdrawn is set by the core before the request gets its final answer, and read by the transport's goroutines.
 	withdrawn atomic.Bool
 }
 
-// Stale reports whether an attempt must no longer be written, however long it has waited to be: its time is over, or its
-// request has got its final answer. Transports ask last thing before they write.
+// Stale reports whether an attempt must no longer be written: it has timed out, NotAfter has passed, or its request has
+// ended. Transports check it immediately before writing, as an attempt may have been queued for any length of time.
 func (a *Attempt) Stale(now time.Time) bool {
 	return a.withdrawn.Load() || !now.Before(a.Until) || !a.NotAfter.IsZero() && now.After(a.NotAfter)
 }
 
-// WriteBy is the deadline for writing a call completely, where a server that does not read is given the time limit. It
-// is not past the deduplication window of any of the attempts.
+// WriteBy returns the deadline for writing a call completely: the time limit for a server that does not read, or the
+// earliest NotAfter of the attempts if that is sooner.
 func WriteBy(now time.Time, limit time.Duration, attempts []*Attempt) time.Time {
 	by := now.Add(limit)
 	for _, a := range attempts {
@@ -167,25 +169,25 @@
 	Servers(changed []mem.Server)
 	// Call sends the attempts to one server as one call.
 	Call(server decision.ServerID, attempts []*Attempt)
-	// Cancel cancels an attempt. If it has not ended, the transport reports Cancelled, and nothing more of it, once
-	// its server has been told or the connection was closed: from then on the subquery may be sent elsewhere.
+	// Cancel cancels an attempt. If the attempt has not ended, the transport reports decision.Cancelled, as its only
+	// outcome, once the server has been told or the connection has been closed.
 	Cancel(a *Attempt)
-	// HealthCheck asks whether a server is reachable.
+	// HealthCheck checks whether a server is reachable.
 	HealthCheck(server decision.ServerID)
-	// CloseIdle closes the connections to a server on which nothing is in flight.
+	// CloseIdle closes the connections to a server that have nothing in flight.
 	CloseIdle(server decision.ServerID)
 }
 
-// Reporter receives what a transport reports. Its methods may wait for the core.
+// Reporter receives what a transport reports. Its methods may block until the core has room for the message.
 type Reporter interface {
-	// Outcome reports how an attempt ended, with its value where it is OK.
+	// Outcome reports how an attempt ended, with its value if it succeeded.
 	Outcome(a *Attempt, s decision.Status, value string)
 	// Scored reports that an attempt succeeded, with its value and the score by which a second step chooses shards.
 	Scored(a *Attempt, value string, score float64)
-	// Found reports that an attempt with a Search succeeded, and its answer, which has passed its Check.
+	// Found reports that an attempt with a Search succeeded, and its answer, which must have passed Answer.Check.
 	Found(a *Attempt, found *search.Answer)
-	// Unanswerable reports that the lot store cannot answer what an attempt with a Search asks, and why: the client's
-	// query is at fault, and the lot store is healthy.
+	// Unanswerable reports that the lot store cannot answer an attempt with a Search, and why. The client's query is at
+	// fault, and the lot store counts as healthy.
 	Unanswerable(a *Attempt, why string)
 	// HealthChecked reports the result of a health check.
 	HealthChecked(server decision.ServerID, ok bool)
@@ -194,5 +196,5 @@
 // List is an update of the server list.
 type List struct {
 	Kind    decision.ListKind
-	Servers []mem.Server // their IDs are not set
+	Servers []mem.Server // with ID unset
 }
--- a/internal/gatherer/gather/clock_test.go
+++ b/internal/gatherer/gather/clock_test.go
@@ -12,19 +12,19 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 )
 
-// stretch is how long the core is delayed between two things that it does in one step, as a busy machine does.
-const stretch = 3 * time.Millisecond
+// stepDelay is the delay that a busy machine may cause between two operations of the core in one step.
+const stepDelay = 3 * time.Millisecond
 
-// steps are enough for the decision module to send all that it will.
-const steps = 5
+// stepsToSend is enough steps for the scheduler to send everything that it can.
+const stepsToSend = 5
 
-// spin takes time of the processor.
-func spin(span time.Duration) {
+// busyWait keeps the goroutine running for a span of time.
+func busyWait(span time.Duration) {
 	for started := time.Now(); time.Since(started) < span; {
 	}
 }
 
-// manualCore returns a core whose messages are received and whose steps are made by the test.
+// manualCore returns a core without a running goroutine: the test calls receive and step itself.
 func manualCore(t *testing.T) (*Core, *transport) {
 	t.Helper()
 	running, tr := start(t, nil)
@@ -38,14 +38,14 @@
 	return c, tr
 }
 
-// receiveAll makes the core receive all queued messages.
+// receiveAll handles all queued messages.
 func receiveAll(c *Core) {
 	for len(c.inbox) > 0 {
 		c.receive(<-c.inbox)
 	}
 }
 
-// sentAttempts are the attempts that have been sent so far.
+// sentAttempts returns the attempts that have been sent since the last call.
 func sentAttempts(tr *transport) (attempts []*Attempt) {
 	for len(tr.calls) > 0 {
 		attempts = append(attempts, <-tr.calls...)
@@ -53,32 +53,32 @@
 	return attempts
 }
 
-// The record shows an attempt sent after the end of the one that it follows, however long their step takes: what the core
-// did one after the other must not be seen to overlap.
-func TestRecordKeepsTheOrderWithinAStep(t *testing.T) {
+// When one step ends an attempt and sends the next one of the same subquery, the record has the second sent after the end
+// of the first, however long the step takes. Recording the time of the step for both would make them seem to overlap.
+func TestRecordedAttemptsOfOneStepDoNotOverlap(t *testing.T) {
 	c, tr := manualCore(t)
 	log := audit.New()
 	c.SetRecorder(func(e record.Entry) {
 		log.Add(e)
 		if e.Kind == record.Attempt {
-			spin(stretch)
+			busyWait(stepDelay)
 		}
 	})
 	const shards = 4
 	c.Submit(newRequest(0, shards, 20*time.Second))
 	receiveAll(c)
 	var first, again []*Attempt
-	for range steps {
+	for range stepsToSend {
 		c.step()
 		first = append(first, sentAttempts(tr)...)
 	}
 	if len(first) != shards {
 		t.Fatalf("%d attempts sent of %d", len(first), shards)
 	}
-	for _, a := range first { // the cancels that move them are confirmed
-		a.cancelledAt = c.now()
+	for _, a := range first { // confirm the cancellations, so that the subqueries may be sent elsewhere
+		a.cancelDueAt = c.now()
 	}
-	for range steps {
+	for range stepsToSend {
 		c.step()
 		again = append(again, sentAttempts(tr)...)
 	}
@@ -91,12 +91,13 @@
 	}
 }
 
-// A request is rate-limited by the time that is recorded, however long it takes to decide.
-func TestRateIsDecidedForTheRecordedMoment(t *testing.T) {
+// The rate limit is applied at the recorded time of arrival, however long the core takes to decide. Reading the clock again
+// would admit a request that the record shows as too early.
+func TestRateLimitUsesRecordedArrivalTime(t *testing.T) {
 	c, _ := manualCore(t)
 	log := audit.New()
 	c.SetRecorder(log.Add)
-	const span = 4 * stretch // between two requests
+	const span = 4 * stepDelay // between two requests
 	rate := limits.Rate{PerSecond: float64(time.Second) / float64(span), Burst: 1}
 	table, conflicts := limits.NewTable([]*limits.Route{{Name: "slow", Limits: limits.Limits{Rate: rate}}})
 	if conflicts != nil {
@@ -105,21 +106,21 @@
 	delayed := false
 	c.applyLimits(Limits{Table: table, Class: func(_ *limits.Route, class int) int {
 		if delayed {
-			spin(stretch)
+			busyWait(stepDelay)
 		}
 		return class
 	}})
 	const rounds = 10
-	for range rounds { // the second of each round comes too soon, and is delayed until it would not be
+	for range rounds { // the second request of each round is too early on arrival, but no longer after the delay
 		for _, delayed = range []bool{false, true} {
 			r := newRequest(0, 1, 20*time.Second)
 			r.Origin = &limits.Request{}
 			c.arrive(r)
-			spin(span - stretch + stretch/8)
+			busyWait(span - stepDelay + stepDelay/8)
 		}
-		spin(span)
+		busyWait(span)
 	}
 	if r := log.Report(); len(r.Violations) > 0 || r.Requests != 2*rounds {
-		t.Errorf("%d requests, %d rejected, violations %v", r.Requests, r.Rejected, r.Violations)
+		t.Errorf("recorded %d requests (%d rejected), violations %v", r.Requests, r.Rejected, r.Violations)
 	}
 }
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -15,25 +15,26 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// epoch is the time on the scheduler's clock when the daemon starts. It leaves room before it for servers that started
-// earlier, as the scheduler takes times of 0 and less for long ago.
+// epoch is the time on the scheduler's clock when the daemon starts. It is above 0 so that servers that started shortly
+// before the daemon have a positive start time: the scheduler takes 0 and less as long ago.
 const epoch = 5 * time.Minute
 
 // inboxSize is how many messages may be queued for the core before senders block.
 const inboxSize = 4096
 
-// Core owns the scheduler and all tables. Create it with New, configure it, then call Run in a goroutine.
+// Core executes requests. It owns the scheduler and all tables. Create it with New, configure it, then call Run in a
+// goroutine.
 type Core struct {
-	transport Transport
-	log       *slog.Logger
-	seed      uint64
-	start     time.Time
-	inbox     chan any
-	quit      chan struct{}
-	open      atomic.Int64 // queries and subqueries in flight after the last step
-	openCap   atomic.Int64 // as set has it
+	transport     Transport
+	log           *slog.Logger
+	seed          uint64
+	start         time.Time
+	inbox         chan any
+	quit          chan struct{}
+	inFlightCount atomic.Int64 // queries and subqueries in flight after the last step
+	inFlightLimit atomic.Int64 // copy of set.OpenCap that any goroutine may read
 
-	// The goroutine of Run owns the fields below.
+	// Only the goroutine of Run accesses the fields below.
 
 	set       settings.Settings
 	scheduler *policy.Scheduler
@@ -43,9 +44,9 @@
 	events    []decision.Event      // for the next step
 	calls     []call                // of the current step
 	lastID    uint64
-	wakeAt    time.Duration // as the scheduler asked, 0 for none
-	steppedAt time.Duration
-	endBy     time.Time // every request gets its final answer by then; zero for no such time
+	wakeAt    time.Duration // when the scheduler asked to be woken, 0 for never
+	steppedAt time.Duration // time of the last step
+	endBy     time.Time     // at shutdown: when every request must have its final answer; zero before that
 	search    searchState
 	admission admission
 	recorder  func(record.Entry) // nil for none
@@ -54,31 +55,31 @@
 // query is a request in flight.
 type query struct {
 	*Request
-	subqueries []*subquery // of the first step
-	second     []*subquery // of the second, once it has begun
-	bytes      int         // of the values received
-	over       bool        // has its final answer, or its client has disconnected
+	subqueries       []*subquery // of the first step
+	secondSubqueries []*subquery // of the second step, once it has begun
+	bytes            int         // total size of the values and answers received
+	ended            bool        // it has its final answer, or its client has disconnected
 
-	plan      *search.Plan  // of a search; nil for any other
-	startedAt time.Duration // of the plan
+	plan      *search.Plan  // of a search, else nil
+	startedAt time.Duration // when the plan was started
 }
 
-// subquery is one shard's part of a query.
+// subquery is the part of a query that one shard answers.
 type subquery struct {
-	id         uint64
-	q          *query
-	res        *ShardResult
-	attempts   []*Attempt
-	mayRun     time.Duration // when the first attempt that may have run was sent, 0 for none
-	index      int           // of its shard in its query's request
-	score      float64       // that came with its value
-	closed     bool          // its step, the first of two, has ended
-	unfinished bool          // it was still pending then
-	search     *ShardSearch  // of a search
-	load       *Load         // of a plain second step
+	id               uint64
+	q                *query
+	res              *ShardResult
+	attempts         []*Attempt
+	mayHaveRunAt     time.Duration // when the first attempt that may have run was sent, 0 for none
+	index            int           // of its shard in Request.Shards
+	score            float64       // score reported with the value
+	stepEnded        bool          // the first step has ended, so that later answers to it are ignored
+	pendingAtStepEnd bool          // it was still pending when the first step ended
+	search           *ShardSearch  // of a search, else nil
+	load             *Load         // of a second step by score, else nil
 }
 
-// New makes a core. The transport must not report before Run.
+// New returns a core. The transport must not report anything before Run is called.
 func New(set settings.Settings, seed uint64, t Transport, logger *slog.Logger) (*Core, error) {
 	scheduler, err := policy.New(set.Policy, seed)
 	if err != nil {
@@ -90,17 +91,17 @@
 		servers: mem.NewServers(), inFlight: mem.NewInFlight[*query, *subquery](set.OpenCap),
 		attempts: map[*Attempt]struct{}{},
 	}
-	c.openCap.Store(int64(set.OpenCap))
+	c.inFlightLimit.Store(int64(set.OpenCap))
 	return c, nil
 }
 
-// now is the time on the scheduler's clock: monotonic, from epoch.
+// now returns the time on the scheduler's clock, which is monotonic and starts at epoch.
 func (c *Core) now() time.Duration { return epoch + time.Since(c.start) }
 
-// at converts a time to the scheduler's clock by a fixed offset, so that a time always gives the same result.
-func (c *Core) at(t time.Time) time.Duration { return epoch + t.Sub(c.start) }
+// clockTime converts a time to the scheduler's clock by a fixed offset, so that equal times give equal results.
+func (c *Core) clockTime(t time.Time) time.Duration { return epoch + t.Sub(c.start) }
 
-// Run serves until Stop. It returns when the core has stopped.
+// Run handles messages and makes steps until Stop is called.
 func (c *Core) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -130,11 +131,12 @@
 	}
 }
 
-// Stop ends Run.
+// Stop makes Run return. It must be called once only.
 func (c *Core) Stop() { close(c.quit) }
 
-// due is when the next step is due: a tick after the last one if events are pending, else when the scheduler asked to
-// be woken or an attempt times out.
+// due returns when the next step is due: a tick after the last one if events are pending, otherwise at the first time at
+// which the scheduler asked to be woken, an attempt ends, a wait in a queue is over, a plan must continue, or all requests
+// must end.
 func (c *Core) due() time.Duration {
 	soonest := c.steppedAt + c.set.Policy.Tick
 	if len(c.events) > 0 {
@@ -142,7 +144,7 @@
 	}
 	due := c.steppedAt + time.Minute
 	if queries, _ := c.inFlight.Len(); queries > 0 && !c.endBy.IsZero() {
-		due = c.at(c.endBy)
+		due = c.clockTime(c.endBy)
 	}
 	if c.wakeAt > 0 {
 		due = min(due, c.wakeAt)
@@ -150,7 +152,7 @@
 	for a := range c.attempts {
 		due = min(due, c.dueAt(a))
 	}
-	return max(min(c.waitingDue(due), c.searchDue(due)), soonest)
+	return max(min(c.queueDue(due), c.searchDue(due)), soonest)
 }
 
 // step passes the pending events to the scheduler and carries out the actions that it returns.
@@ -160,28 +162,28 @@
 	c.expire(now)
 	c.endAllDue(now)
 	c.tickSearches(now)
-	c.admitWaiting(now)
+	c.admitQueued(now)
 	if c.wakeAt > 0 && now >= c.wakeAt {
 		c.wakeAt = 0
 		c.events = append(c.events, decision.Wake{})
 	}
 	events := c.events
-	c.events = nil // events of carrying out the actions are for the next step
+	c.events = nil // events caused by executing the actions are for the next step
 	actions, err := c.decide(now, events)
 	if err != nil {
 		c.restart(err)
 		return
 	}
 	for _, a := range actions {
-		c.guard(c.queryOf(a), func() { c.carryOut(a) })
+		c.failOnPanic(c.queryOf(a), func() { c.execute(a) })
 	}
 	c.sendCalls()
-	queries, parts := c.inFlight.Len()
-	c.open.Store(int64(queries + parts))
+	queries, subqueries := c.inFlight.Len()
+	c.inFlightCount.Store(int64(queries + subqueries))
 }
 
-// carryOut carries out one action of the scheduler.
-func (c *Core) carryOut(a decision.Action) {
+// execute executes one action of the scheduler.
+func (c *Core) execute(a decision.Action) {
 	switch a := a.(type) {
 	case decision.Send:
 		c.addSend(a)
@@ -204,14 +206,14 @@
 	}
 }
 
-// queryOf is the query that an action is about; nil for none that is in flight.
+// queryOf returns the query in flight that an action refers to, nil if there is none.
 func (c *Core) queryOf(a decision.Action) *query {
-	id, part := uint64(0), uint64(0)
+	id, subqueryID := uint64(0), uint64(0)
 	switch a := a.(type) {
 	case decision.Send:
-		part = uint64(a.Subquery)
+		subqueryID = uint64(a.Subquery)
 	case decision.Cancel:
-		part = uint64(a.Subquery)
+		subqueryID = uint64(a.Subquery)
 	case decision.Answer:
 		id = uint64(a.Query)
 	case decision.Reject:
@@ -219,15 +221,15 @@
 	case decision.Fail:
 		id = uint64(a.Query)
 	}
-	if p, ok := c.inFlight.Subquery(part); ok {
+	if p, ok := c.inFlight.Subquery(subqueryID); ok {
 		return p.q
 	}
 	q, _ := c.inFlight.Query(id)
 	return q
 }
 
-// guard recovers a panic that one query causes: the query fails and the panic is logged, while all others go on.
-func (c *Core) guard(q *query, f func()) {
+// failOnPanic runs f on behalf of a query, which may be nil. A panic is logged and fails only that query.
+func (c *Core) failOnPanic(q *query, f func()) {
 	defer func() {
 		p := recover()
 		if p == nil {
@@ -237,22 +239,24 @@
 		if q != nil {
 			name = q.Name
 		}
-		c.log.Error("query panic", "request", name, "reason", p, "stack", string(debug.Stack()))
-		if q == nil || q.over {
+		c.log.Error("panic while handling a query", "request", name, "reason", p, "stack", string(debug.Stack()))
+		if q == nil || q.ended {
 			return
 		}
-		c.forgetSearch(q)
-		q.plan = nil // a plan that panicked must not be asked for its result
+		c.releaseSearch(q)
+		q.plan = nil // a plan that panicked must not be used for the result
 		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)})
-		c.deliver(q, Result{Kind: Failed, Reason: ReasonPanic, Shards: shardResults(q.Request)})
+		c.deliver(q, Result{Kind: Failed, Reason: ReasonPanic, Shards: emptyShardResults(q.Request)})
 	}()
 	f()
 }
 
-// Load is the fraction of the in-flight table that is in use. Any goroutine may call it.
-func (c *Core) Load() float64 { return float64(c.open.Load()) / float64(c.openCap.Load()) }
+// Load returns the fraction of the in-flight table that is in use. It is safe for concurrent use.
+func (c *Core) Load() float64 {
+	return float64(c.inFlightCount.Load()) / float64(c.inFlightLimit.Load())
+}
 
-// decide runs one step of the scheduler. A panic there is returned as an error: it must not stop the daemon.
+// decide runs one step of the scheduler. It returns a panic as an error, as it must not stop the daemon.
 func (c *Core) decide(now time.Duration, events []decision.Event) (actions []decision.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -262,9 +266,9 @@
 	return c.scheduler.Step(now, events), nil
 }
 
-// restart fails all requests in flight and continues with a new scheduler and the known server list.
+// restart replaces a scheduler that panicked by a new one with the known server list, and fails all requests in flight.
 func (c *Core) restart(err error) {
-	c.log.Error("mixer panic", "reason", err)
+	c.log.Error("scheduler panic; restarting it", "reason", err)
 	for a := range c.attempts {
 		c.transport.Cancel(a)
 		c.removeAttempt(a)
@@ -273,7 +277,7 @@
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPanic})
 	}
 	c.seed++
-	c.scheduler, _ = policy.New(c.set.Policy, c.seed) // New has accepted the same settings before
+	c.scheduler, _ = policy.New(c.set.Policy, c.seed) // no error: the settings have been checked before
 	c.events, c.calls, c.wakeAt = nil, nil, 0
 	c.events = append(c.events, decision.ServerList{Kind: decision.Cached, Servers: c.serverInfos(c.servers.All())})
 }
--- a/internal/gatherer/gather/final_answer_test.go
+++ b/internal/gatherer/gather/final_answer_test.go
@@ -7,8 +7,8 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Once a request has its final answer, or its client has disconnected, nothing of it is written any more: not even by a
-// transport that the scheduler's cancel has not reached yet. A busy machine may delay that cancel for long.
+// Once a request has its final answer, or its client has disconnected, its attempts are stale, so that a transport does not
+// write them even if the scheduler's cancellation has not reached it yet. A busy machine may delay that arbitrarily.
 func TestNothingIsWrittenAfterTheFinalAnswer(t *testing.T) {
 	const wait = 20 * time.Second
 	for name, end := range map[string]func(c *Core, r *Request, sent []*Attempt){
@@ -32,11 +32,11 @@
 		},
 		"panic": func(c *Core, r *Request, _ []*Attempt) {
 			query, _ := c.inFlight.Query(r.id)
-			c.guard(query, func() { panic("of the test") })
+			c.failOnPanic(query, func() { panic("test panic") })
 		},
 		"client disconnected": func(c *Core, r *Request, _ []*Attempt) {
 			c.endForClient(r)
-			r.Done <- Result{} // nobody is answered
+			r.Done <- Result{} // the core sends no answer in this case
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			c.Submit(r)
 			receiveAll(c)
 			var sent []*Attempt
-			for range steps {
+			for range stepsToSend {
 				c.step()
 				sent = append(sent, sentAttempts(tr)...)
 			}
@@ -56,16 +56,16 @@
 			<-r.Done
 			for _, a := range sent {
 				if !a.ended && !a.Stale(time.Now()) {
-					t.Errorf("shard %d may still be written", a.Shard)
+					t.Errorf("the attempt at shard %d may still be written", a.Shard)
 				}
 			}
 		})
 	}
 }
 
-// A query may end within a step after the scheduler has sent a part of it: that part waits for the end of the step, and is
-// then not sent.
-func TestAttemptOfTheStepThatEndsItsRequestIsNotSent(t *testing.T) {
+// Attempts are handed to the transport at the end of a step. If their query ends earlier in the same step, they are not
+// sent.
+func TestAttemptIsNotSentIfItsQueryEndsInTheSameStep(t *testing.T) {
 	c, tr := manualCore(t)
 	r := newRequest(0, 1, 20*time.Second)
 	c.Submit(r)
@@ -73,7 +73,7 @@
 	query, _ := c.inFlight.Query(r.id)
 	c.steppedAt = c.now()
 	c.addSend(decision.Send{Subquery: decision.SubqueryID(query.subqueries[0].id), Server: 1, Limit: time.Second})
-	c.guard(query, func() { panic("of the test") })
+	c.failOnPanic(query, func() { panic("test panic") })
 	c.sendCalls()
 	if sent := sentAttempts(tr); len(sent) > 0 {
 		t.Errorf("sent after the final answer: %+v", sent[0])
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -12,15 +12,15 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// transport is a fake that passes calls to the test.
+// transport is a fake Transport that passes its calls to the test.
 type transport struct {
 	calls   chan []*Attempt
 	cancels chan *Attempt
 	states  chan decision.ServerState
 }
 
-func (t *transport) Servers(news []mem.Server) {
-	for _, s := range news {
+func (t *transport) Servers(changed []mem.Server) {
+	for _, s := range changed {
 		t.states <- s.State
 	}
 }
@@ -29,7 +29,7 @@
 func (t *transport) HealthCheck(decision.ServerID)          {}
 func (t *transport) CloseIdle(decision.ServerID)            {}
 
-// start runs a core with one cell of two servers.
+// start runs a core with one cell of two servers. Change may reconfigure the core before it runs.
 func start(t *testing.T, change func(*Core)) (*Core, *transport) {
 	t.Helper()
 	set := settings.Settings{Classes: []string{"search", "bid"}, Zones: []string{"a"}, Shards: 100, OpenCap: 60, StreamsPerConn: 32}
@@ -52,32 +52,32 @@
 	return c, tr
 }
 
-var names int
+var requestCount int
 
-// newRequest returns a request of so many shards.
+// newRequest returns a request to shards 0 to shards-1 whose client times out after wait.
 func newRequest(class, shards int, wait time.Duration) *Request {
-	names++
-	r := &Request{Name: fmt.Sprint(names), Class: class, Deadline: time.Now().Add(wait), Done: make(chan Result, 1)}
+	requestCount++
+	r := &Request{Name: fmt.Sprint(requestCount), Class: class, Deadline: time.Now().Add(wait), Done: make(chan Result, 1)}
 	for i := range shards {
 		r.Shards = append(r.Shards, Shard{i, 1 / float64(shards)})
 	}
 	return r
 }
 
-// collect receives calls until it has so many attempts.
+// collect receives calls until they have n attempts in all.
 func collect(t *testing.T, tr *transport, n int) (all []*Attempt) {
 	t.Helper()
 	for len(all) < n {
 		call := <-tr.calls
 		if len(call) > 8 {
-			t.Errorf("a call of %d attempts", len(call))
+			t.Errorf("call has %d attempts, more than the batch size", len(call))
 		}
 		all = append(all, call...)
 	}
 	return all
 }
 
-// Subqueries are sent in calls of at most the batch size, and the answer is complete once all are done.
+// Subqueries are sent in calls of at most the batch size, and the answer is complete once all have been answered.
 func TestCompleteAnswer(t *testing.T) {
 	c, tr := start(t, nil)
 	r := newRequest(0, 20, 20*time.Second)
@@ -105,7 +105,7 @@
 	}
 }
 
-// Lot stores could not distinguish two requests of one name: the second fails.
+// A request fails if one of the same name is in flight, as lot stores could not tell the two apart.
 func TestDuplicateName(t *testing.T) {
 	c, _ := start(t, nil)
 	first, second := newRequest(0, 1, 20*time.Second), newRequest(0, 1, 20*time.Second)
@@ -117,10 +117,10 @@
 	}
 }
 
-// Where no server answers there is still one final answer before the client times out, and the attempt in flight is
+// If no server answers, there is still exactly one final answer before the client times out, and the attempt in flight is
 // cancelled.
 func TestNoServerAnswers(t *testing.T) {
-	c, tr := start(t, func(c *Core) { // its usual latency is low, so that it is admitted
+	c, tr := start(t, func(c *Core) { // the short latency target makes the scheduler admit the request
 		c.set.Policy.Classes[1].LatencyTarget = 100 * time.Millisecond
 		c.scheduler, _ = policy.New(c.set.Policy, 1)
 	})
@@ -132,16 +132,16 @@
 		t.Errorf("%+v", res)
 	}
 	if got := <-tr.cancels; got != a[0] {
-		t.Errorf("cancelled %+v", got)
+		t.Errorf("cancelled %+v, want %+v", got, a[0])
 	}
-	c.Outcome(a[0], decision.OK, "late") // crosses the cancel, and changes nothing
+	c.Outcome(a[0], decision.OK, "late") // an answer that was sent before the cancellation arrived is ignored
 	if len(r.Done) != 0 {
-		t.Error("a second final answer")
+		t.Error("a second final answer was sent")
 	}
 }
 
-// A retry of a deduplicated subquery carries the end of its window, counted from the first attempt that may have run. One
-// that never ran starts no window.
+// A retry of a deduplicated subquery has the end of its deduplication window as NotAfter. The window starts with the first
+// attempt that may have run; an attempt that never ran does not start it.
 func TestDeduplicationWindow(t *testing.T) {
 	c, tr := start(t, nil)
 	r := newRequest(1, 1, 20*time.Second)
@@ -152,11 +152,11 @@
 	c.Outcome(second, decision.Error, "")
 	third := (<-tr.calls)[0]
 	if !first.NotAfter.IsZero() || !second.NotAfter.IsZero() {
-		t.Errorf("windows %v, %v before anything ran", first.NotAfter, second.NotAfter)
+		t.Errorf("NotAfter is %v and %v before any attempt may have run", first.NotAfter, second.NotAfter)
 	}
-	sent := second.Until.Add(-20 * time.Second) // within the clock's reading of the submit
+	sent := second.Until.Add(-20 * time.Second) // roughly when it was sent
 	if third.NotAfter.IsZero() || third.NotAfter.After(time.Now().Add(4*time.Second)) || third.NotAfter.Before(sent.Add(3*time.Second)) {
-		t.Errorf("window ends %v", third.NotAfter)
+		t.Errorf("NotAfter is %v, want about 4 s after %v", third.NotAfter, sent)
 	}
 	c.Outcome(third, decision.OK, "v")
 	if res := <-r.Done; !res.Complete || res.Shards[0].Attempts != 3 {
@@ -164,7 +164,7 @@
 	}
 }
 
-// A partial answer is a failure where the client accepts none.
+// A partial answer becomes a failure if the client accepts only complete ones.
 func TestCompleteOnly(t *testing.T) {
 	for _, completeOnly := range []bool{false, true} {
 		c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 1; c.scheduler, _ = policy.New(c.set.Policy, 1) })
@@ -188,7 +188,7 @@
 	}
 }
 
-// The transport is informed of a draining server, and nothing is sent there afterwards.
+// The transport is told of a draining server, and nothing more is sent to that server.
 func TestDrainingServer(t *testing.T) {
 	c, tr := start(t, nil)
 	c.List(List{Servers: []mem.Server{{Name: "s1", Addr: "x", State: decision.Draining}}})
@@ -209,12 +209,12 @@
 	}
 }
 
-// A panic of the scheduler fails what is in flight, and the next request is served.
+// A panic of the scheduler fails the requests in flight, and the next request is served by a new scheduler.
 func TestSchedulerPanic(t *testing.T) {
 	r := newRequest(0, 1, 20*time.Second)
 	c, tr := start(t, func(c *Core) {
 		c.scheduler = nil
-		c.Submit(r) // before Run, so that it is in flight at the first step, the one that panics
+		c.Submit(r) // before Run, so that it is in flight at the first step, which panics
 	})
 	if res := <-r.Done; res.Kind != Failed || res.Reason != ReasonPanic {
 		t.Errorf("%+v", res)
@@ -227,8 +227,8 @@
 	}
 }
 
-// Values of more than an answer can hold are not kept.
-func TestTooManyBytes(t *testing.T) {
+// A value that exceeds the maximum size of an answer counts as an error of the lot store and is not kept.
+func TestValueTooLarge(t *testing.T) {
 	c, tr := start(t, nil)
 	r := newRequest(0, 1, 20*time.Second)
 	c.Submit(r)
@@ -236,6 +236,6 @@
 		c.Outcome((<-tr.calls)[0], decision.OK, string(make([]byte, maxValueBytes+1)))
 	}
 	if res := <-r.Done; res.Kind == Answered || res.Shards[0].Value != "" {
-		t.Errorf("kind %v", res.Kind)
+		t.Errorf("kind %v with a value of %d bytes", res.Kind, len(res.Shards[0].Value))
 	}
 }
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -9,15 +9,16 @@
 	"pulleygw.example/pulleygw/internal/gatherer/settings"
 )
 
-// Inbox: messages of fronts, the transport and discovery arrive through one channel and become events of the next step.
+// Messages from fronts, the transport and discovery arrive through one channel and become events of the next step.
 
+// The messages of the inbox, in addition to *Request, List, Limits and countsRequest.
 type (
 	clientDisconnected struct{ r *Request }
 	outcome            struct {
 		a     *Attempt
 		s     decision.Status
 		value string
-		score *float64 // nil for a value without one
+		score *float64 // nil if the value has no score
 	}
 	found struct {
 		a      *Attempt
@@ -31,47 +32,52 @@
 		server decision.ServerID
 		ok     bool
 	}
-	banChange struct {
-		name string
-		out  bool
-		at   time.Time // when it was attached again
-		done chan bool // buffered for the one reply
+	attachmentChange struct {
+		name   string
+		detach bool      // detach; otherwise attach
+		at     time.Time // of an attach: when it happened
+		done   chan bool // receives whether the name is known; buffered
 	}
 	endBy           struct{ at time.Time }
-	snapshot        struct{ to chan Snapshot } // buffered for the one reply
+	snapshot        struct{ to chan Snapshot } // buffered for the reply
 	restored        struct{ Snapshot }
 	settingsChanged struct{ set settings.Settings }
 )
 
-// Detach stops sending to a server until Attach, whatever the server list says. It returns once that is in force, and
+// Detach stops sending to a server until Attach is called, whatever the server list says. It returns once that is in force;
 // false for an unknown name.
-func (c *Core) Detach(name string) bool { return c.ban(banChange{name: name, out: true}) }
+func (c *Core) Detach(name string) bool {
+	return c.changeAttachment(attachmentChange{name: name, detach: true})
+}
 
-// Attach ends a Detach. The server counts as one that started at that time.
-func (c *Core) Attach(name string, at time.Time) bool { return c.ban(banChange{name: name, at: at}) }
+// Attach reverts Detach. The server counts as one that started at the given time.
+func (c *Core) Attach(name string, at time.Time) bool {
+	return c.changeAttachment(attachmentChange{name: name, at: at})
+}
 
-func (c *Core) ban(b banChange) bool {
-	b.done = make(chan bool, 1)
-	c.post(b)
+// changeAttachment waits until the core has detached or attached a server.
+func (c *Core) changeAttachment(change attachmentChange) bool {
+	change.done = make(chan bool, 1)
+	c.post(change)
 	select {
-	case ok := <-b.done:
+	case ok := <-change.done:
 		return ok
 	case <-c.quit:
 		return false
 	}
 }
 
-// Snapshot is the state that a successor continues from.
+// Snapshot is the state that a successor process takes over.
 type Snapshot struct {
-	Servers []mem.Server // as listed
-	Banned  []string
-	Back    map[string]time.Time // when servers were attached again
-	Records map[string]decision.Record
+	Servers []mem.Server               // the server list
+	Banned  []string                   // names of detached servers
+	Back    map[string]time.Time       // by server name, when servers were attached again
+	Records map[string]decision.Record // by server name
 	// PerSecond is how many subqueries per second all servers together answered.
 	PerSecond float64
 }
 
-// Snapshot returns the state that a successor is to continue from.
+// Snapshot returns the state for a successor process.
 func (c *Core) Snapshot() (s Snapshot) {
 	to := make(chan Snapshot, 1)
 	c.post(snapshot{to})
@@ -82,7 +88,7 @@
 	return s
 }
 
-// Restore continues from a predecessor's snapshot.
+// Restore takes over a predecessor's snapshot.
 func (c *Core) Restore(s Snapshot) { c.post(restored{s}) }
 
 func (c *Core) snapshot() Snapshot {
@@ -102,7 +108,7 @@
 
 func (c *Core) restore(s Snapshot) {
 	c.servers.Inherit(s.Banned, s.Back)
-	c.list(List{Kind: decision.Cached, Servers: s.Servers})
+	c.applyList(List{Kind: decision.Cached, Servers: s.Servers})
 	var records []decision.Record
 	for _, x := range c.servers.Listed() {
 		if r, ok := s.Records[x.Name]; ok {
@@ -113,16 +119,19 @@
 	c.events = append(c.events, decision.Learned{Records: records, PerSecond: s.PerSecond})
 }
 
-// ChangeSettings puts settings in force for what is submitted from then on. They must come from Over of the previous ones.
+// ChangeSettings applies settings to the requests that are submitted from then on. They must be the result of Settings.Over
+// with the previous settings.
 func (c *Core) ChangeSettings(set settings.Settings) { c.post(settingsChanged{set}) }
 
-// EndBy makes every request get its final answer by the given time, whatever its client's time-out.
+// EndBy gives every request its final answer by the given time at the latest, for shutdown. Queued requests are rejected at
+// once.
 func (c *Core) EndBy(at time.Time) { c.post(endBy{at}) }
 
 // Submit submits a request. Its final answer is sent on Done.
 func (c *Core) Submit(r *Request) { c.post(r) }
 
-// ClientDisconnected reports that a request's client has disconnected. It gets no answer, unless one was already being sent.
+// ClientDisconnected reports that a request's client has disconnected. The request gets no answer, unless one has already
+// been sent on Done.
 func (c *Core) ClientDisconnected(r *Request) { c.post(clientDisconnected{r}) }
 
 // List reports an update of the server list.
@@ -147,7 +156,7 @@
 // HealthChecked implements Reporter.
 func (c *Core) HealthChecked(server decision.ServerID, ok bool) { c.post(healthChecked{server, ok}) }
 
-// post sends a message to the core's goroutine, unless the core has stopped.
+// post sends a message to the core's goroutine. It drops the message if the core has stopped.
 func (c *Core) post(m any) {
 	select {
 	case c.inbox <- m:
@@ -162,22 +171,22 @@
 		c.arrive(m)
 	case Limits:
 		c.applyLimits(m)
-	case gateCounts:
-		m.to <- c.countGates()
+	case countsRequest:
+		m.to <- c.collectCounts()
 	case clientDisconnected:
 		c.endForClient(m.r)
 	case outcome:
-		c.guard(m.a.subquery.q, func() { c.recordOutcome(m.a, m.s, m.value, m.score) })
+		c.failOnPanic(m.a.subquery.q, func() { c.recordOutcome(m.a, m.s, m.value, m.score) })
 	case found:
-		c.guard(m.a.subquery.q, func() { c.recordFound(m.a, m.answer) })
+		c.failOnPanic(m.a.subquery.q, func() { c.recordFound(m.a, m.answer) })
 	case unanswerable:
-		c.guard(m.a.subquery.q, func() { c.recordUnanswerable(m.a, m.why) })
+		c.failOnPanic(m.a.subquery.q, func() { c.recordUnanswerable(m.a, m.why) })
 	case healthChecked:
 		c.events = append(c.events, decision.HealthChecked{Server: m.server, OK: m.ok})
 	case List:
-		c.list(m)
-	case banChange:
-		m.done <- c.applyBan(m)
+		c.applyList(m)
+	case attachmentChange:
+		m.done <- c.applyAttachment(m)
 	case snapshot:
 		m.to <- c.snapshot()
 	case restored:
@@ -186,13 +195,13 @@
 		c.applySettings(m.set)
 	case endBy:
 		c.endBy = m.at
-		c.rejectWaiting()
+		c.rejectQueued()
 	}
 }
 
 // endForClient ends a request whose client has disconnected.
 func (c *Core) endForClient(r *Request) {
-	if c.leaveQueue(r) {
+	if c.dequeue(r) {
 		c.recordFinal(r, "left", "")
 		return
 	}
@@ -200,18 +209,18 @@
 		c.recordFinal(r, "left", "")
 		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(r.id)})
 		q.withdraw()
-		c.forget(q)
+		c.removeQuery(q)
 	}
 }
 
-// applyBan detaches or attaches a server, and reports whether its name is known.
-func (c *Core) applyBan(b banChange) bool {
+// applyAttachment detaches or attaches a server and reports whether its name is known.
+func (c *Core) applyAttachment(change attachmentChange) bool {
 	var changed []mem.Server
 	var ok bool
-	if b.out {
-		changed, ok = c.servers.Ban(b.name)
+	if change.detach {
+		changed, ok = c.servers.Ban(change.name)
 	} else {
-		changed, ok = c.servers.Unban(b.name, b.at)
+		changed, ok = c.servers.Unban(change.name, change.at)
 	}
 	c.applyServers(decision.Delta, changed)
 	return ok
@@ -220,13 +229,12 @@
 func (c *Core) applySettings(set settings.Settings) {
 	c.set = set
 	c.inFlight.SetLimit(set.OpenCap)
-	c.openCap.Store(int64(set.OpenCap))
+	c.inFlightLimit.Store(int64(set.OpenCap))
 	c.events = append(c.events, decision.SettingsChanged{Settings: set.Policy})
 }
 
-// list applies an update of the server list. The transport is informed first, so that nothing that waits to be written
-// goes to a server that is draining or deregistered.
-func (c *Core) list(l List) {
+// applyList applies an update of the server list.
+func (c *Core) applyList(l List) {
 	if l.Kind == decision.ListFailed {
 		c.events = append(c.events, decision.ServerList{Kind: l.Kind})
 		return
@@ -234,11 +242,12 @@
 	c.applyServers(l.Kind, c.servers.Apply(l.Kind != decision.Delta, l.Servers, time.Now()))
 }
 
-// applyServers passes changed entries of the server list on.
+// applyServers passes changed entries of the server list to the transport and to the scheduler. The transport is told at
+// once, so that attempts still to be written do not go to a server that is draining or deregistered.
 func (c *Core) applyServers(kind decision.ListKind, changed []mem.Server) {
 	c.transport.Servers(changed)
 	for _, s := range changed {
-		if c.search.index != nil { // bounds learned of a process end with it
+		if c.search.index != nil { // the server may have restarted, and its bounds are valid for one process only
 			c.search.index.Forget(uint32(s.ID))
 		}
 		c.log.Info("list", "store", s.ID, "name", s.Name, "addr", s.Addr, "cell", s.Cell, "state", stateNames[s.State])
@@ -248,13 +257,13 @@
 
 var stateNames = map[decision.ServerState]string{decision.Ready: "ready", decision.Draining: "draining", decision.Deregistered: "gone"}
 
-// serverInfos converts entries of the server list to those of the scheduler.
+// serverInfos converts entries of the server list for the scheduler.
 func (c *Core) serverInfos(list []mem.Server) []decision.ServerInfo {
 	infos := make([]decision.ServerInfo, 0, len(list))
 	for _, s := range list {
 		i := decision.ServerInfo{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: s.State, Nominal: s.Weight}
 		if !s.Started.IsZero() {
-			i.Started = max(c.at(s.Started), 0)
+			i.Started = max(c.clockTime(s.Started), 0)
 		}
 		infos = append(infos, i)
 	}
--- a/internal/gatherer/gather/limits.go
+++ b/internal/gatherer/gather/limits.go
@@ -6,36 +6,37 @@
 	"pulleygw.example/pulleygw/internal/gatherer/limits"
 )
 
-// Limits by route, where they are configured, are checked before a request is admitted. The core keeps the gates, which
-// decide as package limits says, and the queued requests. The scheduler sees only those that were admitted.
+// The limits of a request's route are checked before the request is admitted to the in-flight table. The core has one
+// limits.Limiter per route, which decides, and holds the queued requests. The scheduler sees only admitted requests.
 
-// Limits are the routes and the retry budget of all of them together. The zero value limits nothing.
+// Limits are the routes with their limits, and the limit on retries of all routes together. The zero value limits nothing.
 type Limits struct {
 	Table   *limits.Table
 	Retries limits.RetryBudget // of all routes together
-	// Class returns the number of the class that a route derives from a class: the class itself where it derives none.
+	// Class returns the number of the class for requests that match a route, given the class that they arrived with. A route
+	// may have a class of its own, derived from that one. Nil leaves classes unchanged.
 	Class func(r *limits.Route, class int) int
 }
 
-// admission is the core's state of limits.
+// admission is the core's state of route limits.
 type admission struct {
-	limits  Limits
-	gates   map[string]*limits.Gate // by route
-	total   limits.Gate             // of all routes together: its retry budget only
-	waiting map[uint64]*Request
-	queue   []uint64 // keys of waiting, in the order of arrival
+	limits       Limits
+	limiters     map[string]*limits.Limiter // by name of the route
+	allRoutes    limits.Limiter             // limits the retries of all routes together, and nothing else
+	queued       map[uint64]*Request        // queued requests by arrivalID
+	arrivalOrder []uint64                   // arrivalIDs of queued requests in order; may have some that have left the queue
 }
 
-// SetLimits puts limits in force for what arrives from then on. Requests in flight keep the class that they arrived under.
+// SetLimits applies limits to the requests that arrive from then on. Requests in flight keep their class.
 func (c *Core) SetLimits(l Limits) { c.post(l) }
 
-// AllRoutes is the name under which Gates reports all routes together.
+// AllRoutes is the name under which Gates reports the counts of all routes together.
 const AllRoutes = "*"
 
-// Gates returns the counts of the gates, by route.
+// Gates returns the counts of the limiters, by name of the route.
 func (c *Core) Gates() map[string]limits.Counts {
 	to := make(chan map[string]limits.Counts, 1)
-	c.post(gateCounts{to})
+	c.post(countsRequest{to})
 	select {
 	case m := <-to:
 		return m
@@ -44,55 +45,56 @@
 	}
 }
 
-type gateCounts struct{ to chan map[string]limits.Counts }
+// countsRequest is the message of Gates.
+type countsRequest struct{ to chan map[string]limits.Counts } // buffered for the reply
 
-func (c *Core) countGates() map[string]limits.Counts {
+func (c *Core) collectCounts() map[string]limits.Counts {
 	m := map[string]limits.Counts{}
-	for name, g := range c.admission.gates {
-		m[name] = g.Counts()
+	for name, limiter := range c.admission.limiters {
+		m[name] = limiter.Counts()
 	}
-	if c.admission.total.Limits.Retries.Span > 0 {
-		m[AllRoutes] = c.admission.total.Counts()
+	if c.admission.allRoutes.Limits.Retries.Span > 0 {
+		m[AllRoutes] = c.admission.allRoutes.Counts()
 	}
 	return m
 }
 
-// applyLimits applies new limits. A route that keeps its name keeps its gate, with its requests in flight and its queue.
+// applyLimits applies new limits. A route that keeps its name keeps its limiter, with its requests in flight and its queue.
 func (c *Core) applyLimits(l Limits) {
-	gates := map[string]*limits.Gate{}
+	limiters := map[string]*limits.Limiter{}
 	if l.Table != nil {
 		for _, r := range l.Table.Routes() {
-			g := c.admission.gates[r.Name]
-			if g == nil {
-				g = &limits.Gate{}
+			limiter := c.admission.limiters[r.Name]
+			if limiter == nil {
+				limiter = &limits.Limiter{}
 			}
-			g.Change(r.Limits)
-			gates[r.Name] = g
+			limiter.Change(r.Limits)
+			limiters[r.Name] = limiter
 		}
 	}
-	for name, g := range c.admission.gates { // a removed route limits nothing more; its queued requests proceed
-		if gates[name] == nil {
-			g.Change(limits.Limits{})
+	for name, limiter := range c.admission.limiters { // a removed route has no limits any more, so that its queued requests are admitted
+		if limiters[name] == nil {
+			limiter.Change(limits.Limits{})
 		}
 	}
-	c.admission.limits, c.admission.gates = l, gates
-	c.admission.total.Limits.Retries = l.Retries
-	if c.admission.waiting == nil {
-		c.admission.waiting = map[uint64]*Request{}
+	c.admission.limits, c.admission.limiters = l, limiters
+	c.admission.allRoutes.Limits.Retries = l.Retries
+	if c.admission.queued == nil {
+		c.admission.queued = map[uint64]*Request{}
 	}
 }
 
-// Why a request fails on arrival, beside the reasons of package limits.
+// The reasons why a request fails on arrival, in addition to those of package limits.
 const (
 	ReasonBody  = "the body is over the route's limit"
 	ReasonDepth = "the page is deeper than the route's limit"
 )
 
-// arrive asks the request's route to admit it.
+// arrive applies the limits of a request's route to it, and admits, queues or rejects it.
 func (c *Core) arrive(r *Request) {
 	r.arrived = c.now()
 	c.lastID++
-	r.ticket = c.lastID
+	r.arrivalID = c.lastID
 	var route *limits.Route
 	if c.admission.limits.Table != nil && r.Origin != nil && c.endBy.IsZero() && r.Class < len(c.set.Classes) {
 		route = c.admission.limits.Table.Find(r.Origin, c.set.Classes[r.Class])
@@ -110,29 +112,30 @@
 		r.Deadline = at
 	}
 	r.CompleteOnly = r.CompleteOnly || l.CompleteOnly
-	r.gate, r.maxAnswerBytes = c.admission.gates[route.Name], l.MaxAnswer
-	if wrong := beyondRoute(r, l); wrong != "" {
-		c.recordArrival(r, route.Name, limits.Decision{Action: limits.Reject, Reason: wrong})
-		c.recordFinal(r, "failed", wrong)
-		r.gate = nil
-		r.Done <- Result{Kind: Failed, Reason: wrong, Shards: shardResults(r)}
+	r.limiter, r.maxAnswerBytes = c.admission.limiters[route.Name], l.MaxAnswer
+	if reason := exceededLimit(r, l); reason != "" {
+		c.recordArrival(r, route.Name, limits.Decision{Action: limits.Reject, Reason: reason})
+		c.recordFinal(r, "failed", reason)
+		r.limiter = nil
+		r.Done <- Result{Kind: Failed, Reason: reason, Shards: emptyShardResults(r)}
 		return
 	}
-	d := r.gate.Arrive(r.ticket, l.Priority, r.arrived, c.at(r.Deadline)) // at the time that is recorded
+	// Decided at the recorded time of arrival, so that the record agrees with the limits.
+	d := r.limiter.Arrive(r.arrivalID, l.Priority, r.arrived, c.clockTime(r.Deadline))
 	c.recordArrival(r, route.Name, d)
 	switch d.Action {
 	case limits.Admit:
 		c.admit(r)
 	case limits.Wait:
-		c.admission.waiting[r.ticket] = r
-		c.admission.queue = append(c.admission.queue, r.ticket)
+		c.admission.queued[r.arrivalID] = r
+		c.admission.arrivalOrder = append(c.admission.arrivalOrder, r.arrivalID)
 	default:
 		c.reject(r, d)
 	}
 }
 
-// beyondRoute is the reason why a request is larger than its route allows, empty if it is not.
-func beyondRoute(r *Request, l limits.Limits) string {
+// exceededLimit returns the reason why a request is larger than its route allows, empty if it is not.
+func exceededLimit(r *Request, l limits.Limits) string {
 	switch {
 	case l.MaxBody > 0 && len(r.Text) > l.MaxBody:
 		return ReasonBody
@@ -142,29 +145,29 @@
 	return ""
 }
 
-// reject rejects a request that was not admitted.
+// reject rejects a request that its route has not admitted.
 func (c *Core) reject(r *Request, d limits.Decision) {
-	r.gate = nil // it was never admitted
+	r.limiter = nil // it was never in flight there, so that releaseLimiter must not report it
 	c.recordFinal(r, "refused", d.Reason)
-	r.Done <- Result{Kind: Rejected, RetryAfter: d.RetryAfter, Reason: d.Reason, Shards: shardResults(r)}
+	r.Done <- Result{Kind: Rejected, RetryAfter: d.RetryAfter, Reason: d.Reason, Shards: emptyShardResults(r)}
 }
 
-// admitWaiting admits queued requests that there is capacity for, and rejects those whose wait is over.
-func (c *Core) admitWaiting(now time.Duration) {
-	if len(c.admission.waiting) == 0 {
+// admitQueued admits the queued requests for which there is capacity, and rejects those whose wait is over.
+func (c *Core) admitQueued(now time.Duration) {
+	if len(c.admission.queued) == 0 {
 		return
 	}
-	done := map[*limits.Gate]bool{}
-	for _, id := range c.admission.queue { // gates in the order of their requests, so that replays are deterministic
-		r := c.admission.waiting[id]
-		if r == nil || done[r.gate] {
+	done := map[*limits.Limiter]bool{}
+	for _, id := range c.admission.arrivalOrder { // routes in the order of their oldest request, so that replays are deterministic
+		r := c.admission.queued[id]
+		if r == nil || done[r.limiter] {
 			continue
 		}
-		done[r.gate] = true
-		for _, x := range r.gate.Next(now) {
-			r := c.admission.waiting[x.ID]
-			delete(c.admission.waiting, x.ID)
-			c.recordWaited(r, x.Decision)
+		done[r.limiter] = true
+		for _, x := range r.limiter.Next(now) {
+			r := c.admission.queued[x.ID]
+			delete(c.admission.queued, x.ID)
+			c.recordDequeued(r, x.Decision)
 			if x.Action == limits.Admit {
 				c.admit(r)
 			} else {
@@ -172,72 +175,72 @@
 			}
 		}
 	}
-	kept := c.admission.queue[:0]
-	for _, id := range c.admission.queue {
-		if c.admission.waiting[id] != nil {
+	kept := c.admission.arrivalOrder[:0]
+	for _, id := range c.admission.arrivalOrder {
+		if c.admission.queued[id] != nil {
 			kept = append(kept, id)
 		}
 	}
-	c.admission.queue = kept
+	c.admission.arrivalOrder = kept
 }
 
-// waitingDue is when the next wait in a queue is over, or due if that is sooner.
-func (c *Core) waitingDue(due time.Duration) time.Duration {
-	for _, r := range c.admission.waiting {
-		if d := r.gate.Due(); d > 0 {
+// queueDue returns when the next wait in a queue is over, or due if that is sooner.
+func (c *Core) queueDue(due time.Duration) time.Duration {
+	for _, r := range c.admission.queued {
+		if d := r.limiter.Due(); d > 0 {
 			due = min(due, d)
 		}
 	}
 	return due
 }
 
-// leaveQueue removes a request whose client has disconnected from its route's queue. It returns false if it is not queued.
-func (c *Core) leaveQueue(r *Request) bool {
-	if c.admission.waiting[r.ticket] != r {
+// dequeue removes a request whose client has disconnected from its route's queue. It returns false if it is not queued.
+func (c *Core) dequeue(r *Request) bool {
+	if c.admission.queued[r.arrivalID] != r {
 		return false
 	}
-	delete(c.admission.waiting, r.ticket)
-	return r.gate.Remove(r.ticket)
+	delete(c.admission.queued, r.arrivalID)
+	return r.limiter.Remove(r.arrivalID)
 }
 
-// rejectWaiting rejects every queued request, as the process stops.
-func (c *Core) rejectWaiting() {
-	for _, id := range c.admission.queue {
-		if r := c.admission.waiting[id]; r != nil {
-			r.gate.Remove(id)
+// rejectQueued rejects all queued requests, for shutdown.
+func (c *Core) rejectQueued() {
+	for _, id := range c.admission.arrivalOrder {
+		if r := c.admission.queued[id]; r != nil {
+			r.limiter.Remove(id)
 			c.reject(r, limits.Decision{Reason: ReasonStopping, RetryAfter: c.set.Policy.MaxRetryAfter})
 		}
 	}
-	clear(c.admission.waiting)
-	c.admission.queue = nil
+	clear(c.admission.queued)
+	c.admission.arrivalOrder = nil
 }
 
-// withinBudget counts an attempt at its route and reports whether it may be sent: a first one may, a further one within
-// the retry budgets.
+// withinBudget counts an attempt of a subquery and reports whether it may be sent: the first attempt always, a retry only
+// within the retry budgets of its route and of all routes together.
 func (c *Core) withinBudget(q *query, number int) bool {
 	now := c.steppedAt
 	if number == 0 {
-		c.admission.total.FirstAttempt(now)
-		if q.gate != nil {
-			q.gate.FirstAttempt(now)
+		c.admission.allRoutes.FirstAttempt(now)
+		if q.limiter != nil {
+			q.limiter.FirstAttempt(now)
 		}
 		return true
 	}
-	if q.gate != nil && !q.gate.Retry(now) {
+	if q.limiter != nil && !q.limiter.Retry(now) {
 		return false
 	}
-	return c.admission.total.Retry(now)
+	return c.admission.allRoutes.Retry(now)
 }
 
-// leaveRoute reports to the request's route that it has ended.
-func (r *Request) leaveRoute(now time.Duration, answered bool) {
-	if r.gate != nil {
-		r.gate.Done(now-r.arrived, answered)
-		r.gate = nil
+// releaseLimiter reports the end of a request to the limiter of its route. Further calls have no effect.
+func (r *Request) releaseLimiter(now time.Duration, answered bool) {
+	if r.limiter != nil {
+		r.limiter.Done(now-r.arrived, answered)
+		r.limiter = nil
 	}
 }
 
-// answerTooLarge reports whether the lot stores' answers, with so many more bytes, exceed what the route allows.
+// answerTooLarge reports whether so many more bytes of lot stores' answers would exceed the limit of the route.
 func (q *query) answerTooLarge(more int) bool {
 	return q.maxAnswerBytes > 0 && q.bytes+more > q.maxAnswerBytes
 }
--- a/internal/gatherer/gather/recorder.go
+++ b/internal/gatherer/gather/recorder.go
@@ -8,28 +8,29 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 )
 
-// Recorder: the fate of requests and attempts is passed to a recorder, which must not block.
+// Arrival and end of requests and attempts are passed to a recorder.
 
-// SetRecorder sets the function that receives the entries. It must be called before Run.
+// SetRecorder sets the function that receives the entries, which must not block. It must be called before Run.
 func (c *Core) SetRecorder(f func(record.Entry)) { c.recorder = f }
 
-// micros converts a time on the core's clock to Unix time in microseconds, by one clock that does not go back.
-func (c *Core) micros(at time.Duration) int64 {
+// unixMicros converts a time on the scheduler's clock to Unix time in microseconds. The result is monotonic: it is based on
+// the system's clock at the start of the process alone.
+func (c *Core) unixMicros(at time.Duration) int64 {
 	return c.start.UnixMicro() + (at - epoch).Microseconds()
 }
 
-var verdicts = map[limits.Action]string{limits.Admit: "admit", limits.Wait: "wait", limits.Reject: "refuse"}
+var actionNames = map[limits.Action]string{limits.Admit: "admit", limits.Wait: "wait", limits.Reject: "refuse"}
 
-// recordArrival records a request, what its route decided and the limits in force for it.
+// recordArrival records a request, the decision of its route and the limits in force for it.
 func (c *Core) recordArrival(r *Request, route string, d limits.Decision) {
 	if c.recorder == nil {
 		return
 	}
-	e := record.Entry{Kind: record.Arrived, At: c.micros(r.arrived), Request: r.ticket, Route: route, Verdict: verdicts[d.Action], Why: d.Reason}
+	e := record.Entry{Kind: record.Arrived, At: c.unixMicros(r.arrived), Request: r.arrivalID, Route: route, Verdict: actionNames[d.Action], Why: d.Reason}
 	if r.Class < len(c.set.Classes) {
 		k := c.set.Policy.Classes[r.Class]
 		e.Class = c.set.Classes[r.Class]
-		in := &record.InForce{Attempts: k.MaxAttempts, Timeout: (c.at(r.Deadline) - r.arrived).Microseconds()}
+		in := &record.InForce{Attempts: k.MaxAttempts, Timeout: (c.clockTime(r.Deadline) - r.arrived).Microseconds()}
 		if in.Attempts == 0 {
 			in.Attempts = c.set.Policy.MaxAttempts
 		}
@@ -37,8 +38,8 @@
 		if k.Effect == decision.Deduplicated {
 			in.Window = k.Window.Microseconds()
 		}
-		if r.gate != nil {
-			l := r.gate.Limits
+		if r.limiter != nil {
+			l := r.limiter.Limits
 			in.MaxConcurrency, in.PerSecond, in.Burst = l.Concurrency.Max, l.Rate.PerSecond, l.Rate.Burst
 			in.Ratio, in.Free, in.Span = l.Retries.Ratio, l.Retries.Minimum, l.Retries.Span.Microseconds()
 		}
@@ -47,41 +48,41 @@
 	c.recorder(e)
 }
 
-// recordWaited records what was decided on a request that was queued.
-func (c *Core) recordWaited(r *Request, d limits.Decision) {
+// recordDequeued records the decision on a request that was queued.
+func (c *Core) recordDequeued(r *Request, d limits.Decision) {
 	if c.recorder != nil {
-		c.recorder(record.Entry{Kind: record.Released, At: c.micros(c.now()), Request: r.ticket, Verdict: verdicts[d.Action], Why: d.Reason})
+		c.recorder(record.Entry{Kind: record.Released, At: c.unixMicros(c.now()), Request: r.arrivalID, Verdict: actionNames[d.Action], Why: d.Reason})
 	}
 }
 
-// recordFinal records the end of a request.
+// recordFinal records how a request ended.
 func (c *Core) recordFinal(r *Request, verdict, why string) {
 	if c.recorder != nil {
-		c.recorder(record.Entry{Kind: record.Final, At: c.micros(c.now()), Request: r.ticket, Verdict: verdict, Why: why})
+		c.recorder(record.Entry{Kind: record.Final, At: c.unixMicros(c.now()), Request: r.arrivalID, Verdict: verdict, Why: why})
 	}
 }
 
-var kinds = map[Kind]string{Answered: "answered", Rejected: "refused", Failed: "failed"}
+var kindNames = map[Kind]string{Answered: "answered", Rejected: "refused", Failed: "failed"}
 
-var statuses = map[decision.Status]string{decision.OK: "ok", decision.Error: "error", decision.Rejected: "full", decision.TimedOut: "timed out",
+var statusNames = map[decision.Status]string{decision.OK: "ok", decision.Error: "error", decision.Rejected: "full", decision.TimedOut: "timed out",
 	decision.ConnectFailed: "not connected", decision.Reset: "reset", decision.Cancelled: "cancelled", decision.NotSent: "not sent"}
 
-// recordAttempt records the end of an attempt. One that was never sent has no time of sending.
+// recordAttempt records how an attempt ended. Sent stays 0 for one that was never handed to the transport.
 func (c *Core) recordAttempt(a *Attempt, s decision.Status) {
 	if c.recorder == nil {
 		return
 	}
-	e := record.Entry{Kind: record.Attempt, At: c.micros(c.now()), Request: a.subquery.q.ticket, Shard: a.Shard, Number: a.Number,
-		Store: uint32(a.Server), Status: statuses[s]}
+	e := record.Entry{Kind: record.Attempt, At: c.unixMicros(c.now()), Request: a.subquery.q.arrivalID, Shard: a.Shard, Number: a.Number,
+		Store: uint32(a.Server), Status: statusNames[s]}
 	switch {
 	case a.Load != nil:
 		e.Step = record.LoadStep
 	case a.Search != nil && a.Search.IDs != nil:
 		e.Step = record.ListingStep
 	}
-	if a.called {
-		e.Sent = c.micros(a.calledAt)
+	if a.handedOver {
+		e.Sent = c.unixMicros(a.handedOverAt)
 	}
-	e.Ran = a.called && s != decision.Rejected && s != decision.ConnectFailed && s != decision.NotSent
+	e.Ran = a.handedOver && s != decision.Rejected && s != decision.ConnectFailed && s != decision.NotSent
 	c.recorder(e)
 }
--- a/internal/gatherer/gather/relay.go
+++ b/internal/gatherer/gather/relay.go
@@ -7,8 +7,9 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Relay: the scheduler's final decision on a query goes to its front at once.
+// The scheduler's final decision on a query is passed to its front at once.
 
+// relayAnswer ends the query with an answer, or starts its second step.
 func (c *Core) relayAnswer(a decision.Answer) {
 	q, ok := c.inFlight.Query(uint64(a.Query))
 	switch {
@@ -16,7 +17,7 @@
 	case !a.Final && (!q.CompleteOnly || a.Complete):
 		c.startSecondStep(q, a.Complete)
 	case q.CompleteOnly && (!a.Complete || !q.pageComplete()):
-		c.events = append(c.events, decision.ClientDisconnected{Query: a.Query}) // ends the query where the first step ended
+		c.events = append(c.events, decision.ClientDisconnected{Query: a.Query}) // if only the first step ended, ends the query
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPartial})
 	default:
 		c.finish(q, Result{Kind: Answered, Complete: a.Complete && q.pageComplete()})
@@ -32,75 +33,77 @@
 func (c *Core) relayFailure(f decision.Fail) {
 	if q, ok := c.inFlight.Query(uint64(f.Query)); ok {
 		reason := ReasonGivenUp
-		if c.now() >= c.at(q.Deadline)-3*c.set.Policy.Tick {
+		if c.now() >= c.clockTime(q.Deadline)-3*c.set.Policy.Tick {
 			reason = ReasonDeadline
 		}
 		c.finish(q, Result{Kind: Failed, Reason: reason})
 	}
 }
 
-// endAllDue ends all requests in flight when the last answers are due.
+// endAllDue ends all requests in flight once the time set by EndBy has come.
 func (c *Core) endAllDue(now time.Duration) {
-	if c.endBy.IsZero() || now < c.at(c.endBy) {
+	if c.endBy.IsZero() || now < c.clockTime(c.endBy) {
 		return
 	}
 	for _, q := range c.inFlight.Queries() {
 		kind := Failed
-		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.subqueries, func(p *subquery) bool { return p.mayRun > 0 }) {
+		if c.set.Policy.Classes[q.Class].Effect == decision.Idempotent || !slices.ContainsFunc(q.subqueries, func(p *subquery) bool { return p.mayHaveRunAt > 0 }) {
 			kind = Rejected
 		}
-		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)}) // the scheduler cancels what is in flight
+		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)}) // makes the scheduler cancel its attempts
 		c.finish(q, Result{Kind: kind, Reason: ReasonStopping})
 	}
 }
 
-// finish gives a query its final answer with the results of its shards, and removes it.
+// finish completes the result of a query with those of its shards, sends it as the final answer and removes the query.
 func (c *Core) finish(q *query, r Result) {
 	r.Shards = make([]ShardResult, len(q.subqueries))
 	for i, p := range q.subqueries {
 		r.Shards[i] = p.result()
 	}
-	q.finishSecond(&r)
-	c.finishSearch(q, &r)
+	q.addSecondStep(&r)
+	c.addSearchResult(q, &r)
 	c.deliver(q, r)
 }
 
-// deliver sends a query's final answer to its front and removes the query. What the query has not sent by then is never
-// sent: its attempts are withdrawn first, as the front may write the answer before the scheduler's cancels are carried out.
+// deliver sends a query's final answer to its front and removes the query. It withdraws the attempts first, as the front may
+// write the answer before the scheduler's cancellations are executed, and nothing may be sent after the answer.
 func (c *Core) deliver(q *query, r Result) {
 	q.withdraw()
-	q.leaveRoute(c.now(), r.Kind == Answered)
-	c.recordFinal(q.Request, kinds[r.Kind], r.Reason)
+	q.releaseLimiter(c.now(), r.Kind == Answered)
+	c.recordFinal(q.Request, kindNames[r.Kind], r.Reason)
 	q.Done <- r
-	c.forget(q)
+	c.removeQuery(q)
 }
 
-// withdraw keeps the query's attempts from being written. Those that have been are cancelled by the scheduler.
+// withdraw makes the query's attempts stale, so that transports no longer write them. Attempts that have been written are
+// cancelled by the scheduler.
 func (q *query) withdraw() {
-	for _, p := range slices.Concat(q.subqueries, q.second) {
+	for _, p := range slices.Concat(q.subqueries, q.secondSubqueries) {
 		for _, a := range p.attempts {
 			a.withdrawn.Store(true)
 		}
 	}
 }
 
-// result is the result of a subquery so far.
+// result returns the result of a subquery so far.
 func (p *subquery) result() ShardResult {
 	r := *p.res
-	r.Pending = !r.OK && !r.Skipped && (p.unfinished || len(p.attempts) == 0 ||
+	r.Pending = !r.OK && !r.Skipped && (p.pendingAtStepEnd || len(p.attempts) == 0 ||
 		slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }))
 	return r
 }
 
-// forget removes a query. The scheduler has cancelled its attempts in flight, or does so now.
-func (c *Core) forget(q *query) {
-	q.over = true
-	q.leaveRoute(c.now(), false) // unless deliver has reported it
-	c.forgetSearch(q)
-	c.inFlight.Remove(q.id, q.Name, append(ids(q.subqueries), ids(q.second)...), time.Now())
+// removeQuery removes a query that has ended. Its attempts in flight are left to the scheduler, which cancels them.
+func (c *Core) removeQuery(q *query) {
+	q.ended = true
+	q.releaseLimiter(c.now(), false) // no effect if deliver has called it
+	c.releaseSearch(q)
+	c.inFlight.Remove(q.id, q.Name, append(subqueryIDs(q.subqueries), subqueryIDs(q.secondSubqueries)...), time.Now())
 }
 
-func ids(subqueries []*subquery) []uint64 {
+// subqueryIDs returns the ids of subqueries.
+func subqueryIDs(subqueries []*subquery) []uint64 {
 	ids := make([]uint64, len(subqueries))
 	for i, p := range subqueries {
 		ids[i] = p.id
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -6,7 +6,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/decision"
 )
 
-// Route: the sends of one step to one server share a call, up to the batch size of the settings.
+// Attempts that one step sends to the same server share a call, up to the batch size of the settings.
 
 // call is the attempts that are sent to one server together.
 type call struct {
@@ -14,26 +14,26 @@
 	attempts []*Attempt
 }
 
-// addSend makes an attempt of a send and adds it to its server's call.
+// addSend creates the attempt for a Send and adds it to a call to its server.
 func (c *Core) addSend(s decision.Send) {
 	p, ok := c.inFlight.Subquery(uint64(s.Subquery))
 	if !ok {
-		return // its query has ended in this step
+		return // its query has ended earlier in this step
 	}
 	now := c.steppedAt
 	a := &Attempt{Query: p.q.Name, Class: p.q.Class, Key: p.q.Key, Shard: p.res.Shard, Number: len(p.attempts),
 		Text: p.q.Text, Server: s.Server, Search: p.search, Load: p.load, Until: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
 	k := c.set.Policy.Classes[p.q.Class]
-	if k.Effect == decision.Deduplicated && p.mayRun > 0 {
-		// Two ticks short of the window: the way to the lot store takes time as well.
-		a.NotAfter = c.start.Add(p.mayRun - epoch + k.Window - 2*c.set.Policy.Tick)
+	if k.Effect == decision.Deduplicated && p.mayHaveRunAt > 0 {
+		// Two ticks before the end of the window, as the attempt takes time to reach the lot store.
+		a.NotAfter = c.start.Add(p.mayHaveRunAt - epoch + k.Window - 2*c.set.Policy.Tick)
 	}
-	if p.mayRun == 0 {
-		p.mayRun = now
+	if p.mayHaveRunAt == 0 {
+		p.mayHaveRunAt = now
 	}
 	p.attempts = append(p.attempts, a)
 	c.attempts[a] = struct{}{}
-	if !c.withinBudget(p.q, a.Number) { // the retry budget of the route is used up
+	if !c.withinBudget(p.q, a.Number) {
 		c.endAttempt(a, decision.NotSent)
 		return
 	}
@@ -47,15 +47,16 @@
 	c.calls = append(c.calls, call{s.Server, []*Attempt{a}})
 }
 
-// cancelGrace is how long after a server was told of a cancellation the subquery may be sent elsewhere. Two connections
-// may be read in another order than they were written, and two attempts of a subquery must never be in flight.
+// cancelGrace is the delay between telling a server of a cancellation and ending the attempt, after which its subquery may
+// be sent elsewhere. Two servers may read their connections in another order than these were written, and two attempts of a
+// subquery must never be in flight.
 const cancelGrace = 5 * time.Millisecond
 
-// cancel cancels an attempt. Its outcome follows when the cancellation is confirmed.
+// cancel cancels an attempt. One that the transport already has ends only when the transport has reported the cancellation.
 func (c *Core) cancel(x decision.Cancel) {
 	for a := range c.attempts {
 		if a.subquery.id == uint64(x.Subquery) && a.Number == x.Attempt {
-			if a.called {
+			if a.handedOver {
 				c.transport.Cancel(a)
 			} else {
 				c.endAttempt(a, decision.Cancelled)
@@ -65,20 +66,20 @@
 	}
 }
 
-// dueAt is when an attempt ends if no outcome is reported.
+// dueAt returns when an attempt ends if no outcome is reported.
 func (c *Core) dueAt(a *Attempt) time.Duration {
-	if a.cancelledAt > 0 {
-		return a.cancelledAt
+	if a.cancelDueAt > 0 {
+		return a.cancelDueAt
 	}
-	return c.at(a.Until)
+	return c.clockTime(a.Until)
 }
 
-// expire ends the attempts that have timed out, and those whose cancellation is confirmed.
+// expire ends the attempts that have timed out, and the cancelled ones whose grace is over.
 func (c *Core) expire(now time.Duration) {
 	for a := range c.attempts {
 		switch {
 		case c.dueAt(a) > now:
-		case a.cancelledAt > 0:
+		case a.cancelDueAt > 0:
 			c.endAttempt(a, decision.Cancelled)
 		default:
 			c.transport.Cancel(a)
--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -8,30 +8,31 @@
 	"pulleygw.example/pulleygw/internal/gatherer/search"
 )
 
-// Searches: a request with a search.Query is led by a plan, which says what to ask of which range and what the page is.
-// The core passes the plan's orders to the scheduler and the lot stores' answers to the plan, and decides nothing.
+// A request with a search.Query is executed by a search.Plan, which decides what to ask of which range and which lots make
+// the page. The core only passes the plan's orders to the scheduler and the lot stores' answers to the plan.
 
 // searchState is the core's state of searches.
 type searchState struct {
-	index     *search.Index   // nil where no bounds are to be learned
-	chooser   *search.Chooser // nil where all searches have one phase
-	phased    map[*query]struct{}
-	bytesHeld int // of lot stores' answers held in memory
-	maxBytes  int // of bytesHeld; 0 for no bound
+	index     *search.Index       // nil if bounds are not learned
+	chooser   *search.Chooser     // nil if all searches have one phase
+	twoPhase  map[*query]struct{} // queries in two phases whose first step has not ended
+	bytesHeld int                 // total size of lot stores' answers in memory
+	maxBytes  int                 // limit of bytesHeld; 0 for no limit
 }
 
-// fetchUsual is how many usual latencies the plan leaves to the second step, whose end the scheduler decides.
-const fetchUsual = 2
+// fetchLatencies is the time that a plan leaves to the second step, in multiples of the usual latency. The scheduler decides
+// when the second step ends.
+const fetchLatencies = 2
 
-// maxQueryShare is the fraction of maxBytes that one query may hold.
-const maxQueryShare = 0.25
+// maxQueryFraction is the fraction of maxBytes that one query may hold.
+const maxQueryFraction = 0.25
 
 // SearchConfig says how searches are executed.
 type SearchConfig struct {
-	Phases search.Phases // One or Two to force it, 0 for whichever is measured to be better
+	Phases search.Phases // search.One or search.Two to force it, 0 for whichever is measured to be better
 	Ranges int           // number of ranges
-	Bounds int           // remembered at most, about 100 bytes each; 0 for none
-	Bytes  int           // of lot stores' answers held in memory at most; 0 for no bound
+	Bounds int           // maximum number of bounds remembered, about 100 bytes each; 0 for none
+	Bytes  int           // maximum total size of lot stores' answers in memory; 0 for no limit
 }
 
 // ConfigureSearches sets how searches are executed. It must be called before Run.
@@ -40,21 +41,21 @@
 	if s.Bounds > 0 {
 		c.search.index = search.NewIndex(s.Ranges, s.Bounds)
 	}
-	c.search.phased = map[*query]struct{}{}
+	c.search.twoPhase = map[*query]struct{}{}
 }
 
-// startSearch makes the plan of a query that is a search. It returns the plan's first orders, whether the plan has two
-// steps, and how many subqueries its second step is expected to have.
+// startSearch creates the plan of a query if it is a search. It returns the plan's first orders, whether the search has two
+// phases, and how many subqueries its second step is expected to have.
 func (c *Core) startSearch(q *query) (first search.Orders, phased bool, fetch int) {
 	if q.Search == nil {
 		return first, false, 0
 	}
 	class := c.set.Policy.Classes[q.Class]
 	phases := search.One
-	if c.search.chooser != nil && class.MaxAttempts > 1 { // the listings need an attempt of their own
+	if c.search.chooser != nil && class.MaxAttempts > 1 { // fetching the listings takes a second attempt
 		var why string
 		if phases, why = c.search.chooser.Choose(q.Class, q.Search, len(q.Shards)); why != "" {
-			c.log.Info("phases changed", "why", why)
+			c.log.Info("number of search phases changed", "why", why)
 		}
 	}
 	ranges := make([]search.Range, len(q.Shards))
@@ -62,16 +63,16 @@
 		ranges[i] = search.Range{Number: s.Number, Weight: s.Weight}
 	}
 	q.plan, q.startedAt = search.NewPlan(q.Search, phases, ranges, c.search.index), c.now()
-	fetch = q.plan.ExpectFetch()
-	target, usual := min(class.LatencyTarget, c.at(q.Deadline)-q.startedAt), c.scheduler.UsualLatency()
-	first = q.plan.Start(q.startedAt, search.Times{End: q.startedAt + max(target-fetchUsual*usual, target/2), Usual: usual})
+	fetch = q.plan.ExpectedFetches()
+	target, usual := min(class.LatencyTarget, c.clockTime(q.Deadline)-q.startedAt), c.scheduler.UsualLatency()
+	first = q.plan.Start(q.startedAt, search.Times{End: q.startedAt + max(target-fetchLatencies*usual, target/2), UsualLatency: usual})
 	if phases == search.Two {
-		c.search.phased[q] = struct{}{}
+		c.search.twoPhase[q] = struct{}{}
 	}
 	return first, phases == search.Two, fetch
 }
 
-// firstStepSearch is what the first step asks of the i-th range; nil if the query is no search.
+// firstStepSearch returns what the first step asks of the i-th range, nil if the query is not a search.
 func (q *query) firstStepSearch(i int) *ShardSearch {
 	if q.plan == nil {
 		return nil
@@ -95,23 +96,23 @@
 	c.events = append(c.events, e)
 }
 
-// recordFound records a lot store's answer to a search.
+// recordFound handles a lot store's answer to a search.
 func (c *Core) recordFound(a *Attempt, found *search.Answer) {
 	p, q := a.subquery, a.subquery.q
 	switch {
 	case a.ended:
-		return // timed out while this was on its way
-	case q.over || p.res.OK:
+		return // it timed out while the message was queued
+	case q.ended || p.res.OK:
 		c.endAttempt(a, decision.OK)
 		return
-	case a.Search.IDs == nil && !q.plan.Fits(p.index, found):
-		c.endAttempt(a, decision.NotSent) // another replica's may fit, and this one is not at fault
+	case a.Search.IDs == nil && !q.plan.MatchesPin(p.index, found):
+		c.endAttempt(a, decision.NotSent) // retried at another replica, and no failure of this one
 		return
 	case q.answerTooLarge(found.Bytes):
-		c.endAttempt(a, decision.Error) // beyond the limit of the route
+		c.endAttempt(a, decision.Error) // limit of the route
 		return
-	case c.search.maxBytes > 0 && (c.search.bytesHeld+found.Bytes > c.search.maxBytes || float64(q.bytes+found.Bytes) > maxQueryShare*float64(c.search.maxBytes)):
-		c.endAttempt(a, decision.Error) // beyond the limit of memory
+	case c.search.maxBytes > 0 && (c.search.bytesHeld+found.Bytes > c.search.maxBytes || float64(q.bytes+found.Bytes) > maxQueryFraction*float64(c.search.maxBytes)):
+		c.endAttempt(a, decision.Error) // limit of memory
 		return
 	}
 	q.bytes += found.Bytes
@@ -126,21 +127,21 @@
 	c.applyOrders(q, q.plan.Scored(p.index, uint32(a.Server), found, sent, c.now()))
 }
 
-// recordUnanswerable records that a lot store cannot answer a query. The attempt counts as not sent: one client's bad
-// query must not make all lot stores look unhealthy.
+// recordUnanswerable handles the report that a lot store cannot answer a query. The attempt counts as not sent, so that a
+// client's bad query does not make lot stores look unhealthy.
 func (c *Core) recordUnanswerable(a *Attempt, why string) {
 	if a.ended {
 		return
 	}
 	q := a.subquery.q
 	c.endAttempt(a, decision.NotSent)
-	if !q.over && q.plan.Unanswerable(uint32(a.Server)) {
+	if !q.ended && q.plan.Unanswerable(uint32(a.Server)) {
 		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
 	}
 }
 
-// pageComplete reports whether nothing of the page is missing. It is true of a query that is no search.
+// pageComplete reports whether nothing is missing from the page. It is true for a query that is not a search.
 func (q *query) pageComplete() bool {
 	if q.plan == nil {
 		return true
@@ -152,8 +153,8 @@
 	return r.Complete()
 }
 
-// finishSearch fills in the result of a search.
-func (c *Core) finishSearch(q *query, r *Result) {
+// addSearchResult sets the result of a search.
+func (c *Core) addSearchResult(q *query, r *Result) {
 	if q.plan == nil {
 		return
 	}
@@ -162,22 +163,22 @@
 	}
 	r.Search, r.Phases = q.plan.Result(), q.plan.Phases
 	sent := slices.ContainsFunc(r.Shards, func(p ShardResult) bool { return p.Attempts > 0 })
-	if c.search.chooser != nil && sent && r.Reason != ReasonQuestion { // one rejected before any send says nothing of either
-		c.search.chooser.Measured(q.Class, q.plan, c.now()-q.startedAt, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
+	if c.search.chooser != nil && sent && r.Reason != ReasonQuestion { // without an attempt nothing was measured
+		c.search.chooser.Record(q.Class, q.plan, c.now()-q.startedAt, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
 	}
 }
 
-// forgetSearch releases the memory of a search.
-func (c *Core) forgetSearch(q *query) {
+// releaseSearch removes the state of a search, and its answers from the memory in use.
+func (c *Core) releaseSearch(q *query) {
 	if q.plan != nil {
-		delete(c.search.phased, q)
+		delete(c.search.twoPhase, q)
 		c.search.bytesHeld -= q.bytes
 	}
 }
 
-// searchDue is when the next plan wants a tick, or due if that is sooner.
+// searchDue returns when the next Plan.Tick is due, or due if that is sooner.
 func (c *Core) searchDue(due time.Duration) time.Duration {
-	for q := range c.search.phased {
+	for q := range c.search.twoPhase {
 		if d := q.plan.Due(); d > 0 {
 			due = min(due, d)
 		}
@@ -185,11 +186,11 @@
 	return due
 }
 
-// tickSearches passes the time to plans that want it.
+// tickSearches calls Plan.Tick for the plans that are due.
 func (c *Core) tickSearches(now time.Duration) {
-	for q := range c.search.phased {
+	for q := range c.search.twoPhase {
 		if d := q.plan.Due(); d > 0 && now >= d {
-			c.guard(q, func() { c.applyOrders(q, q.plan.Tick(now)) })
+			c.failOnPanic(q, func() { c.applyOrders(q, q.plan.Tick(now)) })
 		}
 	}
 }
--- a/internal/gatherer/gather/second_test.go
+++ b/internal/gatherer/gather/second_test.go
@@ -11,66 +11,67 @@
 	"pulleygw.example/pulleygw/policy"
 )
 
-// twoSteps gives the first class a second step of three subqueries, and no partial answers.
-func twoSteps(c *Core) {
+// configureSecondStep gives class 0 a second step of three subqueries, and no partial answers.
+func configureSecondStep(c *Core) {
 	k := &c.set.Policy.Classes[0]
 	k.Fetch, k.Floor = 3, 1
 	c.scheduler, _ = policy.New(c.set.Policy, 1)
 }
 
-// firstStep answers a query's first step with scores by shard, and returns the attempts of the second.
-func firstStep(t *testing.T, c *Core, tr *transport, r *Request, scores map[int]float64, loads int) []*Attempt {
+// answerFirstStep submits a request, answers its first step with the scores by shard, and returns so many attempts of the second.
+func answerFirstStep(t *testing.T, c *Core, tr *transport, r *Request, scores map[int]float64, loads int) []*Attempt {
 	t.Helper()
 	c.Submit(r)
 	for _, a := range collect(t, tr, len(r.Shards)) {
 		if a.Load != nil {
-			t.Errorf("shard %d is asked for its second step first", a.Shard)
+			t.Errorf("shard %d got its second step first", a.Shard)
 		}
 		c.Scored(a, fmt.Sprint("v", a.Shard), scores[a.Shard])
 	}
 	return collect(t, tr, loads)
 }
 
-// The second step goes to the shards with the highest scores, tells which were in, and its values are the answer.
+// The second step goes to the shards with the highest scores, tells them which shards answered the first, and its values
+// make up the answer.
 func TestSecondStep(t *testing.T) {
-	c, tr := start(t, twoSteps)
+	c, tr := start(t, configureSecondStep)
 	r := newRequest(0, 6, 20*time.Second)
-	loads := firstStep(t, c, tr, r, map[int]float64{0: 5, 1: 9, 2: -4, 3: 7, 4: 5, 5: 1}, 3)
-	var asked []int
+	loads := answerFirstStep(t, c, tr, r, map[int]float64{0: 5, 1: 9, 2: -4, 3: 7, 4: 5, 5: 1}, 3)
+	var shards []int
 	for _, a := range loads {
 		if a.Load == nil || !a.Load.FirstComplete || !slices.Equal(a.Load.From, []int{0, 1, 2, 3, 4, 5}) || string(a.Text) != string(r.Text) {
-			t.Errorf("shard %d tells %+v", a.Shard, a.Load)
+			t.Errorf("shard %d is told %+v", a.Shard, a.Load)
 		}
-		asked = append(asked, a.Shard)
-		if a.Shard == 3 { // any replica may answer it
+		shards = append(shards, a.Shard)
+		if a.Shard == 3 { // retried at the other replica
 			c.Outcome(a, decision.Error, "")
 			continue
 		}
 		c.Outcome(a, decision.OK, fmt.Sprint("w", a.Shard))
 	}
-	if slices.Sort(asked); !slices.Equal(asked, []int{0, 1, 3}) { // of equals the first
-		t.Errorf("asked shards %v", asked)
+	if slices.Sort(shards); !slices.Equal(shards, []int{0, 1, 3}) { // 0 rather than 4, which has the same score
+		t.Errorf("second step at shards %v", shards)
 	}
-	again := collect(t, tr, 1)[0]
-	if again.Shard != 3 || again.Load == nil {
-		t.Errorf("again %+v", again)
+	retry := collect(t, tr, 1)[0]
+	if retry.Shard != 3 || retry.Load == nil {
+		t.Errorf("retry %+v", retry)
 	}
-	c.Outcome(again, decision.OK, "w3")
+	c.Outcome(retry, decision.OK, "w3")
 	res := <-r.Done
 	values := map[int]string{}
 	for _, p := range res.Values() {
 		values[p.Shard] = p.Value
 	}
 	if res.Kind != Answered || !res.Complete || len(res.Shards) != 6 || fmt.Sprint(values) != "map[0:w0 1:w1 3:w3]" {
-		t.Errorf("%v whole %v, values %v", res.Kind, res.Complete, values)
+		t.Errorf("kind %v, complete %v, values %v", res.Kind, res.Complete, values)
 	}
 }
 
-// The second step has as many subqueries as were answered, where these are fewer; each has its own attempts.
-func TestSecondStepOfFew(t *testing.T) {
-	c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 2; twoSteps(c) })
+// If fewer shards have answered than the second step asks, it asks all of them. Its subqueries have attempts of their own.
+func TestSecondStepWithFewShards(t *testing.T) {
+	c, tr := start(t, func(c *Core) { c.set.Policy.MaxAttempts = 2; configureSecondStep(c) })
 	r := newRequest(0, 2, 20*time.Second)
-	for _, a := range firstStep(t, c, tr, r, nil, 2) {
+	for _, a := range answerFirstStep(t, c, tr, r, nil, 2) {
 		c.Outcome(a, decision.Rejected, "")
 	}
 	for _, a := range collect(t, tr, 2) {
@@ -81,11 +82,11 @@
 	}
 }
 
-// A second step that fails ends the query once, and values of the first step are not returned as an answer.
+// If the second step fails, the query ends once, and the values of the first step are not returned as an answer.
 func TestSecondStepFails(t *testing.T) {
-	c, tr := start(t, twoSteps)
+	c, tr := start(t, configureSecondStep)
 	r := newRequest(0, 4, 20*time.Second)
-	loads := firstStep(t, c, tr, r, nil, 3)
+	loads := answerFirstStep(t, c, tr, r, nil, 3)
 	for n := 0; len(r.Done) == 0 && n < 20; n++ {
 		for _, a := range loads {
 			c.Outcome(a, decision.Error, "")
@@ -102,24 +103,24 @@
 	t.Error("no final answer")
 }
 
-// An answer without a score cannot be ranked: the subquery goes to another replica, and where none has a score the
-// query ends. In a class of one step no score is needed.
-func TestNoScore(t *testing.T) {
-	c, tr := start(t, twoSteps)
+// An answer without a score cannot be ranked, so that the subquery is retried at another replica. No score is needed in a
+// second step, nor in a class without one.
+func TestAnswerWithoutScore(t *testing.T) {
+	c, tr := start(t, configureSecondStep)
 	r := newRequest(0, 1, 20*time.Second)
 	c.Submit(r)
 	first := collect(t, tr, 1)[0]
 	c.Outcome(first, decision.OK, "v")
 	second := collect(t, tr, 1)[0]
 	if second.Load != nil || second.Server == first.Server {
-		t.Errorf("again %+v", second)
+		t.Errorf("retry %+v after %+v", second, first)
 	}
 	c.Scored(second, "v", 1)
 	load := collect(t, tr, 1)[0]
 	if load.Load == nil {
 		t.Errorf("no second step: %+v", load)
 	}
-	c.Outcome(load, decision.OK, "w") // nothing is ranked by it
+	c.Outcome(load, decision.OK, "w") // a second step needs no score
 	if res := <-r.Done; !res.Complete || res.Values()[0].Value != "w" {
 		t.Errorf("%+v", res)
 	}
@@ -131,8 +132,8 @@
 	}
 }
 
-// A subquery of the first step that is answered when the second has begun changes nothing.
-func TestLateFirstStep(t *testing.T) {
+// A subquery of the first step that has not been answered when the second starts is not part of the answer.
+func TestSecondStepBeforeAllAnswers(t *testing.T) {
 	c, tr := start(t, func(c *Core) {
 		k := &c.set.Policy.Classes[0]
 		k.Fetch, k.Need, k.Floor = 1, 0.5, 0.5
@@ -144,7 +145,7 @@
 	c.Scored(first, "v", 3)
 	load := collect(t, tr, 1)[0]
 	if load.Load == nil || !slices.Equal(load.Load.From, []int{first.Shard}) || load.Shard != first.Shard {
-		t.Fatalf("%+v tells %+v", load, load.Load)
+		t.Fatalf("%+v is told %+v", load, load.Load)
 	}
 	c.Outcome(load, decision.OK, "w")
 	if res := <-r.Done; len(res.Values()) != 1 || res.Values()[0].Value != "w" || res.Shards[1-first.Shard].OK {
@@ -152,19 +153,19 @@
 	}
 }
 
-// A panic that one query causes ends that query and no other.
+// A panic that one query causes fails that query and no other.
 func TestQueryPanic(t *testing.T) {
 	c, tr := start(t, nil)
 	other := newRequest(1, 1, 20*time.Second)
 	c.Submit(other)
-	held := collect(t, tr, 1)[0]
-	r := newRequest(99, 1, 20*time.Second) // a class that there is not, which no front of ours submits
+	inFlight := collect(t, tr, 1)[0]
+	r := newRequest(99, 1, 20*time.Second) // class 99 does not exist, which causes the panic
 	r.Search = &search.Query{}
 	c.Submit(r)
 	if res := <-r.Done; res.Kind != Failed || res.Reason != ReasonPanic || len(res.Shards) != 1 {
 		t.Errorf("%+v", res)
 	}
-	c.Outcome(held, decision.OK, "v")
+	c.Outcome(inFlight, decision.OK, "v")
 	if res := <-other.Done; !res.Complete {
 		t.Errorf("%+v", res)
 	}
--- a/internal/gatherer/gather/send.go
+++ b/internal/gatherer/gather/send.go
@@ -2,10 +2,10 @@
 
 import "pulleygw.example/pulleygw/internal/gatherer/decision"
 
-// Send: the calls of a step are sent together, when all of its actions have been carried out, so that an attempt that the
-// same step cancelled is not sent at all. They follow all that the step has ended, so the time of sending is read here:
-// by the time of the step an attempt would seem to overlap the one that it follows.
-
+// sendCalls hands the calls of a step to the transport. It runs when all actions of the step have been executed, so that an
+// attempt that was cancelled in the same step is not sent at all. It reads the clock for the time of sending: the time of the
+// step is before the recorded end of attempts that ended in the step, so that a retry would seem to overlap the attempt that
+// it follows.
 func (c *Core) sendCalls() {
 	now := c.now()
 	for _, k := range c.calls {
@@ -16,7 +16,7 @@
 			case a.withdrawn.Load(): // its query ended later in this step, outside of the scheduler
 				c.endAttempt(a, decision.Cancelled)
 			default:
-				a.called, a.calledAt = true, now
+				a.handedOver, a.handedOverAt = true, now
 				attempts = append(attempts, a)
 			}
 		}
--- a/internal/gatherer/limits/budget.go
+++ b/internal/gatherer/limits/budget.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// slots counts over a sliding span in ten steps of it, in constant memory.
-type slots struct {
-	n    [slotCount + 1]float64
-	head int
-	at   time.Duration // when the newest slot started
+// slidingCount counts events in a sliding window of time, the span. It uses constant memory: one count per slot, a tenth of
+// the span.
+type slidingCount struct {
+	counts      [slotsPerSpan + 1]float64 // ring buffer
+	head        int                       // index of the newest slot
+	newestStart time.Duration             // when the newest slot started
 }
 
-const slotCount = 10
+const slotsPerSpan = 10 // slots per span
 
-// advance drops the slots that have left the span.
-func (s *slots) advance(now, span time.Duration) {
-	step := max(span/slotCount, 1)
-	passed := (now - s.at) / step
+// advance clears the slots that have left the span.
+func (s *slidingCount) advance(now, span time.Duration) {
+	step := max(span/slotsPerSpan, 1)
+	passed := (now - s.newestStart) / step
 	if passed <= 0 {
-		return // also where a clock went back: the counts stay
+		return // also if the clock went back: the counts are kept
 	}
-	for range min(passed, slotCount+1) {
-		s.head = (s.head + 1) % len(s.n)
-		s.n[s.head] = 0
+	for range min(passed, slotsPerSpan+1) {
+		s.head = (s.head + 1) % len(s.counts)
+		s.counts[s.head] = 0
 	}
-	s.at += passed * step
+	s.newestStart += passed * step
 }
 
-func (s *slots) add(now, span time.Duration, x float64) {
+func (s *slidingCount) add(now, span time.Duration, x float64) {
 	s.advance(now, span)
-	s.n[s.head] += x
+	s.counts[s.head] += x
 }
 
-func (s *slots) sum(now, span time.Duration) (total float64) {
+func (s *slidingCount) sum(now, span time.Duration) (total float64) {
 	s.advance(now, span)
-	for _, x := range s.n {
+	for _, x := range s.counts {
 		total += x
 	}
 	return total
 }
 
-// budget is a retry budget.
-type budget struct{ first, retries slots }
+// budget enforces a RetryBudget.
+type budget struct{ first, retries slidingCount }
 
+// countFirst counts a first attempt.
 func (b *budget) countFirst(r RetryBudget, now time.Duration) {
 	if r.Span > 0 {
 		b.first.add(now, r.Span, 1)
--- a/internal/gatherer/limits/check.go
+++ b/internal/gatherer/limits/check.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Effect says what a repeated execution does, as decision.Effect.
+// Effect says what repeating a subquery does, like decision.Effect.
 type Effect uint8
 
-// The effects.
+// The effects of a class.
 const (
-	Idempotent Effect = iota
-	Deduplicated
-	NotIdempotent
+	Idempotent    Effect = iota // repeats are harmless
+	Deduplicated                // lot stores drop repeats within Class.Window
+	NotIdempotent               // a repeat would take effect twice
 )
 
-// Class is what the operator's settings say of a class. Limits must stay within it.
+// Class has the operator's settings of a class. The limits of a route must not exceed them.
 type Class struct {
 	Name          string
 	Effect        Effect
@@ -23,16 +23,16 @@
 	Timeout       time.Duration
 	Window        time.Duration // Deduplicated: how long repeats are dropped
 	Attempts      int
-	Floor         float64 // least fraction of the weight for any answer
+	Floor         float64 // minimum fraction of the weight for any answer
 }
 
-// Violation is one rule that the limits of a route violate.
+// Violation is a rule that the limits of a route violate.
 type Violation struct {
-	Field string // as the file has it
-	Rule  string // the rule, and what would be allowed
+	Field string // its name in the configuration file
+	Rule  string // the rule, and what is allowed
 }
 
-// Check returns how the limits violate the rules of the class that they are for, nil if they do not.
+// Check returns the rules that the limits violate in a route of the given class, nil if there are none.
 func (l Limits) Check(c Class) (list []Violation) {
 	add := func(field, rule string) { list = append(list, Violation{field, rule}) }
 	target, timeout := l.LatencyTarget, l.Timeout
@@ -74,7 +74,7 @@
 	return list
 }
 
-// checkConcurrency checks the limit of concurrency and its queue.
+// checkConcurrency checks the concurrency limit and its queue.
 func (l Limits) checkConcurrency(timeout time.Duration, add func(field, rule string)) {
 	k := l.Concurrency
 	if k.Floor > k.Max {
@@ -109,17 +109,18 @@
 	}
 }
 
-// Plan is a fixed schedule of attempts: in the worst case each runs to its time-out and is followed by its back-off.
-// Installations that configure time-outs and back-offs are checked against it.
+// Plan is the schedule of attempts of a subquery, for routes that configure time-outs and back-offs. In the worst case, every
+// attempt runs to its time-out, and each retry waits for its back-off.
 type Plan struct {
 	Attempts int
-	Timeout  time.Duration // of one attempt; 0 where the decision module sets it
+	Timeout  time.Duration // of one attempt; 0 if the scheduler sets it
 	Wait     time.Duration // back-off before a retry
 	Jitter   float64       // fraction by which a back-off may be longer
 }
 
-// Check checks the schedule: the last attempt of a deduplicated class must begin within its window, and the last attempt
-// must end before the client times out.
+// Check returns the rules that the schedule violates in the worst case: the last attempt of a deduplicated class must begin
+// within its window, a class that is not idempotent has one attempt only, and the last attempt must end before the client
+// times out.
 func (p Plan) Check(c Class, timeout time.Duration) (list []Violation) {
 	if p.Timeout == 0 && p.Wait == 0 {
 		return nil
@@ -135,7 +136,7 @@
 		return []Violation{{"attempt", "wants a time-out and a wait of 0 or more, and a jitter of 0 to 1"}}
 	}
 	wait := p.Wait + time.Duration(p.Jitter*float64(p.Wait))
-	last := time.Duration(n-1) * (p.Timeout + wait) // when the last attempt begins, at the latest
+	last := time.Duration(n-1) * (p.Timeout + wait) // latest start of the last attempt
 	if c.Effect == Deduplicated && n > 1 && last >= c.Window {
 		list = append(list, Violation{"attempt", sprint("the last of ", n, " attempts may begin ", last, " after the first, and repeats of ", c.Name,
 			" are dropped for ", c.Window, " only: wants less than that")})
--- a/internal/gatherer/limits/limits.go
+++ b/internal/gatherer/limits/limits.go
@@ -1,31 +1,32 @@
 // Package limits decides on the admission of requests by route: which route a request matches, whether it is admitted,
 // queued or rejected, and whether a subquery may be retried. It does no I/O and has no clock: times are arguments, as
-// durations since some fixed moment. It never widens what the operator's settings allow, and it never chooses lot stores:
-// that is package policy's.
+// durations since some fixed moment. It never allows more than the operator's settings do. Choosing lot stores is left to
+// package policy.
 //
-// [NewTable] makes the routes, [Table.Find] matches a request, and each route has a [Gate].
+// [NewTable] builds the table of routes, [Table.Find] matches a request, and each route has a [Limiter].
 package limits
 
 import "time"
 
-// Limits are the limits of one route. The zero value of a field sets no limit of its kind.
+// Limits are the limits of one route. A field that is zero sets no limit.
 type Limits struct {
 	LatencyTarget time.Duration // an answer within this has its full value
 	Timeout       time.Duration // upper bound of a client's time-out
-	Attempts      int           // most attempts of one subquery, the first included
-	MinWeight     float64       // fraction of the weight that an answer needs
+	Attempts      int           // maximum number of attempts of one subquery, including the first
+	MinWeight     float64       // minimum fraction of the weight that an answer must have
 	CompleteOnly  bool          // no partial answers, whatever the class allows
 	MaxBody       int           // bytes of a request body
-	MaxAnswer     int           // bytes of lot stores' answers to one request
+	MaxAnswer     int           // bytes of all lot stores' answers to one request
 	MaxDepth      int           // from + size of a search
-	Priority      int           // of queued requests, the higher leaves first
+	Priority      int           // queued requests of a higher priority are admitted first
 
 	Concurrency Concurrency
 	Rate        Rate
 	Retries     RetryBudget
 }
 
-// Fields returns all limits by their names in the configuration file. The value of one that is not set is empty.
+// Fields returns the names of all limits in the configuration file with their values. The value of a limit that is not set
+// is empty.
 func (l Limits) Fields() [][2]string {
 	set := func(x any, is bool) string {
 		if !is {
@@ -42,23 +43,23 @@
 		{"repeats.free", set(b.Minimum, b.Span > 0)}, {"repeats.span", set(b.Span, b.Span > 0)}}
 }
 
-// Concurrency bounds the requests of a route in flight.
+// Concurrency limits the requests of a route that are in flight at once.
 type Concurrency struct {
-	Max   int           // in flight; 0 for no limit
-	Floor int           // least limit where it adapts to latency; 0 for a fixed limit of Max
-	Queue int           // requests that may be queued
-	Wait  time.Duration // longest time in the queue
+	Max   int           // maximum number in flight; 0 for no limit
+	Floor int           // lower bound of a limit that adapts to latency, below Max; 0 for a fixed limit of Max
+	Queue int           // maximum number of queued requests
+	Wait  time.Duration // maximum time in the queue
 }
 
 // Rate is a rate limit.
 type Rate struct {
 	PerSecond float64 // 0 for no limit
-	Burst     int     // requests that an idle route may have at once; at least 1
+	Burst     int     // number of requests that are admitted at once after an idle time; at least 1
 }
 
-// RetryBudget bounds the retries in any span of time.
+// RetryBudget limits the retries within any Span of time to Minimum, plus Ratio for each first attempt in it.
 type RetryBudget struct {
-	Ratio   float64       // retries per first attempt
-	Minimum float64       // retries allowed in any span whatever the traffic
+	Ratio   float64
+	Minimum float64
 	Span    time.Duration // 0 for no limit
 }
--- a/internal/gatherer/limits/limits_test.go
+++ b/internal/gatherer/limits/limits_test.go
@@ -23,7 +23,7 @@
 	bid    = Class{Name: "place-bid", Effect: Deduplicated, LatencyTarget: 1500 * ms, Timeout: 4 * sec, Window: 4 * sec, Attempts: 4, Floor: 1}
 )
 
-// Limits that exceed the settings, or that violate the rules, are reported by field; valid ones pass.
+// Check reports limits that exceed the settings or violate a rule, by field, and accepts valid ones.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		l     Limits
@@ -78,23 +78,23 @@
 	}
 }
 
-// A gate never has more in flight than its limit, decides once on every request, serves higher priorities first and the
-// rest in order of arrival, and admits no more in any second than its rate and burst.
-func TestGate(t *testing.T) {
+// A limiter never has more requests in flight or queued than its limits, decides on every request exactly once, admits queued
+// requests by priority and then in order of arrival, and accepts no more in any second than its rate and burst.
+func TestLimiter(t *testing.T) {
 	proptest.Seed(t, 400)
 	rapid.Check(t, func(t *rapid.T) {
-		g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: rapid.IntRange(1, 6).Draw(t, "most"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), Wait: 300 * ms}}}
-		if rapid.Bool().Draw(t, "follows") {
-			g.Limits.Concurrency.Floor = 1
+		limiter := &Limiter{Limits: Limits{Concurrency: Concurrency{Max: rapid.IntRange(1, 6).Draw(t, "max"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), Wait: 300 * ms}}}
+		if rapid.Bool().Draw(t, "adaptive") {
+			limiter.Limits.Concurrency.Floor = 1
 		}
 		if rapid.Bool().Draw(t, "rate") {
-			g.Limits.Rate = Rate{float64(rapid.IntRange(1, 20).Draw(t, "per second")), rapid.IntRange(1, 5).Draw(t, "burst")}
+			limiter.Limits.Rate = Rate{float64(rapid.IntRange(1, 20).Draw(t, "per second")), rapid.IntRange(1, 5).Draw(t, "burst")}
 		}
 		now, id := sec, uint64(0)
 		var inFlight, waiting []uint64
-		prio := map[uint64]int{}
-		decided := map[uint64]int{}
-		var passed []time.Duration
+		priority := map[uint64]int{}
+		decisions := map[uint64]int{}  // per request, those to admit or to reject
+		var withinRate []time.Duration // arrivals that the rate limit accepted
 		decide := func(n uint64, d Decision) {
 			switch d.Action {
 			case Admit:
@@ -107,19 +107,19 @@
 					t.Fatalf("rejected without a retry-after time or a reason: %+v", d)
 				}
 			}
-			if decided[n]++; decided[n] > 1 {
+			if decisions[n]++; decisions[n] > 1 {
 				t.Fatalf("request %d is decided on twice", n)
 			}
 		}
 		next := func() {
-			for _, x := range g.Next(now) {
+			for _, x := range limiter.Next(now) {
 				i := slices.Index(waiting, x.ID)
 				if i < 0 {
 					t.Fatalf("request %d is not queued", x.ID)
 				}
 				for _, o := range waiting {
-					if x.Action == Admit && decided[o] == 0 && (prio[o] > prio[x.ID] || prio[o] == prio[x.ID] && o < x.ID) {
-						t.Fatalf("request %d of priority %d goes before %d of %d", x.ID, prio[x.ID], o, prio[o])
+					if x.Action == Admit && decisions[o] == 0 && (priority[o] > priority[x.ID] || priority[o] == priority[x.ID] && o < x.ID) {
+						t.Fatalf("request %d of priority %d is admitted before request %d of priority %d", x.ID, priority[x.ID], o, priority[o])
 					}
 				}
 				waiting = slices.Delete(waiting, i, i+1)
@@ -128,121 +128,122 @@
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 120).Draw(t, "ms")) * ms
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				id++
-				prio[id] = rapid.IntRange(0, 2).Draw(t, "priority")
-				d := g.Arrive(id, prio[id], now, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
+				priority[id] = rapid.IntRange(0, 2).Draw(t, "priority")
+				d := limiter.Arrive(id, priority[id], now, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "time left"))*ms)
 				if d.Reason != ReasonRate && d.Reason != ReasonShort {
-					passed = append(passed, now)
+					withinRate = append(withinRate, now)
 				}
 				decide(id, d)
 			case 2:
 				if len(inFlight) > 0 {
 					inFlight = inFlight[1:]
-					g.Done(time.Duration(rapid.IntRange(1, 900).Draw(t, "took"))*ms, rapid.Bool().Draw(t, "answered"))
+					limiter.Done(time.Duration(rapid.IntRange(1, 900).Draw(t, "latency"))*ms, rapid.Bool().Draw(t, "answered"))
 				}
 			case 3:
-				if len(waiting) > 0 && rapid.Bool().Draw(t, "leaves") {
-					if !g.Remove(waiting[0]) {
-						t.Fatal("one that waits cannot leave")
+				if len(waiting) > 0 && rapid.Bool().Draw(t, "disconnects") {
+					if !limiter.Remove(waiting[0]) {
+						t.Fatalf("Remove does not find request %d, which is queued", waiting[0])
 					}
 					waiting = waiting[1:]
 				}
 			}
 			next()
-			c := g.Counts()
-			if len(inFlight) > g.Limits.Concurrency.Max || c.InFlight != len(inFlight) || len(waiting) > g.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
-				t.Fatalf("%d in hand, %d waiting: %+v", len(inFlight), len(waiting), c)
+			c := limiter.Counts()
+			if len(inFlight) > limiter.Limits.Concurrency.Max || c.InFlight != len(inFlight) || len(waiting) > limiter.Limits.Concurrency.Queue || c.Waiting != len(waiting) {
+				t.Fatalf("%d in flight, %d queued, but the counts are %+v", len(inFlight), len(waiting), c)
 			}
-			if due := g.Due(); len(waiting) > 0 && due <= now {
-				t.Fatalf("due at %v, it is %v", due, now)
+			if due := limiter.Due(); len(waiting) > 0 && due <= now {
+				t.Fatalf("Due returns %v after Next at %v", due, now)
 			}
 		}
-		if r := g.Limits.Rate; r.PerSecond > 0 {
-			for i := range passed {
+		if r := limiter.Limits.Rate; r.PerSecond > 0 {
+			for i := range withinRate {
 				n := 0
-				for _, at := range passed[i:] {
-					if at <= passed[i]+sec {
+				for _, at := range withinRate[i:] {
+					if at <= withinRate[i]+sec {
 						n++
 					}
 				}
 				if float64(n) > r.PerSecond+float64(r.Burst)+1 {
-					t.Fatalf("%d in a second at %v a second, burst %d", n, r.PerSecond, r.Burst)
+					t.Fatalf("%d requests in one second, with a rate of %v per second and a burst of %d", n, r.PerSecond, r.Burst)
 				}
 			}
 		}
 	})
 }
 
-// A fifth of the stores fails and every subquery wants a retry: the budget allows its ratio and no storm after it.
+// If every subquery is to be retried, the budget allows no more retries than its ratio, so that failures cause no retry storm.
 func TestRetryBudget(t *testing.T) {
-	g := &Gate{Limits: Limits{Retries: RetryBudget{Ratio: 0.1, Minimum: 2, Span: 10 * sec}}}
+	limiter := &Limiter{Limits: Limits{Retries: RetryBudget{Ratio: 0.1, Minimum: 2, Span: 10 * sec}}}
 	now, allowed, first := sec, 0, 0
-	for range 20000 { // 1,000 a second
+	for range 20000 { // 1,000 first attempts per second
 		now += ms
-		g.FirstAttempt(now)
+		limiter.FirstAttempt(now)
 		first++
-		if g.Retry(now) {
+		if limiter.Retry(now) {
 			allowed++
 		}
 	}
-	if share := float64(allowed) / float64(first); share < 0.08 || share > 0.11 {
-		t.Errorf("%d repeats of %d first attempts", allowed, first)
+	if ratio := float64(allowed) / float64(first); ratio < 0.08 || ratio > 0.11 {
+		t.Errorf("%d retries for %d first attempts", allowed, first)
 	}
-	g.FirstAttempt(now - time.Hour) // a clock that went back counts no less
-	if g.Retry(now - time.Hour) {
-		t.Error("a clock that went back opened the budget")
+	limiter.FirstAttempt(now - time.Hour) // counts are kept if the clock goes back
+	if limiter.Retry(now - time.Hour) {
+		t.Error("a clock that went back allowed a retry beyond the budget")
 	}
-	if !g.Retry(now + time.Minute) {
-		t.Error("a quiet route may repeat nothing")
+	if !limiter.Retry(now + time.Minute) {
+		t.Error("the minimum of retries is not allowed without first attempts")
 	}
 }
 
-// The limit falls while answers are slower than usual, to its floor and no lower, and recovers afterwards.
+// The limit falls while answers are slower than the long-term average, not below its floor, and recovers afterwards.
 func TestLimitAdaptsToLatency(t *testing.T) {
-	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 64, Floor: 4}}}
-	play := func(took time.Duration, answers int) int {
+	limiter := &Limiter{Limits: Limits{Concurrency: Concurrency{Max: 64, Floor: 4}}}
+	answerAtFullLoad := func(latency time.Duration, answers int) int {
 		for range answers {
-			for g.Counts().InFlight < g.Counts().Limit {
-				g.Arrive(0, 0, 0, time.Hour)
+			for limiter.Counts().InFlight < limiter.Counts().Limit {
+				limiter.Arrive(0, 0, 0, time.Hour)
 			}
-			g.Done(took, true)
+			limiter.Done(latency, true)
 		}
-		return g.Counts().Limit
+		return limiter.Counts().Limit
 	}
-	if n := play(100*ms, 200); n != 64 {
-		t.Errorf("limit %d on a calm day", n)
+	if n := answerAtFullLoad(100*ms, 200); n != 64 {
+		t.Errorf("limit %d at a constant latency, want 64", n)
 	}
-	jam := play(time.Second, 100)
-	if jam > 16 || jam < 4 {
-		t.Errorf("limit %d in a jam", jam)
+	congested := answerAtFullLoad(time.Second, 100)
+	if congested > 16 || congested < 4 {
+		t.Errorf("limit %d at ten times the latency, want 4 to 16", congested)
 	}
-	if n := play(100*ms, 800); n < 48 {
-		t.Errorf("limit %d after the jam", n)
+	if n := answerAtFullLoad(100*ms, 800); n < 48 {
+		t.Errorf("limit %d after the latency has recovered, want 48 or more", n)
 	}
-	g = &Gate{Limits: Limits{Concurrency: Concurrency{Max: 1}}}
-	if a, b := g.Arrive(1, 0, 0, sec), g.Arrive(2, 0, 0, sec); a.Action != Admit || b.Action != Reject || b.Reason != ReasonFull {
-		t.Errorf("a limit of 1: %+v, %+v", a, b)
+	limiter = &Limiter{Limits: Limits{Concurrency: Concurrency{Max: 1}}}
+	if a, b := limiter.Arrive(1, 0, 0, sec), limiter.Arrive(2, 0, 0, sec); a.Action != Admit || b.Action != Reject || b.Reason != ReasonFull {
+		t.Errorf("two requests with a limit of 1: %+v, %+v", a, b)
 	}
 }
 
-// linear finds a route by looking at all of them.
-func linear(routes []*Route, r *Request, class string) (best *Route) {
-	var at specificity
+// findByScan finds the route of a request by comparing it with all of them.
+func findByScan(routes []*Route, r *Request, class string) (best *Route) {
+	var highest specificity
 	for _, x := range routes {
-		literal, open := strings.CutSuffix(x.Match.Index, "*")
-		if x.Match.Index != "" && r.Index != literal && (!open || !strings.HasPrefix(r.Index, literal)) || x.Class != "" && x.Class != class || !x.Match.takes(r) {
+		literal, isPrefix := strings.CutSuffix(x.Match.Index, "*")
+		if x.Match.Index != "" && r.Index != literal && (!isPrefix || !strings.HasPrefix(r.Index, literal)) || x.Class != "" && x.Class != class || !x.Match.matchesExceptIndex(r) {
 			continue
 		}
-		if e := x.specificity(r.Client); best == nil || e.compare(at) > 0 {
-			best, at = x, e
+		if s := x.specificity(r.Client); best == nil || s.compare(highest) > 0 {
+			best, highest = x, s
 		}
 	}
 	return best
 }
 
-func routes(n int) (list []*Route) {
+// benchmarkRoutes returns n routes without conflicts, by index, index prefix and client group.
+func benchmarkRoutes(n int) (list []*Route) {
 	for i := range n {
 		r := &Route{Name: fmt.Sprint("r", i), LineNumber: i}
 		switch i % 4 {
@@ -260,16 +261,16 @@
 	return list
 }
 
-// The trie finds what looking at every route finds.
+// Find returns the same route as a scan of all routes, or one that is equally specific. NewTable reports conflicts.
 func TestFind(t *testing.T) {
 	proptest.Seed(t, 1000)
-	pieces := rapid.SampledFrom([]string{"", "*", "a", "ab", "ab*", "abc", "a*", "b*", "bids", "abcd*"})
+	patterns := rapid.SampledFrom([]string{"", "*", "a", "ab", "ab*", "abc", "a*", "b*", "bids", "abcd*"})
 	nets := rapid.SampledFrom([]string{"10.0.0.0/8", "10.1.0.0/16", "10.1.2.0/24", "::1/128", "0.0.0.0/0"})
 	rapid.Check(t, func(t *rapid.T) {
 		var list []*Route
 		for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
 			r := &Route{Name: fmt.Sprint(i), LineNumber: i, Class: rapid.SampledFrom([]string{"", "", "c"}).Draw(t, "class")}
-			r.Match.Index = rapid.Custom(func(t *rapid.T) string { return pieces.Draw(t, "p") }).Draw(t, "index")
+			r.Match.Index = rapid.Custom(func(t *rapid.T) string { return patterns.Draw(t, "pattern") }).Draw(t, "index")
 			r.Match.Front = rapid.SampledFrom([]string{"", "", "platform"}).Draw(t, "front")
 			for range rapid.IntRange(0, 2).Draw(t, "nets") {
 				r.Match.Clients = append(r.Match.Clients, netip.MustParsePrefix(nets.Draw(t, "net")))
@@ -281,17 +282,17 @@
 				r.Match.Header, r.Match.Value = "Tool", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "value")
 			}
 			if _, conflicts := NewTable(append(slices.Clone(list), r)); conflicts == nil {
-				list = append(list, r) // a good file has none
+				list = append(list, r) // a valid configuration has no conflicts
 			}
 		}
 		table, _ := NewTable(list)
 		for range 20 {
 			q := &Request{Front: rapid.SampledFrom([]string{"platform", "opensearch"}).Draw(t, "front"), Method: rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method"),
-				Index: strings.TrimSuffix(pieces.Draw(t, "index"), "*"), Client: netip.MustParseAddr(rapid.SampledFrom([]string{"10.1.2.3", "10.1.9.9", "10.9.9.9", "::1", "9.9.9.9"}).Draw(t, "client"))}
+				Index: strings.TrimSuffix(patterns.Draw(t, "index"), "*"), Client: netip.MustParseAddr(rapid.SampledFrom([]string{"10.1.2.3", "10.1.9.9", "10.9.9.9", "::1", "9.9.9.9"}).Draw(t, "client"))}
 			value := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "tool")
 			q.Header = func(string) string { return value }
 			class := rapid.SampledFrom([]string{"c", "d"}).Draw(t, "class")
-			got, want := table.Find(q, class), linear(list, q, class)
+			got, want := table.Find(q, class), findByScan(list, q, class)
 			if got != want && (got == nil || want == nil || got.specificity(q.Client).compare(want.specificity(q.Client)) != 0) {
 				t.Fatalf("%+v: found %+v, want %+v", q, got, want)
 			}
@@ -303,10 +304,10 @@
 	}
 }
 
-// BenchmarkFind finds a route among many, by the trie and by looking at all.
+// BenchmarkFind finds a route among many, by the trie and by a scan of all routes.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
-		list := routes(n)
+		list := benchmarkRoutes(n)
 		table, conflicts := NewTable(list)
 		if conflicts != nil {
 			b.Fatal(conflicts[0])
@@ -321,21 +322,21 @@
 		b.Run(fmt.Sprintf("scan/routes=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				linear(list, q, "")
+				findByScan(list, q, "")
 			}
 		})
 	}
 }
 
-// BenchmarkGate admits and ends a request.
-func BenchmarkGate(b *testing.B) {
-	g := &Gate{Limits: Limits{Concurrency: Concurrency{Max: 100, Floor: 10, Queue: 100, Wait: sec}, Rate: Rate{1e9, 1000}, Retries: RetryBudget{0.2, 5, 10 * sec}}}
+// BenchmarkLimiter admits a request and ends it.
+func BenchmarkLimiter(b *testing.B) {
+	limiter := &Limiter{Limits: Limits{Concurrency: Concurrency{Max: 100, Floor: 10, Queue: 100, Wait: sec}, Rate: Rate{1e9, 1000}, Retries: RetryBudget{0.2, 5, 10 * sec}}}
 	b.ReportAllocs()
 	now := sec
 	for b.Loop() {
 		now += 100 * time.Microsecond
-		g.Arrive(1, 0, now, now+sec)
-		g.FirstAttempt(now)
-		g.Done(50*ms, true)
+		limiter.Arrive(1, 0, now, now+sec)
+		limiter.FirstAttempt(now)
+		limiter.Done(50*ms, true)
 	}
 }
--- a/internal/gatherer/limits/rate.go
+++ b/internal/gatherer/limits/rate.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// gcra is a rate limit by the generic cell rate algorithm (ITU-T I.371): one time, when the next request would be on
-// schedule.
-type gcra struct{ nextAt time.Duration }
+// gcra is a rate limiter by the generic cell rate algorithm (ITU-T I.371). Its state is the theoretical arrival time of the
+// next request, at which requests at exactly the configured rate would arrive.
+type gcra struct{ theoreticalArrival time.Duration }
 
-// allow admits a request and returns 0, or returns how long it is too early.
+// allow admits a request and returns 0, or returns how long the client must wait.
 func (g *gcra) allow(r Rate, now time.Duration) (wait time.Duration) {
 	if r.PerSecond <= 0 {
 		return 0
 	}
 	step := time.Duration(float64(time.Second) / r.PerSecond)
-	// Never later than a full burst from now: a clock that went back must not keep clients out for hours.
-	due := min(max(g.nextAt, now), now+step*time.Duration(max(r.Burst, 1)))
+	// At most a full burst from now, so that a clock that went back does not block clients for hours.
+	due := min(max(g.theoreticalArrival, now), now+step*time.Duration(max(r.Burst, 1)))
 	if early := due - now - step*time.Duration(max(r.Burst, 1)-1); early > 0 {
 		return early
 	}
-	g.nextAt = due + step
+	g.theoreticalArrival = due + step
 	return 0
 }
--- a/internal/gatherer/limits/route.go
+++ b/internal/gatherer/limits/route.go
@@ -12,46 +12,49 @@
 
 func sprint(a ...any) string { return fmt.Sprint(a...) }
 
-// Request is what routes are matched against.
+// Request has the properties of a request that routes are matched against.
 type Request struct {
 	Front  string
 	Method string
-	Index  string // or the platform's class
+	Index  string // for the platform's front, the class
 	Client netip.Addr
-	Header func(name string) string // nil for none
+	Header func(name string) string // returns the value of a header; nil if there are no headers
 }
 
-// Match says which requests a route matches. Empty fields match all.
+// Match says which requests a route matches. An empty field matches all.
 type Match struct {
 	Front   string
 	Methods []string
-	Index   string // with at most one *, at its end
+	Index   string // a name, or a prefix followed by *
 	Clients []netip.Prefix
-	Header  string // its name
-	Value   string // the value that it must have
+	Header  string // name of a header
+	Value   string // value that the header must have
 }
 
-// Route is a rule for the requests that it matches.
+// Route has the limits of the requests that it matches.
 type Route struct {
 	Name        string
-	Class       string // empty for any
+	Class       string // class of the requests that it matches; empty for any
 	Match       Match
 	Limits      Limits
 	Plan        Plan
-	LineNumber  int            // where it stands, for operators
-	LineNumbers map[string]int // and each of its fields
+	LineNumber  int            // line of the route in the configuration file
+	LineNumbers map[string]int // lines of its fields
 }
 
-// LineNumberOf is the line of a field in the file, or of the object that it is in, or of the route.
+// LineNumberOf returns the line of a field in the configuration file, or of the object that the field is in, or of the
+// route, whichever is known first.
 func (r *Route) LineNumberOf(field string) int {
 	object, _, _ := strings.Cut(field, ".")
 	return cmp.Or(r.LineNumbers[field], r.LineNumbers[object], r.LineNumber)
 }
 
-// specificity orders routes: index before class, header, client group, method and front, as each of these says more of
-// the request than the next.
+// specificity orders routes by how specific their match is: by index first, then by class, header, client group, method and
+// front, as each of these says more about a request than the next. Higher is more specific.
 type specificity struct{ index, class, header, clients, methods, front int }
 
+// specificity returns the specificity of a route for a client: of its client groups, only those that contain the client
+// count. An invalid address stands for any client.
 func (r *Route) specificity(client netip.Addr) specificity {
 	x, m := specificity{}, &r.Match
 	if r.Class != "" {
@@ -85,7 +88,7 @@
 		cmp.Compare(a.methods, b.methods), cmp.Compare(a.front, b.front))
 }
 
-// pattern is the index pattern; * alone counts as none.
+// pattern returns the index pattern; a single * counts as none.
 func (m *Match) pattern() string {
 	if m.Index == "*" {
 		return ""
@@ -93,8 +96,8 @@
 	return m.Index
 }
 
-// takes reports whether all but the index matches.
-func (m *Match) takes(r *Request) bool {
+// matchesExceptIndex reports whether a request matches in all but the index.
+func (m *Match) matchesExceptIndex(r *Request) bool {
 	if m.Front != "" && m.Front != r.Front || len(m.Methods) > 0 && !slices.Contains(m.Methods, r.Method) {
 		return false
 	}
@@ -104,8 +107,8 @@
 	return len(m.Clients) == 0 || slices.ContainsFunc(m.Clients, func(p netip.Prefix) bool { return p.Contains(r.Client) })
 }
 
-// Table finds the route of a request: a trie over index patterns, whose nodes hold the routes of a pattern, the most
-// specific first, and where these are many a table of prefixes of client groups. It is immutable.
+// Table finds the route of a request. It is a trie over index patterns, whose nodes have the routes of a pattern, the most
+// specific first. If these are many, they are looked up by client group in a table of prefixes. A Table is immutable.
 type Table struct {
 	root   node
 	routes []*Route
@@ -114,20 +117,20 @@
 // node is a node of the trie.
 type node struct {
 	next   map[byte]*node
-	exact  *routeGroup // of patterns that end here
-	prefix *routeGroup // of patterns that go on by *
+	exact  *routeGroup // routes of the pattern that ends here without a *
+	prefix *routeGroup // routes of the pattern that ends here with a *
 }
 
-// routeGroup is the routes of one pattern.
+// routeGroup has the routes of one pattern.
 type routeGroup struct {
-	routes []*Route           // by specificity
-	byNet  *bart.Table[[]int] // indices of routes by client group, where there are many
+	routes   []*Route           // the most specific first
+	byClient *bart.Table[[]int] // indices in routes by client group; nil if there are few routes
 }
 
-// byNetFrom is the number of routes of one pattern from which they are looked up by client group.
-const byNetFrom = 8
+// minRoutesForClientTable is the number of routes of one pattern from which on they are looked up by client group.
+const minRoutesForClientTable = 8
 
-// ConflictError is two routes of which neither is more specific for a request that both match.
+// ConflictError reports two routes that match the same requests and are equally specific for them.
 type ConflictError struct{ First, Second *Route }
 
 func (c ConflictError) Error() string {
@@ -137,24 +140,24 @@
 // NewTable returns a table of the routes, and the conflicts between them.
 func NewTable(routes []*Route) (*Table, []ConflictError) {
 	t := &Table{routes: routes}
-	bunches := map[string]*routeGroup{}
+	groups := map[string]*routeGroup{} // by pattern
 	for _, r := range routes {
-		b := bunches[r.Match.pattern()]
-		if b == nil {
-			b = &routeGroup{}
-			bunches[r.Match.pattern()] = b
-			t.insert(r.Match.pattern(), b)
+		g := groups[r.Match.pattern()]
+		if g == nil {
+			g = &routeGroup{}
+			groups[r.Match.pattern()] = g
+			t.insert(r.Match.pattern(), g)
 		}
-		b.routes = append(b.routes, r)
+		g.routes = append(g.routes, r)
 	}
 	var conflicts []ConflictError
-	for _, b := range bunches {
-		conflicts = append(conflicts, b.conflicts()...)
-		slices.SortStableFunc(b.routes, func(x, y *Route) int {
+	for _, g := range groups {
+		conflicts = append(conflicts, g.conflicts()...)
+		slices.SortStableFunc(g.routes, func(x, y *Route) int {
 			return -x.specificity(netip.Addr{}).compare(y.specificity(netip.Addr{}))
 		})
-		if len(b.routes) >= byNetFrom {
-			b.index()
+		if len(g.routes) >= minRoutesForClientTable {
+			g.index()
 		}
 	}
 	slices.SortFunc(conflicts, func(a, b ConflictError) int { return cmp.Compare(a.Second.LineNumber, b.Second.LineNumber) })
@@ -162,8 +165,8 @@
 }
 
 // insert adds the routes of a pattern to the trie.
-func (t *Table) insert(pattern string, b *routeGroup) {
-	literal, open := strings.CutSuffix(pattern, "*")
+func (t *Table) insert(pattern string, g *routeGroup) {
+	literal, isPrefix := strings.CutSuffix(pattern, "*")
 	n := &t.root
 	for i := range len(literal) {
 		if n.next == nil {
@@ -174,32 +177,32 @@
 		}
 		n = n.next[literal[i]]
 	}
-	if open || pattern == "" {
-		n.prefix = b
+	if isPrefix || pattern == "" {
+		n.prefix = g
 	} else {
-		n.exact = b
+		n.exact = g
 	}
 }
 
-// conflicts finds the pairs of routes of one pattern that some request matches equally.
-func (b *routeGroup) conflicts() (list []ConflictError) {
-	groups := map[string][]*Route{} // of routes equally specific in all but client groups
-	for _, r := range b.routes {
+// conflicts returns the pairs of routes of the group that are equally specific for some request.
+func (g *routeGroup) conflicts() (list []ConflictError) {
+	equals := map[string][]*Route{} // routes that are equally specific except for client groups
+	for _, r := range g.routes {
 		m := &r.Match
 		key := fmt.Sprint(m.Header, "\x00", m.Header != "", len(m.Methods) > 0, m.Front != "", r.Class)
-		for _, o := range groups[key] {
+		for _, o := range equals[key] {
 			if overlap(&o.Match, m) {
 				list = append(list, ConflictError{o, r})
 				break
 			}
 		}
-		groups[key] = append(groups[key], r)
+		equals[key] = append(equals[key], r)
 	}
 	return list
 }
 
-// overlap reports whether two matches of one pattern and one specificity have a request in common. Of client groups the
-// longer prefix is more specific, so that only equal ones conflict.
+// overlap reports whether some request matches both of two matches of the same pattern, which are equally specific except
+// for client groups. The longer prefix of two client groups is more specific, so that only equal prefixes count.
 func overlap(a, b *Match) bool {
 	if a.Front != b.Front || a.Value != b.Value {
 		return false
@@ -214,41 +217,41 @@
 }
 
 // index builds the table by client group.
-func (b *routeGroup) index() {
-	b.byNet = &bart.Table[[]int]{}
+func (g *routeGroup) index() {
+	g.byClient = &bart.Table[[]int]{}
 	all := []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0"), netip.MustParsePrefix("::/0")}
-	for i, r := range b.routes {
+	for i, r := range g.routes {
 		nets := r.Match.Clients
 		if len(nets) == 0 {
 			nets = all
 		}
 		for _, p := range nets {
-			indices, _ := b.byNet.Get(p)
-			b.byNet.Insert(p, append(slices.Clip(indices), i))
+			indices, _ := g.byClient.Get(p)
+			g.byClient.Insert(p, append(slices.Clip(indices), i))
 		}
 	}
 }
 
 // find returns the most specific route of the group that matches a request, nil for none.
-func (b *routeGroup) find(r *Request, class string) (best *Route) {
-	var at specificity
+func (g *routeGroup) find(r *Request, class string) (best *Route) {
+	var highest specificity
 	try := func(x *Route) {
-		if x.Class != "" && x.Class != class || !x.Match.takes(r) {
+		if x.Class != "" && x.Class != class || !x.Match.matchesExceptIndex(r) {
 			return
 		}
-		if e := x.specificity(r.Client); best == nil || e.compare(at) > 0 {
-			best, at = x, e
+		if s := x.specificity(r.Client); best == nil || s.compare(highest) > 0 {
+			best, highest = x, s
 		}
 	}
-	if b.byNet != nil && r.Client.IsValid() {
-		for _, indices := range b.byNet.Supernets(netip.PrefixFrom(r.Client, r.Client.BitLen())) {
+	if g.byClient != nil && r.Client.IsValid() {
+		for _, indices := range g.byClient.Supernets(netip.PrefixFrom(r.Client, r.Client.BitLen())) {
 			for _, i := range indices {
-				try(b.routes[i])
+				try(g.routes[i])
 			}
 		}
 		return best
 	}
-	for _, x := range b.routes {
+	for _, x := range g.routes {
 		try(x)
 	}
 	return best
@@ -256,15 +259,15 @@
 
 // Find returns the most specific route that matches a request of a class, nil for none.
 func (t *Table) Find(r *Request, class string) *Route {
-	var open [16]*routeGroup // prefix patterns that match, the longest last
+	var prefixes [16]*routeGroup // groups of the prefix patterns that match, the longest last
 	n, depth := &t.root, 0
-	push := func(b *routeGroup) {
-		if b != nil {
-			if depth == len(open) { // the shortest is the least specific
-				copy(open[:], open[1:])
+	push := func(g *routeGroup) {
+		if g != nil {
+			if depth == len(prefixes) { // drop the shortest pattern, which is the least specific
+				copy(prefixes[:], prefixes[1:])
 				depth--
 			}
-			open[depth] = b
+			prefixes[depth] = g
 			depth++
 		}
 	}
@@ -281,12 +284,12 @@
 		}
 	}
 	for depth--; depth >= 0; depth-- {
-		if x := open[depth].find(r, class); x != nil {
+		if x := prefixes[depth].find(r, class); x != nil {
 			return x
 		}
 	}
 	return nil
 }
 
-// Routes returns all routes in the given order.
+// Routes returns all routes in the order passed to NewTable.
 func (t *Table) Routes() []*Route { return t.routes }
--- a/internal/gatherer/merge/merge.go
+++ b/internal/gatherer/merge/merge.go
@@ -1,5 +1,6 @@
-// Package merge merges the sorted answers of many ranges into a page of the best lots: by several sort keys, with missing
-// values, in one total order. It does no I/O. Create a Top with NewTop, pass each answer to Offer, then call Sorted.
+// Package merge merges the sorted answers of many ranges into a page of the best lots. Lots have a total order by several
+// sort keys, whose values may be missing. It does no I/O. Create a Top with NewTop, pass each answer to Offer, then call
+// Sorted.
 package merge
 
 import (
@@ -10,11 +11,11 @@
 	"strings"
 )
 
-// Value is one sort value of a lot. Numbers and strings do not mix under one sort key of an index; where they do,
+// Value is one sort value of a lot. The values of one sort key are normally all numbers or all strings; if they are mixed,
 // numbers come first.
 type Value struct {
 	Kind  Kind
-	IsInt bool // the number is exactly Int: 64-bit integers beyond 2^53 differ where their Num does not
+	IsInt bool // the number is exactly Int: two integers beyond 2^53 may differ although their Num is equal
 	Int   int64
 	Num   float64
 	Str   string
@@ -30,16 +31,16 @@
 	String
 )
 
-// Num returns a number.
+// Num returns the value of a number.
 func Num(x float64) Value { return Value{Kind: Number, Num: x} }
 
-// Int returns an integer.
+// Int returns the value of an integer.
 func Int(n int64) Value { return Value{Kind: Number, IsInt: true, Int: n, Num: float64(n)} }
 
-// Str returns a string.
+// Str returns the value of a string.
 func Str(s string) Value { return Value{Kind: String, Str: s} }
 
-// JSON formats a value, a missing one as null.
+// JSON encodes a value as JSON: a missing one as null, and an infinite number as a string. Quote encodes strings.
 func (v Value) JSON(quote func(string) string) string {
 	switch {
 	case v.Kind == String:
@@ -56,18 +57,18 @@
 
 // Key is one key that lots are sorted by.
 type Key struct {
-	Field        string // the constant Score for the score
+	Field        string // name of a field, or Score
 	Desc         bool
-	MissingFirst bool // lots without the field come first, whichever the direction
+	MissingFirst bool // lots without the field come first, whatever Desc is
 }
 
 // Score is the field name of a lot's score.
 const Score = "_score"
 
-// Compare compares two values of a key: below 0 if the lot of a comes first.
+// Compare compares two values of a key. It returns a negative number if the lot with a comes first, 0 for a tie.
 func (k Key) Compare(a, b Value) int {
 	if a.Kind == Missing || b.Kind == Missing {
-		order := cmp.Compare(b.Kind, a.Kind) // Missing is the smallest kind, and its lot comes last
+		order := cmp.Compare(b.Kind, a.Kind) // 0 if both are missing
 		if a.Kind != Missing {
 			order = -1
 		} else if b.Kind != Missing {
@@ -94,7 +95,8 @@
 	return order
 }
 
-// Compare compares two lists of sort values by the keys. Where there are fewer values than keys, only those are compared.
+// Compare compares two lists of sort values by the keys. If a list has fewer values than there are keys, the remaining keys
+// are ignored.
 func Compare(keys []Key, a, b []Value) int {
 	for i := range min(len(keys), len(a), len(b)) {
 		if c := keys[i].Compare(a[i], b[i]); c != 0 {
@@ -104,17 +106,18 @@
 	return 0
 }
 
-// Slip is the relative error of a score that adds up 32-bit terms in another order.
-const Slip = 1e-6
+// ScoreTolerance is the relative difference that two scores of the same lot may have, as the sum of 32-bit terms depends on
+// their order.
+const ScoreTolerance = 1e-6
 
-// Unchanged reports whether two lists of sort values are equal, scores up to Slip.
+// Unchanged reports whether two lists of sort values are equal, for scores within ScoreTolerance.
 func Unchanged(keys []Key, a, b []Value) bool {
 	if len(a) != len(keys) || len(b) != len(keys) {
 		return false
 	}
 	for i, k := range keys {
 		if k.Field == Score && a[i].Kind == Number && b[i].Kind == Number {
-			if math.Abs(a[i].Num-b[i].Num) > Slip*math.Max(math.Abs(a[i].Num), math.Abs(b[i].Num)) {
+			if math.Abs(a[i].Num-b[i].Num) > ScoreTolerance*math.Max(math.Abs(a[i].Num), math.Abs(b[i].Num)) {
 				return false
 			}
 			continue
@@ -129,15 +132,17 @@
 // Hit is a lot in a range's answer.
 type Hit struct {
 	ID      string
-	Sort    []Value // by the search's keys
+	Sort    []Value // one per sort key
 	Version int64   // of the lot, 0 if unknown
-	Listing string  // as its range returned it; empty in the score phase
-	// Rank is its index in the answer of its range, which has lots of equal sort values in the order of their ids.
+	Listing string  // as returned by the range; empty in the score phase
+	// Range is the number of the range, and Rank the index in its answer. Lots of a range with equal sort values are in the
+	// order of their ids.
 	Range, Rank int
 }
 
-// Before is the total order of lots: by the keys, then by range, then by rank within the range.
-func Before(keys []Key, a, b *Hit) int {
+// CompareHits is the total order of lots: by the keys, then by range, then by rank within the range. It returns a negative
+// number if a comes first.
+func CompareHits(keys []Key, a, b *Hit) int {
 	if c := Compare(keys, a.Sort, b.Sort); c != 0 {
 		return c
 	}
@@ -166,26 +171,26 @@
 	return len(seen) < len(hits)
 }
 
-// maxPairwise is up to how many hits ids are compared pairwise, which costs less than a table.
+// maxPairwise is the number of hits up to which ids are compared pairwise, which is faster than a map.
 const maxPairwise = 32
 
-// spare is how many lots are kept beyond the page, to replace duplicates on it.
+// spare is how many lots are kept in addition to the page, to replace duplicates that Sorted removes.
 const spare = 8
 
-// Top keeps the best lots of many sorted answers, sorted: each answer is merged from the position of its first lot on, and
-// most answers end at that comparison.
+// Top keeps the best lots of many sorted answers in a sorted list. An answer is merged into the list from the position of its
+// first lot on. For most answers, that position is beyond the end, so that one comparison suffices.
 type Top struct {
-	keys       []Key
-	size       int
-	hits, next []*Hit
-	best       *Hit
-	duplicates int
+	keys         []Key
+	size         int    // of the page
+	hits, buffer []*Hit // the list, and a buffer for the next one
+	best         *Hit
+	duplicates   int
 }
 
 // NewTop returns a Top for a page of at most size lots.
 func NewTop(keys []Key, size int) Top { return Top{keys: keys, size: size} }
 
-// Last returns the last lot of a full page, nil while the page is not full.
+// Last returns the last lot of the page, nil while the page is not full.
 func (t *Top) Last() *Hit {
 	if t.size == 0 || len(t.hits) < t.size {
 		return nil
@@ -193,30 +198,30 @@
 	return t.hits[t.size-1]
 }
 
-// Best returns the best lot of all that were offered, nil without any.
+// Best returns the best lot of all that were offered, nil if there were none.
 func (t *Top) Best() *Hit { return t.best }
 
-// Offer merges a range's lots, best first, and reports whether the page has changed. It stops at the first lot that is not
-// among the best, as no later one is.
+// Offer merges a range's lots, which must be sorted, and reports whether the page has changed. It stops at the first lot that
+// is not among the best, as the later ones are not either.
 func (t *Top) Offer(hits []Hit) (changed bool) {
 	if len(hits) == 0 {
 		return false
 	}
-	if t.best == nil || Before(t.keys, &hits[0], t.best) < 0 {
+	if t.best == nil || CompareHits(t.keys, &hits[0], t.best) < 0 {
 		t.best = &hits[0]
 	}
 	full := t.size + spare
-	if t.size == 0 || len(t.hits) == full && Before(t.keys, &hits[0], t.hits[full-1]) >= 0 {
+	if t.size == 0 || len(t.hits) == full && CompareHits(t.keys, &hits[0], t.hits[full-1]) >= 0 {
 		return false
 	}
-	if t.next == nil {
+	if t.buffer == nil {
 		capacity := min(full, len(hits)+1024)
 		both := make([]*Hit, 2*capacity)
-		t.hits, t.next = both[:0:capacity], both[capacity:capacity]
+		t.hits, t.buffer = both[:0:capacity], both[capacity:capacity]
 	}
-	out, rest, first := t.next[:0], t.hits, -1
+	out, rest, first := t.buffer[:0], t.hits, -1
 	for j := 0; j < len(hits) && len(out) < full; j++ {
-		n, _ := slices.BinarySearchFunc(rest, &hits[j], func(a, b *Hit) int { return Before(t.keys, a, b) })
+		n, _ := slices.BinarySearchFunc(rest, &hits[j], func(a, b *Hit) int { return CompareHits(t.keys, a, b) })
 		n = min(n, full-len(out))
 		out, rest = append(out, rest[:n]...), rest[n:]
 		if first < 0 {
@@ -227,14 +232,14 @@
 		}
 	}
 	out = append(out, rest[:min(len(rest), full-len(out))]...)
-	t.hits, t.next = out, t.hits
+	t.hits, t.buffer = out, t.hits
 	return first < t.size
 }
 
-// Sorted ends the Top and returns its lots, best first, without duplicates: of a lot that moved from one range to another
-// while they answered, the better rank is kept.
+// Sorted returns the page, best lot first, without duplicates: a lot that moved from one range to another during the search
+// may be in the answers of both, and its better position is kept. Offer must not be called afterwards.
 func (t *Top) Sorted() []*Hit {
-	if len(t.hits) <= maxPairwise { // no table is needed for the usual page
+	if len(t.hits) <= maxPairwise {
 		for i := 1; i < len(t.hits); i++ {
 			for j := range i {
 				if t.hits[i].ID == t.hits[j].ID {
@@ -248,21 +253,21 @@
 	} else {
 		seen := make(map[string]struct{}, len(t.hits))
 		t.hits = slices.DeleteFunc(t.hits, func(h *Hit) bool {
-			_, twice := seen[h.ID]
+			_, duplicate := seen[h.ID]
 			seen[h.ID] = struct{}{}
-			if twice {
+			if duplicate {
 				t.duplicates++
 			}
-			return twice
+			return duplicate
 		})
 	}
 	return t.hits[:min(t.size, len(t.hits))]
 }
 
-// Duplicates returns how many duplicates Sorted has removed. The page is right for up to spare of them.
+// Duplicates returns how many duplicates Sorted has removed. With more than spare of them, the page may lack lots.
 func (t *Top) Duplicates() int { return t.duplicates }
 
-// After is the position behind which a page begins: the sort values of a lot and, where Tied, its range and id.
+// After is the position after which a page begins: the sort values of a lot and, if Tied is set, its range and id.
 type After struct {
 	Values []Value
 	Tied   bool
@@ -270,8 +275,8 @@
 	ID     string
 }
 
-// Tie returns the id behind which the lots of a range with exactly these sort values begin: all lots of later ranges are
-// behind the position, and none of earlier ones.
+// Tie returns the id after which the page begins among the lots of a range that have exactly these sort values. In ranges
+// after that of the position all such lots follow it, and in ranges before it none do.
 func (a *After) Tie(number int) string {
 	switch {
 	case a.Tied && number == a.Range:
--- a/internal/gatherer/merge/merge_test.go
+++ b/internal/gatherer/merge/merge_test.go
@@ -13,11 +13,11 @@
 
 var byScore = []Key{{Field: Score, Desc: true}}
 
-// answers makes sorted answers of ranges.
-func answers(ranges, each int) (all [][]Hit) {
+// answers returns sorted answers of ranges with so many hits each.
+func answers(ranges, hitsPerRange int) (all [][]Hit) {
 	for r := range ranges {
 		var hits []Hit
-		for i := range each {
+		for i := range hitsPerRange {
 			hits = append(hits, Hit{ID: fmt.Sprintf("lot-%d-%d", r, i), Sort: []Value{Num(1000 - float64((r*7919)%1000)/10 - float64(i)*3)}, Range: r, Rank: i})
 		}
 		all = append(all, hits)
@@ -25,8 +25,8 @@
 	return all
 }
 
-// The page is that of sorting everything, in whichever order answers arrive, without duplicates.
-func TestTopIsTheSortedPage(t *testing.T) {
+// In whichever order answers arrive, the page is the same as that of sorting all hits and removing duplicates.
+func TestTopEqualsSortingAllHits(t *testing.T) {
 	proptest.Seed(t, 500)
 	rapid.Check(t, func(t *rapid.T) {
 		keys := []Key{{Field: "a", Desc: rapid.Bool().Draw(t, "desc"), MissingFirst: rapid.Bool().Draw(t, "first")}, {Field: "b"}}
@@ -41,7 +41,7 @@
 			}
 			return Num(float64(rapid.IntRange(0, 3).Draw(t, "number")))
 		})
-		moved := rapid.IntRange(0, 1).Draw(t, "moved") // ids that stand in several ranges
+		moved := rapid.IntRange(0, 1).Draw(t, "moved") // number of ids that are in several ranges
 		var all []*Hit
 		var ranges [][]Hit
 		for r := range rapid.IntRange(1, 8).Draw(t, "ranges") {
@@ -65,7 +65,7 @@
 			}
 			ranges = append(ranges, hits)
 		}
-		slices.SortFunc(all, func(x, y *Hit) int { return Before(keys, x, y) })
+		slices.SortFunc(all, func(x, y *Hit) int { return CompareHits(keys, x, y) })
 		seen := map[string]bool{}
 		var want []*Hit
 		for _, h := range all {
@@ -84,21 +84,21 @@
 			t.Fatalf("best %v, want %v", top.Best(), want[0])
 		}
 		if got := top.Sorted(); !slices.Equal(got, want[:min(len(want), top.size)]) {
-			t.Fatalf("%d lots, want %d", len(got), min(len(want), top.size))
+			t.Fatalf("page of %d lots differs from that of sorting, which has %d", len(got), min(len(want), top.size))
 		}
 	})
 }
 
-// Integers beyond 2^53 keep their order, and are encoded exactly.
+// Integers beyond 2^53, which a float64 cannot represent exactly, are compared and encoded exactly.
 func TestIntegers(t *testing.T) {
 	k := Key{Field: "n"}
 	if a, b := Int(1<<53), Int(1<<53+1); k.Compare(a, b) >= 0 || b.JSON(nil) != "9007199254740993" {
-		t.Error("two that differ by one are the same")
+		t.Errorf("%d and %d compare as %d, and the second is encoded as %s", a.Int, b.Int, k.Compare(a, b), b.JSON(nil))
 	}
 }
 
-// BenchmarkMerge computes the page of the answers of 24 and 200 ranges by the sorted page that the plan has, by a loser
-// tree over the ranges' heads, and by concatenating and sorting all.
+// BenchmarkMerge computes the page of the answers of 24 and 200 ranges by a Top, by a loser tree over the answers, and by
+// sorting all hits.
 func BenchmarkMerge(b *testing.B) {
 	for _, ranges := range []int{24, 200} {
 		for _, page := range []int{10, 1000} {
@@ -117,7 +117,7 @@
 			b.Run(name+"losers", func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					losers(byScore, all, page)
+					loserTree(byScore, all, page)
 				}
 			})
 			b.Run(name+"sort", func(b *testing.B) {
@@ -129,7 +129,7 @@
 							list = append(list, &all[r][i])
 						}
 					}
-					slices.SortFunc(list, func(x, y *Hit) int { return Before(byScore, x, y) })
+					slices.SortFunc(list, func(x, y *Hit) int { return CompareHits(byScore, x, y) })
 					_ = list[:page]
 				}
 			})
@@ -137,8 +137,8 @@
 	}
 }
 
-// losers is a tournament tree over the heads of sorted lists (Knuth, The Art of Computer Programming, 5.4.1).
-func losers(keys []Key, all [][]Hit, page int) []*Hit {
+// loserTree merges sorted lists by a tree of loserTree over their heads (Knuth, The Art of Computer Programming, 5.4.1).
+func loserTree(keys []Key, all [][]Hit, page int) []*Hit {
 	n := len(all)
 	heads, tree := make([]int, n), make([]int, n)
 	less := func(a, b int) bool {
@@ -148,7 +148,7 @@
 		case heads[b] == len(all[b]):
 			return true
 		}
-		return Before(keys, &all[a][heads[a]], &all[b][heads[b]]) < 0
+		return CompareHits(keys, &all[a][heads[a]], &all[b][heads[b]]) < 0
 	}
 	var build func(node int) int
 	build = func(node int) int {
--- a/internal/gatherer/search/bounds.go
+++ b/internal/gatherer/search/bounds.go
@@ -2,10 +2,10 @@
 
 import "pulleygw.example/pulleygw/internal/gatherer/merge"
 
-// countOnly reports whether only a count is wanted.
+// countOnly reports whether the query asks for no lots, only for their count.
 func (p *Plan) countOnly() bool { return p.Query.page() == 0 }
 
-// compareBounds orders ranges by the best lot that they may have; empty ones come last.
+// compareBounds orders ranges with a bound by the best lot that they may have. Empty ones come last.
 func (p *Plan) compareBounds(i, j int) int {
 	a, b := &p.bounds[i], &p.bounds[j]
 	switch {
@@ -23,8 +23,8 @@
 	return p.ranges[i].Number - p.ranges[j].Number
 }
 
-// beaten reports whether no lot of a range with a bound can reach the page.
-func (p *Plan) beaten(i int) bool {
+// cannotReachPage reports whether the bound of a range shows that none of its lots can be on the page.
+func (p *Plan) cannotReachPage(i int) bool {
 	b := &p.bounds[i]
 	if b.Empty || p.countOnly() {
 		return true
@@ -37,14 +37,14 @@
 	switch c := merge.Compare(p.Query.Keys[:n], last.Sort, b.Best); {
 	case c != 0:
 		return c < 0
-	case n < len(p.Query.Keys): // further keys decide
+	case n < len(p.Query.Keys): // a tie in the keys of the bound: the remaining ones decide, which it does not cover
 		return false
 	}
 	return last.Range < p.ranges[i].Number
 }
 
-// countable reports whether a range may be skipped without making the count less exact than the client wants.
-func (p *Plan) countable(i int) bool {
+// countAllowsSkip reports whether a range may be skipped without making the count less exact than the client asks for.
+func (p *Plan) countAllowsSkip(i int) bool {
 	b := &p.bounds[i]
 	switch c := p.Query.Count; {
 	case p.Query.Every:
@@ -60,36 +60,37 @@
 	}
 }
 
-// prune skips the ranges that can no longer change the page, from the worst bound up: where one is not beaten, no better one
-// is.
+// prune skips the ranges that can no longer change the page, starting with the worst bound. It stops at the first range that
+// can reach the page, as all ranges with better bounds can.
 func (p *Plan) prune(o Orders) Orders {
 	for ; p.pruneFrom > 0; p.pruneFrom-- {
 		i := p.order[p.pruneFrom-1]
 		if p.state[i] == answered || p.state[i] == skipped {
 			continue
 		}
-		if !p.beaten(i) {
+		if !p.cannotReachPage(i) {
 			break
 		}
-		if !p.countable(i) {
-			return p.pruneBetween(o)
+		if !p.countAllowsSkip(i) {
+			return p.pruneRest(o)
 		}
 		o = p.skip(o, i)
 	}
 	return o
 }
 
-// pruneBetween continues behind a range whose count is wanted: another may be beaten and counted.
-func (p *Plan) pruneBetween(o Orders) Orders {
+// pruneRest continues prune after a range that cannot reach the page but is needed for the count. It must look at all ranges
+// again the next time, so that it does not move pruneFrom.
+func (p *Plan) pruneRest(o Orders) Orders {
 	for n := p.pruneFrom - 1; n >= 0; n-- {
 		i := p.order[n]
 		if p.state[i] == answered || p.state[i] == skipped {
 			continue
 		}
-		if !p.beaten(i) {
+		if !p.cannotReachPage(i) {
 			break
 		}
-		if p.countable(i) {
+		if p.countAllowsSkip(i) {
 			o = p.skip(o, i)
 		}
 	}
--- a/internal/gatherer/search/choose.go
+++ b/internal/gatherer/search/choose.go
@@ -6,72 +6,77 @@
 	"time"
 )
 
-// Tuned values of the choice between one phase and two.
+// Parameters of the choice between one phase and two.
 const (
-	chooseWeight     = 0.1      // smoothing: some ten queries
-	chooseEnough     = 5        // queries of a side before its measurements count
-	chooseLate       = 0.02     // a side with so many more late answers is worse
-	chooseLoad       = 0.8      // of the other side's load: better by enough for a change
-	chooseHysteresis = 0.1      // margin by which the side not in use must be better
-	chooseTrial      = 50       // one query in so many uses the other side
-	bytesPerRequest  = 16 << 10 // bytes that count as much load as one request
+	averageWeight      = 0.1      // weight of a query in the moving averages: about ten queries
+	minMeasuredQueries = 5        // queries of both alternatives that must have been measured before a change
+	lateTolerance      = 0.02     // difference in the fraction of late answers that counts
+	maxLoadFraction    = 0.8      // fraction of the load of the alternative in use; the load of the other must be below that
+	hysteresis         = 0.1      // further margin by which the other must be better, so that the choice does not oscillate
+	trialInterval      = 50       // every so many queries, one uses the other alternative, to measure it
+	bytesPerRequest    = 16 << 10 // bytes that count as much load as one request
 )
 
-// Chooser chooses between one phase and two by measurements of both, by class, fan-out and page size. It is not safe for
-// concurrent use. Its memory is bounded by the number of classes: fan-outs and pages count by powers of two.
+// Chooser chooses between one phase and two by measurements of both, for each class, fan-out and page size. It is not safe
+// for concurrent use. Its memory is bounded by the number of classes, as fan-outs and page sizes are grouped by powers of two.
 type Chooser struct {
-	force Phases // 0 for none
-	sides map[chooseKey]*choice
+	force   Phases // 0 for none
+	choices map[chooseKey]*choice
 }
 
+// chooseKey is a kind of query, with the logarithms of its numbers of ranges and of lots on the page.
 type chooseKey struct{ class, ranges, page int }
 
+// choice is the number of phases in use for a kind of query, with the measurements of both alternatives.
 type choice struct {
-	sides   [2]side
-	use     Phases
-	queries int
+	measurements [2]measurement // for One and Two
+	use          Phases
+	queries      int
 }
 
-// side is the measurements of one number of phases.
-type side struct {
-	n          int
-	late, load float64
+// measurement has the moving averages over queries with one number of phases.
+type measurement struct {
+	n          int     // queries measured
+	late, load float64 // fraction of late answers, and load in requests per query
 }
 
-// NewChooser returns a chooser. Force is One, Two or 0 for whichever is better.
-func NewChooser(force Phases) *Chooser { return &Chooser{force: force, sides: map[chooseKey]*choice{}} }
+// NewChooser returns a chooser. Force is One or Two to always use that, or 0 for whichever is better.
+func NewChooser(force Phases) *Chooser {
+	return &Chooser{force: force, choices: map[chooseKey]*choice{}}
+}
 
-// of returns the choice for a kind of query.
-func (c *Chooser) of(class, ranges, page int) *choice {
+// choiceFor returns the choice for a kind of query.
+func (c *Chooser) choiceFor(class, ranges, page int) *choice {
 	k := chooseKey{class, bits.Len(uint(ranges)), bits.Len(uint(page))}
-	x := c.sides[k]
+	x := c.choices[k]
 	if x == nil {
 		x = &choice{use: One}
-		if min(page, ranges)*2 <= ranges { // the page comes from at most half of the ranges
+		if min(page, ranges)*2 <= ranges { // the lots of the page are from at most half of the ranges
 			x.use = Two
 		}
-		c.sides[k] = x
+		c.choices[k] = x
 	}
 	return x
 }
 
-// Choose returns the number of phases for a query of a class over so many ranges. Why is not empty if the choice has changed.
+// Choose returns the number of phases for a query of a class over so many ranges. If the choice for its kind of queries has
+// changed, why has the reason, for the log.
 func (c *Chooser) Choose(class int, q *Query, ranges int) (p Phases, why string) {
 	if c.force != 0 {
 		return c.force, ""
 	}
-	if ranges < 2 || q.Size == 0 { // nothing to fetch, or nothing to save
+	if ranges < 2 || q.Size == 0 { // no range can be skipped, or there are no listings to fetch
 		return One, ""
 	}
-	x := c.of(class, ranges, q.page())
-	one, two := &x.sides[0], &x.sides[1]
-	if one.n >= chooseEnough && two.n >= chooseEnough {
+	x := c.choiceFor(class, ranges, q.page())
+	one, two := &x.measurements[0], &x.measurements[1]
+	if one.n >= minMeasuredQueries && two.n >= minMeasuredQueries {
 		use, other := one, two
 		if x.use == Two {
 			use, other = two, one
 		}
-		late := other.late < use.late-chooseLate-chooseHysteresis*use.late
-		load := other.late < use.late+chooseLate && other.load < (chooseLoad-chooseHysteresis)*use.load
+		late := other.late < use.late-lateTolerance-hysteresis*use.late
+		load := other.late < use.late+lateTolerance && other.load < (maxLoadFraction-hysteresis)*use.load
 		if late || load {
 			x.use = One + Two - x.use
 			why = fmt.Sprintf("phases=%d class=%d ranges=%d page=%d one: late=%.2f load=%.1f two: late=%.2f load=%.1f",
@@ -79,27 +84,27 @@
 		}
 	}
 	x.queries++
-	if x.queries%chooseTrial == 0 {
+	if x.queries%trialInterval == 0 {
 		return One + Two - x.use, why
 	}
 	return x.use, why
 }
 
-// Measured records the latency of a query, its target, and whether it was answered at all.
-func (c *Chooser) Measured(class int, p *Plan, took, target time.Duration, answered bool) {
+// Record records the latency of a query, its latency target, and whether it was answered.
+func (c *Chooser) Record(class int, p *Plan, latency, target time.Duration, answered bool) {
 	if c.force != 0 || len(p.ranges) < 2 || p.Query.Size == 0 {
 		return
 	}
-	s := &c.of(class, len(p.ranges), p.Query.page()).sides[p.Phases-One]
+	s := &c.choiceFor(class, len(p.ranges), p.Query.page()).measurements[p.Phases-One]
 	late := 0.0
-	if !answered || took > target {
+	if !answered || latency > target {
 		late = 1
 	}
 	load := float64(p.requests) + float64(p.bytes)/bytesPerRequest
 	s.n++
-	w := max(chooseWeight, 1/float64(s.n))
+	w := max(averageWeight, 1/float64(s.n))
 	s.late += w * (late - s.late)
-	if answered { // the load of a query that ended early says nothing
+	if answered { // a query that ended early has not caused its full load
 		s.load += w * (load - s.load)
 	}
 }
--- a/internal/gatherer/search/world_test.go
+++ b/internal/gatherer/search/fake_stores_test.go
@@ -8,14 +8,15 @@
 	"pulleygw.example/pulleygw/internal/gatherer/merge"
 )
 
-// world is some ranges of lots, each as its one copy sees it.
-type world struct {
+// fakeStores has ranges of lots with one replica each.
+type fakeStores struct {
 	lots [][]merge.Hit // by range, sorted
-	view []View
+	view []View        // by range
 }
 
-func newWorld(keys []merge.Key, ranges [][]merge.Value) *world {
-	w := &world{}
+// newFakeStores returns ranges with one lot for each of the sort values.
+func newFakeStores(keys []merge.Key, ranges [][]merge.Value) *fakeStores {
+	w := &fakeStores{}
 	for r, list := range ranges {
 		var lots []merge.Hit
 		for i, v := range list {
@@ -28,24 +29,25 @@
 	return w
 }
 
-func (w *world) sort(keys []merge.Key, r int) {
+func (w *fakeStores) sort(keys []merge.Key, r int) {
 	slices.SortStableFunc(w.lots[r], func(a, b merge.Hit) int { return merge.Compare(keys, a.Sort, b.Sort) })
 }
 
-// write puts a lot into a range; the copy promises nothing more about what it had said.
-func (w *world) write(keys []merge.Key, r int, id string, v merge.Value) {
+// write adds a lot to a range, which gets a new version.
+func (w *fakeStores) write(keys []merge.Key, r int, id string, v merge.Value) {
 	w.lots[r] = append(w.lots[r], merge.Hit{ID: id, Sort: []merge.Value{v}})
 	w.view[r].Version++
 	w.sort(keys, r)
 }
 
-func (w *world) answer(q *Query, r int) *Answer {
+// answer returns the answer of a range to the score phase.
+func (w *fakeStores) answer(q *Query, r int) *Answer {
 	n := min(len(w.lots[r]), q.page())
 	return &Answer{Hits: slices.Clone(w.lots[r][:n]), Total: int64(len(w.lots[r])), View: w.view[r]}
 }
 
-// page is what a full search of everything gives.
-func (w *world) page(q *Query) (ids []string, total int64) {
+// page returns the page and the total by sorting the lots of all ranges.
+func (w *fakeStores) page(q *Query) (ids []string, total int64) {
 	var all []*merge.Hit
 	for r := range w.lots {
 		for i, h := range w.lots[r] {
@@ -54,7 +56,7 @@
 		}
 		total += int64(len(w.lots[r]))
 	}
-	slices.SortFunc(all, func(a, b *merge.Hit) int { return merge.Before(q.Keys, a, b) })
+	slices.SortFunc(all, func(a, b *merge.Hit) int { return merge.CompareHits(q.Keys, a, b) })
 	all = all[min(q.From, len(all)):]
 	for _, h := range all[:min(q.Size, len(all))] {
 		ids = append(ids, h.ID)
@@ -62,7 +64,7 @@
 	return ids, total
 }
 
-func (w *world) plan(q *Query, x *Index) *Plan {
+func (w *fakeStores) plan(q *Query, x *Index) *Plan {
 	var ranges []Range
 	for r := range w.lots {
 		ranges = append(ranges, Range{r, 1 / float64(len(w.lots))})
@@ -70,21 +72,22 @@
 	return NewPlan(q, Two, ranges, x)
 }
 
-var roomy = Times{End: sec, Usual: 25 * ms}
+// ampleTime is enough for all waves.
+var ampleTime = Times{End: sec, UsualLatency: 25 * ms}
 
-// run plays a plan; each asked range answers after a while of its own, in an order given by pick.
-func (w *world) run(p *Plan, at time.Duration, pick func(n int) int) (r Result, fetch []Fetch) {
-	times := roomy
+// run executes a plan. Requested ranges answer in the order given by pick, which returns the index of the next of n.
+func (w *fakeStores) run(p *Plan, at time.Duration, pick func(n int) int) (r Result, fetch []Fetch) {
+	times := ampleTime
 	times.End += at
 	o := p.Start(at, times)
-	out := slices.Clone(o.Request)
-	for len(out) > 0 {
-		n := pick(len(out))
-		i := out[n]
-		out = slices.Delete(out, n, n+1)
+	inFlight := slices.Clone(o.Request)
+	for len(inFlight) > 0 {
+		n := pick(len(inFlight))
+		i := inFlight[n]
+		inFlight = slices.Delete(inFlight, n, n+1)
 		o := p.Scored(i, uint32(i), w.answer(p.Query, i), at, at+20*ms)
-		out = append(out, o.Request...)
-		out = slices.DeleteFunc(out, func(i int) bool { return slices.Contains(o.Skip, i) })
+		inFlight = append(inFlight, o.Request...)
+		inFlight = slices.DeleteFunc(inFlight, func(i int) bool { return slices.Contains(o.Skip, i) })
 	}
 	fetch = p.Close()
 	for _, f := range fetch {
@@ -100,7 +103,7 @@
 	return p.Result(), fetch
 }
 
-func first(int) int { return 0 }
+func pickFirst(int) int { return 0 }
 
 func ids(hits []*merge.Hit) (s []string) {
 	for _, h := range hits {
--- a/internal/gatherer/search/index.go
+++ b/internal/gatherer/search/index.go
@@ -6,46 +6,48 @@
 	"pulleygw.example/pulleygw/internal/gatherer/merge"
 )
 
-// Bound is a bound of a range's best lot for a query: no lot of the range comes before it.
+// Bound limits what a range can contribute to a query.
 type Bound struct {
 	Empty bool // no lot of the range matches
-	// Best are sort values that no lot comes before; only the first where the bound is of that key.
+	// Best has sort values such that no lot of the range comes before them. It may have fewer values than there are sort
+	// keys.
 	Best  []merge.Value
-	Count int64 // of lots that match
-	Exact bool  // Count is known
+	Count int64 // number of lots that match, if Exact
+	Exact bool
 }
 
-// Index remembers bounds by range, learned from answers whose lot stores guarantee that their view is stable for a while. A
-// bound is of one version of its range, and may be used while some replica guarantees that its searches see that version. It
-// is invalid once any replica reports a later version, or a replica that has reported versions restarts, as its numbering
-// starts again then. A bound whose guarantee has expired is valid again when a replica guarantees the same version.
+// Index remembers the bounds of ranges, learned from answers whose lot stores guarantee a stable view for a while. A bound
+// holds for one version of its range, and may be used while some replica guarantees that its searches see that version. It
+// becomes invalid when any replica reports a later version, and when a replica that has reported versions restarts, as its
+// version numbers start again. A bound whose guarantee has expired is valid again when a replica guarantees the same version.
 //
-// It has a table of ranges for each name, so that a query finds its bounds by one look-up and then by number. The least
-// recently used names are evicted when there are more slots than the limit. It is not safe for concurrent use.
+// The bounds are stored by name, in one table per name with a slot for each range, so that a query looks up its name once
+// and then its bounds by number of the range. The least recently used names are evicted when there are more slots than the
+// limit. It is not safe for concurrent use.
 type Index struct {
 	ranges []rangeView
 	tables map[string]*table
-	// root links the tables in a ring, the most recently used first.
+	// root is the head of the list of tables, a ring with the most recently used table first.
 	root  table
-	limit int
-	slots int
-	// numeric has the fields whose values are known to be numbers: only of these may extremes be requested, as lot
-	// stores fail a request for those of others.
+	limit int // maximum number of slots
+	slots int // number of slots in all tables
+	// numeric has the fields whose values are known to be numbers. Extremes are requested only of these, as lot stores
+	// return an error for other fields.
 	numeric map[string]struct{}
 }
 
-// maxNumericFields bounds the fields that are remembered as numeric.
+// maxNumericFields limits the size of Index.numeric.
 const maxNumericFields = 1000
 
 // rangeView is the latest known view of a range.
 type rangeView struct {
-	version int64
-	until   time.Duration // the end of the last guarantee
-	gen     uint32        // bounds of another generation are invalid
-	boots   map[uint32]string
+	version         int64
+	guaranteedUntil time.Duration     // end of the latest guarantee
+	generation      uint32            // slots with another generation are invalid
+	boots           map[uint32]string // View.Boot by lot store
 }
 
-// table is the bounds of one name.
+// table has the bounds of one name.
 type table struct {
 	name       string
 	slots      []slot
@@ -54,7 +56,7 @@
 
 // slot is one bound with its generation.
 type slot struct {
-	gen uint32 // from 1 on
+	generation uint32 // 0 if there is no bound yet
 	Bound
 }
 
@@ -66,50 +68,53 @@
 	return x
 }
 
-// Len returns the number of slots for bounds, and of names.
+// Len returns the number of slots in all tables, and the number of names.
 func (x *Index) Len() (slots, names int) { return x.slots, len(x.tables) }
 
-// observe records the view of an answer to a request sent at sent, and reports whether a bound may be learned.
+// observe records the view of an answer to a request that was sent at sent. It reports whether bounds may be learned from
+// the answer.
 func (x *Index) observe(number int, source uint32, v View, sent time.Duration) bool {
 	if number < 0 || number >= len(x.ranges) || v.Boot == "" {
 		return false
 	}
 	r := &x.ranges[number]
 	if r.boots == nil {
-		r.boots, r.gen = map[uint32]string{}, 1
+		r.boots, r.generation = map[uint32]string{}, 1
 	}
 	if old, ok := r.boots[source]; ok && old != v.Boot {
-		r.gen++ // it restarted: its versions, also those that others took over from it, may start again
-		r.version, r.until = v.Version, 0
+		r.generation++ // the lot store has restarted, and versions may start again, at replicas that copied from it as well
+		r.version, r.guaranteedUntil = v.Version, 0
 	}
 	r.boots[source] = v.Boot
 	until := sent + time.Duration(v.StableFor*float64(time.Second))
 	switch {
-	case v.Version > r.version || sent >= r.until: // later, or no guarantee holds any more
+	case v.Version > r.version || sent >= r.guaranteedUntil: // a later version, or the guarantee of the known one has expired
 		if v.Version != r.version {
-			r.gen++
+			r.generation++
 		}
-		r.version, r.until = v.Version, until
+		r.version, r.guaranteedUntil = v.Version, until
 	case v.Version < r.version:
-		return false // a replica that lags
+		return false // this replica lags behind
 	default:
-		r.until = max(r.until, until)
+		r.guaranteedUntil = max(r.guaranteedUntil, until)
 	}
 	return true
 }
 
-// Forget invalidates what a lot store reported, as its process has ended or was replaced.
+// Forget invalidates the bounds of the ranges for which a lot store has reported views. It must be called when the lot
+// store's process may have ended.
 func (x *Index) Forget(source uint32) {
 	for i := range x.ranges {
 		r := &x.ranges[i]
 		if _, reported := r.boots[source]; reported {
 			delete(r.boots, source)
-			r.gen++
+			r.generation++
 		}
 	}
 }
 
-// Learn records an answer of a range to a query, by a lot store to a request sent at sent.
+// Learn records the bounds that follow from a range's answer to a query. Source is the lot store, and sent the time at which
+// the request was sent.
 func (x *Index) Learn(q *Query, number int, source uint32, a *Answer, sent time.Duration) {
 	if f := q.Keys[0].Field; len(a.Hits) > 0 && a.Hits[0].Sort[0].Kind == merge.Number && len(x.numeric) < maxNumericFields {
 		x.numeric[f] = struct{}{}
@@ -142,12 +147,12 @@
 	}
 }
 
-// The names of bounds of clauses and fields. The name of a query never begins with a zero byte.
+// Tables of clauses and fields have names that begin with a zero byte, which the names of queries never do.
 func clauseName(clause string) string  { return "\x00c" + clause }
 func leastName(field string) string    { return "\x00<" + field }
 func greatestName(field string) string { return "\x00>" + field }
 
-// store stores a bound.
+// store stores a bound of a range under a name.
 func (x *Index) store(name string, number int, b Bound) {
 	t := x.tables[name]
 	if t == nil {
@@ -162,13 +167,13 @@
 	}
 	x.moveToFront(t)
 	s := &t.slots[number]
-	if s.gen == x.ranges[number].gen && s.Exact && !b.Exact { // of the same lots, which were not counted this time
+	if s.generation == x.ranges[number].generation && s.Exact && !b.Exact { // the lots are the same, so the earlier count still holds
 		b.Count, b.Exact = s.Count, true
 	}
-	*s = slot{x.ranges[number].gen, b}
+	*s = slot{x.ranges[number].generation, b}
 }
 
-// moveToFront links a table as the most recently used.
+// moveToFront adds a table to the list as the most recently used.
 func (x *Index) moveToFront(t *table) {
 	t.prev, t.next = &x.root, x.root.next
 	t.prev.next, t.next.prev = t, t
@@ -181,8 +186,8 @@
 	x.slots -= len(t.slots)
 }
 
-// use returns the table of a name and marks it as used.
-func (x *Index) use(name string) *table {
+// lookUp returns the table of a name, nil if there is none, and marks it as used.
+func (x *Index) lookUp(name string) *table {
 	t := x.tables[name]
 	if t != nil {
 		t.prev.next, t.next.prev = t.next, t.prev
@@ -191,44 +196,44 @@
 	return t
 }
 
-// at returns a range's bound in a table, nil if none is valid.
-func (x *Index) at(t *table, number int, now time.Duration) *slot {
+// validSlot returns a range's slot in a table, nil if it has no valid bound.
+func (x *Index) validSlot(t *table, number int, now time.Duration) *slot {
 	if t == nil || number < 0 || number >= len(t.slots) {
 		return nil
 	}
 	s, r := &t.slots[number], &x.ranges[number]
-	if now >= r.until || s.gen != r.gen || s.gen == 0 {
+	if now >= r.guaranteedUntil || s.generation != r.generation || s.generation == 0 {
 		return nil
 	}
 	return s
 }
 
-// bounder finds one query's bounds.
-type bounder struct {
-	x       *Index
+// queryBounds finds the bounds of the ranges for one query.
+type queryBounds struct {
+	index   *Index // nil for no bounds
 	q       *Query
 	now     time.Duration
-	query   *table
-	clauses []*table
-	field   *table
-	sums    []merge.Value // preallocated, so that sums need no allocation
+	query   *table        // of the query's name
+	clauses []*table      // of its clauses, if known for all of them
+	field   *table        // of the first sort key's field
+	sums    []merge.Value // allocated once for all ranges
 }
 
-// bounds returns the bounds of a query. The index must not be changed while it is in use.
-func (x *Index) bounds(q *Query, now time.Duration) bounder {
-	b := bounder{x: x, q: q, now: now}
+// bounds returns the bounds for a query. They must not be used after the index has changed.
+func (x *Index) bounds(q *Query, now time.Duration) queryBounds {
+	b := queryBounds{index: x, q: q, now: now}
 	if x == nil {
 		return b
 	}
 	if q.Name != "" {
-		b.query = x.use(q.Name)
+		b.query = x.lookUp(q.Name)
 	}
 	first := q.Keys[0]
 	switch {
 	case q.byScore():
 		for _, c := range q.Clauses {
-			t := x.use(clauseName(c))
-			if t == nil { // a term of the sum is missing
+			t := x.lookUp(clauseName(c))
+			if t == nil { // a term of the sum is unknown
 				b.clauses = nil
 				break
 			}
@@ -239,51 +244,52 @@
 		}
 	case first.Field == merge.Score || first.MissingFirst:
 	case first.Desc:
-		b.field = x.use(greatestName(first.Field))
+		b.field = x.lookUp(greatestName(first.Field))
 	default:
-		b.field = x.use(leastName(first.Field))
+		b.field = x.lookUp(leastName(first.Field))
 	}
 	return b
 }
 
-// of returns the bound of a range, false if there is none.
-func (b *bounder) of(number int) (Bound, bool) {
-	if s := b.x.at(b.query, number, b.now); s != nil {
+// boundOf returns the bound of a range, and false if none is known. In order of preference, it is the bound of the same query,
+// that of the first sort key's field, or the sum of the best scores of the clauses.
+func (b *queryBounds) boundOf(number int) (Bound, bool) {
+	if s := b.index.validSlot(b.query, number, b.now); s != nil {
 		return s.Bound, true
 	}
-	if s := b.x.at(b.field, number, b.now); s != nil {
+	if s := b.index.validSlot(b.field, number, b.now); s != nil {
 		return s.Bound, true
 	}
 	if len(b.clauses) == 0 || len(b.clauses) != len(b.q.Clauses) {
 		return Bound{}, false
 	}
-	sum, none := 0.0, true
+	sum, empty := 0.0, true
 	for _, t := range b.clauses {
-		s := b.x.at(t, number, b.now)
+		s := b.index.validSlot(t, number, b.now)
 		if s == nil {
 			return Bound{}, false
 		}
 		if !s.Empty {
-			none = false
+			empty = false
 			sum += max(s.Best[0].Num, 0)
 		}
 	}
-	if none {
+	if empty {
 		return Bound{Empty: true, Exact: true}, true
 	}
 	if len(b.sums) == cap(b.sums) {
 		return Bound{}, false
 	}
-	b.sums = append(b.sums, merge.Num(sum*(1+merge.Slip)))
+	b.sums = append(b.sums, merge.Num(sum*(1+merge.ScoreTolerance)))
 	return Bound{Best: b.sums[len(b.sums)-1:]}, true
 }
 
-// lacksField reports whether the extremes of the query's first key are of use and unknown for a range.
-func (b *bounder) lacksField(number int) bool {
-	if b.x == nil {
+// needsExtremes reports whether the extremes of the first sort key's field are useful for a range and not known.
+func (b *queryBounds) needsExtremes(number int) bool {
+	if b.index == nil {
 		return false
 	}
 	first := b.q.Keys[0]
-	_, numeric := b.x.numeric[first.Field]
-	return numeric && first.Field != merge.Score && !first.MissingFirst && b.x.at(b.field, number, b.now) == nil
+	_, numeric := b.index.numeric[first.Field]
+	return numeric && first.Field != merge.Score && !first.MissingFirst && b.index.validSlot(b.field, number, b.now) == nil
 }
