--- a/internal/gatherer/search/search_test.go
+++ b/internal/gatherer/search/search_test.go
@@ -19,9 +19,9 @@
 
 var byScore = []merge.Key{{Field: merge.Score, Desc: true}}
 
-// Whatever bounds were learned from earlier searches and in whichever order answers arrive, pruning loses no lot: the
-// page is that of a full search, the count is exact or says that it is a bound, and no range is asked twice.
-func TestPruningLosesNothing(t *testing.T) {
+// Whichever bounds were learned from earlier searches, and in whichever order answers arrive, pruning does not change the
+// result: the page is that of a search of all ranges, and the count is exact or reported as a lower bound.
+func TestPruningDoesNotChangeResult(t *testing.T) {
 	proptest.Seed(t, 1000)
 	rapid.Check(t, func(t *rapid.T) {
 		keys := []merge.Key{{Field: "price", Desc: rapid.Bool().Draw(t, "desc"), MissingFirst: rapid.Bool().Draw(t, "missing first")}}
@@ -34,7 +34,7 @@
 		if rapid.Bool().Draw(t, "by score") {
 			keys, values = byScore, rapid.Custom(func(t *rapid.T) merge.Value { return merge.Num(float64(rapid.IntRange(1, 30).Draw(t, "score"))) })
 		}
-		w := newWorld(keys, rapid.SliceOfN(rapid.SliceOfN(values, 0, 8), 1, 40).Draw(t, "lots"))
+		w := newFakeStores(keys, rapid.SliceOfN(rapid.SliceOfN(values, 0, 8), 1, 40).Draw(t, "lots"))
 		x := NewIndex(len(w.lots), 10000)
 		at := sec
 		for range rapid.IntRange(1, 4).Draw(t, "searches") {
@@ -44,20 +44,20 @@
 			p := w.plan(q, x)
 			r, _ := w.run(p, at, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "next") })
 			if !slices.Equal(ids(r.Hits), want) {
-				t.Fatalf("page %v, want %v; skipped %v", ids(r.Hits), want, r.Skipped)
+				t.Fatalf("page %v, want %v; skipped ranges %v", ids(r.Hits), want, r.Skipped)
 			}
 			if q.Count != CountNone && (r.Total > total || !r.AtLeast && r.Total != total) ||
 				q.Count == CountAll && r.AtLeast || q.Count == 7 && r.AtLeast && r.Total < 7 {
-				t.Fatalf("total %d, at least %v, truly %d, asked for %d", r.Total, r.AtLeast, total, q.Count)
+				t.Fatalf("total %d (lower bound: %v), want %d with counting %d", r.Total, r.AtLeast, total, q.Count)
 			}
 			if !r.Complete() || r.Fraction() < 0.999 || r.Answered+len(r.Skipped) != len(w.lots) {
-				t.Fatalf("not whole: %+v", r)
+				t.Fatalf("not complete: %+v", r)
 			}
 			at += 100 * ms
-			if rapid.Bool().Draw(t, "write") { // the view moves when its promise is over, or another copy tells
+			if rapid.Bool().Draw(t, "write") { // seen when another replica reports the new version, or the guarantee has expired
 				n := rapid.IntRange(0, len(w.lots)-1).Draw(t, "range")
 				w.write(keys, n, fmt.Sprint("new-", at), values.Draw(t, "value"))
-				if rapid.Bool().Draw(t, "told") {
+				if rapid.Bool().Draw(t, "reported") {
 					x.Learn(&Query{Keys: keys}, n, 999, &Answer{View: w.view[n]}, at)
 				} else {
 					at += 11 * sec
@@ -67,8 +67,8 @@
 	})
 }
 
-// forty ranges whose best score falls with their number, ten lots each.
-func falling(n int) *world {
+// fallingScores returns n ranges with ten lots each, whose scores fall with the number of the range.
+func fallingScores(n int) *fakeStores {
 	var ranges [][]merge.Value
 	for r := range n {
 		var list []merge.Value
@@ -77,74 +77,74 @@
 		}
 		ranges = append(ranges, list)
 	}
-	return newWorld(byScore, ranges)
+	return newFakeStores(byScore, ranges)
 }
 
-// The second search of a kind asks the few ranges that contain the page, and skips the rest.
+// The second search with the same name asks the few ranges that have the lots of the page, and skips the rest.
 func TestPruningSavesRequests(t *testing.T) {
-	w, x := falling(200), NewIndex(200, 10000)
+	w, x := fallingScores(200), NewIndex(200, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
-	w.run(w.plan(q, x), sec, first)
-	r, fetch := w.run(w.plan(q, x), 2*sec, first)
+	w.run(w.plan(q, x), sec, pickFirst)
+	r, fetch := w.run(w.plan(q, x), 2*sec, pickFirst)
 	if r.Answered > 20 || len(r.Skipped) != 200-r.Answered || len(fetch) != 1 || r.Total != 2000 || r.AtLeast {
-		t.Errorf("%d ranges asked, %d skipped, %d fetches, total %d", r.Answered, len(r.Skipped), len(fetch), r.Total)
+		t.Errorf("%d ranges answered, %d skipped, %d fetches, total %d", r.Answered, len(r.Skipped), len(fetch), r.Total)
 	}
-	if r, _ = w.run(w.plan(&Query{Keys: byScore, Size: 10, Name: "q"}, nil), 2*sec, first); r.Answered != 200 {
-		t.Errorf("%d of 200 asked with nothing known", r.Answered)
+	if r, _ = w.run(w.plan(&Query{Keys: byScore, Size: 10, Name: "q"}, nil), 2*sec, pickFirst); r.Answered != 200 {
+		t.Errorf("%d of 200 ranges answered without bounds", r.Answered)
 	}
 }
 
-// A bound is invalid when its guarantee expires, when a later version is reported, and when a replica that reported
-// restarts or ends. Nothing is learned from versions that lag.
+// A bound becomes invalid when its guarantee expires, when a later version is reported, and when a replica that has reported
+// versions restarts or ends. Nothing is learned from a replica that lags behind.
 func TestBoundsExpire(t *testing.T) {
 	q := &Query{Keys: byScore, Size: 10, Name: "q", Clauses: []string{"c"}, Plain: true, Count: CountAnyhow}
-	two := &Query{Keys: byScore, Size: 10, Name: "q2", Clauses: []string{"c", "c"}}
-	answer := func(version int64, boot string, holds float64) *Answer {
-		return &Answer{Hits: []merge.Hit{{ID: "a", Sort: []merge.Value{merge.Num(5)}}}, Total: 1, View: View{boot, version, holds}}
+	twoClauses := &Query{Keys: byScore, Size: 10, Name: "q2", Clauses: []string{"c", "c"}}
+	answer := func(version int64, boot string, stableFor float64) *Answer {
+		return &Answer{Hits: []merge.Hit{{ID: "a", Sort: []merge.Value{merge.Num(5)}}}, Total: 1, View: View{boot, version, stableFor}}
 	}
 	for _, c := range []struct {
-		name string
-		then func(x *Index)
-		at   time.Duration
-		want bool
+		name   string
+		change func(x *Index) // what happens after replica 1 has guaranteed version 7 until 11 s
+		at     time.Duration
+		want   bool
 	}{
-		{"holds", func(*Index) {}, 2 * sec, true},
-		{"time is up", func(*Index) {}, 11 * sec, false},
-		{"another copy, same version", func(x *Index) { x.Learn(q, 0, 2, answer(7, "b2", 1), 2*sec) }, 2 * sec, true},
-		{"later version elsewhere", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(8, "b2", 0), 2*sec) }, 2 * sec, false},
-		{"copy lags behind", func(x *Index) { x.Learn(q, 0, 2, answer(6, "b2", 90), 2*sec) }, 2 * sec, true},
-		{"renewed by another copy", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(7, "b2", 30), 2*sec) }, 12 * sec, true},
-		{"renewed after it had run out", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(7, "b2", 30), 15*sec) }, 16 * sec, true},
-		{"numbered anew after it had run out", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(3, "b2", 30), 15*sec) }, 16 * sec, false},
-		{"copy lags behind and outlives", func(x *Index) { x.Learn(q, 0, 2, answer(6, "b2", 90), 2*sec) }, 12 * sec, false},
-		{"copy starts anew", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 1, answer(7, "b9", 5), 2*sec) }, 2 * sec, false},
-		{"copy goes", func(x *Index) { x.Forget(1) }, 2 * sec, false},
-		{"another copy goes", func(x *Index) { x.Forget(2) }, 2 * sec, true},
+		{"guaranteed", func(*Index) {}, 2 * sec, true},
+		{"guarantee expired", func(*Index) {}, 11 * sec, false},
+		{"another replica, same version", func(x *Index) { x.Learn(q, 0, 2, answer(7, "b2", 1), 2*sec) }, 2 * sec, true},
+		{"another replica, later version", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(8, "b2", 0), 2*sec) }, 2 * sec, false},
+		{"replica lags behind", func(x *Index) { x.Learn(q, 0, 2, answer(6, "b2", 90), 2*sec) }, 2 * sec, true},
+		{"renewed by another replica", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(7, "b2", 30), 2*sec) }, 12 * sec, true},
+		{"renewed after it had expired", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(7, "b2", 30), 15*sec) }, 16 * sec, true},
+		{"lower version after it had expired", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 2, answer(3, "b2", 30), 15*sec) }, 16 * sec, false},
+		{"longer guarantee of a replica that lags behind", func(x *Index) { x.Learn(q, 0, 2, answer(6, "b2", 90), 2*sec) }, 12 * sec, false},
+		{"replica restarts", func(x *Index) { x.Learn(&Query{Keys: byScore}, 0, 1, answer(7, "b9", 5), 2*sec) }, 2 * sec, false},
+		{"replica ends", func(x *Index) { x.Forget(1) }, 2 * sec, false},
+		{"another replica ends", func(x *Index) { x.Forget(2) }, 2 * sec, true},
 	} {
 		x := NewIndex(2, 100)
 		x.Learn(q, 0, 1, answer(7, "b1", 10), sec)
-		c.then(x)
-		for _, q := range []*Query{q, two} {
+		c.change(x)
+		for _, q := range []*Query{q, twoClauses} {
 			b := x.bounds(q, c.at)
-			if _, ok := b.of(0); ok != c.want {
-				t.Errorf("%s: bound %v for %s", c.name, ok, q.Name)
+			if _, ok := b.boundOf(0); ok != c.want {
+				t.Errorf("%s: bound for %s known: %v, want %v", c.name, q.Name, ok, c.want)
 			}
-			if _, ok := b.of(1); ok {
-				t.Errorf("%s: a bound for a range never heard of", c.name)
+			if _, ok := b.boundOf(1); ok {
+				t.Errorf("%s: a bound for a range that has not answered", c.name)
 			}
 		}
 	}
 	x := NewIndex(2, 100)
 	x.Learn(q, 0, 1, answer(7, "b1", 0), sec)
 	x.Learn(q, 0, 1, answer(7, "", 10), sec)
-	x.Learn(q, 5, 1, answer(7, "b1", 10), sec) // no such range
+	x.Learn(q, 5, 1, answer(7, "b1", 10), sec) // range 5 does not exist
 	b := x.bounds(q, sec+ms)
-	if _, ok := b.of(0); ok {
-		t.Error("a bound from a copy that promised nothing")
+	if _, ok := b.boundOf(0); ok {
+		t.Error("a bound from a replica that guaranteed nothing")
 	}
 }
 
-// A sum of clauses bounds a query of several, and the least recently used names are evicted.
+// The sum of the bounds of its clauses is a bound of a query with several clauses. The least recently used names are evicted.
 func TestClausesAndEviction(t *testing.T) {
 	x := NewIndex(10, 30)
 	for i, best := range []float64{3, 4} {
@@ -154,7 +154,7 @@
 	}
 	sum := &Query{Keys: byScore, Size: 1, Clauses: []string{"c0", "c1"}}
 	b := x.bounds(sum, sec)
-	if got, ok := b.of(4); !ok || got.Best[0].Num < 7 || got.Best[0].Num > 7.001 || got.Exact {
+	if got, ok := b.boundOf(4); !ok || got.Best[0].Num < 7 || got.Best[0].Num > 7.001 || got.Exact {
 		t.Errorf("bound %+v, %v", got, ok)
 	}
 	for i := range 3 {
@@ -164,45 +164,45 @@
 		t.Errorf("%d slots, %d names", slots, names)
 	}
 	b = x.bounds(sum, sec)
-	if _, ok := b.of(4); ok {
-		t.Error("a sum of clauses that were dropped")
+	if _, ok := b.boundOf(4); ok {
+		t.Error("a bound from clauses that were evicted")
 	}
 }
 
-// Remaining ranges are requested when there is just time for it, however slow the first wave is.
+// All remaining ranges are requested at the last time that leaves enough for them, however slow the first wave is.
 func TestRequestAllInTime(t *testing.T) {
-	w, x := falling(40), NewIndex(40, 10000)
+	w, x := fallingScores(40), NewIndex(40, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
-	w.run(w.plan(q, x), sec, first)
+	w.run(w.plan(q, x), sec, pickFirst)
 	p := w.plan(q, x)
-	o := p.Start(2*sec, Times{End: 3 * sec, Usual: 25 * ms})
+	o := p.Start(2*sec, Times{End: 3 * sec, UsualLatency: 25 * ms})
 	if n := len(o.Request); n == 0 || n > 10 {
-		t.Fatalf("%d asked first", n)
+		t.Fatalf("%d ranges in the first wave, want 1 to 10", n)
 	}
 	if p.Due() != 2950*ms {
-		t.Errorf("due %v", p.Due())
+		t.Errorf("due at %v, want 2.95s", p.Due())
 	}
-	if late := p.Tick(2900 * ms); len(late.Request) != 0 {
-		t.Error("asked too soon")
+	if rest := p.Tick(2900 * ms); len(rest.Request) != 0 {
+		t.Errorf("%d ranges requested before the time", len(rest.Request))
 	}
-	if late := p.Tick(2950 * ms); len(late.Request)+len(o.Request) != 40 || p.Due() != 0 {
-		t.Errorf("%d asked at last", len(late.Request))
+	if rest := p.Tick(2950 * ms); len(rest.Request)+len(o.Request) != 40 || p.Due() != 0 {
+		t.Errorf("%d ranges requested at last, after %d in the first wave", len(rest.Request), len(o.Request))
 	}
 	p = w.plan(q, x)
-	if o := p.Start(2*sec, Times{End: 2090 * ms, Usual: 25 * ms}); len(o.Request) != 40 {
-		t.Errorf("%d asked where there is time for one wave only", len(o.Request))
+	if o := p.Start(2*sec, Times{End: 2090 * ms, UsualLatency: 25 * ms}); len(o.Request) != 40 {
+		t.Errorf("%d of 40 ranges requested although there is time for one wave only", len(o.Request))
 	}
 }
 
-// A slow range that can no longer change the page is cancelled in flight, and its answer is ignored.
+// A range that can no longer change the page is skipped even when its request is in flight, and its answer is ignored.
 func TestSkipInFlight(t *testing.T) {
-	w, x := falling(12), NewIndex(12, 10000)
+	w, x := fallingScores(12), NewIndex(12, 10000)
 	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
-	w.run(w.plan(q, x), sec, first)
+	w.run(w.plan(q, x), sec, pickFirst)
 	p := w.plan(q, x)
-	p.Start(2*sec, Times{End: 2090 * ms, Usual: 25 * ms}) // one wave
+	p.Start(2*sec, Times{End: 2090 * ms, UsualLatency: 25 * ms}) // one wave
 	o := p.Scored(0, 0, w.answer(q, 0), 2*sec, 2*sec)
-	n := len(o.Skip) // range 0's last is 991, and range 1 reaches 990
+	n := len(o.Skip) // the lowest score of range 0 is 991, and the highest of range 1 is 990
 	p.Scored(o.Skip[0], 0, w.answer(q, o.Skip[0]), 2*sec, 2*sec)
 	p.Close()
 	if r := p.Result(); n < 10 || len(r.Skipped) != n || r.Answered != 1 {
@@ -210,29 +210,29 @@
 	}
 }
 
-// Equal scores across the edge of the page are ordered by range: the same lots whichever answers arrive first.
-func TestTiesAtTheEdge(t *testing.T) {
+// Lots with equal scores are ordered by range, so that the page does not depend on the order in which answers arrive.
+func TestTiesAtEndOfPage(t *testing.T) {
 	var ranges [][]merge.Value
 	for range 20 {
 		ranges = append(ranges, []merge.Value{merge.Num(1), merge.Num(1), merge.Num(1)})
 	}
-	w, x := newWorld(byScore, ranges), NewIndex(20, 10000)
+	w, x := newFakeStores(byScore, ranges), NewIndex(20, 10000)
 	q := &Query{Keys: byScore, From: 2, Size: 5, Count: CountAnyhow, Name: "q"}
 	want, _ := w.page(q)
-	for n, pick := range []func(int) int{first, func(n int) int { return n - 1 }, func(n int) int { return n / 2 }, first} {
+	for n, pick := range []func(int) int{pickFirst, func(n int) int { return n - 1 }, func(n int) int { return n / 2 }, pickFirst} {
 		if r, _ := w.run(w.plan(q, x), sec+time.Duration(n)*ms, pick); !slices.Equal(ids(r.Hits), want) {
 			t.Errorf("page %v, want %v", ids(r.Hits), want)
 		}
 	}
 }
 
-// A lot that is missing at the fetch, or whose rank has changed, is left out and the answer is not complete; one that
-// changed without moving stays.
+// A lot that is missing from the listings, or whose sort values have changed, is left out, and the result is not complete. A
+// lot that has changed but has the same sort values stays.
 func TestChangedBetweenPhases(t *testing.T) {
-	w := falling(3)
+	w := fallingScores(3)
 	q := &Query{Keys: byScore, Size: 4, Count: CountAnyhow}
 	p := w.plan(q, nil)
-	p.Start(sec, roomy)
+	p.Start(sec, ampleTime)
 	for i := range 3 {
 		a := w.answer(q, i)
 		for n := range a.Hits {
@@ -245,22 +245,22 @@
 		t.Fatalf("%+v", f)
 	}
 	p.Listed(0, &Answer{Hits: []merge.Hit{
-		{ID: "0-0", Sort: []merge.Value{merge.Num(1000)}, Version: 2, Listing: "bid on, same rank"},
-		{ID: "0-1", Sort: []merge.Value{merge.Num(3)}, Version: 2, Listing: "moved"},
-		{ID: "0-3", Sort: []merge.Value{merge.Num(996.9)}, Version: 1, Listing: "same lot, scored by another copy"},
-		{ID: "9-9", Sort: []merge.Value{merge.Num(1001)}, Version: 1, Listing: "never asked for"}}})
+		{ID: "0-0", Sort: []merge.Value{merge.Num(1000)}, Version: 2, Listing: "changed, same score"},
+		{ID: "0-1", Sort: []merge.Value{merge.Num(3)}, Version: 2, Listing: "changed, other score"},
+		{ID: "0-3", Sort: []merge.Value{merge.Num(996.9)}, Version: 1, Listing: "same version, slightly other score at another replica"},
+		{ID: "9-9", Sort: []merge.Value{merge.Num(1001)}, Version: 1, Listing: "not requested"}}})
 	r := p.Result()
 	if !slices.Equal(ids(r.Hits), []string{"0-0", "0-3"}) || r.Changed != 2 || r.Complete() || r.Listed != 1 {
 		t.Errorf("%v %+v", ids(r.Hits), r)
 	}
 }
 
-// Missing ranges and missing listings are reported, and the fraction is that of the weight times that of the page.
+// Missing ranges and listings are reported, and Fraction is the fraction of the weight times that of the page.
 func TestFraction(t *testing.T) {
-	w := falling(4)
+	w := fallingScores(4)
 	q := &Query{Keys: byScore, Size: 20, Count: CountAnyhow}
 	p := w.plan(q, nil)
-	p.Start(sec, roomy)
+	p.Start(sec, ampleTime)
 	for i := range 3 {
 		p.Scored(i, 0, w.answer(q, i), sec, sec)
 	}
@@ -268,19 +268,19 @@
 	p.Listed(f[0].Index, &Answer{Hits: w.answer(q, f[0].Index).Hits})
 	r := p.Result()
 	if !slices.Equal(r.Missing, []int{3}) || r.Weight != 0.75 || !r.AtLeast || r.Fraction() >= 0.75 || r.Complete() || r.Best != nil {
-		t.Errorf("%+v share %v", r, r.Fraction())
+		t.Errorf("%+v, fraction %v", r, r.Fraction())
 	}
 }
 
-// Impossible answers are detected, and good ones are not.
+// Check rejects impossible answers and accepts valid ones.
 func TestCheck(t *testing.T) {
 	q := &Query{Keys: byScore, Size: 2, Count: CountAnyhow}
 	hit := func(id string, score float64) merge.Hit {
 		return merge.Hit{ID: id, Sort: []merge.Value{merge.Num(score)}}
 	}
 	for _, c := range []struct {
-		a    Answer
-		good bool
+		a     Answer
+		valid bool
 	}{
 		{Answer{}, true},
 		{Answer{Hits: []merge.Hit{hit("a", 2), hit("b", 1)}, Total: 5}, true},
@@ -294,13 +294,13 @@
 		{Answer{Hits: []merge.Hit{hit("a", 2)}, Total: 7}, false},
 		{Answer{Total: -1}, false},
 	} {
-		if why := c.a.Check(q); (why == "") != c.good {
-			t.Errorf("%+v: %q", c.a, why)
+		if problem := c.a.Check(q); (problem == "") != c.valid {
+			t.Errorf("%+v: Check returns %q, valid: %v", c.a, problem, c.valid)
 		}
 	}
 }
 
-// The choice follows the measurements, and does not oscillate.
+// The choice between one phase and two follows the measurements and does not oscillate.
 func TestChoose(t *testing.T) {
 	c := NewChooser(0)
 	q := &Query{Keys: byScore, Size: 10}
@@ -310,9 +310,9 @@
 	if p, _ := c.Choose(0, q, 12); p != One {
 		t.Errorf("phases %d for 12 ranges", p)
 	}
-	measure := func(phases Phases, parts, bytes int, took time.Duration, n int) {
+	measure := func(phases Phases, requests, bytes int, latency time.Duration, n int) {
 		for range n {
-			c.Measured(0, &Plan{Query: q, Phases: phases, ranges: make([]Range, 96), requests: parts, bytes: bytes}, took, sec, true)
+			c.Record(0, &Plan{Query: q, Phases: phases, ranges: make([]Range, 96), requests: requests, bytes: bytes}, latency, sec, true)
 		}
 	}
 	measure(Two, 60, 30<<10, 300*ms, 20)
@@ -328,25 +328,25 @@
 		}
 	}
 	if changes != 0 || trials != 4 {
-		t.Errorf("%d changes, %d trials of the other way", changes, trials)
+		t.Errorf("%d changes, %d trials of the alternative", changes, trials)
 	}
-	measure(Two, 60, 30<<10, 2*sec, 20) // now late
+	measure(Two, 60, 30<<10, 2*sec, 20) // now later than the target
 	if p, why := c.Choose(0, q, 96); p != One || why == "" {
 		t.Errorf("phases %d: %s", p, why)
 	}
 	if p, _ := NewChooser(One).Choose(0, q, 96); p != One {
-		t.Error("not forced")
+		t.Error("a forced number of phases is not used")
 	}
 }
 
-// BenchmarkPlan measures the planner for a query over 200 ranges, with bounds known and without.
+// BenchmarkPlan executes a plan over 200 ranges, with known bounds and without.
 func BenchmarkPlan(b *testing.B) {
 	for _, known := range []bool{false, true} {
 		b.Run(fmt.Sprintf("known=%v", known), func(b *testing.B) {
-			w, x := falling(200), NewIndex(200, 100000)
+			w, x := fallingScores(200), NewIndex(200, 100000)
 			q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
 			if known {
-				w.run(w.plan(q, x), sec, first)
+				w.run(w.plan(q, x), sec, pickFirst)
 			} else {
 				q.Name, x = "", nil
 			}
@@ -359,7 +359,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				p := NewPlan(q, Two, ranges, x)
-				for _, i := range p.Start(2*sec, Times{End: 3 * sec, Usual: 25 * ms}).Request {
+				for _, i := range p.Start(2*sec, Times{End: 3 * sec, UsualLatency: 25 * ms}).Request {
 					p.Scored(i, 0, answers[i], 2*sec, 2*sec)
 				}
 				p.Close()
--- a/internal/gatherer/search/waves.go
+++ b/internal/gatherer/search/waves.go
@@ -1,11 +1,11 @@
 package search
 
-// skip skips a range by its bound.
+// skip skips a range and counts its lots by its bound.
 func (p *Plan) skip(o Orders, i int) Orders {
 	if p.state[i] == pending {
 		p.unsent--
 	} else {
-		p.waveAnswered++ // of the wave that it was requested with
+		p.waveAnswered++ // its request will not be answered
 	}
 	p.state[i] = skipped
 	b := &p.bounds[i]
@@ -33,12 +33,13 @@
 			o = p.request(o, i)
 		}
 	}
-	p.askAllAt = 0
+	p.requestAllAt = 0
 	return o
 }
 
-// wave requests the next ranges: at first those without a bound and, by their bounds, as many of the others as contain a page
-// and a half; then, with a page to beat, half of those that can still reach it, and at last the rest.
+// wave requests the next ranges in the order of their bounds. The first wave has all ranges without a bound, and as many of
+// the others as should have firstWavePages pages of lots. Further waves are chosen in the same way until the page is full;
+// then a wave has half of the ranges that can still reach the page. The last wave has all remaining ranges.
 func (p *Plan) wave(o Orders, first bool) Orders {
 	p.waves++
 	p.waveSize, p.waveAnswered = 0, 0
@@ -49,19 +50,19 @@
 			}
 		}
 	}
-	want, limit := pageAndHalf*float64(p.Query.page()), p.unsent
+	wantLots, limit := firstWavePages*float64(p.Query.page()), p.unsent
 	if p.top.Last() != nil {
-		want, limit = float64(p.unsent*p.Query.page()), (p.unsent+1)/2
+		wantLots, limit = float64(p.unsent*p.Query.page()), (p.unsent+1)/2
 	}
-	if p.waves >= maxWaves || p.unsent <= minPending {
+	if p.waves >= maxWaves || p.unsent <= requestRestAt {
 		return p.requestAll(o)
 	}
-	for lots := 0.0; lots < want && limit > 0 && p.next < len(p.order); p.next++ {
+	for lots := 0.0; lots < wantLots && limit > 0 && p.next < len(p.order); p.next++ {
 		i := p.order[p.next]
 		if p.state[i] != pending {
 			continue
 		}
-		n := float64(p.Query.page()) / pageEighth
+		n := float64(p.Query.page()) / unknownCountDivisor
 		if p.bounds[i].Exact {
 			n = float64(p.bounds[i].Count)
 		}
@@ -69,7 +70,7 @@
 		limit--
 		o = p.request(o, i)
 	}
-	if p.unsent <= minPending {
+	if p.unsent <= requestRestAt {
 		return p.requestAll(o)
 	}
 	return o
