--- a/internal/tier/turnstore/compaction.go
+++ b/internal/tier/turnstore/compaction.go
@@ -8,7 +8,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Times and bounds of compaction.
+// Timing and size limits of compaction.
 const (
 	compactionInterval = 5 * time.Second // between checks
 	compactionBackoff  = time.Second     // after a compaction that failed
--- a/internal/tier/turnstore/random_schedule_test.go
+++ b/internal/tier/turnstore/random_schedule_test.go
@@ -103,8 +103,8 @@
 	var calls sync.WaitGroup
 	for range 1 + s.random.IntN(4) {
 		seed := s.random.Uint64()
-		usage.turns++
-		request := fmt.Sprintf("%s-%d", name, usage.turns)
+		usage.claims++
+		request := fmt.Sprintf("%s-%d", name, usage.claims)
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
@@ -268,7 +268,7 @@
 	return err
 }
 
-// losePowerEverywhere cuts the power of all machines and restarts them; the failed one may stay down.
+// losePowerEverywhere cuts the power of all running machines and restarts all; the failed one may stay down.
 func (s *schedule) losePowerEverywhere() {
 	for _, m := range s.machines {
 		if m.store != nil {
@@ -351,7 +351,7 @@
 	mu       sync.Mutex
 	budget   uint64
 	reserved uint64 // tokens of granted claims; for settled claims the tokens used
-	turns    int    // number of claims so far
+	claims   int    // number of claims so far
 }
 
 const (
--- a/internal/tier/turnstore/rebalance.go
+++ b/internal/tier/turnstore/rebalance.go
@@ -13,7 +13,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of a rebalance.
+// Batch size and pauses of a rebalance.
 const (
 	keysPerBatch     = 512                    // keys that are offered and transferred together
 	batchInterval    = 10 * time.Millisecond  // pause between batches, so that other calls are served meanwhile
--- a/internal/tier/turnstore/recovery_test.go
+++ b/internal/tier/turnstore/recovery_test.go
@@ -94,7 +94,7 @@
 }
 
 // Frames in the middle of a segment were synced. A store that has lost one must take a new identity: otherwise it would
-// reply that a turn does not exist which it has acknowledged.
+// report turns that it has acknowledged as not found.
 func TestCorruptSegmentGivesANewIdentity(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
@@ -107,9 +107,9 @@
 	assert.Assert(t, m.store.Identity() != before, "%d records are left", m.store.Records())
 }
 
-// A power failure may lose the newest entries of the offsets file, which is synced at intervals. Corruption of bytes that
-// were synced before that must still be detected. It went undetected in the first seconds of a store (soak run with seed
-// 9021).
+// A power failure may lose the newest entries of the offsets file, which is synced at intervals. Corruption below
+// the last offset that was synced must still be detected. In the first seconds of a store it went undetected (soak run with
+// seed 9021).
 func TestCorruptSegmentIsDetectedAfterAPowerLoss(t *testing.T) {
 	const betweenBatches = 300 * time.Millisecond
 	for range 20 { // the power failure keeps a random part of the unsynced bytes
--- a/internal/tier/turnstore/transfer.go
+++ b/internal/tier/turnstore/transfer.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// Bounds of the calls of a rebalance.
+// Limits of the calls of a rebalance.
 const (
 	maxTransferBytes = 256 << 10 // approximate size of one call, unless a single key is larger
 	transferTimeout  = 2 * time.Second
--- a/internal/tier/turnstore/wal.go
+++ b/internal/tier/turnstore/wal.go
@@ -10,7 +10,7 @@
 	"pulleygw.example/pulleygw/internal/tier/storage"
 )
 
-// Bounds of the write-ahead log.
+// Limits of the write-ahead log.
 const (
 	maxPendingBytes = 8 << 20                // size of the batch that waits while another one is synced
 	stallThreshold  = 400 * time.Millisecond // while a sync takes longer than this, new writes fail at once
