--- a/internal/tier/rpc/client.go
+++ b/internal/tier/rpc/client.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// idleSweepInterval is how often a Client looks for unused connections.
+// idleSweepInterval is the shortest time between two checks of a Client for unused connections.
 const idleSweepInterval = idleTimeout / 3
 
-// Caller is what packages that call peers need of a Client. Tests use a simulated network instead.
+// Caller is the part of Client that packages use to call peers. Tests implement it with a simulated network.
 type Caller interface {
 	// Call sends a request to an address (ip:port) and decodes the reply into reply.
 	Call(ctx context.Context, address string, method Method, request, reply Message) error
@@ -27,7 +27,7 @@
 	sweepAt time.Time
 }
 
-// peerKey identifies a connection: bulk transfers to an address have one of their own.
+// peerKey identifies a connection. Bulk transfers to an address use a separate connection.
 type peerKey struct {
 	address string
 	bulk    bool
@@ -40,8 +40,8 @@
 	return &Client{dial: dial, now: time.Now, peers: make(map[peerKey]*peer)}
 }
 
-// Call sends a request and waits for its reply, no longer than ctx allows. See ErrUnreachable and the others for its
-// errors. It implements Caller.
+// Call sends a request and waits for its reply until ctx ends. It returns one of this package's errors or the error of
+// decoding the reply. It implements Caller.
 func (c *Client) Call(ctx context.Context, address string, method Method, request, reply Message) error {
 	c.counters.calls.Add(1)
 	err := c.call(ctx, peerKey{address: address, bulk: method == MethodTransferRecords}, method, request, reply)
@@ -63,10 +63,10 @@
 	return connection.call(ctx, method, request, reply)
 }
 
-// Counters returns what the client has carried so far.
+// Counters returns the client's totals so far.
 func (c *Client) Counters() Counters { return c.counters.read() }
 
-// Close closes all connections; calls in flight and later ones fail with ErrUnreachable.
+// Close closes all connections. Calls in flight and later calls fail with ErrUnreachable.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,8 @@
 	}
 }
 
-// peer returns the peer of a key, nil once the client is closed. At intervals it also closes unused connections.
+// peer returns the peer with the given key, or nil if the client is closed. Once per idleSweepInterval it also closes
+// unused connections.
 func (c *Client) peer(key peerKey) *peer {
 	now := c.now()
 	c.mu.Lock()
--- a/internal/tier/rpc/client_connection.go
+++ b/internal/tier/rpc/client_connection.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// clientConnection carries many calls at once over one connection.
+// clientConnection multiplexes concurrent calls over one connection.
 type clientConnection struct {
 	connection net.Conn
 	writer     *frameWriter
@@ -20,7 +20,7 @@
 	lastID          uint32
 	pending         map[uint32]chan frame // by call id
 	lastReplyAt     time.Time
-	unansweredSince time.Time // start of the first call that timed out after the last reply
+	unansweredSince time.Time // start of the first call that has timed out since the last reply
 }
 
 func newClientConnection(connection net.Conn, client *Client) *clientConnection {
@@ -51,7 +51,7 @@
 	if err := c.send(ctx, method, id, request); err != nil {
 		c.removePending(id)
 		if errors.Is(err, ErrTimeout) {
-			c.noteTimeout(startedAt)
+			c.recordTimeout(startedAt)
 		}
 		return err
 	}
@@ -61,20 +61,20 @@
 			return ErrUnreachable
 		}
 		if received.kind != byte(method)|replyFlag && received.kind != kindFailure {
-			release(received.payload)
-			c.fail() // the peer's call ids do not match ours: none of its replies can be trusted
+			releaseBuffer(received.payload)
+			c.fail() // the peer mixes up call ids, so none of its replies can be trusted
 			return ErrUnreachable
 		}
 		return decode(received, reply)
 	case <-ctx.Done():
 		c.removePending(id)
-		c.noteTimeout(startedAt)
+		c.recordTimeout(startedAt)
 		return ErrTimeout
 	}
 }
 
 func decode(received frame, reply Message) error {
-	defer release(received.payload)
+	defer releaseBuffer(received.payload)
 	if received.kind == kindFailure {
 		return ErrRejected
 	}
@@ -99,7 +99,7 @@
 	return ErrUnreachable
 }
 
-// addPending assigns an id to a call whose reply goes to a channel; ok is false if the connection is broken.
+// addPending assigns an id to a call and registers the channel for its reply. ok is false if the connection is broken.
 func (c *clientConnection) addPending(replies chan frame) (id uint32, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 	delete(c.pending, id)
 }
 
-// takePending removes a call whose reply has come and returns its channel, nil if the call has ended.
+// takePending removes a call whose reply has arrived and returns its channel, or nil if the call has already ended.
 func (c *clientConnection) takePending(id uint32) chan frame {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,9 +127,10 @@
 	return replies
 }
 
-// noteTimeout notes a call that timed out, and closes the connection if no reply has come for unresponsiveTimeout. The
-// time is counted from the first such call, so short calls detect a dead connection too.
-func (c *clientConnection) noteTimeout(startedAt time.Time) {
+// recordTimeout records that a call timed out, and closes the connection if no reply has arrived for unresponsiveTimeout.
+// That time starts with the first call that timed out since the last reply, so calls with short timeouts detect a dead
+// connection too.
+func (c *clientConnection) recordTimeout(startedAt time.Time) {
 	c.mu.Lock()
 	if !c.unansweredSince.After(c.lastReplyAt) {
 		c.unansweredSince = startedAt
@@ -142,9 +143,9 @@
 	}
 }
 
-// readReplies passes replies to their calls until the connection breaks.
+// readReplies delivers replies to the pending calls until the connection breaks.
 func (c *clientConnection) readReplies() {
-	reader := bufio.NewReaderSize(c.connection, readerBytes)
+	reader := bufio.NewReaderSize(c.connection, readBufferBytes)
 	var header [headerBytes]byte
 	for {
 		received, err := readFrame(reader, &header)
@@ -156,7 +157,7 @@
 		if replies := c.takePending(received.callID); replies != nil {
 			replies <- received
 		} else {
-			release(received.payload)
+			releaseBuffer(received.payload)
 		}
 	}
 }
--- a/internal/tier/rpc/client_test.go
+++ b/internal/tier/rpc/client_test.go
@@ -16,9 +16,9 @@
 )
 
 func TestCallsOfAllSizes(t *testing.T) {
-	server, address := startServer(t, setEcho)
+	server, address := startServer(t, handleEcho)
 	client := startClient(t)
-	for _, size := range []int{0, 1, 5000, pooledBytes, 3 * preallocatedBytes} {
+	for _, size := range []int{0, 1, 5000, pooledBufferBytes, 3 * maxPreallocatedBytes} {
 		reply := &tierpb.Node{}
 		name := strings.Repeat("x", size)
 		assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{Name: name}, reply))
@@ -26,10 +26,10 @@
 	}
 	assert.Equal(t, client.Counters().Dials, uint64(1))
 	assert.Equal(t, server.Counters().Calls, uint64(5))
-	assert.Assert(t, client.Counters().BytesReceived > 3*preallocatedBytes)
+	assert.Assert(t, client.Counters().BytesReceived > 3*maxPreallocatedBytes)
 }
 
-func TestRepliesComeInAnyOrder(t *testing.T) {
+func TestRepliesArriveInAnyOrder(t *testing.T) {
 	first := make(chan struct{})
 	_, address := startServer(t, func(server *Server) {
 		Handle(server, MethodPing, func(_ context.Context, request *tierpb.Node) (*tierpb.Node, error) {
@@ -49,9 +49,9 @@
 	assert.NilError(t, <-result)
 }
 
-// TestSecondCallerOfADialEndsWithItsContext has two callers of a peer whose dial does not end: the second one does not
-// wait longer than its context for the first one's dial.
-func TestSecondCallerOfADialEndsWithItsContext(t *testing.T) {
+// TestCallerStopsWaitingForDialWhenContextIsCancelled guards against a caller that waits beyond its own context for a
+// dial that another caller started.
+func TestCallerStopsWaitingForDialWhenContextIsCancelled(t *testing.T) {
 	dialed := make(chan struct{}, 2)
 	release := make(chan struct{})
 	client := newClient(func(context.Context, string) (net.Conn, error) {
@@ -64,22 +64,22 @@
 		first <- client.Call(context.Background(), "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
 	}()
 	<-dialed
-	result, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	err := client.Call(result, "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
+	err := client.Call(cancelled, "peer", MethodPing, &tierpb.PingRequest{}, &tierpb.PingReply{})
 	assert.ErrorIs(t, err, ErrTimeout)
 	close(release)
 	assert.ErrorIs(t, <-first, ErrUnreachable)
 	assert.Equal(t, len(dialed), 0)
 }
 
-func TestCallerIsNotBlockedByDialOfAnother(t *testing.T) {
+func TestCallerWithExpiredContextDoesNotWaitForDial(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
-	server, other := net.Pipe()
+	remote, local := net.Pipe()
 	client := newClient(func(context.Context, string) (net.Conn, error) {
 		close(started)
 		<-release
-		return other, nil
+		return local, nil
 	})
 	defer client.Close()
 	result := make(chan error)
@@ -87,24 +87,24 @@
 	<-started
 	assert.ErrorIs(t, client.Call(expiredContext(), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}), ErrTimeout)
 	close(release)
-	serving := NewServer()
-	setEcho(serving)
-	serving.startConnection(server)
+	server := NewServer()
+	handleEcho(server)
+	server.startConnection(remote)
 	assert.NilError(t, <-result)
 }
 
-// TestDialServesAllWaitingCallers has two callers wait for the same dial.
+// TestDialServesAllWaitingCallers checks that concurrent callers share one dial and its connection.
 func TestDialServesAllWaitingCallers(t *testing.T) {
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	server := NewServer()
 	Handle(server, MethodPing, func(context.Context, *tierpb.PingRequest) (*tierpb.PingReply, error) {
 		return &tierpb.PingReply{Node: &tierpb.Node{Name: "peer"}}, nil
 	})
-	go server.serveConnection(there)
+	go server.serveConnection(remote)
 	dials := make(chan struct{}, 2)
 	client := newClient(func(context.Context, string) (net.Conn, error) {
 		dials <- struct{}{}
-		return here, nil
+		return local, nil
 	})
 	defer client.Close()
 	results := make(chan string, 2)
@@ -120,15 +120,16 @@
 	assert.Equal(t, len(dials), 1)
 }
 
-// TestDialThatEndsAfterCloseIsClosed has a dial succeed after the client was closed.
-func TestDialThatEndsAfterCloseIsClosed(t *testing.T) {
-	here, there := net.Pipe()
+// TestConnectionDialedAfterCloseIsClosed guards against leaking the connection of a dial that succeeds after the client
+// was closed.
+func TestConnectionDialedAfterCloseIsClosed(t *testing.T) {
+	local, remote := net.Pipe()
 	dialed := make(chan struct{})
 	release := make(chan struct{})
 	client := newClient(func(context.Context, string) (net.Conn, error) {
 		close(dialed)
 		<-release
-		return here, nil
+		return local, nil
 	})
 	result := make(chan error, 1)
 	go func() {
@@ -138,7 +139,7 @@
 	client.Close()
 	close(release)
 	assert.ErrorIs(t, <-result, ErrUnreachable)
-	_, err := there.Read(make([]byte, 1))
+	_, err := remote.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 }
 
@@ -163,16 +164,16 @@
 	client, remotes := pipeClient(t)
 	clock := time.Unix(1000, 0)
 	client.now = func() time.Time { return clock }
-	serving := NewServer()
-	setEcho(serving)
-	defer serving.Close()
+	server := NewServer()
+	handleEcho(server)
+	defer server.Close()
 	call := func(address string) {
 		assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}))
 	}
 	var served sync.WaitGroup
 	served.Go(func() {
 		for range 3 {
-			serving.startConnection(<-remotes)
+			server.startConnection(<-remotes)
 		}
 	})
 	call("a")
@@ -182,13 +183,13 @@
 	served.Wait()
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	// The call above marked b as used only after the sweep, so both were unused; b was dialed again.
+	// The last call marked b as used only after it had closed the idle connections, so it closed both and dialed b again.
 	assert.Assert(t, client.peers[peerKey{address: "a"}] == nil)
 }
 
 func TestBulkTransfersUseSeparateConnection(t *testing.T) {
 	_, address := startServer(t, func(server *Server) {
-		setEcho(server)
+		handleEcho(server)
 		Handle(server, MethodTransferRecords, echo)
 	})
 	client := startClient(t)
@@ -197,8 +198,9 @@
 	assert.Equal(t, client.Counters().Dials, uint64(2))
 }
 
-// TestReplyOfAnotherMethodBreaksConnection: such a reply shows that the call ids of the peer do not match.
-func TestReplyOfAnotherMethodBreaksConnection(t *testing.T) {
+// TestReplyOfAnotherMethodClosesConnection: such a reply shows that the peer mixes up call ids, so that later replies
+// could reach the wrong calls.
+func TestReplyOfAnotherMethodClosesConnection(t *testing.T) {
 	client, remotes := pipeClient(t)
 	result := make(chan error)
 	go func() { result <- client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}) }()
@@ -226,11 +228,11 @@
 	for range 3 {
 		clock = clock.Add(150 * time.Millisecond)
 		start := clock.Add(-100 * time.Millisecond)
-		connection.noteTimeout(start)
+		connection.recordTimeout(start)
 		assert.Assert(t, !connection.isBroken())
 	}
 	clock = clock.Add(150 * time.Millisecond)
-	connection.noteTimeout(clock.Add(-100 * time.Millisecond))
+	connection.recordTimeout(clock.Add(-100 * time.Millisecond))
 	assert.Assert(t, connection.isBroken())
 }
 
@@ -244,7 +246,7 @@
 	for range 20 {
 		start := clock
 		clock = clock.Add(300 * time.Millisecond)
-		connection.noteTimeout(start)
+		connection.recordTimeout(start)
 		clock = clock.Add(time.Millisecond)
 		connection.takePending(99)
 	}
--- a/internal/tier/rpc/counters.go
+++ b/internal/tier/rpc/counters.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Counters are the totals of a Client or Server since it was made.
+// Counters are the totals of a Client or Server since its creation.
 type Counters struct {
-	Calls         uint64 // started by a Client, received by a Server
-	Failures      uint64 // without a reply, or with a failure
-	Dials         uint64 // attempts of a Client, connections accepted by a Server
-	BytesSent     uint64 // frame headers included
-	BytesReceived uint64 // likewise
+	Calls         uint64 // calls started by a Client, or received by a Server
+	Failures      uint64 // calls that returned an error
+	Dials         uint64 // dial attempts of a Client, or connections accepted by a Server
+	BytesSent     uint64 // including frame headers
+	BytesReceived uint64 // including frame headers
 }
 
 type counters struct {
--- a/internal/tier/rpc/dial.go
+++ b/internal/tier/rpc/dial.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// dialHedgeDelay is how long an attempt to connect may take before another is started beside it. The kernel resends a
-// lost SYN after a second only, but a machine that had no power or was partitioned may be back long before.
+// dialHedgeDelay is the time between concurrent attempts to connect. The kernel retransmits a lost SYN only after a
+// second, but a machine that had lost power or was partitioned may be reachable again much sooner.
 const dialHedgeDelay = 150 * time.Millisecond
 
 // DialFunc opens a connection to an address (ip:port).
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// defaultDial is how clients made by NewClient connect.
+// defaultDial opens the connections of clients created by NewClient.
 var defaultDial DialFunc = dialTCP
 
-// SetDefaultDialer makes clients that are created from now on connect by another function. Tests of whole processes use
-// it to lead connections through a relay. It must be called before any role runs.
+// SetDefaultDialer sets the function by which clients created later connect. Tests of whole processes use it to route
+// connections through a relay. It must be called before any role runs.
 func SetDefaultDialer(dial DialFunc) { defaultDial = dial }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -25,7 +25,8 @@
 }
 
 func dialOnce(ctx context.Context, address string) (net.Conn, error) {
-	connection, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp4", address) // setSocketOptions sets the probes
+	// KeepAlive is disabled here because setSocketOptions configures the keep-alive probes.
+	connection, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
@@ -39,8 +40,8 @@
 	err        error
 }
 
-// dialHedged starts an attempt to connect every dialHedgeDelay until one has ended or ctx has. It returns the result of
-// that one; the other attempts are cancelled and their connections closed.
+// dialHedged starts an attempt to connect every dialHedgeDelay until the first attempt completes or ctx ends. It returns
+// the result of the attempt that completes first, even if it failed. The others are cancelled and their connections closed.
 func dialHedged(ctx context.Context, address string, dial DialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/tier/rpc/dial_test.go
+++ b/internal/tier/rpc/dial_test.go
@@ -12,7 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDialIsHedgedWhilePeerIsUnreachable: a machine without power answers no SYN, and accepts once it is back.
+// TestDialIsHedgedWhilePeerIsUnreachable: a machine that has lost power does not answer a SYN. Once it is back, a dial
+// must connect within dialHedgeDelay and not wait for the kernel's retransmission.
 func TestDialIsHedgedWhilePeerIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 400 * time.Millisecond
@@ -35,15 +36,15 @@
 	})
 }
 
-// TestSurplusDialsAreClosed: of two that succeed, the later one is closed.
-func TestSurplusDialsAreClosed(t *testing.T) {
+// TestSurplusConnectionsAreClosed: if two hedged dials succeed, the connection of the later one is closed.
+func TestSurplusConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var closed atomic.Int32
 		var started atomic.Int32
 		dial := func(context.Context, string) (net.Conn, error) {
 			started.Add(1)
 			time.Sleep(dialHedgeDelay + 10*time.Millisecond)
-			return &countedConnection{closed: &closed}, nil
+			return &closeCountingConnection{closed: &closed}, nil
 		}
 		_, err := dialHedged(t.Context(), "a", dial)
 		assert.NilError(t, err)
@@ -76,13 +77,13 @@
 	})
 }
 
-// countedConnection counts how often it is closed.
-type countedConnection struct {
+// closeCountingConnection counts how often it is closed.
+type closeCountingConnection struct {
 	net.Conn
 	closed *atomic.Int32
 }
 
-func (c *countedConnection) Close() error {
+func (c *closeCountingConnection) Close() error {
 	c.closed.Add(1)
 	return nil
 }
--- a/internal/tier/rpc/faulty_peer_test.go
+++ b/internal/tier/rpc/faulty_peer_test.go
@@ -16,18 +16,20 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// faultyPeer is an echo server that replies in another order, twice, not at all or with unknown call ids, and that closes
-// connections within a frame, all by a seed. It counts how often it received each request.
+// faultyPeer is an echo server with faults chosen by a seeded generator: it reorders, duplicates and drops replies, sends
+// replies with unknown call ids, invalid lengths and failures, and closes connections within a frame. It counts how often
+// it received each request.
 type faultyPeer struct {
 	mu       sync.Mutex
 	random   *rand.Rand
 	received map[string]int
 }
 
-func (p *faultyPeer) draw(below int) int {
+// intN returns a random number below n.
+func (p *faultyPeer) intN(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.random.IntN(below)
+	return p.random.IntN(n)
 }
 
 // serve reads requests and replies to them in groups, until it closes the connection.
@@ -42,7 +44,7 @@
 		}
 		p.count(request)
 		queued = append(queued, request)
-		if len(queued) < 1+p.draw(4) {
+		if len(queued) < 1+p.intN(4) {
 			continue
 		}
 		p.mu.Lock()
@@ -57,7 +59,7 @@
 	}
 }
 
-// count counts a request by the name it carries.
+// count counts a request under the node name that it contains.
 func (p *faultyPeer) count(request frame) {
 	node := &tierpb.Node{}
 	if node.UnmarshalVT(request.payload) == nil {
@@ -67,47 +69,48 @@
 	}
 }
 
-// reply handles one request in one of the ways and reports whether the connection stays open.
+// reply replies to a request with or without a random fault. It reports whether the connection is still open.
 func (p *faultyPeer) reply(connection net.Conn, request frame) bool {
-	reply := rawFrame(request.kind|replyFlag, request.callID, request.payload)
-	switch p.draw(12) {
-	case 0: // not at all
+	reply := encodeRawFrame(request.kind|replyFlag, request.callID, request.payload)
+	switch p.intN(12) {
+	case 0: // no reply
 		return true
-	case 1: // twice
+	case 1: // duplicate reply
 		_, err := connection.Write(append(reply, reply...))
 		return err == nil
-	case 2: // with another reply ahead of it that no call waits for
-		_, _ = connection.Write(rawFrame(request.kind|replyFlag, 1<<31, []byte{0x0a, 1, 'x'}))
+	case 2: // preceded by a reply with an unknown call id
+		_, _ = connection.Write(encodeRawFrame(request.kind|replyFlag, 1<<31, []byte{0x0a, 1, 'x'}))
 		_, err := connection.Write(reply)
 		return err == nil
-	case 3: // truncated
-		_, _ = connection.Write(reply[:p.draw(len(reply))])
+	case 3: // truncated reply
+		_, _ = connection.Write(reply[:p.intN(len(reply))])
 		return false
-	case 4: // a length out of bounds
-		_, _ = connection.Write([][]byte{[]byte("\xff\xff\xff\xff garbage"), []byte("HTTP/1.1 400 Bad Request\r\n\r\n")}[p.draw(2)])
+	case 4: // invalid frame length
+		_, _ = connection.Write([][]byte{[]byte("\xff\xff\xff\xff garbage"), []byte("HTTP/1.1 400 Bad Request\r\n\r\n")}[p.intN(2)])
 		return false
 	case 5: // failure
-		_, err := connection.Write(rawFrame(kindFailure, request.callID, nil))
+		_, err := connection.Write(encodeRawFrame(kindFailure, request.callID, nil))
 		return err == nil
 	}
 	_, err := connection.Write(reply)
 	return err == nil
 }
 
-// TestCallsGetTheirOwnRepliesAndAreSentOnce: whatever the peer does, a call returns its own reply or an error, and no request
-// is sent more than once. Call ids begin anew with each connection, and many calls time out before their replies come.
+// TestCallsGetTheirOwnRepliesAndAreSentOnce: with a faulty peer, a call returns its own reply or an error, and no request is
+// sent more than once. It guards against replies that reach the wrong call, because call ids are reused by the next
+// connection and many calls time out before their replies arrive.
 func TestCallsGetTheirOwnRepliesAndAreSentOnce(t *testing.T) {
 	const seeds = 30
 	completed := 0
 	for seed := range uint64(seeds) {
-		synctest.Test(t, func(t *testing.T) { completed += callFaultyPeer(t, seed) })
+		synctest.Test(t, func(t *testing.T) { completed += runCallsToFaultyPeer(t, seed) })
 	}
 	t.Logf("%d calls completed", completed)
 	assert.Assert(t, completed > 0)
 }
 
-// callFaultyPeer makes concurrent calls to a faulty peer and returns how many got their replies.
-func callFaultyPeer(t *testing.T, seed uint64) int {
+// runCallsToFaultyPeer makes concurrent calls to a faulty peer and returns how many got their replies.
+func runCallsToFaultyPeer(t *testing.T, seed uint64) int {
 	t.Helper()
 	const callers, callsEach = 6, 25
 	peer := &faultyPeer{random: rand.New(rand.NewPCG(seed, 5)), received: map[string]int{}}
--- a/internal/tier/rpc/frame.go
+++ b/internal/tier/rpc/frame.go
@@ -14,43 +14,43 @@
 	headerBytes   = 9 // length, kind and call id
 	maxFrameBytes = 64 << 20
 	replyFlag     = 0x80 // set in the kind of a reply
-	kindFailure   = 0xff // of a reply that says that the call failed
+	kindFailure   = 0xff // kind of a reply to a call that failed
 )
 
 // Sizes of buffers.
 const (
-	pooledBytes       = 16 << 10 // buffers up to this size are pooled
-	preallocatedBytes = 1 << 20  // a payload that claims to be longer gets its buffer as its bytes arrive
-	readerBytes       = 4 << 10  // read-ahead of a connection
+	pooledBufferBytes    = 16 << 10 // buffers up to this size are pooled
+	maxPreallocatedBytes = 1 << 20  // the buffer of a longer payload grows as its bytes arrive
+	readBufferBytes      = 4 << 10  // size of a connection's read buffer
 )
 
 type frame struct {
 	kind    byte
 	callID  uint32
-	payload []byte // to be released
+	payload []byte // must be passed to releaseBuffer
 }
 
 var bufferPool = sync.Pool{New: func() any {
-	buffer := make([]byte, 0, pooledBytes)
+	buffer := make([]byte, 0, pooledBufferBytes)
 	return &buffer
 }}
 
-// buffer returns a buffer of a length, from the pool if it is small.
-func buffer(length int) []byte {
-	if length > pooledBytes {
+// acquireBuffer returns a buffer of the given length, from the pool if it is small.
+func acquireBuffer(length int) []byte {
+	if length > pooledBufferBytes {
 		return make([]byte, length)
 	}
 	return (*bufferPool.Get().(*[]byte))[:length]
 }
 
-// release returns a buffer to the pool. Decoded messages are copies, so none refers to it.
-func release(buffer []byte) {
-	if cap(buffer) == pooledBytes {
+// releaseBuffer returns a pooled buffer to the pool. Decoded messages copy their data, so none refers to the buffer.
+func releaseBuffer(buffer []byte) {
+	if cap(buffer) == pooledBufferBytes {
 		bufferPool.Put(&buffer)
 	}
 }
 
-// encode returns a frame in a buffer that is to be released.
+// encode returns an encoded frame. The caller must pass it to releaseBuffer or to frameWriter.write.
 func encode(kind byte, callID uint32, message Message) ([]byte, error) {
 	size := 0
 	if message != nil {
@@ -59,7 +59,7 @@
 	if size > maxFrameBytes-headerBytes {
 		return nil, ErrTooLarge
 	}
-	encoded := buffer(headerBytes + size)
+	encoded := acquireBuffer(headerBytes + size)
 	binary.BigEndian.PutUint32(encoded, uint32(headerBytes-lengthBytes+size))
 	encoded[lengthBytes] = kind
 	binary.BigEndian.PutUint32(encoded[lengthBytes+1:], callID)
@@ -67,13 +67,13 @@
 		return encoded, nil
 	}
 	if _, err := message.MarshalToSizedBufferVT(encoded[headerBytes:]); err != nil {
-		release(encoded)
+		releaseBuffer(encoded)
 		return nil, eris.Wrap(err, "encode message")
 	}
 	return encoded, nil
 }
 
-// readFrame reads one frame; its payload is to be released.
+// readFrame reads one frame. The caller must pass its payload to releaseBuffer.
 func readFrame(from io.Reader, header *[headerBytes]byte) (frame, error) {
 	if _, err := io.ReadFull(from, header[:]); err != nil {
 		return frame{}, err
@@ -86,10 +86,10 @@
 	return frame{kind: header[lengthBytes], callID: binary.BigEndian.Uint32(header[lengthBytes+1:]), payload: payload}, err
 }
 
-// readPayload allocates a long payload in steps as its bytes arrive, so that garbage that is read as a length cannot
-// claim memory that it does not fill.
+// readPayload reads a payload of the given length. It grows the buffer of a long payload as its bytes arrive, so that
+// invalid data read as a length does not cause a large allocation.
 func readPayload(from io.Reader, length int) ([]byte, error) {
-	payload := buffer(min(length, preallocatedBytes))
+	payload := acquireBuffer(min(length, maxPreallocatedBytes))
 	_, err := io.ReadFull(from, payload)
 	for err == nil && len(payload) < length {
 		filled := len(payload)
--- a/internal/tier/rpc/frame_test.go
+++ b/internal/tier/rpc/frame_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestGarbageLengthAllocatesLittle(t *testing.T) {
+func TestInvalidFrameLengthAllocatesLittle(t *testing.T) {
 	payload, err := readPayload(strings.NewReader("short"), maxFrameBytes/2)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	assert.Assert(t, len(payload) <= preallocatedBytes)
+	assert.Assert(t, len(payload) <= maxPreallocatedBytes)
 	var header [headerBytes]byte
 	_, err = readFrame(strings.NewReader("\xff\xff\xff\xff garbage"), &header)
 	assert.ErrorIs(t, err, ErrTooLarge)
--- a/internal/tier/rpc/harness_test.go
+++ b/internal/tier/rpc/harness_test.go
@@ -11,7 +11,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-const testTimeout = 30 * time.Second // ends a test that hangs; no test waits for it
+const testTimeout = 30 * time.Second // only reached by a test that hangs
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
@@ -61,11 +61,13 @@
 
 func echo(_ context.Context, request *tierpb.Node) (*tierpb.Node, error) { return request, nil }
 
-func setEcho(server *Server) { Handle(server, MethodPing, echo) }
+// handleEcho makes a server reply to MethodPing with the request.
+func handleEcho(server *Server) { Handle(server, MethodPing, echo) }
 
-func rawFrame(kind byte, call uint32, payload []byte) []byte {
+// encodeRawFrame encodes a frame without the encoder under test.
+func encodeRawFrame(kind byte, callID uint32, payload []byte) []byte {
 	length := uint32(headerBytes - lengthBytes + len(payload))
-	head := []byte{byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length), kind,
-		byte(call >> 24), byte(call >> 16), byte(call >> 8), byte(call)}
-	return append(head, payload...)
+	header := []byte{byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length), kind,
+		byte(callID >> 24), byte(callID >> 16), byte(callID >> 8), byte(callID)}
+	return append(header, payload...)
 }
--- a/internal/tier/rpc/peer.go
+++ b/internal/tier/rpc/peer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// peer holds the connection to one address. One goroutine dials; callers wait for it no longer than their contexts
-// allow.
+// peer holds the connection to one address. At most one dial runs at a time; each caller waits for it until the
+// caller's own context ends.
 type peer struct {
 	client  *Client
 	address string
@@ -17,7 +17,7 @@
 	closed       bool
 	current      *clientConnection
 	dialing      *dialAttempt
-	backoffUntil time.Time // after a failed dial
+	backoffUntil time.Time // calls fail without dialing until then; set after a failed dial
 }
 
 // dialAttempt is one attempt to connect.
@@ -26,7 +26,7 @@
 	connection *clientConnection // set before done is closed; nil if the dial failed
 }
 
-// connection returns the open connection, or waits for the dial that is under way.
+// connection returns the open connection, or waits for a dial to complete.
 func (p *peer) connection(ctx context.Context) (*clientConnection, error) {
 	connection, attempt, err := p.currentOrDial()
 	if connection != nil || err != nil {
@@ -43,7 +43,7 @@
 	return attempt.connection, nil
 }
 
-// currentOrDial returns the open connection, or else the dial to wait for, which it starts if there is none.
+// currentOrDial returns the open connection or, if there is none, the dial in progress, starting one if needed.
 func (p *peer) currentOrDial() (*clientConnection, *dialAttempt, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +85,7 @@
 	go p.current.readReplies()
 }
 
-// isBusy reports whether calls wait for replies or for a connection.
+// isBusy reports whether calls are waiting for replies or for a connection.
 func (p *peer) isBusy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -2,8 +2,8 @@
 
 import "github.com/rotisserie/eris"
 
-// Method identifies a call's handler. The numbers are part of the protocol: they must not change, and those of methods
-// that have gone must not be used again.
+// Method identifies the handler of a call. The numbers are part of the protocol: they must not change, and the numbers of
+// removed methods must not be reused.
 type Method uint8
 
 // The methods. The comment names the package that serves each.
@@ -32,15 +32,16 @@
 	UnmarshalVT([]byte) error
 }
 
-// Errors of calls, to be compared with errors.Is. A call may also fail with the error of decoding its reply.
+// Errors returned by calls, to be checked with errors.Is. A call may also return the error of decoding its reply.
 var (
-	// ErrUnreachable: no connection, or it broke before the reply came. The peer may have executed the request.
+	// ErrUnreachable: no connection could be opened, or it broke before the reply arrived. The peer may have executed the
+	// request.
 	ErrUnreachable = eris.New("peer unreachable")
-	// ErrTimeout: the context ended before the reply came. The peer may have executed the request.
+	// ErrTimeout: the context ended before the reply arrived. The peer may have executed the request.
 	ErrTimeout = eris.New("no reply before the deadline")
 	// ErrRejected: the peer has no handler for the method, or the handler returned an error.
 	ErrRejected = eris.New("call rejected by the peer")
-	// ErrTooLarge: the request is larger than the protocol allows. A received frame that is too large breaks the connection,
-	// and the call ends with ErrUnreachable.
+	// ErrTooLarge: the request is larger than the protocol allows. A received frame that is too large closes the connection
+	// instead, and the calls that wait on it fail with ErrUnreachable.
 	ErrTooLarge = eris.New("frame too large")
 )
--- a/internal/tier/rpc/server.go
+++ b/internal/tier/rpc/server.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// acceptBackoff is the pause after an error of Accept, as when the process is out of file descriptors.
+// acceptBackoff is the pause after Accept fails, for example because the process is out of file descriptors.
 const acceptBackoff = 50 * time.Millisecond
 
-// handler runs a method on an encoded request, which it releases.
+// handler decodes and handles a request, and passes its buffer to releaseBuffer.
 type handler func(ctx context.Context, payload []byte) (Message, error)
 
-// Server answers calls. Each call has a goroutine of its own, so a handler may block.
+// Server handles calls. Each call runs in its own goroutine, so a handler may block.
 type Server struct {
 	handlers [256]handler // by method
 	counters counters
@@ -31,8 +31,8 @@
 	return &Server{connections: make(map[net.Conn]struct{}), done: make(chan struct{})}
 }
 
-// Handle sets the handler of a method. An error of the handler makes the call fail with ErrRejected at the caller, without
-// its text. The handler's context ends with the connection. All handlers must be set before Serve.
+// Handle sets the handler of a method. If the handler returns an error, the call fails with ErrRejected at the caller; the
+// text of the error is not sent. The handler's context ends with the connection. All handlers must be set before Serve.
 func Handle[Request any, RequestPointer interface {
 	*Request
 	Message
@@ -40,7 +40,7 @@
 	server.handlers[method] = func(ctx context.Context, payload []byte) (Message, error) {
 		request := RequestPointer(new(Request))
 		err := request.UnmarshalVT(payload)
-		release(payload)
+		releaseBuffer(payload)
 		if err != nil {
 			return nil, err
 		}
@@ -48,19 +48,19 @@
 	}
 }
 
-// Dispatch runs the handler of a method on an encoded request, which it takes over. Calls over connections and calls in
-// a simulated network both go through it.
+// Dispatch runs the handler of a method on an encoded request. It takes ownership of the payload. Both real connections
+// and the simulated network call it.
 func (s *Server) Dispatch(ctx context.Context, method Method, payload []byte) (Message, error) {
 	handle := s.handlers[method]
 	if handle == nil {
-		release(payload)
+		releaseBuffer(payload)
 		return nil, ErrRejected
 	}
 	return handle(ctx, payload)
 }
 
-// Serve accepts connections until the server or the listener is closed, and then returns an error that is net.ErrClosed. A server may
-// serve several listeners.
+// Serve accepts connections until the server or the listener is closed, and then returns an error that wraps
+// net.ErrClosed. A server may serve several listeners.
 func (s *Server) Serve(listener net.Listener) error {
 	if !s.addListener(listener) {
 		return net.ErrClosed
@@ -72,13 +72,13 @@
 			s.startConnection(connection)
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case !s.backOff(): // out of file descriptors, or the client has already closed the connection
+		case !s.backOff(): // out of file descriptors, or the client has already closed its connection
 			return net.ErrClosed
 		}
 	}
 }
 
-// Counters returns what the server has carried so far.
+// Counters returns the server's totals so far.
 func (s *Server) Counters() Counters { return s.counters.read() }
 
 // Close closes the listeners and all connections. It does not wait for handlers to return.
@@ -109,7 +109,7 @@
 	return true
 }
 
-// backOff waits for acceptBackoff and reports whether the server still runs.
+// backOff waits for acceptBackoff. It returns false at once when the server is closed.
 func (s *Server) backOff() bool {
 	timer := time.NewTimer(acceptBackoff)
 	defer timer.Stop()
--- a/internal/tier/rpc/server_connection.go
+++ b/internal/tier/rpc/server_connection.go
@@ -6,16 +6,16 @@
 	"net"
 )
 
-// maxConcurrentCalls is how many calls of one connection run at a time. Further requests stay unread, and the kernel's
-// flow control stops the client.
+// maxConcurrentCalls limits the calls that run concurrently for one connection. Further requests are not read, and TCP
+// flow control then stops the client from sending.
 const maxConcurrentCalls = 256
 
-// serverConnection is one client's connection.
+// serverConnection is an accepted connection of a client.
 type serverConnection struct {
 	server     *Server
 	connection net.Conn
 	writer     *frameWriter
-	running    chan struct{} // holds a token for each call that runs
+	callSlots  chan struct{} // semaphore: holds an element for each running call
 }
 
 // serveConnection reads requests until the connection breaks or the server is closed.
@@ -26,9 +26,9 @@
 	defer cancel()
 	c := &serverConnection{
 		server: s, connection: connection, writer: newFrameWriter(connection),
-		running: make(chan struct{}, maxConcurrentCalls),
+		callSlots: make(chan struct{}, maxConcurrentCalls),
 	}
-	reader := bufio.NewReaderSize(connection, readerBytes)
+	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	var header [headerBytes]byte
 	for {
 		request, err := readFrame(reader, &header)
@@ -38,7 +38,7 @@
 		s.counters.calls.Add(1)
 		s.counters.received.Add(uint64(headerBytes + len(request.payload)))
 		select {
-		case c.running <- struct{}{}:
+		case c.callSlots <- struct{}{}:
 		case <-s.done:
 			return
 		}
@@ -48,7 +48,7 @@
 
 // handle runs one call and writes its reply.
 func (c *serverConnection) handle(ctx context.Context, request frame) {
-	defer func() { <-c.running }()
+	defer func() { <-c.callSlots }()
 	reply, err := c.server.Dispatch(ctx, Method(request.kind), request.payload)
 	kind := request.kind | replyFlag
 	if err != nil {
@@ -62,7 +62,7 @@
 	c.reply(ctx, encoded)
 }
 
-// reply writes an encoded reply. The writer bounds the time; a client that does not read loses its connection.
+// reply writes an encoded reply. If the client does not read it within writeTimeout, its connection is closed.
 func (c *serverConnection) reply(ctx context.Context, encoded []byte) {
 	size := len(encoded)
 	if err := c.writer.write(ctx, encoded); err != nil {
--- a/internal/tier/rpc/server_test.go
+++ b/internal/tier/rpc/server_test.go
@@ -58,7 +58,7 @@
 	}
 	select {
 	case <-entered:
-		t.Fatal("more calls run than the bound")
+		t.Fatal("more than maxConcurrentCalls calls run concurrently")
 	default:
 	}
 	proceed <- struct{}{}
@@ -69,8 +69,8 @@
 	}
 }
 
-func TestClosedServerAndClientFailCalls(t *testing.T) {
-	server, address := startServer(t, setEcho)
+func TestCallsFailAfterServerOrClientIsClosed(t *testing.T) {
+	server, address := startServer(t, handleEcho)
 	client := startClient(t)
 	assert.NilError(t, client.Call(testContext(t), address, MethodPing, &tierpb.Node{}, &tierpb.Node{}))
 	server.Close()
--- a/internal/tier/rpc/socket.go
+++ b/internal/tier/rpc/socket.go
@@ -8,26 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of connections between the tier's processes.
+// Timeouts and keep-alive settings of connections between the tier's processes.
 const (
 	dialTimeout = time.Second
-	dialBackoff = 100 * time.Millisecond // after a failed dial, during which calls fail at once
+	dialBackoff = 100 * time.Millisecond // time after a failed dial during which calls fail without dialing
 
-	userTimeout         = 1500 * time.Millisecond // for which sent bytes may stay unacknowledged
-	writeTimeout        = 1500 * time.Millisecond // for which a peer may take to read a frame
-	unresponsiveTimeout = 500 * time.Millisecond  // for which calls may go without any reply
+	tcpUserTimeout      = 1500 * time.Millisecond // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
+	writeTimeout        = 1500 * time.Millisecond // how long writing one frame may take
+	unresponsiveTimeout = 500 * time.Millisecond  // how long calls may receive no reply before the client closes the connection
 
-	keepAliveInterval = time.Second      // between probes of an idle connection
-	keepAliveProbes   = 3                // without an answer, after which the connection is closed
-	idleTimeout       = 30 * time.Second // after which an unused connection is closed
+	keepAliveInterval = time.Second      // time between probes of an idle connection
+	keepAliveProbes   = 3                // unanswered probes after which the kernel closes the connection
+	idleTimeout       = 30 * time.Second // how long a connection stays unused before the client closes it
 )
 
 // Listen opens a listener for a Server at an address (ip:port).
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp4", address) // setSocketOptions sets the probes
+	// KeepAlive is disabled here because setSocketOptions configures the keep-alive probes.
+	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp4", address)
 }
 
-// setSocketOptions has the kernel close the connection when its peer has gone without closing it.
+// setSocketOptions makes the kernel close the connection when the peer has become unreachable without closing it.
 func setSocketOptions(connection net.Conn) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -39,7 +40,7 @@
 	}
 	_ = raw.Control(func(descriptor uintptr) {
 		socket := int(descriptor)
-		_ = unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
+		_ = unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
 		_ = unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(keepAliveInterval/time.Second))
 		_ = unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(keepAliveInterval/time.Second))
 		_ = unix.SetsockoptInt(socket, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes)
--- a/internal/tier/rpc/writer.go
+++ b/internal/tier/rpc/writer.go
@@ -8,58 +8,59 @@
 	"time"
 )
 
-// frameWriter writes whole frames to a connection, each by one call of Write. A peer that does not read holds a caller
-// no longer than the caller's context: the rest of a frame is then written in the background, within writeTimeout.
+// frameWriter writes whole frames to a connection, each by one call of Write. A peer that does not read blocks a caller no
+// longer than the caller's context allows: the rest of a partially written frame is then written in the background, within
+// writeTimeout.
 type frameWriter struct {
 	connection net.Conn
-	lock       chan struct{} // holds a token while a frame is being written: a mutex that can be waited for with a context
-	broken     bool          // a frame was truncated, so nothing may follow it; guarded by lock
+	lock       chan struct{} // mutex, held while a frame is written; a channel, so that waiting for it can end with a context
+	broken     bool          // a frame may have been truncated, so no other may follow it; guarded by lock
 }
 
 func newFrameWriter(connection net.Conn) *frameWriter {
 	return &frameWriter{connection: connection, lock: make(chan struct{}, 1)}
 }
 
-// write writes a frame and releases its buffer. After ErrTimeout the frame may still arrive as a whole, or not at all.
-// After any other error the connection is broken.
+// write writes a frame and releases its buffer. After ErrTimeout either the whole frame or no part of it reaches the peer,
+// unless the connection breaks. After any other error the connection is closed.
 func (w *frameWriter) write(ctx context.Context, encoded []byte) error {
 	select {
 	case w.lock <- struct{}{}:
 	default:
 		if err := w.acquire(ctx); err != nil {
-			release(encoded)
+			releaseBuffer(encoded)
 			return err
 		}
 	}
 	switch {
 	case w.broken:
-		w.finish(encoded)
+		w.releaseBufferAndLock(encoded)
 		return ErrUnreachable
 	case ctx.Err() != nil:
-		w.finish(encoded)
+		w.releaseBufferAndLock(encoded)
 		return ErrTimeout
 	}
-	deadline, ofContext := writeDeadline(ctx)
+	deadline, fromContext := writeDeadline(ctx)
 	written, err := w.writeUntil(deadline, encoded)
 	expired := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case err == nil:
-		w.finish(encoded)
+		w.releaseBufferAndLock(encoded)
 		return nil
-	case !expired || !ofContext: // the connection failed, or the peer read too little for all of writeTimeout
+	case !expired || !fromContext: // the connection failed, or the peer did not read the frame within writeTimeout
 		w.breakConnection()
-		w.finish(encoded)
+		w.releaseBufferAndLock(encoded)
 		return ErrUnreachable
 	case written == 0:
-		w.finish(encoded)
+		w.releaseBufferAndLock(encoded)
 		return ErrTimeout
 	}
 	go w.writeRest(encoded, written)
 	return ErrTimeout
 }
 
-// breakConnection closes the connection while the lock is still held: the peer would read the next frame as the rest of
-// the truncated one.
+// breakConnection closes the connection and prevents further writes. The caller must hold the lock: if another frame
+// followed a truncated one, the peer would read it as the rest of that frame.
 func (w *frameWriter) breakConnection() {
 	w.broken = true
 	_ = w.connection.Close()
@@ -74,8 +75,8 @@
 	}
 }
 
-// writeDeadline returns until when a write may take, and whether that is the context's deadline.
-func writeDeadline(ctx context.Context) (deadline time.Time, ofContext bool) {
+// writeDeadline returns the deadline for writing a frame, and whether it is the context's deadline.
+func writeDeadline(ctx context.Context) (deadline time.Time, fromContext bool) {
 	deadline = time.Now().Add(writeTimeout)
 	if ends, ok := ctx.Deadline(); ok && ends.Before(deadline) {
 		return ends, true
@@ -86,20 +87,20 @@
 func (w *frameWriter) writeUntil(deadline time.Time, encoded []byte) (int, error) {
 	_ = w.connection.SetWriteDeadline(deadline)
 	written, err := w.connection.Write(encoded)
-	_ = w.connection.SetWriteDeadline(time.Time{}) // stops the timer, which would wake the process
+	_ = w.connection.SetWriteDeadline(time.Time{}) // stops the deadline's timer, which would wake the process
 	return written, err
 }
 
-// writeRest writes the rest of a frame; the connection of a peer that still does not read is closed.
+// writeRest writes the rest of a frame. It closes the connection if the peer still does not read.
 func (w *frameWriter) writeRest(encoded []byte, written int) {
 	if _, err := w.writeUntil(time.Now().Add(writeTimeout), encoded[written:]); err != nil {
 		w.breakConnection()
 	}
-	w.finish(encoded)
+	w.releaseBufferAndLock(encoded)
 }
 
-// finish releases the buffer and the lock.
-func (w *frameWriter) finish(encoded []byte) {
-	release(encoded)
+// releaseBufferAndLock returns the buffer to the pool and releases the lock.
+func (w *frameWriter) releaseBufferAndLock(encoded []byte) {
+	releaseBuffer(encoded)
 	<-w.lock
 }
--- a/internal/tier/rpc/writer_test.go
+++ b/internal/tier/rpc/writer_test.go
@@ -14,7 +14,7 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// stallingConnection accepts a few bytes of the first write, which then exceeds its deadline, and all later writes.
+// stallingConnection accepts three bytes of the first write, which then exceeds its deadline. Later writes succeed.
 type stallingConnection struct {
 	net.Conn
 	writes  int
@@ -32,7 +32,7 @@
 	return n, os.ErrDeadlineExceeded
 }
 
-// truncatingConnection accepts a few bytes of the first write, which then fails, and all later writes.
+// truncatingConnection accepts three bytes of the first write, which then fails. Later writes would succeed.
 type truncatingConnection struct {
 	net.Conn
 	failure error
@@ -57,26 +57,26 @@
 	return n, c.failure
 }
 
-func TestPeerThatDoesNotReadBlocksNoCaller(t *testing.T) {
+func TestPeerThatDoesNotReadDoesNotBlockCaller(t *testing.T) {
 	client, remotes := pipeClient(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	// Either the dial or the write takes longer than the context; both end with it.
+	// The context ends during the dial or the write, depending on timing; the call fails with ErrTimeout in both cases.
 	err := client.Call(ctx, "a", MethodPing, &tierpb.Node{}, &tierpb.Node{})
 	assert.ErrorIs(t, err, ErrTimeout)
 	peer := <-remotes
-	// Nothing was written, so the connection still serves.
-	serving := NewServer()
-	setEcho(serving)
-	serving.startConnection(peer)
-	defer serving.Close()
+	// No part of the frame was written, so the connection remains usable.
+	server := NewServer()
+	handleEcho(server)
+	server.startConnection(peer)
+	defer server.Close()
 	assert.NilError(t, client.Call(testContext(t), "a", MethodPing, &tierpb.Node{}, &tierpb.Node{}))
 }
 
 func TestPartialFrameIsFinishedInBackground(t *testing.T) {
 	connection := &stallingConnection{}
 	writer := newFrameWriter(connection)
-	first, err := encode(byte(MethodPing), 7, &tierpb.Node{Name: "cut"})
+	first, err := encode(byte(MethodPing), 7, &tierpb.Node{Name: "truncated"})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout/2)
 	defer cancel()
@@ -92,14 +92,15 @@
 	}
 }
 
-// TestNothingFollowsTruncatedFrame: the peer would read the next frame as the rest of the truncated one.
+// TestNothingFollowsTruncatedFrame: after a truncated frame the connection is closed and nothing more is written, since
+// the peer would read the next frame as the rest of the truncated one.
 func TestNothingFollowsTruncatedFrame(t *testing.T) {
 	for name, failure := range map[string]error{"peer does not read": os.ErrDeadlineExceeded, "reset": syscall.ECONNRESET} {
 		t.Run(name, func(t *testing.T) {
 			connection := &truncatingConnection{failure: failure}
 			writer := newFrameWriter(connection)
 			for call := range uint32(2) {
-				encoded, err := encode(byte(MethodPing)|replyFlag, call, &tierpb.Node{Name: "cut"})
+				encoded, err := encode(byte(MethodPing)|replyFlag, call, &tierpb.Node{Name: "truncated"})
 				assert.NilError(t, err)
 				assert.ErrorIs(t, writer.write(context.Background(), encoded), ErrUnreachable)
 				assert.Assert(t, connection.closed)
