--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -6,11 +6,12 @@
 	"path/filepath"
 )
 
-// Disk is what the tier needs of a file system. Tests use a simulated one. Errors are those of the file system.
+// Disk is the file system interface that the tier uses. Tests implement it with a simulated disk. Methods return the errors
+// of the file system.
 type Disk interface {
-	// MkdirAll makes a directory with its parents, durably. One that exists is no error.
+	// MkdirAll durably creates a directory and its missing parents. It succeeds if the directory already exists.
 	MkdirAll(path string) error
-	// List returns the names in a directory.
+	// List returns the names of a directory's entries.
 	List(directory string) ([]string, error)
 	// Read returns the content of a file.
 	Read(path string) ([]byte, error)
@@ -20,9 +21,9 @@
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
-	// SyncFile makes the content of a file durable, whichever process has written it.
+	// SyncFile makes the content of a file durable, including data that another process wrote.
 	SyncFile(path string) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes the entries of a directory durable: files created, renamed and removed in it.
 	SyncDir(directory string) error
 }
 
@@ -35,22 +36,22 @@
 	Close() error
 }
 
-// local is the Disk that roles keep their state on.
-var local Disk = OS{}
+// defaultDisk is the Disk on which roles keep their state.
+var defaultDisk Disk = OS{}
 
-// Local returns the Disk of the machine that this process runs on.
-func Local() Disk { return local }
+// Local returns the Disk on which roles keep their state: the machine's file system, or the Disk that a test has set.
+func Local() Disk { return defaultDisk }
 
-// SetLocal makes roles keep their state on another Disk. Tests of whole processes use it to lose what was not synced and
-// to inject disk faults. It must be called before any role runs.
-func SetLocal(disk Disk) { local = disk }
+// SetLocal makes roles keep their state on another Disk. Tests of whole processes use it to discard unsynced data and to
+// inject disk faults. It must be called before any role runs.
+func SetLocal(disk Disk) { defaultDisk = disk }
 
-// OS is the file system of the machine.
+// OS implements Disk with the file system of the machine.
 type OS struct{}
 
-// MkdirAll implements Disk. It syncs every directory that gets a new entry, so that the new directory itself is durable.
+// MkdirAll implements Disk. It syncs every directory that gets a new entry, so that the new directories are durable.
 func (OS) MkdirAll(path string) error {
-	parents := parentsOfMissing(path)
+	parents := directoriesToSync(path)
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return err
 	}
@@ -62,9 +63,10 @@
 	return nil
 }
 
-// parentsOfMissing returns the parent of a directory, and those of all directories above it that do not exist. The parent
-// is always among them: an earlier process may have made the directory and ended before it synced the parent.
-func parentsOfMissing(path string) []string {
+// directoriesToSync returns the directories to sync after creating path and its missing parents: the parent of each
+// directory that does not exist yet. The parent of path is always included, because an earlier process may have created
+// path and ended before it synced the parent.
+func directoriesToSync(path string) []string {
 	parents := []string{filepath.Dir(path)}
 	for {
 		missing := parents[len(parents)-1]
@@ -109,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = opened.Close() }() // an error of the data is that of Sync
+	defer func() { _ = opened.Close() }() // write errors are reported by Sync
 	return opened.Sync()
 }
 
@@ -119,6 +121,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = opened.Close() }() // an error of the data is that of Sync
+	defer func() { _ = opened.Close() }() // write errors are reported by Sync
 	return opened.Sync()
 }
--- a/internal/tier/storage/disk_test.go
+++ b/internal/tier/storage/disk_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMkdirAllSyncsParentsOfNewDirectories: with nested directories, each parent that gets a new entry is synced. If one
-// were omitted, a loss of power would take all that was saved below it.
+// TestMkdirAllSyncsParentsOfNewDirectories: each parent of a new directory must be synced. Otherwise a loss of power could
+// remove the new directory and everything saved below it.
 func TestMkdirAllSyncsParentsOfNewDirectories(t *testing.T) {
 	root := t.TempDir()
 	data := filepath.Join(root, "data")
 	deepest := filepath.Join(data, "register")
-	assert.DeepEqual(t, parentsOfMissing(deepest), []string{data, root})
+	assert.DeepEqual(t, directoriesToSync(deepest), []string{data, root})
 	assert.NilError(t, OS{}.MkdirAll(deepest))
-	assert.DeepEqual(t, parentsOfMissing(deepest), []string{data})
+	assert.DeepEqual(t, directoriesToSync(deepest), []string{data})
 	assert.NilError(t, OS{}.MkdirAll(deepest))
 }
--- a/internal/tier/storage/doc.go
+++ b/internal/tier/storage/doc.go
@@ -1,25 +1,25 @@
-// Package storage keeps small pieces of state on disk. Each piece is a Series, which is replaced as a whole, one file a
-// version.
+// Package storage keeps small pieces of state durably on disk. Each is a Series of versions: every save writes the whole
+// state to a new file and then removes the file of the previous version.
 //
 // # Durability
 //
 // Series.Save replaces version N by N+1 in these steps:
 //
 //  1. write <name>-<N+1>.part, a temporary file, and sync it;
-//  2. rename it to <name>-<N+1>, which publishes the version at once or not at all;
-//  3. sync the directory, so that the new name survives a loss of power; from here on the version is durable;
+//  2. rename it to <name>-<N+1>, which publishes the version atomically;
+//  3. sync the directory, so that the new name survives a loss of power; from then on the version is durable;
 //  4. remove <name>-<N>.
 //
-// A process that ends, or a machine that loses power, after any step leaves at least one complete version. Open removes
-// temporary files, returns the newest version that passes its checksum, and syncs the directory before: a process that
-// was killed between steps 2 and 3 may have left a name that is visible and not yet durable, and the caller may act on
-// what it reads.
+// If the process ends or the machine loses power during these steps, at least one complete version remains. Open removes
+// temporary files and reads the newest version that passes its checksum. It syncs the directory before it returns that
+// version: a process that was killed between steps 2 and 3 may have left a file whose name is visible but not yet durable,
+// and the caller may act on its content.
 //
-// A Series never uses a version number twice, also when a save has failed. So a file whose sync has failed, after which
-// the kernel may drop its pages, is never written to again.
+// A Series never reuses a version number, even after a failed save. A file whose sync failed is therefore never written
+// again; the kernel may have dropped its unwritten pages.
 //
-// If a published version fails its checksum, the disk has lost what it acknowledged, and Series.Corrupted reports it. What
-// that means is up to the caller: an acceptor of the register, for one, starts anew under another identity.
+// If a published version fails its checksum, the disk has lost data that it had acknowledged, and Series.Corrupted reports
+// this. The caller decides how to recover: an acceptor of the register, for example, starts again with a new identity.
 //
 // # File format
 //
--- a/internal/tier/storage/message.go
+++ b/internal/tier/storage/message.go
@@ -2,15 +2,15 @@
 
 import "github.com/rotisserie/eris"
 
-// Message is a piece of state that can be encoded; generated protobuf messages are.
+// Message is state that can be stored in a Series. Protobuf messages generated with vtprotobuf implement it.
 type Message interface {
 	MarshalVT() ([]byte, error)
 	UnmarshalVT(payload []byte) error
 }
 
-// OpenMessage makes a directory, opens a series in it and decodes the newest version into a message. Found is false if
-// there is no complete version, or if it cannot be decoded.
-func OpenMessage(disk Disk, directory, name string, newest Message) (series *Series, found bool, err error) {
+// OpenMessage creates a directory, opens a series in it and decodes the newest version into a message. found is false if
+// there is no complete version, or if the newest one cannot be decoded.
+func OpenMessage(disk Disk, directory, name string, message Message) (series *Series, found bool, err error) {
 	if err := disk.MkdirAll(directory); err != nil {
 		return nil, false, eris.Wrap(err, name)
 	}
@@ -18,10 +18,10 @@
 		return nil, false, err
 	}
 	payload, found := series.Newest()
-	return series, found && newest.UnmarshalVT(payload) == nil, nil
+	return series, found && message.UnmarshalVT(payload) == nil, nil
 }
 
-// SaveMessage encodes a message and makes it the newest version, with the guarantees of Save.
+// SaveMessage encodes a message and saves it as the newest version, with the guarantees of Save.
 func (s *Series) SaveMessage(message Message) error {
 	payload, err := message.MarshalVT()
 	if err != nil {
--- a/internal/tier/storage/series.go
+++ b/internal/tier/storage/series.go
@@ -12,25 +12,26 @@
 	"pulleygw.example/pulleygw/internal/tier/failpoint"
 )
 
-// temporarySuffix is that of the name of a file that is being written.
+// temporarySuffix ends the name of a file that is being written.
 const temporarySuffix = ".part"
 
-// Series is a piece of state that is replaced as a whole, version by version. It is not safe for concurrent use.
+// Series stores one state on disk. Each save replaces the whole state with a new version. A Series is
+// not safe for concurrent use.
 type Series struct {
 	disk       Disk
 	directory  string
 	name       string
 	failpoints *failpoint.Points
-	version    uint64   // highest number ever used
-	present    []uint64 // versions whose files may exist, ascending
-	payload    []byte   // as read by Open
+	version    uint64   // highest version number used so far, also by failed saves
+	versions   []uint64 // numbers of the versions whose files may exist, ascending
+	payload    []byte   // read by Open; nil after a save
 	found      bool
 	corrupted  bool
 }
 
-// Open reads the newest complete version of a series in a directory, which must exist. It removes temporary files and,
-// once it has found a complete version, all others. Several series may share a directory.
-// Failpoints may be nil. An error is that of the disk; a corrupted version is no error, see Corrupted.
+// Open reads the newest complete version of a series in a directory, which must exist. It removes the series' temporary
+// files and, if it finds a complete version, all its other versions. Several series may share a directory. failpoints may
+// be nil. Open returns only errors of the disk; Corrupted reports a corrupted version.
 func Open(disk Disk, directory, name string, failpoints *failpoint.Points) (*Series, error) {
 	series := &Series{disk: disk, directory: directory, name: name, failpoints: failpoints}
 	names, err := disk.List(directory)
@@ -40,14 +41,15 @@
 	for _, file := range names {
 		series.addFile(file)
 	}
-	slices.Sort(series.present)
+	slices.Sort(series.versions)
 	if err := series.load(); err != nil {
 		return nil, err
 	}
 	return series, nil
 }
 
-// addFile notes a file of the directory if it is a version of the series, and removes it if it is a temporary file.
+// addFile records a file of the directory if it is a version of the series, and removes it if it is a temporary file of
+// the series.
 func (s *Series) addFile(file string) {
 	rest, belongs := strings.CutPrefix(file, s.name+"-")
 	if !belongs {
@@ -58,15 +60,15 @@
 		return
 	}
 	if version, err := strconv.ParseUint(rest, 16, 64); err == nil {
-		s.present = append(s.present, version)
+		s.versions = append(s.versions, version)
 		s.version = max(s.version, version)
 	}
 }
 
 // load reads the newest complete version and removes the others.
 func (s *Series) load() error {
-	for i := len(s.present) - 1; i >= 0; i-- {
-		version := s.present[i]
+	for i := len(s.versions) - 1; i >= 0; i-- {
+		version := s.versions[i]
 		data, err := s.disk.Read(s.path(version))
 		if err != nil {
 			return eris.Wrapf(err, "read %s", s.path(version))
@@ -76,27 +78,28 @@
 			s.corrupted = true
 			continue
 		}
-		// A process that was killed may have renamed the file without syncing the directory.
+		// A killed process may have renamed the file without syncing the directory.
 		if err := s.disk.SyncDir(s.directory); err != nil {
 			return eris.Wrapf(err, "sync %s", s.directory)
 		}
 		s.payload, s.found = payload, true
-		s.removeAllBut(version)
+		s.removeAllExcept(version)
 		return nil
 	}
 	return nil
 }
 
-// Newest returns the payload that Open read, and whether there is a complete version. After a Save the payload is nil: the
-// caller has it.
+// Newest returns the payload that Open read, and whether there is a complete version. After Save the payload is nil, since
+// the caller already has it.
 func (s *Series) Newest() ([]byte, bool) { return s.payload, s.found }
 
-// Corrupted reports whether Open found a version, newer than the one it returned, that fails its checksum: the disk has
-// lost what it had acknowledged.
+// Corrupted reports whether Open skipped a version because it was incomplete or corrupted. The disk has then lost data that
+// it had acknowledged.
 func (s *Series) Corrupted() bool { return s.corrupted }
 
-// Save makes a payload the newest version. When it returns nil the payload is durable. After an error, which is that of
-// the disk or failpoint.ErrStopped, the version on disk is either this one or the one before; Save may be called again.
+// Save makes a payload the newest version. When it returns nil, the payload is durable. An error is or wraps that of the
+// disk or failpoint.ErrStopped. The newest version on disk is then either this one or the previous one, and Save may be
+// called again.
 func (s *Series) Save(payload []byte) error {
 	s.version++
 	version := s.version
@@ -104,25 +107,25 @@
 		return eris.Wrapf(err, "save %s", s.path(version))
 	}
 	s.payload, s.found = nil, true
-	s.removeAllBut(version)
+	s.removeAllExcept(version)
 	return s.failpoints.At(failpoint.VersionRemoved)
 }
 
-// Clear removes all versions and resets Corrupted. An error is that of syncing the directory.
+// Clear removes all versions and resets Corrupted. It returns the error of syncing the directory.
 func (s *Series) Clear() error {
-	s.removeAllBut(s.version + 1)
+	s.removeAllExcept(s.version + 1)
 	s.payload, s.found, s.corrupted = nil, false, false
 	return s.disk.SyncDir(s.directory)
 }
 
-// write runs the steps of a save up to the sync of the directory.
+// write performs the steps of Save up to and including the sync of the directory.
 func (s *Series) write(version uint64, payload []byte) error {
 	temporary := s.path(version) + temporarySuffix
 	if err := s.writeTemporary(temporary, encode(version, payload)); err != nil {
 		_ = s.disk.Remove(temporary)
 		return err
 	}
-	s.present = append(s.present, version)
+	s.versions = append(s.versions, version)
 	if err := s.disk.Rename(temporary, s.path(version)); err != nil {
 		_ = s.disk.Remove(temporary)
 		return err
@@ -141,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // an error of the data is that of Sync
+	defer func() { _ = file.Close() }() // write errors are reported by Sync
 	if err := s.failpoints.At(failpoint.VersionCreated); err != nil {
 		return err
 	}
@@ -157,10 +160,10 @@
 	return s.failpoints.At(failpoint.VersionSynced)
 }
 
-// removeAllBut removes the files of all other versions. A file that cannot be removed is tried again by the next save.
-func (s *Series) removeAllBut(keep uint64) {
-	remaining := s.present[:0]
-	for _, version := range s.present {
+// removeAllExcept removes the files of all versions but one. The next save retries files that could not be removed.
+func (s *Series) removeAllExcept(keep uint64) {
+	remaining := s.versions[:0]
+	for _, version := range s.versions {
 		if version == keep {
 			remaining = append(remaining, version)
 			continue
@@ -169,10 +172,10 @@
 			remaining = append(remaining, version)
 		}
 	}
-	s.present = remaining
+	s.versions = remaining
 }
 
-// exists reports whether a version has a file; an unreadable directory counts as if it had.
+// exists reports whether the file of a version exists. It returns true if the directory cannot be read.
 func (s *Series) exists(version uint64) bool {
 	names, err := s.disk.List(s.directory)
 	return err != nil || slices.Contains(names, filepath.Base(s.path(version)))
--- a/internal/tier/storage/series_test.go
+++ b/internal/tier/storage/series_test.go
@@ -20,12 +20,12 @@
 	name      = "state"
 )
 
-func machine(seed uint64) *simulation.Machine {
+func newMachine(seed uint64) *simulation.Machine {
 	random := rand.New(rand.NewPCG(seed, 0))
 	return simulation.NewNetwork(random, simulation.LinkConditions{}).NewMachine("10.0.0.1:1", random)
 }
 
-func open(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
+func openSeries(t *testing.T, disk storage.Disk, points *failpoint.Points) *storage.Series {
 	t.Helper()
 	assert.NilError(t, disk.MkdirAll(directory))
 	series, err := storage.Open(disk, directory, name, points)
@@ -33,28 +33,28 @@
 	return series
 }
 
-// TestSaveIsAtomicAtEveryFailpoint loses power at each failpoint of a save, with many seeds: the version before is there
-// or the new one, and nothing else.
+// TestSaveIsAtomicAtEveryFailpoint loses power at each failpoint of a save, with many seeds. Afterwards either the previous
+// or the new version must be readable; once the directory is synced, it must be the new one.
 func TestSaveIsAtomicAtEveryFailpoint(t *testing.T) {
 	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
-			m := machine(seed)
+			m := newMachine(seed)
 			stop := false
 			points := &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return stop && passed == point }}
-			series := open(t, m.Start().Mount(), points)
+			series := openSeries(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			assert.NilError(t, series.Save([]byte("two")))
 			stop = true
 			assert.ErrorIs(t, series.Save([]byte("three")), failpoint.ErrStopped)
 			m.PowerLoss()
 			disk := m.Start().Mount()
-			reopened := open(t, disk, nil)
+			reopened := openSeries(t, disk, nil)
 			payload, found := reopened.Newest()
 			assert.Assert(t, found && !reopened.Corrupted())
 			durable := point >= failpoint.VersionFolderSynced
 			assert.Assert(t, string(payload) == "three" || !durable && string(payload) == "two", "point %d: %q", point, payload)
 			assert.NilError(t, reopened.Save([]byte("four")))
-			payload, _ = open(t, disk, nil).Newest()
+			payload, _ = openSeries(t, disk, nil).Newest()
 			assert.Equal(t, string(payload), "four")
 			names, err := disk.List(directory)
 			assert.NilError(t, err)
@@ -66,8 +66,8 @@
 func TestSaveSucceedsAfterDiskFault(t *testing.T) {
 	faults := []simulation.DiskFault{{Full: true}, {SyncFails: true}}
 	for _, fault := range faults {
-		m := machine(1)
-		series := open(t, m.Start().Mount(), nil)
+		m := newMachine(1)
+		series := openSeries(t, m.Start().Mount(), nil)
 		assert.NilError(t, series.Save([]byte("one")))
 		m.Disk.SetFault(fault)
 		for range 5 {
@@ -77,7 +77,7 @@
 		assert.NilError(t, series.Save([]byte("two")))
 		m.PowerLoss()
 		disk := m.Start().Mount()
-		payload, _ := open(t, disk, nil).Newest()
+		payload, _ := openSeries(t, disk, nil).Newest()
 		assert.Equal(t, string(payload), "two")
 		names, err := disk.List(directory)
 		assert.NilError(t, err)
@@ -86,9 +86,9 @@
 }
 
 func TestFullDiskLeavesNoTemporaryFile(t *testing.T) {
-	m := machine(1)
+	m := newMachine(1)
 	disk := m.Start().Mount()
-	series := open(t, disk, nil)
+	series := openSeries(t, disk, nil)
 	m.Disk.SetFault(simulation.DiskFault{Full: true})
 	assert.ErrorIs(t, series.Save([]byte("one")), simulation.ErrFull)
 	names, err := disk.List(directory)
@@ -97,22 +97,22 @@
 }
 
 func TestCorruptedVersionIsReported(t *testing.T) {
-	m := machine(1)
+	m := newMachine(1)
 	disk := m.Start().Mount()
-	assert.NilError(t, open(t, disk, nil).Save([]byte("one")))
+	assert.NilError(t, openSeries(t, disk, nil).Save([]byte("one")))
 	m.Disk.CorruptMatching(name)
-	series := open(t, disk, nil)
+	series := openSeries(t, disk, nil)
 	_, found := series.Newest()
 	assert.Assert(t, !found && series.Corrupted())
 	assert.NilError(t, series.Clear())
 	assert.Assert(t, !series.Corrupted())
 	assert.NilError(t, series.Save([]byte("two")))
-	payload, _ := open(t, disk, nil).Newest()
+	payload, _ := openSeries(t, disk, nil).Newest()
 	assert.Equal(t, string(payload), "two")
 }
 
 func TestSeriesInOneDirectoryAreIndependent(t *testing.T) {
-	disk := machine(1).Start().Mount()
+	disk := newMachine(1).Start().Mount()
 	for i := range 3 {
 		series, err := storage.Open(disk, directory, fmt.Sprintf("series%d", i), nil)
 		assert.NilError(t, err)
@@ -150,22 +150,22 @@
 	assert.Assert(t, strings.HasPrefix(names[1], name) && names[0] == "another-file")
 }
 
-// TestVersionReadAfterKillSurvivesPowerLoss kills the process at each failpoint of a save. The next process may act on what
-// it reads, so that must survive a loss of power.
+// TestVersionReadAfterKillSurvivesPowerLoss kills the process at each failpoint of a save. The next process may act on the
+// version that it reads, so this version must survive a later loss of power.
 func TestVersionReadAfterKillSurvivesPowerLoss(t *testing.T) {
 	for point := failpoint.VersionCreated; point <= failpoint.VersionRemoved; point++ {
 		for seed := range uint64(60) {
-			m := machine(seed)
+			m := newMachine(seed)
 			stop := false
 			points := &failpoint.Points{ShouldStop: func(passed failpoint.Point) bool { return stop && passed == point }}
-			series := open(t, m.Start().Mount(), points)
+			series := openSeries(t, m.Start().Mount(), points)
 			assert.NilError(t, series.Save([]byte("one")))
 			stop = true
 			assert.ErrorIs(t, series.Save([]byte("two")), failpoint.ErrStopped)
-			read, found := open(t, m.Start().Mount(), nil).Newest()
+			read, found := openSeries(t, m.Start().Mount(), nil).Newest()
 			assert.Assert(t, found)
 			m.PowerLoss()
-			durable, found := open(t, m.Start().Mount(), nil).Newest()
+			durable, found := openSeries(t, m.Start().Mount(), nil).Newest()
 			assert.Assert(t, found, "point %d", point)
 			assert.Equal(t, string(durable), string(read), "point %d", point)
 		}
