--- a/internal/tier/rpc/writer.go
+++ b/internal/tier/rpc/writer.go
@@ -78,8 +78,8 @@
 // writeDeadline returns the deadline for writing a frame, and whether it is the context's deadline.
 func writeDeadline(ctx context.Context) (deadline time.Time, fromContext bool) {
 	deadline = time.Now().Add(writeTimeout)
-	if ends, ok := ctx.Deadline(); ok && ends.Before(deadline) {
-		return ends, true
+	if contextDeadline, ok := ctx.Deadline(); ok && contextDeadline.Before(deadline) {
+		return contextDeadline, true
 	}
 	return deadline, false
 }
--- a/internal/tier/rpc/writer_test.go
+++ b/internal/tier/rpc/writer_test.go
@@ -76,7 +76,7 @@
 func TestPartialFrameIsFinishedInBackground(t *testing.T) {
 	connection := &stallingConnection{}
 	writer := newFrameWriter(connection)
-	first, err := encode(byte(MethodPing), 7, &tierpb.Node{Name: "truncated"})
+	first, err := encode(byte(MethodPing), 7, &tierpb.Node{Name: "cut"})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout/2)
 	defer cancel()
@@ -100,7 +100,7 @@
 			connection := &truncatingConnection{failure: failure}
 			writer := newFrameWriter(connection)
 			for call := range uint32(2) {
-				encoded, err := encode(byte(MethodPing)|replyFlag, call, &tierpb.Node{Name: "truncated"})
+				encoded, err := encode(byte(MethodPing)|replyFlag, call, &tierpb.Node{Name: "cut"})
 				assert.NilError(t, err)
 				assert.ErrorIs(t, writer.write(context.Background(), encoded), ErrUnreachable)
 				assert.Assert(t, connection.closed)
--- a/internal/tier/storage/series.go
+++ b/internal/tier/storage/series.go
@@ -15,18 +15,18 @@
 // temporarySuffix ends the name of a file that is being written.
 const temporarySuffix = ".part"
 
-// Series stores one state on disk. Each save replaces the whole state with a new version. A Series is
-// not safe for concurrent use.
+// Series stores one state on disk. Each save replaces the whole state with a new version. A Series is not safe for
+// concurrent use.
 type Series struct {
-	disk       Disk
-	directory  string
-	name       string
-	failpoints *failpoint.Points
-	version    uint64   // highest version number used so far, also by failed saves
-	versions   []uint64 // numbers of the versions whose files may exist, ascending
-	payload    []byte   // read by Open; nil after a save
-	found      bool
-	corrupted  bool
+	disk        Disk
+	directory   string
+	name        string
+	failpoints  *failpoint.Points
+	lastVersion uint64   // highest version number used so far, also by failed saves
+	versions    []uint64 // numbers of the versions whose files may exist, ascending
+	payload     []byte   // read by Open; nil after a successful save
+	found       bool
+	corrupted   bool
 }
 
 // Open reads the newest complete version of a series in a directory, which must exist. It removes the series' temporary
@@ -61,7 +61,7 @@
 	}
 	if version, err := strconv.ParseUint(rest, 16, 64); err == nil {
 		s.versions = append(s.versions, version)
-		s.version = max(s.version, version)
+		s.lastVersion = max(s.lastVersion, version)
 	}
 }
 
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Newest returns the payload that Open read, and whether there is a complete version. After Save the payload is nil, since
-// the caller already has it.
+// Newest returns the payload that Open read, and whether there is a complete version. After a successful Save the
+// payload is nil, since the caller already has it.
 func (s *Series) Newest() ([]byte, bool) { return s.payload, s.found }
 
 // Corrupted reports whether Open skipped a version because it was incomplete or corrupted. The disk has then lost data that
@@ -101,8 +101,8 @@
 // disk or failpoint.ErrStopped. The newest version on disk is then either this one or the previous one, and Save may be
 // called again.
 func (s *Series) Save(payload []byte) error {
-	s.version++
-	version := s.version
+	s.lastVersion++
+	version := s.lastVersion
 	if err := s.write(version, payload); err != nil {
 		return eris.Wrapf(err, "save %s", s.path(version))
 	}
@@ -113,7 +113,7 @@
 
 // Clear removes all versions and resets Corrupted. It returns the error of syncing the directory.
 func (s *Series) Clear() error {
-	s.removeAllExcept(s.version + 1)
+	s.removeAllExcept(s.lastVersion + 1)
 	s.payload, s.found, s.corrupted = nil, false, false
 	return s.disk.SyncDir(s.directory)
 }
