--- a/internal/tier/settings/live.go
+++ b/internal/tier/settings/live.go
@@ -5,16 +5,17 @@
 	"sync"
 )
 
-// Live holds the newest settings of a process whose file may change while it runs. It is safe for concurrent use.
+// Live holds the current settings of a process; Reload replaces them once the settings file has changed. It is safe for
+// concurrent use.
 type Live struct {
 	path    string
 	mu      sync.Mutex
-	text    string
+	text    string // content of the file that current was parsed from
 	current *Settings
-	changed chan struct{}
+	changed chan struct{} // closed, and replaced, at each change
 }
 
-// NewLive reads the file for the first time; an error means that the process cannot start.
+// NewLive reads and validates the file. An error means that the process cannot start.
 func NewLive(path string) (*Live, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,12 +28,12 @@
 	return &Live{path: path, text: string(text), current: parsed, changed: make(chan struct{})}, nil
 }
 
-// Fixed makes a Live that never changes, for tests.
+// Fixed returns a Live whose settings never change, for tests. It has no file and cannot be reloaded.
 func Fixed(settings *Settings) *Live {
 	return &Live{current: settings, changed: make(chan struct{})}
 }
 
-// Current returns the newest settings, which callers must not change.
+// Current returns the settings that are in force. Callers must not modify them.
 func (l *Live) Current() *Settings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +47,8 @@
 	return l.changed
 }
 
-// Reload reads the file again and reports whether its content changed. An invalid file leaves the settings as they are.
+// Reload reads the file again and reports whether its content changed. If the file cannot be read or is invalid, it returns
+// an error and the settings stay as they are.
 func (l *Live) Reload() (bool, error) {
 	text, err := os.ReadFile(l.path)
 	if err != nil {
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads and validates the settings file of a process of the serving tier (TOML). The environment
 // variable PULLEYGW_SETTINGS names the file; without it the file is /etc/pulleygw/node.toml. Unknown keys are ignored, so
-// that a file may be shared with newer versions. Live re-reads a file that changed while the process runs.
+// that older versions can read a file written for a newer one. Live reloads a file that changes while the process runs.
 package settings
 
 import (
@@ -13,25 +13,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Where the settings file is found.
+// Location of the settings file: the value of the environment variable, or else the default path.
 const (
 	EnvironmentVariable = "PULLEYGW_SETTINGS"
 	DefaultPath         = "/etc/pulleygw/node.toml"
 )
 
-// Offsets of the internal listeners within the machine's port range, which is the same on all machines.
+// Offsets of the ports of the internal listeners from the first of EphemeralPorts. That range is the same on all machines.
 const (
 	CoordinatorPortOffset = iota
 	TurnStorePortOffset
 	AgentPortOffset
-	portsNeeded
+	minInternalPorts // number of offsets above
 )
 
 // Settings are the settings of one process. A field named after a unit (Ms, S, Mb, Mbps) has that unit.
 type Settings struct {
-	// NodeName is the machine's unique name, by which operators address it. Required.
+	// NodeName is the unique name of the machine, used in requests of operators. Required.
 	NodeName string `toml:"nodeName"`
-	// Role is the role that the machine's owner gave it; not used, as the command line selects the role.
+	// Role is the role that the owner assigned to the machine; not used, as the command line selects the role.
 	Role string `toml:"role"`
 	// MachineClass is the class of the machine; not used by the roles.
 	MachineClass string `toml:"machineClass"`
@@ -45,91 +45,93 @@
 	Region string `toml:"region"`
 	// EphemeralPorts is the first and the last port that the roles may listen on internally; at least 3 ports. Required.
 	EphemeralPorts []int `toml:"ephemeralPorts"`
-	// Seeds are addresses (ip:port) of machines with coordinators, by which a process finds the others at its start.
+	// Seeds are addresses (ip:port) of machines that run coordinators; a starting process contacts them to join. Only the
+	// IP address is used, as coordinators listen on the first of EphemeralPorts.
 	Seeds []string `toml:"seeds"`
 	// Bootstrap says whether coordinators with empty disks may form a new cluster from the seeds. Default false: they wait
-	// to be added to a running one.
+	// to be added to an existing cluster.
 	Bootstrap bool `toml:"bootstrap"`
-	// CountsForQuorum says whether the machine counts as one that FaultTolerance is about; not used by the roles.
+	// CountsForQuorum says whether a failure of the machine counts towards FaultTolerance; not used by the roles.
 	CountsForQuorum bool `toml:"countsForQuorum"`
-	// DataDir is the folder for durable state. Required for coordinators and turn stores; other roles write no files.
+	// DataDir is the directory for durable state. Required for coordinators and turn stores; other roles write no files.
 	DataDir string `toml:"dataDir"`
-	// HeartbeatMs is the period of the instances' heartbeats. 0, the default, means 1000.
+	// HeartbeatMs is the interval between heartbeats of a store instance. 0, the default, means 1000.
 	HeartbeatMs int `toml:"heartbeatMs"`
-	// Metrics is where metrics are served, as PORT/PATH. Empty, the default, means that they are not served. The flag
+	// Metrics is the port and path at which metrics are served, as PORT/PATH. Empty, the default, disables them. The flag
 	// --metrics takes precedence.
 	Metrics string `toml:"metrics"`
-	// Contracts lists interface versions that the machine's owner agreed to; not used by the roles.
+	// Contracts lists the interface versions that the owner of the machine agreed to; not used by the roles.
 	Contracts []string `toml:"contracts"`
 	// Zones maps each zone of the deployment to its region.
 	Zones map[string]string `toml:"zones"`
 	// Listen holds the addresses of the external listeners.
 	Listen Listen `toml:"listen"`
-	// Limits are the resources of the process.
+	// Limits are the resource limits of the process.
 	Limits Limits `toml:"limits"`
-	// FaultTolerance is how many failures at once the deployment must survive.
+	// FaultTolerance is how many concurrent failures the deployment must survive.
 	FaultTolerance FaultTolerance `toml:"faultTolerance"`
-	// Bounds are the times that the deployment's rules set.
+	// Bounds are the time limits that the deployment must meet.
 	Bounds Bounds `toml:"bounds"`
 }
 
-// Listen holds the addresses (ip:port) of the external listeners. Those of other roles are empty.
+// Listen holds the addresses (ip:port) of the external listeners. The address of a listener that the machine does not have
+// is empty.
 type Listen struct {
-	// Front is where the proxy serves clients.
+	// Front is the address at which the proxy serves clients.
 	Front string `toml:"front"`
-	// Readiness is where the proxy serves GET /v1/readyz for load balancers.
+	// Readiness is the address at which the proxy serves GET /v1/readyz for load balancers.
 	Readiness string `toml:"readiness"`
-	// Control is where the coordinator serves the control API.
+	// Control is the address at which the coordinator serves the control API.
 	Control string `toml:"control"`
 }
 
-// Limits are the resources that the process may use.
+// Limits are the resource limits of the process.
 type Limits struct {
-	// CPUShare is the share of a processor core; not used, as it is enforced from outside.
+	// CPUShare is the share of a processor core; not used, as it is enforced outside the process.
 	CPUShare float64 `toml:"cpuShare"`
-	// Cores is the number of processor cores; not used, as it is enforced from outside.
+	// Cores is the number of processor cores; not used, as it is enforced outside the process.
 	Cores int `toml:"cores"`
-	// MemoryMb is the memory limit in MiB. The Go runtime's limit and all caches are shares of it. 0, the default, leaves
-	// the runtime's limit off; turn stores then assume 256 MiB.
+	// MemoryMb is the memory limit in MiB. The memory limit of the Go runtime and the sizes of all caches are fractions of
+	// it. 0, the default, leaves the runtime without a limit; turn stores then assume 256 MiB.
 	MemoryMb int `toml:"memoryMb"`
-	// MaxFds is the limit of open file descriptors; not used, as it is enforced from outside.
+	// MaxFds is the limit of open file descriptors; not used, as it is enforced outside the process.
 	MaxFds int `toml:"maxFds"`
-	// LinkMbps is the bandwidth of the machine's link in Mbit/s; not used, as it is enforced from outside.
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s; not used, as it is enforced outside the process.
 	LinkMbps float64 `toml:"linkMbps"`
 	// DiskMb is the disk space in MiB that a turn store may use. 0, the default, means 256.
 	DiskMb int `toml:"diskMb"`
 }
 
-// FaultTolerance is how many machines, zones and regions may fail at once without a rule being broken. 0, the default,
-// means none of that kind.
+// FaultTolerance is how many machines, zones and regions may fail at once while the deployment keeps its guarantees. 0, the
+// default, means that no failure of that kind is tolerated.
 type FaultTolerance struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// MemberFailures is how many members may fail at once of a set whose members are spread over zones and regions.
+// MemberFailures returns how many members of a replica set may fail at once if the set is spread over zones and regions.
 func (f FaultTolerance) MemberFailures() int { return max(f.Machines, f.Zones, f.Regions) }
 
-// Bounds are the times that the rules of the deployment set. The roles use CatchUpS and GraceS only; the others are read
-// so that one file serves all parties, and the tests take their limits from some of them.
+// Bounds are the time limits that the deployment must meet. The roles use CatchUpS and GraceS only; tests read the deadlines
+// that they check from some of the others. The rest are read by others that share the file.
 type Bounds struct {
 	// CatchUpS is how long a new or restarted member may take to catch up; until then it counts as failed. 0, the default,
-	// means that no bound is known, and the placement uses its own time-outs.
+	// means that no bound is set; the placement then uses its own timeouts.
 	CatchUpS float64 `toml:"catchUpS"`
-	// GraceS is the grace period of a shutdown, from SIGTERM until the process must have ended. 0, the default, means 8.
+	// GraceS is the grace period of a shutdown, from SIGTERM until the process must have exited. 0, the default, means 8.
 	GraceS float64 `toml:"graceS"`
 
 	// AckMs bounds the time until the control API answers a change.
 	AckMs float64 `toml:"ackMs"`
 	// ConfigMs bounds the time from the acknowledgement of a configuration until every proxy applies it.
 	ConfigMs float64 `toml:"configMs"`
-	// DrainMs bounds the time from the acknowledgement of a drain until the store gets no more requests.
+	// DrainMs bounds the time from the acknowledgement of a drain until the store receives no new requests.
 	DrainMs float64 `toml:"drainMs"`
 	// RecoverS bounds the time until all routes are served again after all processes were killed.
 	RecoverS float64 `toml:"recoverS"`
 
-	// Bounds that nothing in this repository uses.
+	// The bounds below are not used in this repository.
 
 	SeedLagS        float64 `toml:"seedLagS"`
 	ReuseAfterS     float64 `toml:"reuseAfterS"`
@@ -143,7 +145,7 @@
 	SettleMs        float64 `toml:"settleMs"`
 }
 
-// Path is the path of the settings file: that of the environment variable, or the default.
+// Path returns the path of the settings file: the value of the environment variable, or the default.
 func Path() string {
 	if path := os.Getenv(EnvironmentVariable); path != "" {
 		return path
@@ -160,7 +162,7 @@
 	return Parse(text)
 }
 
-// Parse parses and validates the text of a settings file. An error names the key at fault.
+// Parse parses and validates the text of a settings file. An error names the invalid key.
 func Parse(text []byte) (*Settings, error) {
 	parsed := &Settings{}
 	if err := toml.Unmarshal(text, parsed); err != nil {
@@ -183,8 +185,8 @@
 		return eris.Errorf("ephemeralPorts has %d entries, want the first and the last port", len(s.EphemeralPorts))
 	}
 	first, last := s.EphemeralPorts[0], s.EphemeralPorts[1]
-	if first < 1 || last > 65535 || last-first+1 < portsNeeded {
-		return eris.Errorf("ephemeralPorts %d to %d: want %d ports or more within 1 to 65535", first, last, portsNeeded)
+	if first < 1 || last > 65535 || last-first+1 < minInternalPorts {
+		return eris.Errorf("ephemeralPorts %d to %d: want %d ports or more within 1 to 65535", first, last, minInternalPorts)
 	}
 	for i, seed := range s.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
@@ -215,13 +217,13 @@
 	return nil
 }
 
-// InternalAddress is the address (ip:port) of a role's internal listener on the machine with this IP address; offset is one
-// of the port offsets above.
+// InternalAddress returns the address (ip:port) of the internal listener of a role on the machine with the given IP address.
+// offset selects the role: CoordinatorPortOffset, TurnStorePortOffset or AgentPortOffset.
 func (s *Settings) InternalAddress(ip string, offset int) string {
 	return fmt.Sprintf("%s:%d", ip, s.EphemeralPorts[0]+offset)
 }
 
-// UsesPort reports whether a port is reserved for the machine's roles.
+// UsesPort reports whether a port is reserved for a listener of the machine's roles, internal or external.
 func (s *Settings) UsesPort(port int) bool {
 	if len(s.EphemeralPorts) == 2 && port >= s.EphemeralPorts[0] && port <= s.EphemeralPorts[1] {
 		return true
@@ -234,20 +236,20 @@
 	return false
 }
 
-// loopback is the address by which the processes of one machine reach each other.
-const loopback = "127.0.0.1"
+// loopbackIP is the address that the processes of one machine use to connect to each other.
+const loopbackIP = "127.0.0.1"
 
-// AgentAddress is the address by which processes of this machine reach its agent: on 127.0.0.1, or on the machine's own
-// address if that is a loopback address, as several machines may then share this host.
+// AgentAddress returns the address at which processes of this machine connect to its agent: on 127.0.0.1, or on IP if that
+// is itself a loopback address. Several machines, each with a loopback address of its own, then share one host.
 func (s *Settings) AgentAddress() string {
 	if own, err := netip.ParseAddr(s.IP); err == nil && own.IsLoopback() {
 		return s.InternalAddress(s.IP, AgentPortOffset)
 	}
-	return s.InternalAddress(loopback, AgentPortOffset)
+	return s.InternalAddress(loopbackIP, AgentPortOffset)
 }
 
-// FailureDomain is the part of the deployment that may fail as a whole and that a zone belongs to: its region if regions
-// may fail, the zone itself if zones may, or the empty string if only single machines may.
+// FailureDomain returns the largest unit around a zone that FaultTolerance expects to fail as a whole: the region of the
+// zone, the zone itself, or the empty string if only single machines are expected to fail.
 func (s *Settings) FailureDomain(zone string) string {
 	switch {
 	case s.FaultTolerance.Regions > 0:
@@ -258,7 +260,7 @@
 	return ""
 }
 
-// SeedCoordinators are the internal addresses of the coordinators that the seeds name.
+// SeedCoordinators returns the internal addresses of the coordinators on the seed machines.
 func (s *Settings) SeedCoordinators() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
@@ -269,7 +271,7 @@
 	return addresses
 }
 
-// Milliseconds converts a bound in milliseconds to a duration; 0 and below give the fallback.
+// Milliseconds converts a bound in milliseconds to a duration. It returns the fallback if the bound is 0 or negative.
 func Milliseconds(bound float64, fallback time.Duration) time.Duration {
 	if bound <= 0 {
 		return fallback
@@ -277,7 +279,7 @@
 	return time.Duration(bound * float64(time.Millisecond))
 }
 
-// Seconds converts a bound in seconds to a duration; 0 and below give the fallback.
+// Seconds converts a bound in seconds to a duration. It returns the fallback if the bound is 0 or negative.
 func Seconds(bound float64, fallback time.Duration) time.Duration {
 	return Milliseconds(bound*1000, fallback)
 }
