--- a/internal/tier/command/check.go
+++ b/internal/tier/command/check.go
@@ -7,12 +7,12 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-// checkSettings is the command check-settings.
+// checkSettings is the command "check-settings".
 type checkSettings struct {
 	File string `arg:"" help:"Settings file (TOML)."`
 }
 
-// Run validates a settings file as a role does at its start.
+// Run validates a settings file with the checks that a role applies when it starts.
 func (c *checkSettings) Run(env *environment) error {
 	parsed, err := settings.Load(c.File)
 	if err != nil {
@@ -23,12 +23,13 @@
 	return nil
 }
 
-// checkConfig is the command check-config.
+// checkConfig is the command "check-config".
 type checkConfig struct {
 	File string `arg:"" help:"Configuration (JSON), as an operator would send it."`
 }
 
-// Run validates a configuration as a coordinator does before it proposes it, except for the version in If-Match.
+// Run validates a configuration with the checks that a coordinator applies before it proposes one, except for the version in
+// If-Match.
 func (c *checkConfig) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/internal/tier/command/command.go
+++ b/internal/tier/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of pulleytier: it loads the settings, runs one role until the process is told to
-// stop, reloads changed settings meanwhile, and checks files for operators. The flags are parsed with kong.
+// Package command implements the command line of pulleytier: it loads the settings, runs one role until the process receives
+// a termination signal, reloads the settings when they change, and validates files for operators. kong parses the flags.
 package command
 
 import (
@@ -18,8 +18,8 @@
 
 // The exit codes.
 const (
-	ExitOK          ExitCode = 0 // the role was told to stop and has shut down, or the checked file is valid
-	ExitRoleFailed  ExitCode = 1 // the role could not start or ended by an error
+	ExitOK          ExitCode = 0 // the role has shut down after a signal, or the checked file is valid
+	ExitRoleFailed  ExitCode = 1 // the role could not start or ended with an error
 	ExitUsage       ExitCode = 2 // the command line is invalid
 	ExitBadSettings ExitCode = 3 // the settings file cannot be read or is invalid
 	ExitBadFile     ExitCode = 4 // the checked file cannot be read or is invalid
@@ -41,7 +41,7 @@
 	Version       version       `cmd:"" help:"Print the version."`
 }
 
-// environment is what commands need of the process.
+// environment holds the parsed options, the output streams and the exit code of a command.
 type environment struct {
 	options *options
 	out     io.Writer
@@ -49,7 +49,7 @@
 	code    ExitCode
 }
 
-// logger makes a role's logger.
+// logger creates the logger of a role.
 func (e *environment) logger(name string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:       name,
@@ -59,14 +59,14 @@
 	})
 }
 
-// printf prints the output of a command.
+// printf writes to standard output.
 func (e *environment) printf(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(e.out, format, arguments...) // nothing can be done if standard output is closed
+	_, _ = fmt.Fprintf(e.out, format, arguments...) // there is nowhere to report that standard output is closed
 }
 
-// fail prints an error and sets the exit code.
+// fail writes an error to standard error and sets the exit code.
 func (e *environment) fail(code ExitCode, err error) {
-	_, _ = fmt.Fprintf(e.err, "%s: %v\n", programName, err) // nothing can be done if standard error is closed
+	_, _ = fmt.Fprintf(e.err, "%s: %v\n", programName, err) // there is nowhere to report that standard error is closed
 	e.code = code
 }
 
@@ -75,7 +75,7 @@
 	return run(arguments, out, err, roles)
 }
 
-// exitRequest carries an exit requested by kong (--help) out of its parser as a panic value.
+// exitRequest is the panic value by which an exit that kong requests (for --help) leaves its parser.
 type exitRequest struct{ code ExitCode }
 
 func run(arguments []string, out, errOut io.Writer, roles []Role) (code ExitCode) {
@@ -101,7 +101,7 @@
 	env := &environment{options: parsedOptions, out: out, err: errOut}
 	parser, err := kong.New(parsedOptions, kongOptions...)
 	if err != nil {
-		panic(err) // the struct tags above are wrong
+		panic(err) // the struct tags of the commands are invalid
 	}
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
@@ -114,10 +114,10 @@
 	return env.code
 }
 
-// version is the command version.
+// version is the command "version".
 type version struct{}
 
-// Run prints the module's version and the revision it was built from.
+// Run prints the version of the module, the revision that it was built from, and the Go version.
 func (version) Run(env *environment) error {
 	revision := "unknown revision"
 	built, ok := debug.ReadBuildInfo()
--- a/internal/tier/command/metrics_test.go
+++ b/internal/tier/command/metrics_test.go
@@ -11,23 +11,24 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-// Metrics never keep a role from running: an invalid endpoint, or a port that a role needs, is only logged.
-func TestMetricsThatCannotBeServedAreLogged(t *testing.T) {
+// A role runs even if its metrics cannot be served: an invalid endpoint, or a port that is reserved for a listener, is only
+// logged.
+func TestRoleRunsWhenMetricsCannotBeServed(t *testing.T) {
 	ran := 0
-	table := []Role{{Name: "r", Run: func(context.Context, *settings.Live, hclog.Logger) error {
+	roles := []Role{{Name: "r", Run: func(context.Context, *settings.Live, hclog.Logger) error {
 		ran++
 		return nil
 	}}}
-	path := writeFile(t, goodSettings)
+	path := writeFile(t, validSettings)
 	for endpoint, reason := range map[string]string{
 		"nowhere":      "want PORT/PATH",
-		"7305/metrics": "port 7305 is one of this machine's own",
+		"7305/metrics": "port 7305 is reserved for the listeners of this machine",
 	} {
-		got := runCommand(table, "r", "--settings", path, "--metrics", endpoint)
+		got := runCommand(roles, "r", "--settings", path, "--metrics", endpoint)
 		assert.Equal(t, got.code, ExitOK, got.err)
 		assert.Assert(t, strings.Contains(got.err, reason), got.err)
 	}
-	got := runCommand(table, "r", "--settings", writeFile(t, goodSettings+"metrics = \"7310/m\"\n"))
-	assert.Assert(t, strings.Contains(got.err, "port 7310 is one of this machine's own"), got.err)
+	got := runCommand(roles, "r", "--settings", writeFile(t, validSettings+"metrics = \"7310/m\"\n"))
+	assert.Assert(t, strings.Contains(got.err, "port 7310 is reserved for the listeners of this machine"), got.err)
 	assert.Equal(t, ran, 3)
 }
--- a/internal/tier/command/role.go
+++ b/internal/tier/command/role.go
@@ -18,20 +18,20 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-// Role is one of the programs that the tier consists of. Run returns after ctx has ended and everything is shut down.
+// Role is one kind of process of the tier. Run blocks until ctx is done and the role has shut down, or until an error.
 type Role struct {
 	Name string
 	Help string
 	Run  func(ctx context.Context, live *settings.Live, log hclog.Logger) error
 }
 
-// errNotBuilt reports a role that this build does not have.
-var errNotBuilt = eris.New("not part of this build")
+// errRoleNotBuilt is returned for a role without a Run function.
+var errRoleNotBuilt = eris.New("not part of this build")
 
-// pollInterval is how often the settings file is checked for changes without a signal.
+// pollInterval is the interval at which the settings file is checked for changes.
 const pollInterval = 2 * time.Second
 
-// runRole is the command that runs a role.
+// runRole is the command that runs a role; it has the name of the role.
 type runRole struct {
 	role     Role
 	Metrics  string `help:"Where metrics are served, as PORT/PATH; if empty, as in the settings file." default:""`
@@ -44,8 +44,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // before anything else: unhandled, the signal ends the process
-	defer signal.Ignore(syscall.SIGHUP)    // nor may it change the exit code at the end
+	signal.Notify(hangups, syscall.SIGHUP) // as early as possible: an unhandled SIGHUP ends the process
+	defer signal.Ignore(syscall.SIGHUP)    // a SIGHUP during the shutdown must not change the exit code
 	live, err := settings.NewLive(r.Settings)
 	if err != nil {
 		log.Error("settings are invalid", "file", r.Settings, "error", err)
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if r.role.Run == nil {
-		return errNotBuilt
+		return errRoleNotBuilt
 	}
 	runtimelimits.Apply(live.Current().Limits)
 	invariant.SetLogger(log)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// serveMetrics serves metrics if the flag or the settings ask for it. A process that cannot serve them still runs its
-// role.
+// serveMetrics serves metrics if the flag or the settings give an address. If it fails, it logs the reason, and the role
+// runs without metrics.
 func (r *runRole) serveMetrics(ctx context.Context, current *settings.Settings, log hclog.Logger) {
 	address := cmp.Or(r.Metrics, current.Metrics)
 	if address == "" {
@@ -86,8 +86,8 @@
 	endpoint, err := metrics.ParseEndpoint(address)
 	switch {
 	case err != nil:
-	case current.UsesPort(endpoint.Port): // the port is needed for a role
-		err = eris.Errorf("port %d is one of this machine's own", endpoint.Port)
+	case current.UsesPort(endpoint.Port): // reserved for a listener of a role
+		err = eris.Errorf("port %d is reserved for the listeners of this machine", endpoint.Port)
 	default:
 		err = metrics.Serve(ctx, current.IP, endpoint)
 	}
@@ -96,15 +96,15 @@
 	}
 }
 
-// reloader applies changes of the settings file while the role runs.
+// reloader reloads the settings file while the role runs.
 type reloader struct {
 	live      *settings.Live
 	log       hclog.Logger
-	lastError string // the last error logged, so that a file that stays invalid is logged once
+	lastError string // last logged error, so that a file that stays invalid is logged once only
 	lastTick  time.Time
 }
 
-// run reads the file again at each SIGHUP and each tick until ctx ends.
+// run reloads the file at each SIGHUP and each tick until ctx is done.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal, ticks <-chan time.Time) {
 	for {
 		select {
@@ -121,11 +121,11 @@
 	}
 }
 
-// maxTickGap is the longest expected time between two ticks of a process that runs without interruption.
+// maxTickGap is the longest time between two ticks that does not count as a suspension of the process.
 const maxTickGap = pollInterval + time.Second
 
-// checkTickGap logs that the process was suspended for a while: requests of that time were answered late or not at
-// all.
+// checkTickGap logs that the process was suspended if the last tick is too long ago. Requests that arrived meanwhile were
+// answered late or not at all.
 func (r *reloader) checkTickGap(now time.Time) {
 	if gap := now.Sub(r.lastTick); !r.lastTick.IsZero() && gap > maxTickGap {
 		r.log.Warn("process was suspended", "seconds", (gap - pollInterval).Seconds())
--- a/internal/tier/command/roles.go
+++ b/internal/tier/command/roles.go
@@ -7,7 +7,7 @@
 	"pulleygw.example/pulleygw/internal/tier/turnstore"
 )
 
-// roles are the programs of the tier. deploy/system.toml says on which machines each runs.
+// roles lists the roles that a process can run. deploy/system.toml assigns them to machines.
 var roles = []Role{
 	{Name: "proxy", Help: "Take clients' requests and send them to stores.", Run: proxy.Run},
 	{Name: "agent", Help: "Keep the link to the coordinators and feed the proxy beside it.", Run: agent.Run},
