--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts events of a process of the tier and serves them in the Prometheus text exposition format,
-// version 0.0.4 (https://prometheus.io/docs/instrumenting/exposition_formats/).
+// Package metrics holds the metrics of a process and serves them in the Prometheus text exposition format, version 0.0.4
+// (https://prometheus.io/docs/instrumenting/exposition_formats/).
 //
-// Metrics are made once, as variables of the packages that count; they register themselves with the process.
+// Metrics are created once, as package variables; the constructors register them with the registry of the process.
 package metrics
 
 import (
@@ -18,13 +18,14 @@
 // prefix is the namespace of all metrics.
 const prefix = "pulleytier_"
 
-// maxLabelValues bounds the combinations of label values of a vector; events of further ones are counted under otherValue.
 const (
+	// maxLabelValues limits the combinations of label values in a vector.
 	maxLabelValues = 128
-	otherValue     = "other"
+	// overflowValue is the label value under which events of further combinations are counted.
+	overflowValue = "other"
 )
 
-// metric is what can be registered.
+// metric is a metric that can be registered.
 type metric interface {
 	name() string
 	write(to *bytes.Buffer)
@@ -56,27 +57,27 @@
 	return err
 }
 
-// Counter is a count that only increases. It is safe for concurrent use.
+// Counter is a monotonically increasing counter. It is safe for concurrent use.
 type Counter struct {
 	fullName string
 	help     string
 	count    atomic.Uint64
 }
 
-// NewCounter makes and registers a counter. The name gets the tier's prefix.
+// NewCounter creates and registers a counter. Its full name is name after the prefix pulleytier_.
 func NewCounter(name, help string) *Counter {
 	counter := &Counter{fullName: prefix + name, help: help}
 	register(counter)
 	return counter
 }
 
-// Add counts several events.
+// Add increases the counter by a number of events.
 func (c *Counter) Add(events uint64) { c.count.Add(events) }
 
-// Inc counts one event.
+// Inc increases the counter by one event.
 func (c *Counter) Inc() { c.count.Add(1) }
 
-// Value is the number of events so far.
+// Value returns the current count.
 func (c *Counter) Value() uint64 { return c.count.Load() }
 
 func (c *Counter) name() string { return c.fullName }
@@ -86,50 +87,51 @@
 	fmt.Fprintf(to, "%s %d\n", c.fullName, c.Value())
 }
 
-// CounterVec is a set of counters, one for each combination of its labels' values. It is safe for concurrent use.
+// CounterVec is a set of counters, one for each combination of label values. It is safe for concurrent use.
 type CounterVec struct {
 	fullName string
 	help     string
 	labels   []string
 
 	mu     sync.Mutex
-	counts map[string]uint64 // by the values, joined by valueSeparator
+	counts map[string]uint64 // by label values, joined with valueSeparator
 }
 
-// valueSeparator joins the values of several labels to a key. No value contains it.
+// valueSeparator joins the values of the labels into a key of CounterVec.counts. No label value contains it.
 const valueSeparator = "\x00"
 
-// NewCounterVec makes and registers a counter vector with one label or several. The name gets the tier's prefix.
+// NewCounterVec creates and registers a counter vector with one or more labels. Its full name is name after the prefix
+// pulleytier_.
 func NewCounterVec(name, help string, labels ...string) *CounterVec {
 	vector := &CounterVec{fullName: prefix + name, help: help, labels: labels, counts: make(map[string]uint64)}
 	register(vector)
 	return vector
 }
 
-// Inc counts one event with these label values, one for each label. Once maxLabelValues combinations are known, the first
-// value of a new one is replaced by otherValue.
+// Inc increases the counter of the given label values, one for each label. Once the vector has maxLabelValues combinations,
+// the first value of a new one is replaced by overflowValue.
 func (v *CounterVec) Inc(values ...string) {
 	key := strings.Join(values, valueSeparator)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, known := v.counts[key]; !known && len(v.counts) >= maxLabelValues {
-		_, rest, several := strings.Cut(key, valueSeparator)
-		key = otherValue
-		if several {
-			key += valueSeparator + rest
+		_, otherLabels, hasOthers := strings.Cut(key, valueSeparator)
+		key = overflowValue
+		if hasOthers {
+			key += valueSeparator + otherLabels
 		}
 	}
 	v.counts[key]++
 }
 
-// Value is the number of events with these label values so far.
+// Value returns the current count of the given label values.
 func (v *CounterVec) Value(values ...string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.counts[strings.Join(values, valueSeparator)]
 }
 
-// Total is the number of events of all label values.
+// Total returns the sum of the counts of all label values.
 func (v *CounterVec) Total() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -151,12 +153,12 @@
 	}
 }
 
-// labelPairs formats the labels of a key of counts.
+// labelPairs formats a key of counts as name="value" pairs, separated by commas.
 func (v *CounterVec) labelPairs(key string) string {
 	values := strings.Split(key, valueSeparator)
 	pairs := make([]string, len(values))
 	for i, value := range values {
-		pairs[i] = fmt.Sprintf("%s=\"%s\"", v.labels[i], escape(value))
+		pairs[i] = fmt.Sprintf("%s=\"%s\"", v.labels[i], escapeLabelValue(value))
 	}
 	return strings.Join(pairs, ",")
 }
@@ -168,7 +170,8 @@
 	read     func() float64
 }
 
-// NewGaugeFunc makes and registers a gauge. The function must be safe to call at any time.
+// NewGaugeFunc creates and registers a gauge. Its full name is name after the prefix pulleytier_. read is called from any
+// goroutine, possibly concurrently.
 func NewGaugeFunc(name, help string, read func() float64) *GaugeFunc {
 	gauge := &GaugeFunc{fullName: prefix + name, help: help, read: read}
 	register(gauge)
@@ -186,7 +189,7 @@
 	fmt.Fprintf(to, "# HELP %s %s\n# TYPE %s %s\n", name, help, name, kind)
 }
 
-// escapes are the escape sequences of label values.
-var escapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelValueEscaper replaces the characters that the text format requires to be escaped in label values.
+var labelValueEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-func escape(value string) string { return escapes.Replace(value) }
+func escapeLabelValue(value string) string { return labelValueEscaper.Replace(value) }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func exposition(t *testing.T) string {
+func renderMetrics(t *testing.T) string {
 	t.Helper()
 	text := &strings.Builder{}
 	assert.NilError(t, Write(text))
@@ -24,7 +24,7 @@
 	counter.Inc()
 	counter.Add(2)
 	NewGaugeFunc("test_a_gauge", "A gauge of the test.", func() float64 { return 1.5 })
-	written := exposition(t)
+	written := renderMetrics(t)
 	assert.Assert(t, strings.Contains(written, "# TYPE pulleytier_test_events_total counter\npulleytier_test_events_total 3\n"), written)
 	assert.Assert(t, strings.Index(written, "pulleytier_test_a_gauge 1.5") < strings.Index(written, "pulleytier_test_events_total 3"), written)
 }
@@ -36,12 +36,12 @@
 		vector.Inc(fmt.Sprint(number))
 	}
 	assert.Equal(t, vector.Total(), uint64(2*maxLabelValues+1))
-	assert.Equal(t, vector.Value(otherValue), uint64(maxLabelValues+1))
-	assert.Assert(t, strings.Contains(exposition(t), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), exposition(t))
+	assert.Equal(t, vector.Value(overflowValue), uint64(maxLabelValues+1))
+	assert.Assert(t, strings.Contains(renderMetrics(t), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), renderMetrics(t))
 }
 
-// The first label has many values: further ones are counted together, by the values of the other labels.
-func TestSeveralLabels(t *testing.T) {
+// Beyond maxLabelValues, only the first label value is replaced; counts stay separate by the values of the other labels.
+func TestOverflowWithSeveralLabels(t *testing.T) {
 	vector := NewCounterVec("test_by_store_total", "Events of the test by store and reason.", "instance", "reason")
 	for number := range 2 * maxLabelValues {
 		vector.Inc(fmt.Sprint(number), "slow")
@@ -49,9 +49,9 @@
 	vector.Inc("late", "failing")
 	vector.Inc("0", "slow")
 	assert.Equal(t, vector.Value("0", "slow"), uint64(2))
-	assert.Equal(t, vector.Value(otherValue, "slow"), uint64(maxLabelValues))
-	assert.Equal(t, vector.Value(otherValue, "failing"), uint64(1))
-	assert.Assert(t, strings.Contains(exposition(t), `pulleytier_test_by_store_total{instance="0",reason="slow"} 2`), exposition(t))
+	assert.Equal(t, vector.Value(overflowValue, "slow"), uint64(maxLabelValues))
+	assert.Equal(t, vector.Value(overflowValue, "failing"), uint64(1))
+	assert.Assert(t, strings.Contains(renderMetrics(t), `pulleytier_test_by_store_total{instance="0",reason="slow"} 2`), renderMetrics(t))
 }
 
 func TestParseEndpoint(t *testing.T) {
@@ -61,30 +61,30 @@
 	endpoint, err = ParseEndpoint("9464")
 	assert.NilError(t, err)
 	assert.Equal(t, endpoint.Path, "/")
-	for _, wrong := range []string{"", "/metrics", "metrics", "0/metrics", "65536/m", "-1/m"} {
-		_, err := ParseEndpoint(wrong)
-		assert.ErrorContains(t, err, "want PORT/PATH", wrong)
+	for _, invalid := range []string{"", "/metrics", "metrics", "0/metrics", "65536/m", "-1/m"} {
+		_, err := ParseEndpoint(invalid)
+		assert.ErrorContains(t, err, "want PORT/PATH", invalid)
 	}
 }
 
 func TestMetricsAreServed(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	free, err := net.Listen("tcp4", "127.0.0.1:0")
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	port := free.Addr().(*net.TCPAddr).Port
-	assert.NilError(t, free.Close())
+	port := listener.Addr().(*net.TCPAddr).Port
+	assert.NilError(t, listener.Close())
 	assert.NilError(t, Serve(ctx, "127.0.0.1", Endpoint{Port: port, Path: "/metrics"}))
 	address := fmt.Sprintf("http://127.0.0.1:%d", port)
-	answer, err := http.Get(address + "/metrics")
+	response, err := http.Get(address + "/metrics")
 	assert.NilError(t, err)
-	defer answer.Body.Close()
-	written, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	written, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(written), "pulleytier_goroutines "), "%s", written)
-	other, err := http.Get(address + "/")
+	notFound, err := http.Get(address + "/")
 	assert.NilError(t, err)
-	defer other.Body.Close()
-	assert.Equal(t, other.StatusCode, http.StatusNotFound)
+	defer notFound.Body.Close()
+	assert.Equal(t, notFound.StatusCode, http.StatusNotFound)
 	assert.ErrorContains(t, Serve(ctx, "127.0.0.1", Endpoint{Port: port}), "address already in use")
 }
--- a/internal/tier/metrics/serve.go
+++ b/internal/tier/metrics/serve.go
@@ -24,17 +24,17 @@
 var (
 	_ = NewGaugeFunc("goroutines", "Goroutines of the process.", func() float64 { return float64(runtime.NumGoroutine()) })
 
-	// discardLogger receives what net/http logs about single connections.
+	// discardLogger drops the messages that net/http logs about individual connections.
 	discardLogger = log.New(io.Discard, "", 0)
 )
 
-// Endpoint is the port and the path that metrics are served at.
+// Endpoint is the port and the path at which metrics are served.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint parses "PORT/PATH". Without a path it is "/".
+// ParseEndpoint parses "PORT/PATH". If the path is missing, it is "/".
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, _ := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
@@ -44,14 +44,15 @@
 	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// Serve serves the metrics on the machine's address until ctx ends. It returns once the listener is open.
+// Serve starts to serve the metrics at an IP address and endpoint and returns once the listener is open. The server is closed
+// when ctx is done.
 func Serve(ctx context.Context, ip string, endpoint Endpoint) error {
 	listener, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(endpoint.Port)))
 	if err != nil {
 		return eris.Wrap(err, "metrics")
 	}
 	router := chi.NewRouter()
-	router.Get(endpoint.Path, handle)
+	router.Get(endpoint.Path, handleScrape)
 	server := &http.Server{Handler: router, ReadHeaderTimeout: headerTimeout, ErrorLog: discardLogger}
 	go func() { _ = server.Serve(listener) }()
 	go func() {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-func handle(w http.ResponseWriter, _ *http.Request) {
+func handleScrape(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentType)
-	_ = Write(w) // a scraper that disconnected needs nothing more
+	_ = Write(w) // fails only if the client has disconnected
 }
