--- a/internal/tier/result/result.go
+++ b/internal/tier/result/result.go
@@ -1,7 +1,7 @@
-// Package result numbers the errors of the control API. The codes stand in the JSON bodies of its error responses and
-// never change their meaning; docs/result-codes.md lists them and is generated from the table here.
+// Package result defines the result codes of the control API. They appear in the JSON bodies of error responses, and a code
+// never changes its meaning. docs/result-codes.md lists them and is generated from the table in this package.
 //
-// A handler makes an Error with New or InField and sends it with Write; the HTTP status follows from the code.
+// A handler creates an Error with New or InField and sends it with Write. The code determines the HTTP status.
 package result
 
 import (
@@ -10,8 +10,8 @@
 	"strconv"
 )
 
-// Code is the number of one result. The thousands tell the group: 1 malformed requests, 2 configurations, 3
-// registrations, 4 retirements, 5 states of the control plane in which a request gets no definite answer.
+// Code identifies a result. Codes are grouped by their thousands: 1 malformed requests, 2 configurations, 3 registrations of
+// stores, 4 retirements of machines, 5 server-side failures.
 type Code int
 
 // Malformed requests.
@@ -43,21 +43,22 @@
 	InvalidRetirement   Code = 4003
 	RetirementUnderWay  Code = 4004
 	RetirementNotKnown  Code = 4005
-	MachineKeepsNothing Code = 4006
+	MachineHasNoRecords Code = 4006
 )
 
-// States of the control plane in which a change gets no definite answer; the same request should be sent again.
+// Failures of the coordinator or the control plane. A change may have been committed or not; what the caller should do is the
+// Action of the code, in most cases to retry the same request.
 const (
-	NoQuorum         Code = 5001
-	Uncertain        Code = 5002
-	NotReady         Code = 5003
-	ForgottenOrder   Code = 5004
-	TooManyOrders    Code = 5005
-	ShuttingDown     Code = 5006
-	StorageFailed    Code = 5007
-	InternalMistake  Code = 5008
-	ConflictingTries Code = 5009
-	OrderLookedUp    Code = 5015
+	NoQuorum          Code = 5001
+	Uncertain         Code = 5002
+	NotReady          Code = 5003
+	ForgottenOrder    Code = 5004
+	TooManyChanges    Code = 5005
+	ShuttingDown      Code = 5006
+	StorageFailed     Code = 5007
+	InternalMistake   Code = 5008
+	RepeatedConflicts Code = 5009
+	OrderLookedUp     Code = 5015
 )
 
 // Description explains a code.
@@ -65,11 +66,11 @@
 	Code    Code
 	Name    string
 	Status  int    // HTTP status
-	Meaning string // what has happened, for operators
+	Meaning string // what has happened
 	Action  string // what the caller should do
 }
 
-// String is the code's name as in JSON, or its number if the code is unknown.
+// String returns the name of the code as it appears in JSON, or its number if the code is unknown.
 func (c Code) String() string {
 	described, ok := Describe(c)
 	if !ok {
@@ -78,7 +79,7 @@
 	return described.Name
 }
 
-// Status is the HTTP status of the code; 500 for an unknown code.
+// Status returns the HTTP status of the code, or 500 if the code is unknown.
 func (c Code) Status() int {
 	described, ok := Describe(c)
 	if !ok {
@@ -87,22 +88,22 @@
 	return described.Status
 }
 
-// Error is a result with details for the caller.
+// Error is a result code with details about the request.
 type Error struct {
 	Code    Code
-	Field   string // field of the body, or header, at fault, such as routes[3].backend; may be empty
-	Message string // may be empty
+	Field   string // invalid header or field of the body, such as routes[3].backend; may be empty
+	Message string // explanation; if empty, the Meaning of the code is sent
 }
 
-// New makes an Error; an empty message stands for the meaning of the code.
+// New creates an Error. If the message is empty, the Meaning of the code is sent instead.
 func New(code Code, message string) *Error { return &Error{Code: code, Message: message} }
 
-// InField makes an Error about one field of the request.
+// InField creates an Error about one field of the request.
 func InField(code Code, field, message string) *Error {
 	return &Error{Code: code, Field: field, Message: message}
 }
 
-// Error returns name, field and message in one line.
+// Error returns the name of the code, the field and the message, separated by colons; empty parts are left out.
 func (e *Error) Error() string {
 	text := e.Code.String()
 	if e.Field != "" {
@@ -122,7 +123,7 @@
 	Message string `json:"message"`
 }
 
-// Write sends the status and the body of an error. Headers such as Retry-After must be set before.
+// Write sends the status and the body of an error. Other headers, such as Retry-After, must be set before the call.
 func Write(w http.ResponseWriter, e *Error) {
 	described, _ := Describe(e.Code)
 	body := Body{Code: e.Code, Name: e.Code.String(), Field: e.Field, Message: e.Message}
@@ -131,10 +132,10 @@
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		text = []byte("{}") // cannot happen: all members are strings and numbers
+		text = []byte("{}") // unreachable: strings and numbers can always be encoded
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(e.Code.Status())
-	_, _ = w.Write(text) // nothing can be told to a caller that disconnected
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
--- a/internal/tier/result/result_test.go
+++ b/internal/tier/result/result_test.go
@@ -13,10 +13,10 @@
 	"pulleygw.example/pulleygw/internal/tier/result"
 )
 
-const page = "../../../docs/result-codes.md"
+const codesPage = "../../../docs/result-codes.md"
 
-// pageHead stands above the table; PULLEYGW_WRITE_DOCS=1 writes the page anew.
-const pageHead = `# Result codes of the control API
+// codesPageHeader is the text above the table. With PULLEYGW_WRITE_DOCS=1, TestPageListsEveryCode writes the page.
+const codesPageHeader = `# Result codes of the control API
 
 Answers of the control API that are no success carry a JSON body with ` + "`code`, `name`, `message` and, where one is at\nfault, `field`" + `.
 Numbers keep their meaning for good. The data path answers with HTTP statuses alone.
@@ -25,9 +25,9 @@
 | --- | --- | --- | --- | --- |
 `
 
-func wantedPage() string {
+func renderCodesPage() string {
 	text := strings.Builder{}
-	text.WriteString(pageHead)
+	text.WriteString(codesPageHeader)
 	for _, row := range result.Table() {
 		fmt.Fprintf(&text, "| %d | `%s` | %d | %s | %s |\n", row.Code, row.Name, row.Status, row.Meaning, row.Action)
 	}
@@ -36,30 +36,30 @@
 
 func TestPageListsEveryCode(t *testing.T) {
 	if os.Getenv("PULLEYGW_WRITE_DOCS") != "" {
-		assert.NilError(t, os.WriteFile(page, []byte(wantedPage()), 0o644))
+		assert.NilError(t, os.WriteFile(codesPage, []byte(renderCodesPage()), 0o644))
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(codesPage)
 	assert.NilError(t, err)
-	assert.Equal(t, string(got), wantedPage())
+	assert.Equal(t, string(got), renderCodesPage())
 }
 
 func TestCodesAscendAndNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
-	before := result.Code(0)
+	previous := result.Code(0)
 	for _, row := range result.Table() {
-		assert.Assert(t, row.Code > before, "%d is not above %d", row.Code, before)
-		before = row.Code
-		assert.Assert(t, !names[row.Name], "%s stands twice", row.Name)
+		assert.Assert(t, row.Code > previous, "code %d is not greater than the previous code %d", row.Code, previous)
+		previous = row.Code
+		assert.Assert(t, !names[row.Name], "name %s is used by two codes", row.Name)
 		names[row.Name] = true
 		assert.Assert(t, row.Status >= 400 && row.Status < 600, "%s has status %d", row.Name, row.Status)
-		assert.Assert(t, row.Meaning != "" && row.Action != "", "%s lacks its explanation", row.Name)
+		assert.Assert(t, row.Meaning != "" && row.Action != "", "%s has no meaning or no action", row.Name)
 	}
 }
 
 func TestUncertainResultsAreServerErrors(t *testing.T) {
 	for _, row := range result.Table() {
 		if row.Code >= 5000 {
-			assert.Assert(t, row.Status >= 500, "%s must not look like a refusal: %d", row.Name, row.Status)
+			assert.Assert(t, row.Status >= 500, "%s has status %d, which tells the caller that the change was rejected", row.Name, row.Status)
 		}
 	}
 }
--- a/internal/tier/result/table.go
+++ b/internal/tier/result/table.go
@@ -7,7 +7,7 @@
 	actionCorrect = "Correct the request; unchanged it will be rejected again."
 )
 
-// table has every code once, in ascending order.
+// table describes each code once, in ascending order.
 var table = []Description{
 	{UnknownPath, "unknown_path", http.StatusNotFound, "The control API has no such path.", actionCorrect},
 	{WrongMethod, "wrong_method", http.StatusMethodNotAllowed, "The path does not take this method.", actionCorrect},
@@ -37,7 +37,7 @@
 		"Query the state of the retirement."},
 	{RetirementNotKnown, "retirement_not_known", http.StatusNotFound, "No retirement of this machine was requested.",
 		"Request it."},
-	{MachineKeepsNothing, "machine_keeps_nothing", http.StatusConflict, "The machine holds no records to migrate.",
+	{MachineHasNoRecords, "machine_keeps_nothing", http.StatusConflict, "The machine holds no records to migrate.",
 		"Remove it; no retirement is needed."},
 
 	{NoQuorum, "no_quorum", http.StatusServiceUnavailable,
@@ -48,22 +48,22 @@
 	{ForgottenOrder, "forgotten_order", http.StatusServiceUnavailable,
 		"The change is based on a version so old that it is no longer known whether it was committed.",
 		"Read the configuration and compare."},
-	{TooManyOrders, "too_many_orders", http.StatusServiceUnavailable, "Too many changes are in progress at this coordinator.", actionRetry},
+	{TooManyChanges, "too_many_orders", http.StatusServiceUnavailable, "Too many changes are in progress at this coordinator.", actionRetry},
 	{ShuttingDown, "shutting_down", http.StatusServiceUnavailable, "This coordinator is shutting down.", actionRetry},
 	{StorageFailed, "storage_failed", http.StatusServiceUnavailable, "The change could not be written to disk.",
 		"Retry the same request; check the machine's disk."},
 	{InternalMistake, "internal_mistake", http.StatusInternalServerError, "An internal error; the log has the cause.",
 		"Retry the same request; report the error."},
-	{ConflictingTries, "conflicting_tries", http.StatusServiceUnavailable,
+	{RepeatedConflicts, "conflicting_tries", http.StatusServiceUnavailable,
 		"Concurrent changes were committed first at each attempt.", actionRetry},
 	{OrderLookedUp, "order_looked_up", http.StatusServiceUnavailable,
 		"The change is based on an old version, and this coordinator is still fetching the changes committed then.", actionRetry},
 }
 
-// Table lists all codes in ascending order. Callers must not change it.
+// Table returns the descriptions of all codes in ascending order. Callers must not modify it.
 func Table() []Description { return table }
 
-// Describe looks a code up; ok is false for an unknown one.
+// Describe returns the description of a code; ok is false if the code is unknown.
 func Describe(code Code) (description Description, ok bool) {
 	for _, described := range table {
 		if described.Code == code {
