--- a/internal/tier/clock/sleep.go
+++ b/internal/tier/clock/sleep.go
@@ -1,4 +1,4 @@
-// Package clock has waits that end with a context.
+// Package clock provides waits that end early when a context is done.
 package clock
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration or until ctx ends, and reports whether the duration has passed. Unlike time.Sleep it does not
-// hold up a shutdown.
+// Sleep waits for a duration or until ctx is done, and reports whether the whole duration has passed. Unlike time.Sleep, it
+// does not delay a shutdown.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/tier/clock/sleep_test.go
+++ b/internal/tier/clock/sleep_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSleepEndsAfterDurationOrWithContext(t *testing.T) {
+func TestSleepEndsAfterDurationOrWhenContextIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		assert.Assert(t, Sleep(t.Context(), time.Minute))
