--- a/internal/tier/runtimelimits/limits.go
+++ b/internal/tier/runtimelimits/limits.go
@@ -1,4 +1,5 @@
-// Package runtimelimits sets the limits of the Go runtime from those that the settings give a process of the tier.
+// Package runtimelimits configures the memory limit and the garbage collector of the Go runtime from the settings of a
+// process.
 package runtimelimits
 
 import (
@@ -7,19 +8,19 @@
 	"pulleygw.example/pulleygw/internal/tier/settings"
 )
 
-const bytesPerMb = 1 << 20
+const bytesPerMiB = 1 << 20
 
 const (
-	// memoryLimitRatio is the part of limits.memoryMb that the runtime's memory limit is set to. The rest is for what
-	// the runtime does not count: code and kernel buffers.
+	// memoryLimitRatio is the fraction of limits.memoryMb that becomes the memory limit of the runtime. The rest is for
+	// memory that the runtime does not count: code and kernel buffers.
 	memoryLimitRatio = 0.6
-	// gcPercent is the heap growth between two collections (GOGC; the runtime's default is 100). A lower value trades
-	// processor time for a lower peak of memory, which costs more.
+	// gcPercent is the heap growth between two garbage collections (GOGC; the default is 100). The lower value costs
+	// processor time and reduces the memory peak; memory is the more expensive of the two.
 	gcPercent = 50
 )
 
-// Apply sets the memory limit and the garbage collector's target of the runtime. It may be called again when the limits
-// change. If limits.MemoryMb is 0 or less, the runtime's settings stay as they are.
+// Apply sets the memory limit and the garbage collection target of the runtime. It may be called again when the limits
+// change. If limits.MemoryMb is 0 or negative, it changes nothing.
 func Apply(limits settings.Limits) {
 	if limits.MemoryMb <= 0 {
 		return
@@ -30,5 +31,5 @@
 
 // MemoryLimit returns the runtime's soft memory limit in bytes, above which the garbage collector runs more often.
 func MemoryLimit(limits settings.Limits) int64 {
-	return int64(float64(limits.MemoryMb) * bytesPerMb * memoryLimitRatio)
+	return int64(float64(limits.MemoryMb) * bytesPerMiB * memoryLimitRatio)
 }
