--- a/internal/tier/failpoint/failpoint.go
+++ b/internal/tier/failpoint/failpoint.go
@@ -35,7 +35,7 @@
 	VersionFolderSynced                  // storage: the new version is durable, the old one still exists
 	VersionRemoved                       // storage: the old version is removed, the directory is not synced
 	VotersJoint                          // proposer: the joint voters are chosen, the final ones not proposed
-	IdentityUnsaved                      // acceptor: a new identity is not saved yet, which is saved last
+	IdentityUnsaved                      // acceptor: all but the new identity is saved, which comes last
 	LastRegisterPoint   = IdentityUnsaved
 )
 
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -19,8 +19,8 @@
 const prefix = "pulleytier_"
 
 const (
-	// maxLabelValues limits the combinations of label values in a vector.
-	maxLabelValues = 128
+	// maxLabelCombinations limits the combinations of label values in a vector.
+	maxLabelCombinations = 128
 	// overflowValue is the label value under which events of further combinations are counted.
 	overflowValue = "other"
 )
@@ -114,7 +114,7 @@
 	key := strings.Join(values, valueSeparator)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if _, known := v.counts[key]; !known && len(v.counts) >= maxLabelValues {
+	if _, known := v.counts[key]; !known && len(v.counts) >= maxLabelCombinations {
 		_, otherLabels, hasOthers := strings.Cut(key, valueSeparator)
 		key = overflowValue
 		if hasOthers {
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -32,24 +32,24 @@
 func TestLabelsAreEscapedAndBounded(t *testing.T) {
 	vector := NewCounterVec("test_by_kind_total", "Events of the test by kind.", "kind")
 	vector.Inc("a \"b\"\n\\")
-	for number := range 2 * maxLabelValues {
+	for number := range 2 * maxLabelCombinations {
 		vector.Inc(fmt.Sprint(number))
 	}
-	assert.Equal(t, vector.Total(), uint64(2*maxLabelValues+1))
-	assert.Equal(t, vector.Value(overflowValue), uint64(maxLabelValues+1))
+	assert.Equal(t, vector.Total(), uint64(2*maxLabelCombinations+1))
+	assert.Equal(t, vector.Value(overflowValue), uint64(maxLabelCombinations+1))
 	assert.Assert(t, strings.Contains(renderMetrics(t), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), renderMetrics(t))
 }
 
 // Beyond maxLabelValues, only the first label value is replaced; counts stay separate by the values of the other labels.
 func TestOverflowWithSeveralLabels(t *testing.T) {
 	vector := NewCounterVec("test_by_store_total", "Events of the test by store and reason.", "instance", "reason")
-	for number := range 2 * maxLabelValues {
+	for number := range 2 * maxLabelCombinations {
 		vector.Inc(fmt.Sprint(number), "slow")
 	}
 	vector.Inc("late", "failing")
 	vector.Inc("0", "slow")
 	assert.Equal(t, vector.Value("0", "slow"), uint64(2))
-	assert.Equal(t, vector.Value(overflowValue, "slow"), uint64(maxLabelValues))
+	assert.Equal(t, vector.Value(overflowValue, "slow"), uint64(maxLabelCombinations))
 	assert.Equal(t, vector.Value(overflowValue, "failing"), uint64(1))
 	assert.Assert(t, strings.Contains(renderMetrics(t), `pulleytier_test_by_store_total{instance="0",reason="slow"} 2`), renderMetrics(t))
 }
