--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -108,7 +108,7 @@
 	return vector
 }
 
-// Inc increases the counter of the given label values, one for each label. Once the vector has maxLabelValues combinations,
+// Inc increases the counter of the given label values, one for each label. Once the vector has maxLabelCombinations combinations,
 // the first value of a new one is replaced by overflowValue.
 func (v *CounterVec) Inc(values ...string) {
 	key := strings.Join(values, valueSeparator)
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -40,7 +40,7 @@
 	assert.Assert(t, strings.Contains(renderMetrics(t), `pulleytier_test_by_kind_total{kind="a \"b\"\n\\"} 1`), renderMetrics(t))
 }
 
-// Beyond maxLabelValues, only the first label value is replaced; counts stay separate by the values of the other labels.
+// Beyond maxLabelCombinations, only the first label value is replaced; counts stay separate by the values of the other labels.
 func TestOverflowWithSeveralLabels(t *testing.T) {
 	vector := NewCounterVec("test_by_store_total", "Events of the test by store and reason.", "instance", "reason")
 	for number := range 2 * maxLabelCombinations {
