--- a/internal/gatherer/config/config.go
+++ b/internal/gatherer/config/config.go
@@ -148,7 +148,7 @@
 	}
 	l.Retries = readRetryBudget(m["repeats"])
 	a := m["attempt"].object("timeout", "wait", "jitter")
-	r.Plan = limits.Plan{Attempts: l.Attempts, Timeout: a["timeout"].duration(), Wait: a["wait"].duration(), Jitter: a["jitter"].float(0, 1)}
+	r.Schedule = limits.AttemptSchedule{Attempts: l.Attempts, Timeout: a["timeout"].duration(), Backoff: a["wait"].duration(), Jitter: a["jitter"].float(0, 1)}
 	checkRoute(p, m, r, of)
 	return r
 }
@@ -174,7 +174,7 @@
 func checkRoute(p value, m map[string]value, r *limits.Route, classes []limits.Class) {
 	reported := map[string]bool{}
 	for _, c := range classes {
-		for _, b := range append(r.Limits.Check(c), r.Plan.Check(c, r.Limits.Timeout)...) {
+		for _, b := range append(r.Limits.Check(c), r.Schedule.Check(c, r.Limits.Timeout)...) {
 			at, first := p, strings.SplitN(b.Field, ".", 2)
 			if x, ok := m[first[0]]; ok {
 				at = x
--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -74,15 +74,15 @@
 
 // The reasons why a request was not answered, as clients see them.
 const (
-	ReasonFull      = "in-flight table full"
-	ReasonDuplicate = "a request of this id is in hand"
-	ReasonGivenUp   = "given up"
-	ReasonDeadline  = "deadline reached"
-	ReasonPartial   = "only a partial answer was to be had"
-	ReasonTooLarge  = "answer over the size limit"
-	ReasonPanic     = "decisions restarted"
-	ReasonStopping  = "this gatherer stops"
-	ReasonQuestion  = "lot stores cannot answer such a question"
+	ReasonFull         = "in-flight table full"
+	ReasonDuplicate    = "a request of this id is in hand"
+	ReasonGivenUp      = "given up"
+	ReasonDeadline     = "deadline reached"
+	ReasonPartial      = "only a partial answer was to be had"
+	ReasonTooLarge     = "answer over the size limit"
+	ReasonPanic        = "decisions restarted"
+	ReasonStopping     = "this gatherer stops"
+	ReasonUnanswerable = "lot stores cannot answer such a question"
 )
 
 // Values returns the shards whose values make up the answer: those of the last step that the query reached.
@@ -112,24 +112,24 @@
 	Extremes   bool     // also return the least and the greatest value of the first sort key's field
 }
 
-// Load tells the lot store about the first step, in an attempt of a second step by score.
-type Load struct {
-	From          []int // shards that answered the first step, in ascending order
-	FirstComplete bool  // whether the first step's answer was complete
+// FirstStep tells the lot store about the first step, in an attempt of a second step by score.
+type FirstStep struct {
+	From     []int // shards that answered the first step, in ascending order
+	Complete bool  // whether the first step's answer was complete
 }
 
 // Attempt is one attempt of a subquery at a server. The exported fields do not change once the transport has it.
 type Attempt struct {
-	Query  string
-	Class  int
-	Key    string
-	Shard  int
-	Number int
-	Text   []byte
-	Server decision.ServerID
-	Search *ShardSearch // of a search, else nil
-	Load   *Load        // of a second step by score, else nil
-	Until  time.Time    // when the core stops waiting for it
+	Query     string
+	Class     int
+	Key       string
+	Shard     int
+	Number    int
+	Text      []byte
+	Server    decision.ServerID
+	Search    *ShardSearch // of a search, else nil
+	FirstStep *FirstStep   // of a second step by score, else nil
+	Deadline  time.Time    // when the core stops waiting for it
 	// NotAfter, unless zero, is the latest time at which it may be written: after that, the lot stores would no longer
 	// drop a repeat of a deduplicated subquery.
 	NotAfter time.Time
@@ -147,12 +147,12 @@
 // Stale reports whether an attempt must no longer be written: it has timed out, NotAfter has passed, or its request has
 // ended. Transports check it immediately before writing, as an attempt may have been queued for any length of time.
 func (a *Attempt) Stale(now time.Time) bool {
-	return a.withdrawn.Load() || !now.Before(a.Until) || !a.NotAfter.IsZero() && now.After(a.NotAfter)
+	return a.withdrawn.Load() || !now.Before(a.Deadline) || !a.NotAfter.IsZero() && now.After(a.NotAfter)
 }
 
-// WriteBy returns the deadline for writing a call completely: the time limit for a server that does not read, or the
+// WriteDeadline returns the deadline for writing a call completely: the time limit for a server that does not read, or the
 // earliest NotAfter of the attempts if that is sooner.
-func WriteBy(now time.Time, limit time.Duration, attempts []*Attempt) time.Time {
+func WriteDeadline(now time.Time, limit time.Duration, attempts []*Attempt) time.Time {
 	by := now.Add(limit)
 	for _, a := range attempts {
 		if !a.NotAfter.IsZero() && a.NotAfter.Before(by) {
@@ -193,8 +193,8 @@
 	HealthChecked(server decision.ServerID, ok bool)
 }
 
-// List is an update of the server list.
-type List struct {
+// ServerList is an update of the server list.
+type ServerList struct {
 	Kind    decision.ListKind
 	Servers []mem.Server // with ID unset
 }
--- a/internal/gatherer/gather/clock_test.go
+++ b/internal/gatherer/gather/clock_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.List(List{Kind: decision.Cached, Servers: []mem.Server{
+	c.UpdateServerList(ServerList{Kind: decision.Cached, Servers: []mem.Server{
 		{Name: "s1", Addr: "x", State: decision.Ready}, {Name: "s2", Addr: "y", State: decision.Ready}}})
 	receiveAll(c)
 	return c, tr
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -76,7 +76,7 @@
 	stepEnded        bool          // the first step has ended, so that later answers to it are ignored
 	pendingAtStepEnd bool          // it was still pending when the first step ended
 	search           *ShardSearch  // of a search, else nil
-	load             *Load         // of a second step by score, else nil
+	load             *FirstStep    // of a second step by score, else nil
 }
 
 // New returns a core. The transport must not report anything before Run is called.
@@ -251,8 +251,8 @@
 	f()
 }
 
-// Load returns the fraction of the in-flight table that is in use. It is safe for concurrent use.
-func (c *Core) Load() float64 {
+// Utilization returns the fraction of the in-flight table that is in use. It is safe for concurrent use.
+func (c *Core) Utilization() float64 {
 	return float64(c.inFlightCount.Load()) / float64(c.inFlightLimit.Load())
 }
 
--- a/internal/gatherer/gather/gather_test.go
+++ b/internal/gatherer/gather/gather_test.go
@@ -47,7 +47,7 @@
 	}
 	go c.Run()
 	t.Cleanup(c.Stop)
-	c.List(List{Kind: decision.Cached, Servers: []mem.Server{
+	c.UpdateServerList(ServerList{Kind: decision.Cached, Servers: []mem.Server{
 		{Name: "s1", Addr: "x", State: decision.Ready}, {Name: "s2", Addr: "y", State: decision.Ready}}})
 	return c, tr
 }
@@ -154,7 +154,7 @@
 	if !first.NotAfter.IsZero() || !second.NotAfter.IsZero() {
 		t.Errorf("NotAfter is %v and %v before any attempt may have run", first.NotAfter, second.NotAfter)
 	}
-	sent := second.Until.Add(-20 * time.Second) // roughly when it was sent
+	sent := second.Deadline.Add(-20 * time.Second) // roughly when it was sent
 	if third.NotAfter.IsZero() || third.NotAfter.After(time.Now().Add(4*time.Second)) || third.NotAfter.Before(sent.Add(3*time.Second)) {
 		t.Errorf("NotAfter is %v, want about 4 s after %v", third.NotAfter, sent)
 	}
@@ -191,7 +191,7 @@
 // The transport is told of a draining server, and nothing more is sent to that server.
 func TestDrainingServer(t *testing.T) {
 	c, tr := start(t, nil)
-	c.List(List{Servers: []mem.Server{{Name: "s1", Addr: "x", State: decision.Draining}}})
+	c.UpdateServerList(ServerList{Servers: []mem.Server{{Name: "s1", Addr: "x", State: decision.Draining}}})
 	for _, want := range []decision.ServerState{decision.Ready, decision.Ready, decision.Draining} {
 		if got := <-tr.states; got != want {
 			t.Errorf("state %v, want %v", got, want)
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -69,10 +69,10 @@
 
 // Snapshot is the state that a successor process takes over.
 type Snapshot struct {
-	Servers []mem.Server               // the server list
-	Banned  []string                   // names of detached servers
-	Back    map[string]time.Time       // by server name, when servers were attached again
-	Records map[string]decision.Record // by server name
+	Servers    []mem.Server               // the server list
+	Detached   []string                   // names of detached servers
+	AttachedAt map[string]time.Time       // by server name, when servers were attached again
+	Records    map[string]decision.Record // by server name
 	// PerSecond is how many subqueries per second all servers together answered.
 	PerSecond float64
 }
@@ -93,7 +93,7 @@
 
 func (c *Core) snapshot() Snapshot {
 	s := Snapshot{Servers: c.servers.Known(), Records: map[string]decision.Record{}, PerSecond: c.scheduler.PerSecond()}
-	s.Banned, s.Back = c.servers.Bans()
+	s.Detached, s.AttachedAt = c.servers.Bans()
 	names := map[decision.ServerID]string{}
 	for _, x := range s.Servers {
 		names[x.ID] = x.Name
@@ -107,8 +107,8 @@
 }
 
 func (c *Core) restore(s Snapshot) {
-	c.servers.AdoptBans(s.Banned, s.Back)
-	c.applyList(List{Kind: decision.Cached, Servers: s.Servers})
+	c.servers.AdoptBans(s.Detached, s.AttachedAt)
+	c.applyList(ServerList{Kind: decision.Cached, Servers: s.Servers})
 	var records []decision.Record
 	for _, x := range c.servers.Known() {
 		if r, ok := s.Records[x.Name]; ok {
@@ -134,8 +134,8 @@
 // been sent on Done.
 func (c *Core) ClientDisconnected(r *Request) { c.post(clientDisconnected{r}) }
 
-// List reports an update of the server list.
-func (c *Core) List(l List) { c.post(l) }
+// UpdateServerList reports an update of the server list.
+func (c *Core) UpdateServerList(l ServerList) { c.post(l) }
 
 // Outcome implements Reporter.
 func (c *Core) Outcome(a *Attempt, s decision.Status, value string) {
@@ -183,7 +183,7 @@
 		c.failOnPanic(m.a.subquery.q, func() { c.recordUnanswerable(m.a, m.why) })
 	case healthChecked:
 		c.events = append(c.events, decision.HealthChecked{Server: m.server, OK: m.ok})
-	case List:
+	case ServerList:
 		c.applyList(m)
 	case attachmentChange:
 		m.done <- c.applyAttachment(m)
@@ -234,7 +234,7 @@
 }
 
 // applyList applies an update of the server list.
-func (c *Core) applyList(l List) {
+func (c *Core) applyList(l ServerList) {
 	if l.Kind == decision.ListFailed {
 		c.events = append(c.events, decision.ServerList{Kind: l.Kind})
 		return
--- a/internal/gatherer/gather/limits.go
+++ b/internal/gatherer/gather/limits.go
@@ -33,8 +33,8 @@
 // AllRoutes is the name under which Gates reports the counts of all routes together.
 const AllRoutes = "*"
 
-// Gates returns the counts of the limiters, by name of the route.
-func (c *Core) Gates() map[string]limits.Counts {
+// LimiterCounts returns the counts of the limiters, by name of the route.
+func (c *Core) LimiterCounts() map[string]limits.Counts {
 	to := make(chan map[string]limits.Counts, 1)
 	c.post(countsRequest{to})
 	select {
@@ -86,8 +86,8 @@
 
 // The reasons why a request fails on arrival, in addition to those of package limits.
 const (
-	ReasonBody  = "the body is over the route's limit"
-	ReasonDepth = "the page is deeper than the route's limit"
+	ReasonBodyTooLarge = "the body is over the route's limit"
+	ReasonPageTooDeep  = "the page is deeper than the route's limit"
 )
 
 // arrive applies the limits of a request's route to it, and admits, queues or rejects it.
@@ -138,9 +138,9 @@
 func exceededLimit(r *Request, l limits.Limits) string {
 	switch {
 	case l.MaxBody > 0 && len(r.Text) > l.MaxBody:
-		return ReasonBody
+		return ReasonBodyTooLarge
 	case l.MaxDepth > 0 && r.Search != nil && r.Search.From+r.Search.Size > l.MaxDepth:
-		return ReasonDepth
+		return ReasonPageTooDeep
 	}
 	return ""
 }
--- a/internal/gatherer/gather/recorder.go
+++ b/internal/gatherer/gather/recorder.go
@@ -75,7 +75,7 @@
 	e := record.Entry{Kind: record.Attempt, At: c.unixMicros(c.now()), Request: a.subquery.q.arrivalID, Shard: a.Shard, Number: a.Number,
 		Store: uint32(a.Server), Status: statusNames[s]}
 	switch {
-	case a.Load != nil:
+	case a.FirstStep != nil:
 		e.Step = record.LoadStep
 	case a.Search != nil && a.Search.IDs != nil:
 		e.Step = record.ListingStep
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -22,7 +22,7 @@
 	}
 	now := c.steppedAt
 	a := &Attempt{Query: p.q.Name, Class: p.q.Class, Key: p.q.Key, Shard: p.res.Shard, Number: len(p.attempts),
-		Text: p.q.Text, Server: s.Server, Search: p.search, Load: p.load, Until: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
+		Text: p.q.Text, Server: s.Server, Search: p.search, FirstStep: p.load, Deadline: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
 	k := c.set.Policy.Classes[p.q.Class]
 	if k.Effect == decision.Deduplicated && p.mayHaveRunAt > 0 {
 		// Two ticks before the end of the window, as the attempt takes time to reach the lot store.
@@ -71,7 +71,7 @@
 	if a.cancelDueAt > 0 {
 		return a.cancelDueAt
 	}
-	return c.clockTime(a.Until)
+	return c.clockTime(a.Deadline)
 }
 
 // expire ends the attempts that have timed out, and the cancelled ones whose grace is over.
--- a/internal/gatherer/gather/search.go
+++ b/internal/gatherer/gather/search.go
@@ -29,17 +29,17 @@
 
 // SearchConfig says how searches are executed.
 type SearchConfig struct {
-	Phases search.Phases // search.One or search.Two to force it, 0 for whichever is measured to be better
-	Ranges int           // number of ranges
-	Bounds int           // maximum number of bounds remembered, about 100 bytes each; 0 for none
-	Bytes  int           // maximum total size of lot stores' answers in memory; 0 for no limit
+	Phases    search.Phases // search.One or search.Two to force it, 0 for whichever is measured to be better
+	Ranges    int           // number of ranges
+	MaxBounds int           // maximum number of bounds remembered, about 100 bytes each; 0 for none
+	MaxBytes  int           // maximum total size of lot stores' answers in memory; 0 for no limit
 }
 
 // ConfigureSearches sets how searches are executed. It must be called before Run.
 func (c *Core) ConfigureSearches(s SearchConfig) {
-	c.search.chooser, c.search.maxBytes = search.NewChooser(s.Phases), s.Bytes
-	if s.Bounds > 0 {
-		c.search.index = search.NewIndex(s.Ranges, s.Bounds)
+	c.search.chooser, c.search.maxBytes = search.NewChooser(s.Phases), s.MaxBytes
+	if s.MaxBounds > 0 {
+		c.search.index = search.NewIndex(s.Ranges, s.MaxBounds)
 	}
 	c.search.twoPhase = map[*query]struct{}{}
 }
@@ -121,10 +121,10 @@
 	sent := a.sent
 	c.endAttempt(a, decision.OK)
 	if a.Search.IDs != nil {
-		q.plan.Listed(p.index, found)
+		q.plan.RecordListings(p.index, found)
 		return
 	}
-	c.applyOrders(q, q.plan.Scored(p.index, uint32(a.Server), found, sent, c.now()))
+	c.applyOrders(q, q.plan.RecordAnswer(p.index, uint32(a.Server), found, sent, c.now()))
 }
 
 // recordUnanswerable handles the report that a lot store cannot answer a query. The attempt counts as not sent, so that a
@@ -137,7 +137,7 @@
 	c.endAttempt(a, decision.NotSent)
 	if !q.ended && q.plan.Unanswerable(uint32(a.Server)) {
 		c.events = append(c.events, decision.ClientDisconnected{Query: decision.QueryID(q.id)})
-		c.finish(q, Result{Kind: Failed, Reason: ReasonQuestion, Detail: why})
+		c.finish(q, Result{Kind: Failed, Reason: ReasonUnanswerable, Detail: why})
 	}
 }
 
@@ -163,7 +163,7 @@
 	}
 	r.Search, r.Phases = q.plan.Result(), q.plan.Phases
 	sent := slices.ContainsFunc(r.Shards, func(p ShardResult) bool { return p.Attempts > 0 })
-	if c.search.chooser != nil && sent && r.Reason != ReasonQuestion { // without an attempt nothing was measured
+	if c.search.chooser != nil && sent && r.Reason != ReasonUnanswerable { // without an attempt nothing was measured
 		c.search.chooser.Record(q.Class, q.plan, c.now()-q.startedAt, c.set.Policy.Classes[q.Class].LatencyTarget, r.Kind == Answered)
 	}
 }
--- a/internal/gatherer/gather/second.go
+++ b/internal/gatherer/gather/second.go
@@ -26,7 +26,7 @@
 	prefer       decision.ServerID // server to prefer, 0 for none
 	usedAttempts int               // attempts of the first step that count towards its maximum number of attempts
 	search       *ShardSearch
-	load         *Load
+	load         *FirstStep
 }
 
 // byScore is the second step of a class that has one: it asks the shards whose values had the highest scores, at most size
@@ -34,7 +34,7 @@
 type byScore struct{ size int }
 
 func (s byScore) endFirstStep(q *query, complete bool) (list []secondSubquery) {
-	load := &Load{FirstComplete: complete}
+	load := &FirstStep{Complete: complete}
 	var answered []*subquery
 	for _, p := range q.subqueries {
 		if p.res.OK {
--- a/internal/gatherer/gather/second_test.go
+++ b/internal/gatherer/gather/second_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	c.Submit(r)
 	for _, a := range collect(t, tr, len(r.Shards)) {
-		if a.Load != nil {
+		if a.FirstStep != nil {
 			t.Errorf("shard %d got its second step first", a.Shard)
 		}
 		c.Scored(a, fmt.Sprint("v", a.Shard), scores[a.Shard])
@@ -39,8 +39,8 @@
 	loads := answerFirstStep(t, c, tr, r, map[int]float64{0: 5, 1: 9, 2: -4, 3: 7, 4: 5, 5: 1}, 3)
 	var shards []int
 	for _, a := range loads {
-		if a.Load == nil || !a.Load.FirstComplete || !slices.Equal(a.Load.From, []int{0, 1, 2, 3, 4, 5}) || string(a.Text) != string(r.Text) {
-			t.Errorf("shard %d is told %+v", a.Shard, a.Load)
+		if a.FirstStep == nil || !a.FirstStep.Complete || !slices.Equal(a.FirstStep.From, []int{0, 1, 2, 3, 4, 5}) || string(a.Text) != string(r.Text) {
+			t.Errorf("shard %d is told %+v", a.Shard, a.FirstStep)
 		}
 		shards = append(shards, a.Shard)
 		if a.Shard == 3 { // retried at the other replica
@@ -53,7 +53,7 @@
 		t.Errorf("second step at shards %v", shards)
 	}
 	retry := collect(t, tr, 1)[0]
-	if retry.Shard != 3 || retry.Load == nil {
+	if retry.Shard != 3 || retry.FirstStep == nil {
 		t.Errorf("retry %+v", retry)
 	}
 	c.Outcome(retry, decision.OK, "w3")
@@ -112,12 +112,12 @@
 	first := collect(t, tr, 1)[0]
 	c.Outcome(first, decision.OK, "v")
 	second := collect(t, tr, 1)[0]
-	if second.Load != nil || second.Server == first.Server {
+	if second.FirstStep != nil || second.Server == first.Server {
 		t.Errorf("retry %+v after %+v", second, first)
 	}
 	c.Scored(second, "v", 1)
 	load := collect(t, tr, 1)[0]
-	if load.Load == nil {
+	if load.FirstStep == nil {
 		t.Errorf("no second step: %+v", load)
 	}
 	c.Outcome(load, decision.OK, "w") // a second step needs no score
@@ -144,8 +144,8 @@
 	first := collect(t, tr, 1)[0]
 	c.Scored(first, "v", 3)
 	load := collect(t, tr, 1)[0]
-	if load.Load == nil || !slices.Equal(load.Load.From, []int{first.Shard}) || load.Shard != first.Shard {
-		t.Fatalf("%+v is told %+v", load, load.Load)
+	if load.FirstStep == nil || !slices.Equal(load.FirstStep.From, []int{first.Shard}) || load.Shard != first.Shard {
+		t.Fatalf("%+v is told %+v", load, load.FirstStep)
 	}
 	c.Outcome(load, decision.OK, "w")
 	if res := <-r.Done; len(res.Values()) != 1 || res.Values()[0].Value != "w" || res.Shards[1-first.Shard].OK {
--- a/internal/gatherer/lifecycle/config.go
+++ b/internal/gatherer/lifecycle/config.go
@@ -34,7 +34,7 @@
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   gather.List
+	Known                   gather.ServerList
 	KnownSeq                int64
 	Settings                settings.Settings
 }
--- a/internal/gatherer/lifecycle/daemon.go
+++ b/internal/gatherer/lifecycle/daemon.go
@@ -122,7 +122,7 @@
 
 // health is the state of the gatherer, for balancers.
 func (d *Daemon) health() agentcheck.State {
-	return agentcheck.State{Draining: d.draining.Load() || d.lameDuck.Load(), Load: d.core.Load()}
+	return agentcheck.State{Draining: d.draining.Load() || d.lameDuck.Load(), Load: d.core.Utilization()}
 }
 
 // Start starts a gatherer and returns when it is ready. A nil front leaves the OpenSearch-style front off, and nil
@@ -168,7 +168,7 @@
 	}
 	if f != nil && f.Stores {
 		core.ConfigureSearches(gather.SearchConfig{Phases: f.Phases, Ranges: c.Settings.Shards,
-			Bounds: c.MemoryMB << 20 / boundsDivisor / boundBytes, Bytes: c.MemoryMB << 20 / searchDivisor})
+			MaxBounds: c.MemoryMB << 20 / boundsDivisor / boundBytes, MaxBytes: c.MemoryMB << 20 / searchDivisor})
 	}
 	d.tr = tr
 	d.applyProcessLimits()
@@ -190,7 +190,7 @@
 		return err
 	}
 	c.Known.Kind = decision.Cached
-	d.core.List(c.Known)
+	d.core.UpdateServerList(c.Known)
 	// A predecessor's list is newer than the one of the configuration; discovery is asked for the full list then.
 	if d.restorePredecessor() {
 		c.KnownSeq = discovery.Fresh
@@ -229,7 +229,7 @@
 func (d *Daemon) watch(seq int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	w := &discovery.Watcher{Addr: d.config.Discovery, Zones: d.settings.Load().Zones, Log: d.log, OnList: d.core.List,
+	w := &discovery.Watcher{Addr: d.config.Discovery, Zones: d.settings.Load().Zones, Log: d.log, OnList: d.core.UpdateServerList,
 		Instances: func() int { return d.settings.Load().Policy.Instances },
 		Polling:   func() bool { return d.settings.Load().Policy.Polling }}
 	go func() { w.Run(ctx, seq); close(ended) }()
--- a/internal/gatherer/lifecycle/handover.go
+++ b/internal/gatherer/lifecycle/handover.go
@@ -100,7 +100,7 @@
 	if state.Drain {
 		d.setLameDuck(true)
 	}
-	d.log.Info("handover took over", "stores", len(s.Servers), "records", len(s.Records), "out", s.Banned, "drain", state.Drain)
+	d.log.Info("handover took over", "stores", len(s.Servers), "records", len(s.Records), "out", s.Detached, "drain", state.Drain)
 	d.setLink(link)
 	go d.serveLink(link, false)
 	return true
@@ -188,9 +188,9 @@
 func (d *Daemon) successorState() handover.State {
 	s := d.core.Snapshot()
 	zones := d.settings.Load().Zones
-	x := handover.State{Hosts: discovery.AppendList(nil, 0, s.Servers, zones), Banned: append([]string{}, s.Banned...),
+	x := handover.State{Hosts: discovery.AppendList(nil, 0, s.Servers, zones), Banned: append([]string{}, s.Detached...),
 		Attached: map[string]int64{}, Drain: d.lameDuck.Load(), Records: []handover.Record{}, PerSecond: s.PerSecond}
-	for name, at := range s.Back {
+	for name, at := range s.AttachedAt {
 		x.Attached[name] = at.UnixMilli()
 	}
 	for name, r := range s.Records {
@@ -213,10 +213,10 @@
 	if len(list.Servers) == 0 {
 		return s, fmt.Errorf("its list is empty")
 	}
-	s = gather.Snapshot{Servers: list.Servers, Banned: state.Banned, Back: map[string]time.Time{}, Records: map[string]decision.Record{},
+	s = gather.Snapshot{Servers: list.Servers, Detached: state.Banned, AttachedAt: map[string]time.Time{}, Records: map[string]decision.Record{},
 		PerSecond: state.PerSecond}
 	for name, at := range state.Attached {
-		s.Back[name] = time.UnixMilli(at)
+		s.AttachedAt[name] = time.UnixMilli(at)
 	}
 	for _, r := range state.Records {
 		slowStart := time.Duration(-1)
--- a/internal/gatherer/lifecycle/handover_test.go
+++ b/internal/gatherer/lifecycle/handover_test.go
@@ -68,8 +68,8 @@
 		t.Errorf("a successor of one that drains says %s", got)
 	}
 	until(func() bool { return len(young.core.Snapshot().Records) > 0 }) // its module has made its first step
-	if s := young.core.Snapshot(); len(s.Banned) != 2 || len(s.Records) != 12 || len(s.Servers) != 12 {
-		t.Errorf("%d out, %d records, %d lot stores", len(s.Banned), len(s.Records), len(s.Servers))
+	if s := young.core.Snapshot(); len(s.Detached) != 2 || len(s.Records) != 12 || len(s.Servers) != 12 {
+		t.Errorf("%d out, %d records, %d lot stores", len(s.Detached), len(s.Records), len(s.Servers))
 	}
 	if a, b := limit(old.Daemon), limit(young); a != 460 || b != 460 {
 		t.Errorf("limits %d and %d of 1024", a, b)
@@ -81,8 +81,8 @@
 		t.Errorf("a shard whose lot stores are out: %d", p.Status)
 	}
 	operator(t, young, "ATTACH s-0")
-	if s := old.core.Snapshot(); len(s.Banned) != 1 || s.Back["s-0"].IsZero() {
-		t.Errorf("a call to the successor does not bind the old one: %v %v", s.Banned, s.Back)
+	if s := old.core.Snapshot(); len(s.Detached) != 1 || s.AttachedAt["s-0"].IsZero() {
+		t.Errorf("a call to the successor does not bind the old one: %v %v", s.Detached, s.AttachedAt)
 	}
 
 	young.Drain() // as if it died: the old one serves on, and welcomes another
@@ -92,7 +92,7 @@
 	}
 	until(func() bool {
 		young = begin()
-		return len(young.core.Snapshot().Banned) == 1 // the name leads to the old one again
+		return len(young.core.Snapshot().Detached) == 1 // the name leads to the old one again
 	})
 	old.Drain()
 	until(func() bool { return limit(young) == 1024 })
--- a/internal/gatherer/lifecycle/limits_test.go
+++ b/internal/gatherer/lifecycle/limits_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	w.Reload(w.file)
-	if got := w.core.Gates(); len(got) != 0 {
+	if got := w.core.LimiterCounts(); len(got) != 0 {
 		t.Errorf("without the file: %v", got)
 	}
 	w.Drain()
@@ -106,7 +106,7 @@
 		t.Error("deploy/pulleygw.yaml is there")
 	}
 	w := start(t, "frames")
-	if got := w.core.Gates(); len(got) != 0 {
+	if got := w.core.LimiterCounts(); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/gatherer/lifecycle/operations.go
+++ b/internal/gatherer/lifecycle/operations.go
@@ -97,7 +97,7 @@
 		if r.Method != "GET" {
 			return http1.Text(405, "the counts are a GET")
 		}
-		b, err := json.Marshal(x.daemon.core.Gates())
+		b, err := json.Marshal(x.daemon.core.LimiterCounts())
 		if err != nil {
 			return http1.Text(500, err.Error())
 		}
--- a/internal/gatherer/limits/check.go
+++ b/internal/gatherer/limits/check.go
@@ -109,20 +109,20 @@
 	}
 }
 
-// Plan is the schedule of attempts of a subquery, for routes that configure time-outs and back-offs. In the worst case, every
+// AttemptSchedule is the schedule of attempts of a subquery, for routes that configure time-outs and back-offs. In the worst case, every
 // attempt runs to its time-out, and each retry waits for its back-off.
-type Plan struct {
+type AttemptSchedule struct {
 	Attempts int
 	Timeout  time.Duration // of one attempt; 0 if the scheduler sets it
-	Wait     time.Duration // back-off before a retry
+	Backoff  time.Duration // back-off before a retry
 	Jitter   float64       // fraction by which a back-off may be longer
 }
 
 // Check returns the rules that the schedule violates in the worst case: the last attempt of a deduplicated class must begin
 // within its window, a class that is not idempotent has one attempt only, and the last attempt must end before the client
 // times out.
-func (p Plan) Check(c Class, timeout time.Duration) (list []Violation) {
-	if p.Timeout == 0 && p.Wait == 0 {
+func (p AttemptSchedule) Check(c Class, timeout time.Duration) (list []Violation) {
+	if p.Timeout == 0 && p.Backoff == 0 {
 		return nil
 	}
 	if timeout == 0 {
@@ -132,10 +132,10 @@
 	if n == 0 {
 		n = c.Attempts
 	}
-	if p.Timeout < 0 || p.Wait < 0 || !(p.Jitter >= 0 && p.Jitter <= 1) {
+	if p.Timeout < 0 || p.Backoff < 0 || !(p.Jitter >= 0 && p.Jitter <= 1) {
 		return []Violation{{"attempt", "wants a time-out and a wait of 0 or more, and a jitter of 0 to 1"}}
 	}
-	wait := p.Wait + time.Duration(p.Jitter*float64(p.Wait))
+	wait := p.Backoff + time.Duration(p.Jitter*float64(p.Backoff))
 	last := time.Duration(n-1) * (p.Timeout + wait) // latest start of the last attempt
 	if c.Effect == Deduplicated && n > 1 && last >= c.Window {
 		list = append(list, Violation{"attempt", sprint("the last of ", n, " attempts may begin ", last, " after the first, and repeats of ", c.Name,
--- a/internal/gatherer/limits/limits_test.go
+++ b/internal/gatherer/limits/limits_test.go
@@ -59,17 +59,17 @@
 		}
 	}
 	for _, c := range []struct {
-		p     Plan
+		p     AttemptSchedule
 		class Class
 		want  string
 	}{
-		{Plan{}, bid, ""},
-		{Plan{Attempts: 3, Timeout: 800 * ms, Wait: 100 * ms}, search, ""},
-		{Plan{Attempts: 4, Timeout: 800 * ms}, search, "clients of lot-search give up at 3s"},
-		{Plan{Attempts: 3, Timeout: 800 * ms, Wait: 400 * ms, Jitter: 0.5}, search, "3.6s after"},
-		{Plan{Attempts: 4, Timeout: sec, Wait: 400 * ms}, bid, "dropped for 4s only"},
-		{Plan{Attempts: 2, Timeout: sec}, Class{Name: "pay", Effect: NotIdempotent, Timeout: 9 * sec, Attempts: 3}, "must not be repeated"},
-		{Plan{Timeout: -1}, search, "0 or more"},
+		{AttemptSchedule{}, bid, ""},
+		{AttemptSchedule{Attempts: 3, Timeout: 800 * ms, Backoff: 100 * ms}, search, ""},
+		{AttemptSchedule{Attempts: 4, Timeout: 800 * ms}, search, "clients of lot-search give up at 3s"},
+		{AttemptSchedule{Attempts: 3, Timeout: 800 * ms, Backoff: 400 * ms, Jitter: 0.5}, search, "3.6s after"},
+		{AttemptSchedule{Attempts: 4, Timeout: sec, Backoff: 400 * ms}, bid, "dropped for 4s only"},
+		{AttemptSchedule{Attempts: 2, Timeout: sec}, Class{Name: "pay", Effect: NotIdempotent, Timeout: 9 * sec, Attempts: 3}, "must not be repeated"},
+		{AttemptSchedule{Timeout: -1}, search, "0 or more"},
 	} {
 		got := c.p.Check(c.class, 0)
 		if c.want == "" && got != nil || c.want != "" && (len(got) == 0 || !strings.Contains(fmt.Sprint(got), c.want)) {
--- a/internal/gatherer/limits/route.go
+++ b/internal/gatherer/limits/route.go
@@ -37,7 +37,7 @@
 	Class       string // class of the requests that it matches; empty for any
 	Match       Match
 	Limits      Limits
-	Plan        Plan
+	Schedule    AttemptSchedule
 	LineNumber  int            // line of the route in the configuration file
 	LineNumbers map[string]int // lines of its fields
 }
--- a/internal/gatherer/net/discovery/discovery.go
+++ b/internal/gatherer/net/discovery/discovery.go
@@ -49,11 +49,11 @@
 	// to it, which counts as received from then on: calls need not be spread, and delay would miss updates.
 	Polling func() bool
 	// OnList receives the updates, in order.
-	OnList func(gather.List)
+	OnList func(gather.ServerList)
 }
 
 // ParseList parses a list in the format of discovery and the configuration.
-func ParseList(text []byte, zones []string) (seq int64, l gather.List, err error) {
+func ParseList(text []byte, zones []string) (seq int64, l gather.ServerList, err error) {
 	if !gjson.ValidBytes(text) { // gjson's getters take garbage
 		return 0, l, errors.New("the list is not JSON")
 	}
--- a/internal/gatherer/net/discovery/discovery_test.go
+++ b/internal/gatherer/net/discovery/discovery_test.go
@@ -45,7 +45,7 @@
 
 // watchAgent watches an agent from version 3 on, as one of so many gatherers, until the test ends, and returns its
 // updates.
-func watchAgent(t *testing.T, agent http1.Handler, instances int, polling bool) (updates chan gather.List) {
+func watchAgent(t *testing.T, agent http1.Handler, instances int, polling bool) (updates chan gather.ServerList) {
 	t.Helper()
 	l := testbed.Listen(t)
 	go http1.New(l.(*net.TCPListener), agent, 10, slog.New(slog.DiscardHandler)).Serve()
@@ -54,10 +54,10 @@
 }
 
 // watchAddr is watchAgent at an address; stop ends it and returns when it has ended.
-func watchAddr(t *testing.T, addr string, instances int, polling bool) (updates chan gather.List, stop func()) {
+func watchAddr(t *testing.T, addr string, instances int, polling bool) (updates chan gather.ServerList, stop func()) {
 	t.Helper()
-	updates = make(chan gather.List, 100)
-	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.List) { updates <- l },
+	updates = make(chan gather.ServerList, 100)
+	w := &Watcher{Addr: addr, Zones: zones, Log: slog.New(slog.DiscardHandler), OnList: func(l gather.ServerList) { updates <- l },
 		Instances: func() int { return instances }, Polling: func() bool { return polling }}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/gatherer/net/frames/codec.go
+++ b/internal/gatherer/net/frames/codec.go
@@ -113,7 +113,7 @@
 // subqueryID is the id of a subquery on this wire.
 func subqueryID(a *gather.Attempt) string {
 	id := a.Query + "." + strconv.Itoa(a.Shard)
-	if a.Load != nil {
+	if a.FirstStep != nil {
 		id += secondStepSuffix
 	}
 	return id
@@ -125,20 +125,20 @@
 	if a.Key != "" {
 		list += ",k=" + a.Key
 	}
-	if a.Load != nil {
-		list += "," + firstStepFields(a.Load)
+	if a.FirstStep != nil {
+		list += "," + firstStepFields(a.FirstStep)
 	}
 	return fmt.Sprintf("%s %d %s %d\n", subqueryID(a), a.Shard, list, len(a.Text))
 }
 
 // firstStepFields are the fields of a second step that describe the first.
-func firstStepFields(l *gather.Load) string {
+func firstStepFields(l *gather.FirstStep) string {
 	from := make([]string, len(l.From))
 	for i, shard := range l.From {
 		from[i] = strconv.Itoa(shard)
 	}
 	complete := 0
-	if l.FirstComplete {
+	if l.Complete {
 		complete = 1
 	}
 	return fmt.Sprintf("from=%s,whole=%d", strings.Join(from, "+"), complete)
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -56,11 +56,11 @@
 func TestSecondStep(t *testing.T) {
 	list := attempts(2)
 	first, load := list[0], list[1]
-	load.Shard, load.Load = 0, &gather.Load{From: []int{0, 5, 9}, FirstComplete: true}
+	load.Shard, load.FirstStep = 0, &gather.FirstStep{From: []int{0, 5, 9}, Complete: true}
 	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
-	load.Key, load.Load.FirstComplete = "5c0f", false
+	load.Key, load.FirstStep.Complete = "5c0f", false
 	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
@@ -227,7 +227,7 @@
 	c := parked(tr, here)
 	list := attempts(2)
 	list[0].NotAfter = time.Now().Add(-time.Millisecond)
-	list[1].Until = time.Now().Add(-time.Millisecond)
+	list[1].Deadline = time.Now().Add(-time.Millisecond)
 	tr.Call(1, list)
 	if more, err := c.write(); !more || err != nil { // a write to the pipe would fail: nobody reads
 		t.Errorf("more %v, error %v", more, err)
--- a/internal/gatherer/net/frames/rig_test.go
+++ b/internal/gatherer/net/frames/rig_test.go
@@ -44,7 +44,7 @@
 
 func attempts(n int) (list []*gather.Attempt) {
 	for i := range n {
-		list = append(list, &gather.Attempt{Query: "q", Shard: i, Server: 1, Until: time.Now().Add(time.Minute)})
+		list = append(list, &gather.Attempt{Query: "q", Shard: i, Server: 1, Deadline: time.Now().Add(time.Minute)})
 	}
 	return list
 }
--- a/internal/gatherer/net/frames/write.go
+++ b/internal/gatherer/net/frames/write.go
@@ -76,7 +76,7 @@
 		}
 		c.inFlight[subqueryID(a)] = &entry{a: a}
 		attempts = append(attempts, a)
-		lines = append(lines, subqueryHeader(a, a.Until.Sub(now).Milliseconds()))
+		lines = append(lines, subqueryHeader(a, a.Deadline.Sub(now).Milliseconds()))
 	}
 	c.updateIdle()
 	t.mu.Unlock()
@@ -86,7 +86,7 @@
 	if len(attempts) == 0 {
 		return nil
 	}
-	c.nc.SetWriteDeadline(gather.WriteBy(now, t.WriteFor, attempts))
+	c.nc.SetWriteDeadline(gather.WriteDeadline(now, t.WriteFor, attempts))
 	err := writeCall(c.nc, lines, attempts)
 	t.mu.Lock()
 	var ended []*gather.Attempt
--- a/internal/gatherer/net/opensearch/answers.go
+++ b/internal/gatherer/net/opensearch/answers.go
@@ -79,9 +79,9 @@
 // render makes the response for a final answer.
 func (a *clientRequest) render(res gather.Result, took time.Duration) *http1.Response {
 	counts, timedOut := a.counts(res)
-	if res.Kind != gather.Answered && len(res.Search.Moved) > 0 { // a retry would not help
+	if res.Kind != gather.Answered && len(res.Search.ChangedSincePin) > 0 { // a retry would not help
 		return errorResponse(&apiError{404, "search_context_missing_exception", fmt.Sprintf("%d of %d ranges have changed since the point in time was opened",
-			len(res.Search.Moved), a.shards)}, nil)
+			len(res.Search.ChangedSincePin), a.shards)}, nil)
 	}
 	switch res.Kind {
 	case gather.Answered:
@@ -101,11 +101,11 @@
 	// A failure may have taken effect, so its status must not be one that client libraries retry by themselves: 429,
 	// 502, 503 and for a create 504.
 	switch {
-	case res.Reason == gather.ReasonBody:
+	case res.Reason == gather.ReasonBodyTooLarge:
 		return errorResponse(&apiError{413, "content_too_long_exception", res.Reason}, nil)
-	case res.Reason == gather.ReasonDepth:
+	case res.Reason == gather.ReasonPageTooDeep:
 		return errorResponse(illegalArgument("%s", res.Reason), nil)
-	case res.Reason == gather.ReasonQuestion:
+	case res.Reason == gather.ReasonUnanswerable:
 		return errorResponse(&apiError{400, "search_phase_execution_exception", fmt.Sprintf("%s: %.300s", res.Reason, res.Detail)}, nil)
 	case !a.search:
 		return errorResponse(&apiError{500, "unavailable_shards_exception", res.Reason}, counts.Failures)
@@ -203,8 +203,8 @@
 // coverage makes the coverage object of an answer.
 func (a *clientRequest) coverage(res gather.Result) coverage {
 	r := res.Search
-	c := coverage{Complete: res.Complete, Fraction: r.Fraction(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.Moved,
-		Skipped: len(r.Skipped), Changed: r.Changed, Phases: int(res.Phases)}
+	c := coverage{Complete: res.Complete, Fraction: r.Fraction(), Weight: r.Weight, Listed: r.Listed, Missing: r.Missing, Moved: r.ChangedSincePin,
+		Skipped: len(r.Skipped), Changed: r.ChangedLots, Phases: int(res.Phases)}
 	if c.Missing == nil {
 		c.Missing = []int{}
 	}
@@ -227,7 +227,7 @@
 // listing formats a hit as its client asked for it, without what the lot store was asked for the ranking alone.
 func (a *clientRequest) listing(h *merge.Hit, phases search.Phases) json.RawMessage {
 	q := a.core.Search
-	if !q.Ties && phases == search.One {
+	if !q.TiesByID && phases == search.One {
 		return json.RawMessage(h.Listing)
 	}
 	b := []byte{'{'}
--- a/internal/gatherer/net/opensearch/cluster.go
+++ b/internal/gatherer/net/opensearch/cluster.go
@@ -26,7 +26,7 @@
 	replicas := make([]int, set.Policy.Cells)
 	nodes := 0
 	for _, x := range s.Servers {
-		if x.State != decision.Ready || slices.Contains(s.Banned, x.Name) {
+		if x.State != decision.Ready || slices.Contains(s.Detached, x.Name) {
 			continue
 		}
 		nodes++
--- a/internal/gatherer/net/opensearch/exchange.go
+++ b/internal/gatherer/net/opensearch/exchange.go
@@ -90,12 +90,12 @@
 func (t *Stores) roundTrip(ctx context.Context, id decision.ServerID, c *http1.Client, live []*gather.Attempt, now time.Time) {
 	target, body := t.request(live, now)
 	head := textproto.MIMEHeader{"Content-Type": {"application/x-ndjson"}}
-	if err := c.Write(gather.WriteBy(now, t.WriteFor, live), "POST", target, head, body); err != nil {
+	if err := c.Write(gather.WriteDeadline(now, t.WriteFor, live), "POST", target, head, body); err != nil {
 		c.Close()
 		t.reportAll(live, decision.ConnectFailed)
 		return
 	}
-	p, err := c.Read(live[0].Until.Add(time.Second))
+	p, err := c.Read(live[0].Deadline.Add(time.Second))
 	if err != nil {
 		t.failConn(ctx, id, c, live, err)
 		return
@@ -162,7 +162,7 @@
 	var b bytes.Buffer
 	for _, a := range attempts {
 		index, create := t.Class(a.Class)
-		timeout := strconv.FormatInt(max(a.Until.Sub(now).Milliseconds(), 1), 10) + "ms"
+		timeout := strconv.FormatInt(max(a.Deadline.Sub(now).Milliseconds(), 1), 10) + "ms"
 		if create {
 			target = "/_bulk?timeout=" + timeout
 			fmt.Fprintf(&b, `{"create":{"_index":%q,"_id":%q,"routing":%q}}`+"\n%s\n", index, a.Key, t.routing[a.Shard], jsonLine(a.Text))
--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -107,7 +107,7 @@
 		r.mu.Lock()
 		sent := float64(r.parts)
 		r.mu.Unlock()
-		if c := r.core.Gates()[gather.AllRoutes]; c.RetriesRejected == 0 || c.Retries == 0 || float64(c.Retries) > 2+0.05*sent {
+		if c := r.core.LimiterCounts()[gather.AllRoutes]; c.RetriesRejected == 0 || c.Retries == 0 || float64(c.Retries) > 2+0.05*sent {
 			t.Errorf("%v subqueries sent, %+v", sent, c)
 		}
 	})
@@ -194,7 +194,7 @@
 		if p := r.from("10.0.0.1", "size=51", tractors, nil); p.Status != 200 {
 			t.Errorf("no limits: %d", p.Status)
 		}
-		if c := r.core.Gates(); len(c) != 0 {
+		if c := r.core.LimiterCounts(); len(c) != 0 {
 			t.Errorf("%v", c)
 		}
 	})
--- a/internal/gatherer/net/opensearch/parsers_test.go
+++ b/internal/gatherer/net/opensearch/parsers_test.go
@@ -38,7 +38,7 @@
 	if !gjson.ValidBytes(b) {
 		return errors.New("not JSON")
 	}
-	q := &search.Query{Keys: []merge.Key{{Field: merge.Score, Desc: true}}, Size: 10, Count: search.CountAnyhow}
+	q := &search.Query{Keys: []merge.Key{{Field: merge.Score, Desc: true}}, Size: 10, Count: search.CountBestEffort}
 	for _, ask := range []*gather.ShardSearch{{Query: q, ScoresOnly: true}, {Query: q, IDs: []string{"a", "b"}}, {Query: q}} {
 		found, why := parseFound(gjson.ParseBytes(b), ask)
 		if why != "" {
@@ -46,9 +46,9 @@
 		}
 		p := search.NewPlan(q, search.Two, []search.Range{{Weight: 1}}, search.NewIndex(1, 10))
 		p.Start(0, search.Times{})
-		p.Scored(0, 1, found, 0, 0)
+		p.RecordAnswer(0, 1, found, 0, 0)
 		for _, f := range p.Close() {
-			p.Listed(f.Index, found)
+			p.RecordListings(f.Index, found)
 		}
 		p.Result()
 	}
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -203,8 +203,8 @@
 		r.mu.Lock()
 		out := len(r.out)
 		r.mu.Unlock()
-		if out != 0 || r.core.Load() != 0 {
-			t.Errorf("%d attempts out, load %v", out, r.core.Load())
+		if out != 0 || r.core.Utilization() != 0 {
+			t.Errorf("%d attempts out, load %v", out, r.core.Utilization())
 		}
 	})
 }
--- a/internal/gatherer/net/opensearch/points.go
+++ b/internal/gatherer/net/opensearch/points.go
@@ -76,7 +76,7 @@
 	if e := f.parseSearch(a, r.At, nil, []byte(`{"size":0,"track_total_hits":false}`)); e != nil {
 		return nil, e
 	}
-	a.core.Search.Every = true
+	a.core.Search.SkipEmptyOnly = true
 	a.core.CompleteOnly = params.Get("allow_partial_pit_creation") == "false"
 	created := r.At
 	a.format = func(res gather.Result, _ time.Duration) *http1.Response {
--- a/internal/gatherer/net/opensearch/query.go
+++ b/internal/gatherer/net/opensearch/query.go
@@ -62,7 +62,7 @@
 	if wrong := query.CheckObject(text); wrong != nil {
 		return nil, parseError(wrong)
 	}
-	q := &search.Query{Size: defaultSize, Count: search.CountAnyhow, Ties: ties}
+	q := &search.Query{Size: defaultSize, Count: search.CountBestEffort, TiesByID: ties}
 	p := &bodyParser{text: text, body: &searchBody{Query: q, query: query.MatchAll{}}, seen: map[string]bool{}}
 	if e := p.members(); e != nil {
 		return nil, e
@@ -192,7 +192,7 @@
 		return parsingException("[aggs] and [aggregations] cannot be given together")
 	}
 	w.aggs = list
-	if w.Every = len(list) > 0; w.Every {
+	if w.SkipEmptyOnly = len(list) > 0; w.SkipEmptyOnly {
 		w.Extra = list
 	}
 	return nil
--- a/internal/gatherer/net/opensearch/random_test.go
+++ b/internal/gatherer/net/opensearch/random_test.go
@@ -209,7 +209,7 @@
 			if why != "" {
 				b.Fatal(why)
 			}
-			p.Scored(i, 1, found, 0, 0)
+			p.RecordAnswer(i, 1, found, 0, 0)
 		}
 		p.Close()
 	}
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		panic(err)
 	}
-	core.ConfigureSearches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, Bounds: o.bounds, Bytes: o.bytes})
+	core.ConfigureSearches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, MaxBounds: o.bounds, MaxBytes: o.bytes})
 	r.core, r.report = core, core
 	if o.record != nil {
 		core.SetRecorder(o.record)
@@ -103,7 +103,7 @@
 		}
 	}
 	go func() { core.Run(); close(r.ended) }()
-	core.List(gather.List{Kind: decision.Cached, Servers: list})
+	core.UpdateServerList(gather.ServerList{Kind: decision.Cached, Servers: list})
 	return r
 }
 
--- a/internal/gatherer/net/opensearch/shardsearch.go
+++ b/internal/gatherer/net/opensearch/shardsearch.go
@@ -53,8 +53,8 @@
 		b = append(b, tree...)
 	}
 	b = strconv.AppendInt(append(b, `,"size":`...), int64(size), 10)
-	if q.Ties || sorted(q) {
-		b = appendSort(append(b, `,"sort":`...), q.Keys, q.Ties)
+	if q.TiesByID || sorted(q) {
+		b = appendSort(append(b, `,"sort":`...), q.Keys, q.TiesByID)
 	}
 	if q.After != nil && a.IDs == nil {
 		b = appendAfter(b, q, shard)
@@ -99,8 +99,8 @@
 		}
 		b = append(b, v.JSON(quote)...)
 	}
-	if q.Ties {
-		b = append(append(b, ','), quote(q.After.Tie(shard))...)
+	if q.TiesByID {
+		b = append(append(b, ','), quote(q.After.TieBreakID(shard))...)
 	}
 	return append(b, ']')
 }
--- a/internal/gatherer/net/opensearch/stores.go
+++ b/internal/gatherer/net/opensearch/stores.go
@@ -132,7 +132,7 @@
 		if len(some) == 0 {
 			continue
 		}
-		ctx, stop := context.WithDeadline(context.Background(), some[0].Until)
+		ctx, stop := context.WithDeadline(context.Background(), some[0].Deadline)
 		x := &exchange{remaining: len(some), cancel: stop}
 		for _, a := range some {
 			t.exchanges[a] = x
--- a/internal/gatherer/net/opensearch/stores_test.go
+++ b/internal/gatherer/net/opensearch/stores_test.go
@@ -65,7 +65,7 @@
 }
 
 func bid(number int) *gather.Attempt {
-	return &gather.Attempt{Query: "q", Class: 1, Key: "k", Shard: 5, Number: number, Text: []byte("{\n\"lot\": 1}"), Server: 1, Until: time.Now().Add(time.Minute)}
+	return &gather.Attempt{Query: "q", Class: 1, Key: "k", Shard: 5, Number: number, Text: []byte("{\n\"lot\": 1}"), Server: 1, Deadline: time.Now().Add(time.Minute)}
 }
 
 func answer(status int, body string) http1.Handler {
@@ -122,7 +122,7 @@
 	tr, r := stores(t, func(*http1.Request, <-chan struct{}) *http1.Response { asked.Add(1); return nil })
 	late, over := bid(1), bid(0)
 	late.NotAfter = time.Now().Add(-time.Millisecond)
-	over.Until = time.Now().Add(-time.Millisecond)
+	over.Deadline = time.Now().Add(-time.Millisecond)
 	for _, a := range []*gather.Attempt{late, over} {
 		tr.Call(1, []*gather.Attempt{a})
 		if got := <-r; got.s != decision.NotSent && got.s != decision.ConnectFailed { // the dial, too, ends with the time
--- a/internal/gatherer/net/platform/platform.go
+++ b/internal/gatherer/net/platform/platform.go
@@ -196,9 +196,9 @@
 		status = 504
 	case gather.ReasonDuplicate:
 		status = 409
-	case gather.ReasonBody:
+	case gather.ReasonBodyTooLarge:
 		status = 413
-	case gather.ReasonDepth:
+	case gather.ReasonPageTooDeep:
 		status = 400
 	}
 	return http1.Text(status, res.Reason)
--- a/internal/gatherer/search/bounds.go
+++ b/internal/gatherer/search/bounds.go
@@ -47,13 +47,13 @@
 func (p *Plan) countAllowsSkip(i int) bool {
 	b := &p.bounds[i]
 	switch c := p.Query.Count; {
-	case p.Query.Every:
+	case p.Query.SkipEmptyOnly:
 		return b.Empty
 	case b.Exact || c == CountNone:
 		return true
 	case c == CountAll:
 		return false
-	case c == CountAnyhow:
+	case c == CountBestEffort:
 		return !p.countOnly()
 	default:
 		return p.total >= int64(c)
--- a/internal/gatherer/search/fake_stores_test.go
+++ b/internal/gatherer/search/fake_stores_test.go
@@ -85,7 +85,7 @@
 		n := pick(len(inFlight))
 		i := inFlight[n]
 		inFlight = slices.Delete(inFlight, n, n+1)
-		o := p.Scored(i, uint32(i), w.answer(p.Query, i), at, at+20*ms)
+		o := p.RecordAnswer(i, uint32(i), w.answer(p.Query, i), at, at+20*ms)
 		inFlight = append(inFlight, o.Request...)
 		inFlight = slices.DeleteFunc(inFlight, func(i int) bool { return slices.Contains(o.Skip, i) })
 	}
@@ -98,7 +98,7 @@
 				a.Hits = append(a.Hits, h)
 			}
 		}
-		p.Listed(f.Index, a)
+		p.RecordListings(f.Index, a)
 	}
 	return p.Result(), fetch
 }
--- a/internal/gatherer/search/plan.go
+++ b/internal/gatherer/search/plan.go
@@ -141,7 +141,7 @@
 	o = p.prune(o) // skips the empty ranges, as there are no hits yet
 	p.requestAllAt = t.End - waveLatencies*t.UsualLatency
 	// Further waves need time, and ranges that may be skipped after the first one.
-	if p.countOnly() || p.Query.Every || now+waveLatencies*t.UsualLatency > p.requestAllAt || p.pruneFrom < requestRestAt {
+	if p.countOnly() || p.Query.SkipEmptyOnly || now+waveLatencies*t.UsualLatency > p.requestAllAt || p.pruneFrom < requestRestAt {
 		return p.requestAll(o)
 	}
 	return p.wave(o, true)
@@ -177,9 +177,9 @@
 	return s == pages.Same
 }
 
-// Scored records the i-th range's answer to a request sent at sent, and returns further orders. The answer must have passed
+// RecordAnswer records the i-th range's answer to a request sent at sent, and returns further orders. The answer must have passed
 // Answer.Check.
-func (p *Plan) Scored(i int, source uint32, a *Answer, sent, now time.Duration) (o Orders) {
+func (p *Plan) RecordAnswer(i int, source uint32, a *Answer, sent, now time.Duration) (o Orders) {
 	if p.state[i] != requested {
 		return o // it has been skipped since
 	}
@@ -250,9 +250,9 @@
 	return fetch
 }
 
-// Listed records the listings of the i-th range. A lot that is missing from them, or whose sort values have changed, is left
+// RecordListings records the listings of the i-th range. A lot that is missing from them, or whose sort values have changed, is left
 // out of the page.
-func (p *Plan) Listed(i int, a *Answer) {
+func (p *Plan) RecordListings(i int, a *Answer) {
 	p.bytes += a.Bytes
 	for _, h := range p.page {
 		if h.Range != p.ranges[i].Number || h.Listing != "" {
--- a/internal/gatherer/search/result.go
+++ b/internal/gatherer/search/result.go
@@ -9,32 +9,32 @@
 
 // Result is the result of a query.
 type Result struct {
-	Hits     []*merge.Hit // lots of the page, in order, with their listings
-	Total    int64        // lots that match
-	AtLeast  bool         // Total is a lower bound
-	Best     *merge.Hit   // best lot of all ranges; nil if there is none, or if ranges are missing
-	Answered int          // number of ranges that answered
-	Skipped  []int        // numbers of the ranges that could not change the page
-	Missing  []int        // numbers of the ranges that did not answer or were excluded
-	Weight   float64      // of the ranges that answered or were skipped
-	Listed   float64      // fraction of the page's lots whose range has answered the second phase
-	Changed  int          // lots left out of the page as they changed between the phases
-	Bytes    int          // total size of the lot stores' answers
-	Requests int          // number of requests, without retries
-	Extra    []any        // Answer.Extra of the ranges that answered, in the plan's order
-	Views    map[int]View // of the ranges that answered, by number
-	Moved    []int        // those of Missing that have changed since the pinned version
+	Hits            []*merge.Hit // lots of the page, in order, with their listings
+	Total           int64        // lots that match
+	AtLeast         bool         // Total is a lower bound
+	Best            *merge.Hit   // best lot of all ranges; nil if there is none, or if ranges are missing
+	Answered        int          // number of ranges that answered
+	Skipped         []int        // numbers of the ranges that could not change the page
+	Missing         []int        // numbers of the ranges that did not answer or were excluded
+	Weight          float64      // of the ranges that answered or were skipped
+	Listed          float64      // fraction of the page's lots whose range has answered the second phase
+	ChangedLots     int          // lots left out of the page as they changed between the phases
+	Bytes           int          // total size of the lot stores' answers
+	Requests        int          // number of requests, without retries
+	Extra           []any        // Answer.Extra of the ranges that answered, in the plan's order
+	Views           map[int]View // of the ranges that answered, by number
+	ChangedSincePin []int        // those of Missing that have changed since the pinned version
 }
 
 // Fraction returns the fraction of a complete answer that the result has: that of the weight times that of the page.
 func (r *Result) Fraction() float64 { return r.Weight * r.Listed }
 
 // Complete reports whether nothing is missing.
-func (r *Result) Complete() bool { return len(r.Missing) == 0 && r.Listed == 1 && r.Changed == 0 }
+func (r *Result) Complete() bool { return len(r.Missing) == 0 && r.Listed == 1 && r.ChangedLots == 0 }
 
 // Result returns the result so far. It must not be called before Close.
 func (p *Plan) Result() (r Result) {
-	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, Changed: p.changed, Bytes: p.bytes, Requests: p.requests}
+	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, ChangedLots: p.changed, Bytes: p.bytes, Requests: p.requests}
 	r.Views = map[int]View{}
 	r.Missing = append(r.Missing, p.Query.Absent...)
 	for _, x := range p.extra {
@@ -54,7 +54,7 @@
 		default:
 			r.Missing = append(r.Missing, p.ranges[i].Number)
 			if p.changedSincePin[i] {
-				r.Moved = append(r.Moved, p.ranges[i].Number)
+				r.ChangedSincePin = append(r.ChangedSincePin, p.ranges[i].Number)
 			}
 		}
 	}
--- a/internal/gatherer/search/search.go
+++ b/internal/gatherer/search/search.go
@@ -19,9 +19,9 @@
 
 // The special values of Counting. A value above 0 asks for a count that is exact up to that number.
 const (
-	CountNone   Counting = 0
-	CountAll    Counting = -1 // exact
-	CountAnyhow Counting = -2 // as exact as possible without asking more ranges; the default
+	CountNone       Counting = 0
+	CountAll        Counting = -1 // exact
+	CountBestEffort Counting = -2 // as exact as possible without asking more ranges; the default
 )
 
 // Query is one search.
@@ -30,7 +30,7 @@
 	From, Size int         // the page: skip From lots and return Size
 	Count      Counting
 	After      *merge.After // position after which the page begins; nil for the start
-	Ties       bool         // ranges break ties by id
+	TiesByID   bool         // ranges break ties by id
 	Truncated  bool         // ranges may stop before they have examined all their lots, so that no bounds follow from answers
 	// Name identifies queries that match the same lots in the same order: two queries of the same name differ at most in
 	// From, Size and Count. If it is empty, no bounds are learned or used.
@@ -43,8 +43,8 @@
 	// Pins are the versions that ranges must answer from, by number of the range. Absent are the ranges that are excluded.
 	Pins   map[int]int64
 	Absent []int
-	// Every is set if ranges return more than the page, so that only a range without matching lots may be skipped.
-	Every bool
+	// SkipEmptyOnly is set if ranges return more than the page, so that only a range without matching lots may be skipped.
+	SkipEmptyOnly bool
 	// Extra is data of the host for encoding requests and decoding answers.
 	Extra any
 }
@@ -99,7 +99,7 @@
 			continue
 		}
 		last := &a.Hits[i-1]
-		if c := merge.Compare(q.Keys, last.Sort, h.Sort); c > 0 || c == 0 && q.Ties && last.ID >= h.ID {
+		if c := merge.Compare(q.Keys, last.Sort, h.Sort); c > 0 || c == 0 && q.TiesByID && last.ID >= h.ID {
 			return "the hits are not sorted"
 		}
 	}
--- a/internal/gatherer/search/search_test.go
+++ b/internal/gatherer/search/search_test.go
@@ -39,7 +39,7 @@
 		at := sec
 		for range rapid.IntRange(1, 4).Draw(t, "searches") {
 			q := &Query{Keys: keys, From: rapid.IntRange(0, 5).Draw(t, "from"), Size: rapid.IntRange(0, 6).Draw(t, "size"),
-				Count: rapid.SampledFrom([]Counting{CountNone, CountAll, CountAnyhow, 7}).Draw(t, "count"), Name: "q", Plain: true, Clauses: []string{"c"}}
+				Count: rapid.SampledFrom([]Counting{CountNone, CountAll, CountBestEffort, 7}).Draw(t, "count"), Name: "q", Plain: true, Clauses: []string{"c"}}
 			want, total := w.page(q)
 			p := w.plan(q, x)
 			r, _ := w.run(p, at, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "next") })
@@ -83,7 +83,7 @@
 // The second search with the same name asks the few ranges that have the lots of the page, and skips the rest.
 func TestPruningSavesRequests(t *testing.T) {
 	w, x := fallingScores(200), NewIndex(200, 10000)
-	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
+	q := &Query{Keys: byScore, Size: 10, Count: CountBestEffort, Name: "q"}
 	w.run(w.plan(q, x), sec, pickFirst)
 	r, fetch := w.run(w.plan(q, x), 2*sec, pickFirst)
 	if r.Answered > 20 || len(r.Skipped) != 200-r.Answered || len(fetch) != 1 || r.Total != 2000 || r.AtLeast {
@@ -97,7 +97,7 @@
 // A bound becomes invalid when its guarantee expires, when a later version is reported, and when a replica that has reported
 // versions restarts or ends. Nothing is learned from a replica that lags behind.
 func TestBoundsExpire(t *testing.T) {
-	q := &Query{Keys: byScore, Size: 10, Name: "q", Clauses: []string{"c"}, Plain: true, Count: CountAnyhow}
+	q := &Query{Keys: byScore, Size: 10, Name: "q", Clauses: []string{"c"}, Plain: true, Count: CountBestEffort}
 	twoClauses := &Query{Keys: byScore, Size: 10, Name: "q2", Clauses: []string{"c", "c"}}
 	answer := func(version int64, boot string, stableFor float64) *Answer {
 		return &Answer{Hits: []merge.Hit{{ID: "a", Sort: []merge.Value{merge.Num(5)}}}, Total: 1, View: View{boot, version, stableFor}}
@@ -172,7 +172,7 @@
 // All remaining ranges are requested at the last time that leaves enough for them, however slow the first wave is.
 func TestRequestAllInTime(t *testing.T) {
 	w, x := fallingScores(40), NewIndex(40, 10000)
-	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
+	q := &Query{Keys: byScore, Size: 10, Count: CountBestEffort, Name: "q"}
 	w.run(w.plan(q, x), sec, pickFirst)
 	p := w.plan(q, x)
 	o := p.Start(2*sec, Times{End: 3 * sec, UsualLatency: 25 * ms})
@@ -197,13 +197,13 @@
 // A range that can no longer change the page is skipped even when its request is in flight, and its answer is ignored.
 func TestSkipInFlight(t *testing.T) {
 	w, x := fallingScores(12), NewIndex(12, 10000)
-	q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
+	q := &Query{Keys: byScore, Size: 10, Count: CountBestEffort, Name: "q"}
 	w.run(w.plan(q, x), sec, pickFirst)
 	p := w.plan(q, x)
 	p.Start(2*sec, Times{End: 2090 * ms, UsualLatency: 25 * ms}) // one wave
-	o := p.Scored(0, 0, w.answer(q, 0), 2*sec, 2*sec)
+	o := p.RecordAnswer(0, 0, w.answer(q, 0), 2*sec, 2*sec)
 	n := len(o.Skip) // the lowest score of range 0 is 991, and the highest of range 1 is 990
-	p.Scored(o.Skip[0], 0, w.answer(q, o.Skip[0]), 2*sec, 2*sec)
+	p.RecordAnswer(o.Skip[0], 0, w.answer(q, o.Skip[0]), 2*sec, 2*sec)
 	p.Close()
 	if r := p.Result(); n < 10 || len(r.Skipped) != n || r.Answered != 1 {
 		t.Errorf("%d skipped: %+v", n, r)
@@ -217,7 +217,7 @@
 		ranges = append(ranges, []merge.Value{merge.Num(1), merge.Num(1), merge.Num(1)})
 	}
 	w, x := newFakeStores(byScore, ranges), NewIndex(20, 10000)
-	q := &Query{Keys: byScore, From: 2, Size: 5, Count: CountAnyhow, Name: "q"}
+	q := &Query{Keys: byScore, From: 2, Size: 5, Count: CountBestEffort, Name: "q"}
 	want, _ := w.page(q)
 	for n, pick := range []func(int) int{pickFirst, func(n int) int { return n - 1 }, func(n int) int { return n / 2 }, pickFirst} {
 		if r, _ := w.run(w.plan(q, x), sec+time.Duration(n)*ms, pick); !slices.Equal(ids(r.Hits), want) {
@@ -230,7 +230,7 @@
 // lot that has changed but has the same sort values stays.
 func TestChangedBetweenPhases(t *testing.T) {
 	w := fallingScores(3)
-	q := &Query{Keys: byScore, Size: 4, Count: CountAnyhow}
+	q := &Query{Keys: byScore, Size: 4, Count: CountBestEffort}
 	p := w.plan(q, nil)
 	p.Start(sec, ampleTime)
 	for i := range 3 {
@@ -238,19 +238,19 @@
 		for n := range a.Hits {
 			a.Hits[n].Version = 1
 		}
-		p.Scored(i, uint32(7+i), a, sec, sec)
+		p.RecordAnswer(i, uint32(7+i), a, sec, sec)
 	}
 	f := p.Close()
 	if len(f) != 1 || f[0].Source != 7 || len(f[0].IDs) != 4 || f[0].Weight < 0.999 {
 		t.Fatalf("%+v", f)
 	}
-	p.Listed(0, &Answer{Hits: []merge.Hit{
+	p.RecordListings(0, &Answer{Hits: []merge.Hit{
 		{ID: "0-0", Sort: []merge.Value{merge.Num(1000)}, Version: 2, Listing: "changed, same score"},
 		{ID: "0-1", Sort: []merge.Value{merge.Num(3)}, Version: 2, Listing: "changed, other score"},
 		{ID: "0-3", Sort: []merge.Value{merge.Num(996.9)}, Version: 1, Listing: "same version, slightly other score at another replica"},
 		{ID: "9-9", Sort: []merge.Value{merge.Num(1001)}, Version: 1, Listing: "not requested"}}})
 	r := p.Result()
-	if !slices.Equal(ids(r.Hits), []string{"0-0", "0-3"}) || r.Changed != 2 || r.Complete() || r.Listed != 1 {
+	if !slices.Equal(ids(r.Hits), []string{"0-0", "0-3"}) || r.ChangedLots != 2 || r.Complete() || r.Listed != 1 {
 		t.Errorf("%v %+v", ids(r.Hits), r)
 	}
 }
@@ -258,14 +258,14 @@
 // Missing ranges and listings are reported, and Fraction is the fraction of the weight times that of the page.
 func TestFraction(t *testing.T) {
 	w := fallingScores(4)
-	q := &Query{Keys: byScore, Size: 20, Count: CountAnyhow}
+	q := &Query{Keys: byScore, Size: 20, Count: CountBestEffort}
 	p := w.plan(q, nil)
 	p.Start(sec, ampleTime)
 	for i := range 3 {
-		p.Scored(i, 0, w.answer(q, i), sec, sec)
+		p.RecordAnswer(i, 0, w.answer(q, i), sec, sec)
 	}
 	f := p.Close()
-	p.Listed(f[0].Index, &Answer{Hits: w.answer(q, f[0].Index).Hits})
+	p.RecordListings(f[0].Index, &Answer{Hits: w.answer(q, f[0].Index).Hits})
 	r := p.Result()
 	if !slices.Equal(r.Missing, []int{3}) || r.Weight != 0.75 || !r.AtLeast || r.Fraction() >= 0.75 || r.Complete() || r.Best != nil {
 		t.Errorf("%+v, fraction %v", r, r.Fraction())
@@ -274,7 +274,7 @@
 
 // Check rejects impossible answers and accepts valid ones.
 func TestCheck(t *testing.T) {
-	q := &Query{Keys: byScore, Size: 2, Count: CountAnyhow}
+	q := &Query{Keys: byScore, Size: 2, Count: CountBestEffort}
 	hit := func(id string, score float64) merge.Hit {
 		return merge.Hit{ID: id, Sort: []merge.Value{merge.Num(score)}}
 	}
@@ -344,7 +344,7 @@
 	for _, known := range []bool{false, true} {
 		b.Run(fmt.Sprintf("known=%v", known), func(b *testing.B) {
 			w, x := fallingScores(200), NewIndex(200, 100000)
-			q := &Query{Keys: byScore, Size: 10, Count: CountAnyhow, Name: "q"}
+			q := &Query{Keys: byScore, Size: 10, Count: CountBestEffort, Name: "q"}
 			if known {
 				w.run(w.plan(q, x), sec, pickFirst)
 			} else {
@@ -360,7 +360,7 @@
 			for b.Loop() {
 				p := NewPlan(q, Two, ranges, x)
 				for _, i := range p.Start(2*sec, Times{End: 3 * sec, UsualLatency: 25 * ms}).Request {
-					p.Scored(i, 0, answers[i], 2*sec, 2*sec)
+					p.RecordAnswer(i, 0, answers[i], 2*sec, 2*sec)
 				}
 				p.Close()
 				p.Result()
--- a/internal/tier/coordinator/controlapi/body.go
+++ b/internal/tier/coordinator/controlapi/body.go
@@ -59,7 +59,7 @@
 func writeJSON(w http.ResponseWriter, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		writeError(w, result.InternalMistake)
+		writeError(w, result.InternalError)
 		return
 	}
 	writeBytes(w, text)
--- a/internal/tier/coordinator/controlapi/change.go
+++ b/internal/tier/coordinator/controlapi/change.go
@@ -30,9 +30,9 @@
 	case changelog.Rejected:
 		return nil, result.New(result.VersionConflict, fmt.Sprintf("version %d is current", generation))
 	case changelog.SegmentMissing:
-		return nil, result.New(result.OrderLookedUp, "")
+		return nil, result.New(result.FetchingChanges, "")
 	case changelog.Compacted:
-		return nil, result.New(result.ForgottenOrder, "")
+		return nil, result.New(result.VersionTooOld, "")
 	}
 	if c.Generation <= generation {
 		return nil, result.InField(result.InvalidConfiguration, "generation",
--- a/internal/tier/coordinator/controlapi/retirements.go
+++ b/internal/tier/coordinator/controlapi/retirements.go
@@ -91,7 +91,7 @@
 func writeRetirement(w http.ResponseWriter, found *tierpb.Retirement) {
 	switch {
 	case found == nil:
-		writeError(w, result.RetirementNotKnown)
+		writeError(w, result.RetirementNotFound)
 	case found.Completed:
 		writeJSON(w, retirementBody{State: retirementCompleted})
 	default:
--- a/internal/tier/coordinator/coordinator.go
+++ b/internal/tier/coordinator/coordinator.go
@@ -127,7 +127,7 @@
 
 // openDisk opens the files below dataDir. They determine the identity of this process.
 func openDisk(current *settings.Settings) (opened options, err error) {
-	disk := storage.Local()
+	disk := storage.DefaultDisk()
 	if err := disk.MkdirAll(current.DataDir); err != nil {
 		return options{}, err
 	}
--- a/internal/tier/result/result.go
+++ b/internal/tier/result/result.go
@@ -42,7 +42,7 @@
 	TooFewMachines      Code = 4002
 	InvalidRetirement   Code = 4003
 	RetirementUnderWay  Code = 4004
-	RetirementNotKnown  Code = 4005
+	RetirementNotFound  Code = 4005
 	MachineHasNoRecords Code = 4006
 )
 
@@ -52,13 +52,13 @@
 	NoQuorum          Code = 5001
 	Uncertain         Code = 5002
 	NotReady          Code = 5003
-	ForgottenOrder    Code = 5004
+	VersionTooOld     Code = 5004
 	TooManyChanges    Code = 5005
 	ShuttingDown      Code = 5006
 	StorageFailed     Code = 5007
-	InternalMistake   Code = 5008
+	InternalError     Code = 5008
 	RepeatedConflicts Code = 5009
-	OrderLookedUp     Code = 5015
+	FetchingChanges   Code = 5015
 )
 
 // Description explains a code.
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -45,7 +45,7 @@
 	if relay := os.Getenv(relayVariable); relay != "" {
 		rpc.SetDefaultDialer(soak.Dialer(relay, os.Getenv(selfVariable)))
 		if folder := os.Getenv(diskVariable); folder != "" {
-			storage.SetLocal(soak.NewVolatileDisk(folder))
+			storage.SetDefaultDisk(soak.NewVolatileDisk(folder))
 		}
 		os.Exit(int(command.Run(os.Args[1:], os.Stdout, os.Stderr)))
 	}
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -39,12 +39,12 @@
 // defaultDisk is the Disk on which roles keep their state.
 var defaultDisk Disk = OS{}
 
-// Local returns the Disk on which roles keep their state: the machine's file system, or the Disk that a test has set.
-func Local() Disk { return defaultDisk }
+// DefaultDisk returns the Disk on which roles keep their state: the machine's file system, or the Disk that a test has set.
+func DefaultDisk() Disk { return defaultDisk }
 
-// SetLocal makes roles keep their state on another Disk. Tests of whole processes use it to discard unsynced data and to
+// SetDefaultDisk makes roles keep their state on another Disk. Tests of whole processes use it to discard unsynced data and to
 // inject disk faults. It must be called before any role runs.
-func SetLocal(disk Disk) { defaultDisk = disk }
+func SetDefaultDisk(disk Disk) { defaultDisk = disk }
 
 // OS implements Disk with the file system of the machine.
 type OS struct{}
--- a/internal/tier/turnstore/run.go
+++ b/internal/tier/turnstore/run.go
@@ -57,7 +57,7 @@
 // openStore opens the store and sets node, the description of this node.
 func (r *role) openStore(current *settings.Settings) error {
 	store, err := Open(Options{
-		Disk:              storage.Local(),
+		Disk:              storage.DefaultDisk(),
 		Folder:            current.DataDir,
 		Now:               time.Now,
 		After:             time.After,
