--- a/internal/gatherer/mem/cluster/list.go
+++ b/internal/gatherer/mem/cluster/list.go
@@ -114,13 +114,13 @@
 func (st *State) NeedsSubscription() bool { return st.Settings.Polling && !st.Subscribed }
 
 // Prune bounds the memory of a long-lived process. It drops unlisted servers and fingerprints without activity since
-// unused, and the counts of received queries from before received.
-func (st *State) Prune(unused, received time.Duration) {
-	st.Received.SumSince(received)
-	maps.DeleteFunc(st.Poisoned, func(_ uint64, at time.Duration) bool { return at < unused })
+// unusedSince, and the counts of queries received before receivedFrom.
+func (st *State) Prune(unusedSince, receivedFrom time.Duration) {
+	st.Received.SumSince(receivedFrom)
+	maps.DeleteFunc(st.Poisoned, func(_ uint64, at time.Duration) bool { return at < unusedSince })
 	st.SortedServers = slices.DeleteFunc(st.SortedServers, func(s *Server) bool {
 		old := !s.Listed && len(s.InFlight) == 0 && len(s.Queue) == 0 &&
-			s.LatencyAt < unused && s.CrashedAt < unused && s.ListedAt < unused
+			s.LatencyAt < unusedSince && s.CrashedAt < unusedSince && s.ListedAt < unusedSince
 		if old {
 			delete(st.Servers, s.ID)
 		}
--- a/internal/gatherer/mem/cluster/records.go
+++ b/internal/gatherer/mem/cluster/records.go
@@ -15,20 +15,20 @@
 }
 
 // Survey updates the median of the servers' latencies, and returns the total nominal capacity of the listed servers
-// that are warm.
-func (st *State) Survey(warm func(*Server) bool) (size float64) {
+// that are past their slow start.
+func (st *State) Survey(pastSlowStart func(*Server) bool) (capacity float64) {
 	lats := st.LatencyScratch[:0]
 	for _, s := range st.SortedServers {
 		s.CDFValid = false
 		if s.Latency > 0 {
 			lats = append(lats, s.Latency)
 		}
-		if s.Listed && warm(s) {
-			size += s.Nominal
+		if s.Listed && pastSlowStart(s) {
+			capacity += s.Nominal
 		}
 	}
 	st.LatencyScratch, st.ServerMedian = lats, curve.Median(lats)
-	return size
+	return capacity
 }
 
 // Records returns what has been learned about the servers, as of the last step.
@@ -75,8 +75,8 @@
 	st.PoolChanged, st.SurveyedAt = true, -1
 }
 
-// CDF returns the cumulative latency distribution of a server, blended with that of all servers, which counts the less
-// the more answers the server has given. It also updates the server's MaxAge.
+// CDF returns the cumulative latency distribution of a server, blended with that of all servers, whose weight decreases
+// with the number of answers that the server has given. It also updates the server's MaxAge.
 func (st *State) CDF(s *Server) []float64 {
 	if st.Pool.Total == 0 {
 		s.MaxAge = st.PoolTail
@@ -120,7 +120,7 @@
 	return st.Pool.Quantile(st.CDFProduct, tail)
 }
 
-// SecondStepTail returns the same for the second step. The subqueries of a phased query's second step go to servers
+// SecondStepTail returns the same percentile of the latency of the second step's fan-out. The subqueries of a phased query's second step go to servers
 // that answered the first; for the others the distribution of all servers is used.
 func (st *State) SecondStepTail(q *Query, tail float64) float64 {
 	remaining := max(q.Fetch, 1)
--- a/internal/gatherer/mem/cluster/server.go
+++ b/internal/gatherer/mem/cluster/server.go
@@ -40,7 +40,7 @@
 	FailureRate   float64          // smoothed failure rate, 0 to 1
 	FailureRateAt time.Duration    // when FailureRate last changed
 	FailedAt      time.Duration    // when an attempt last failed
-	Failing       bool             // as last logged
+	Failing       bool             // whether it is failing, as last logged
 	ErrorLatency  float64          // smoothed latency of its errors in seconds; 0 for none
 	ErrorRate     float64          // smoothed fraction of errors among its answers
 	Cap           float64          // concurrency cap: how many subqueries of this scheduler may be in flight
@@ -55,12 +55,12 @@
 	CrashedAt      time.Duration // when it was last seen to have crashed; 0 for never
 	BackoffUntil   time.Duration // after it rejected a subquery: it is sent nothing until then
 	ResetAt        time.Duration // when a connection to it last broke with a subquery in flight
-	SlowStartFrom  time.Duration // when it was last seen to restart; 0 for never
+	SlowStartFrom  time.Duration // when a connection to it last failed, after which it may restart; 0 for never
 	InReserve      bool          // not in this scheduler's subset
 
-	Choice   uint64 // number of the choice that Cover and Eligible belong to
-	Cover    int    // how many subqueries of that choice it could take in one call
-	Eligible bool   // whether it accepts subqueries at all
+	SelectionSeq uint64 // SelectionSeq of the State when BatchSize and Eligible were computed
+	BatchSize    int    // how many of the subqueries it could take in one call
+	Eligible     bool   // whether it accepts subqueries at all
 }
 
 // LatencyNow returns the server's smoothed latency in seconds, decayed towards the median with the half-life.
@@ -79,13 +79,13 @@
 	s.ErrorRate += rateWeight * (1 - s.ErrorRate)
 }
 
-// RecordOutcome records whether the outcome of an attempt in the zone was slow. One that was not resets the count if it
-// proves that the network path works.
-func (z *Zone) RecordOutcome(slow, proves bool) {
+// RecordOutcome counts consecutive slow outcomes of attempts in the zone. An outcome that is not slow resets SlowOutcomes
+// if it shows that the network path works (pathWorks).
+func (z *Zone) RecordOutcome(slow, pathWorks bool) {
 	switch {
 	case slow:
 		z.SlowOutcomes++
-	case proves:
+	case pathWorks:
 		z.SlowOutcomes = 0
 	}
 }
@@ -95,8 +95,8 @@
 	s.InFlight = slices.DeleteFunc(s.InFlight, func(x *Attempt) bool { return x == a })
 }
 
-// Unsent returns a subquery of the query that is in the server's queue and has had no attempt, or nil.
-func (s *Server) Unsent(q *Query) *Subquery {
+// FindUnsent returns a subquery of q that is queued at the server and has not been attempted, nil if there is none.
+func (s *Server) FindUnsent(q *Query) *Subquery {
 	for _, sub := range s.Queue {
 		if sub.Parent == q && len(sub.Attempts) == 0 {
 			return sub
@@ -105,13 +105,13 @@
 	return nil
 }
 
-// CountOverdue sets OverdueAttempts of each zone to the number of attempts in flight that were sent before from.
-func (st *State) CountOverdue(from time.Duration) {
+// CountOverdue sets OverdueAttempts of each zone to the number of attempts in flight that were sent before cutoff.
+func (st *State) CountOverdue(cutoff time.Duration) {
 	for i := range st.Zones {
 		st.Zones[i].OverdueAttempts = 0
 	}
 	for _, s := range st.SortedServers {
-		for i := 0; i < len(s.InFlight) && s.InFlight[i].SentAt < from; i++ {
+		for i := 0; i < len(s.InFlight) && s.InFlight[i].SentAt < cutoff; i++ {
 			st.Zones[s.Zone].OverdueAttempts++
 		}
 	}
--- a/internal/gatherer/mem/cluster/state.go
+++ b/internal/gatherer/mem/cluster/state.go
@@ -31,9 +31,9 @@
 	Replicas      [][]*Server // by first cell of a shard, the listed servers that hold the shard, sorted by ID
 	Turn          uint64      // number of the last turn in the rotation among replicas
 
-	Candidates     []*Server    // candidates of the current choice of a replica
-	Choice         uint64       // number of that choice
-	SingleSubquery [1]*Subquery // scratch space for the choice for a single subquery
+	Candidates     []*Server    // candidates of the current selection of a replica
+	SelectionSeq   uint64       // sequence number of the current selection of a replica
+	SingleSubquery [1]*Subquery // scratch space for the selection for a single subquery
 	CDFProduct     []float64    // scratch space for a product of CDFs
 	LatencyScratch []float64    // scratch space for the latencies of all servers
 
@@ -47,7 +47,7 @@
 	PoolTail     float64          // tail percentile of Pool in seconds
 	ServerMedian float64          // median of the servers' smoothed latencies in seconds
 	Baseline     float64          // the median of Pool, but slow to rise, in seconds
-	ServerRate   float64          // subqueries per second that a warm server of nominal capacity 1 answers this scheduler
+	ServerRate   float64          // subqueries per second answered for this scheduler by a server of nominal capacity 1 past its slow start
 
 	Stalled             bool          // whether this step comes long after it was due
 	WakeAt, NextSweepAt time.Duration // the last WakeAt, and when the next sweep is due
@@ -63,7 +63,7 @@
 	Decided, Missed curve.SlidingSum // subqueries known to have met or missed their deadline; those that missed it
 	ShedFraction    float64          // fraction of queries to reject
 	ShedFractionAt  time.Duration    // when that was computed
-	Shedding        bool             // as last logged
+	Shedding        bool             // whether load is being shed, as last logged
 	ExcessLatency   float64          // smoothed excess of healthy servers' latencies over Baseline, in seconds
 	ExcessLatencyAt time.Duration    // when that last changed
 	CostPerValue    float64          // smoothed number of subqueries per value of a query
@@ -74,7 +74,7 @@
 	Subscribed  bool          // whether the server list is subscribed to
 	PollAt      time.Duration // when the next call for the server list is due, if it has to be polled
 	PollBackoff time.Duration // back-off after the last failed call
-	ListFailing bool          // as last logged
+	ListFailing bool          // whether calls for the server list fail, as last logged
 }
 
 // Tuning holds the constants of package policy that the state depends on.
--- a/internal/gatherer/mem/inflight.go
+++ b/internal/gatherer/mem/inflight.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// nameRetention is how long the name of an ended query stays in use. Another query of the same name that was sent while
-// the first was in flight may arrive just after its end, when lot stores may still execute subqueries of the first.
+// nameRetention is how long the name of a query stays reserved after the query has ended. Lot stores identify subqueries
+// by the name of their query, and may still execute some of the ended query when another of the same name arrives, so the
+// name must not be reused at once.
 const nameRetention = time.Second
 
 // InFlight is the table of queries and subqueries in flight, and of the names of queries. It is not safe for concurrent
--- a/internal/shared/tailguard/tailguard.go
+++ b/internal/shared/tailguard/tailguard.go
@@ -27,9 +27,9 @@
 	return a.Seq < b.Seq
 }
 
-// QueueingDeadline returns the deadline by which a request must leave the queue: the end of its latency target minus the tail latency
-// of unloaded servers, in seconds. At most a share of the remaining time is subtracted. NoBudget is true if the deadline is
-// not after now.
+// QueueingDeadline returns the deadline by which a request must leave the queue: targetAt, the end of its latency target,
+// minus tail, the tail latency of unloaded servers in seconds. The tail latency subtracted is capped at share of the time
+// that remains until targetAt. NoBudget is true if the deadline is not after now.
 func QueueingDeadline(now, targetAt time.Duration, tail, share float64) (deadline time.Duration, noBudget bool) {
 	tail = min(tail, share*max(targetAt-now, 0).Seconds())
 	deadline = targetAt - time.Duration(tail*float64(time.Second))
@@ -40,17 +40,17 @@
 // response time and a baseline.
 type LimitRule struct {
 	Min, Max             float64 // bounds of the limit
-	RiseBelow, FallAbove float64 // multiples of the baseline: below the first the limit rises, above the second it falls
-	FallFactor           float64 // factor by which the limit falls, at most once per response time
+	RiseBelow, FallAbove float64 // ratios of response time to baseline below which the limit rises and above which it falls
+	FallFactor           float64 // what the limit is multiplied by when it falls, at most once per response time
 }
 
 // Next returns the limit after a response, and when the limit last fell. Latency is the server's smoothed response time and
-// base its baseline, both in seconds.
-func (r LimitRule) Next(limit float64, fellAt, now time.Duration, latency, base float64) (float64, time.Duration) {
+// baseline the one that it is compared with, both in seconds.
+func (r LimitRule) Next(limit float64, fellAt, now time.Duration, latency, baseline float64) (float64, time.Duration) {
 	switch {
-	case latency < r.RiseBelow*base:
+	case latency < r.RiseBelow*baseline:
 		limit = min(limit+1/limit, r.Max)
-	case latency > r.FallAbove*base && (now-fellAt).Seconds() > latency:
+	case latency > r.FallAbove*baseline && (now-fellAt).Seconds() > latency:
 		limit, fellAt = max(limit*r.FallFactor, r.Min), now
 	}
 	return limit, fellAt
@@ -60,19 +60,19 @@
 // deadline.
 type SheddingRule struct {
 	MissRateThreshold float64 // miss rate above which requests are shed
-	MinMisses         float64 // least number of misses that count as evidence
-	Gain              float64 // share to shed per unit of the miss rate above that
+	MinMisses         float64 // with fewer misses, the share to shed only falls
+	Gain              float64 // share to shed per unit of the miss rate above MissRateThreshold
 	FallPerSecond     float64 // largest decrease of the share to shed per second
 }
 
-// Next returns the share of requests to shed. Refused is the last share and since the time since it was computed. Decided is
-// the number of requests known to have met or missed their deadline, and missed the number of those that missed it.
-func (r SheddingRule) Next(refused float64, since time.Duration, missed, decided float64) float64 {
+// Next returns the share of requests to shed. Previous is the result of the last call, and elapsed the time since that call.
+// Total is the number of requests known to have met or missed their deadline, and missed the number of those that missed it.
+func (r SheddingRule) Next(previous float64, elapsed time.Duration, missed, total float64) float64 {
 	target := 0.0
 	if missed >= r.MinMisses {
-		target = min(max(r.Gain*(missed/decided-r.MissRateThreshold), 0), 1)
+		target = min(max(r.Gain*(missed/total-r.MissRateThreshold), 0), 1)
 	}
-	return max(target, refused-r.FallPerSecond*since.Seconds())
+	return max(target, previous-r.FallPerSecond*elapsed.Seconds())
 }
 
 // FailureRule is the exponential smoothing of a server's failure rate.
@@ -82,18 +82,19 @@
 }
 
 // Next returns the failure rate after another outcome. Weight scales the effect of a failure.
-func (r FailureRule) Next(failing float64, ok bool, weight float64) float64 {
+func (r FailureRule) Next(failureRate float64, ok bool, weight float64) float64 {
 	if ok {
-		return failing - r.SuccessStep*failing
+		return failureRate - r.SuccessStep*failureRate
 	}
-	return failing + r.FailureStep*weight*(1-failing)
+	return failureRate + r.FailureStep*weight*(1-failureRate)
 }
 
-// Weight returns the weight of a server: 1 if it is healthy and warm, and less if it fails, is slow or is in slow start. Slow
-// is its response time as a multiple of the longest that is not slow, and slowStart the share of its capacity that it has.
-func Weight(failureRate, slow, slowStart float64) float64 {
+// Weight returns the weight of a server: 1 if it is healthy and past its slow start, and less if it fails, is slow or is in
+// slow start. Slow is its response time divided by the longest tolerated one; a ratio below 1 has no effect. SlowStartShare
+// is the result of the function of that name.
+func Weight(failureRate, slow, slowStartShare float64) float64 {
 	successRate := 1 - failureRate
-	return successRate * successRate * successRate / max(slow*slow, 1) * slowStart
+	return successRate * successRate * successRate / max(slow*slow, 1) * slowStartShare
 }
 
 // SlowStartShare returns the share of its capacity that a server has at the given age. It grows linearly from first, at age
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -24,17 +24,17 @@
 	}
 	for len(pending) > 0 {
 		first := pending[0].Preferred
-		s, cover := sc.chooseReplica(pending)
+		s, size := sc.chooseReplica(pending)
 		if s == nil { // no replica accepts subqueries now; the next sweep tries again
 			pending = pending[1:]
 			continue
 		}
 		sc.Turn, s.LastTurn = sc.Turn+1, sc.Turn+1
 		pending = slices.DeleteFunc(pending, func(sub *cluster.Subquery) bool {
-			taken := cover > 0 && sc.Serves(s, sub.Shard) && !cluster.InFlightAt(sub, s) && sub.Preferred == first
+			taken := size > 0 && sc.Serves(s, sub.Shard) && !cluster.InFlightAt(sub, s) && sub.Preferred == first
 			if taken {
 				s.Enqueue(sub)
-				cover--
+				size--
 			}
 			return taken
 		})
@@ -42,19 +42,19 @@
 }
 
 // chooseReplica returns the replica of the best tier for the first subquery, and how many of the
-// subqueries it can take in one call. In a tier it prefers the replica that can take most, then the one
-// whose turn it is.
-func (sc *Scheduler) chooseReplica(subs []*cluster.Subquery) (best *cluster.Server, cover int) {
+// subqueries it can take in one call. Within a tier it prefers the replica that can take most, then the
+// one whose turn it is.
+func (sc *Scheduler) chooseReplica(subs []*cluster.Subquery) (best *cluster.Server, size int) {
 	if sc.Settings.CallCost == 0 {
 		subs = subs[:1]
 	}
 	sc.CollectCandidates(subs, sc.accepts)
 	bestTier, bestWait := 0, 0.0
 	for _, c := range sc.Candidates {
-		if c.ID == subs[0].Preferred && c.Cover > 0 && sc.tier(c, subs[0]) == 0 {
-			return c, c.Cover // it answered the first step, so it has the versions that were ranked
+		if c.ID == subs[0].Preferred && c.BatchSize > 0 && sc.tier(c, subs[0]) == 0 {
+			return c, c.BatchSize // it answered the first step, so it has the versions that were ranked
 		}
-		if c.Cover == 0 || best != nil && c.Cover < cover && bestTier == 0 {
+		if c.BatchSize == 0 || best != nil && c.BatchSize < size && bestTier == 0 {
 			continue
 		}
 		tier, wait := sc.tier(c, subs[0]), (float64(sc.Turn-c.LastTurn)+c.TieBreak)*sc.turnWeight(c)
@@ -62,11 +62,11 @@
 			wait = 1 / sc.expectedLatency(c)
 		}
 		if best == nil || tier < bestTier ||
-			tier == bestTier && (c.Cover > cover || c.Cover == cover && wait > bestWait) {
-			best, cover, bestTier, bestWait = c, c.Cover, tier, wait
+			tier == bestTier && (c.BatchSize > size || c.BatchSize == size && wait > bestWait) {
+			best, size, bestTier, bestWait = c, c.BatchSize, tier, wait
 		}
 	}
-	return sc.preferFastErrors(best, cover, subs[0])
+	return sc.preferFastErrors(best, size, subs[0])
 }
 
 // preferFastErrors replaces the chosen server by one that fails fast on some subqueries if retrying there
@@ -74,23 +74,23 @@
 // would get the load of all. This applies neither to the last attempt of a subquery nor where a retry
 // budget is configured.
 func (sc *Scheduler) preferFastErrors(
-	best *cluster.Server, cover int, sub *cluster.Subquery,
+	best *cluster.Server, size int, sub *cluster.Subquery,
 ) (*cluster.Server, int) {
 	if best == nil || len(sub.Attempts) > sub.Parent.Spec.MaxAttempts-sub.UsedAttempts-2 ||
 		sc.Settings.Rules.BudgetEnabled {
-		return best, cover
+		return best, size
 	}
 	shortest := sc.expectedLatency(best)
 	for _, c := range sc.Candidates {
 		failsFast := c.ErrorRate > 0 && c.ErrorLatency < fastErrorFraction*sc.PoolMedian
-		if !failsFast || c.Latency == 0 || c.Cover == 0 || len(c.InFlight)+len(c.Queue) >= sc.capacity(c) {
+		if !failsFast || c.Latency == 0 || c.BatchSize == 0 || len(c.InFlight)+len(c.Queue) >= sc.capacity(c) {
 			continue
 		}
 		if expected := c.Latency + c.ErrorLatency*c.ErrorRate/max(1-c.ErrorRate, epsilon); expected < shortest {
-			best, cover, shortest = c, c.Cover, expected
+			best, size, shortest = c, c.BatchSize, expected
 		}
 	}
-	return best, cover
+	return best, size
 }
 
 // tier ranks a replica for a subquery. Replicas of a worse tier are skipped while there is one of a better
@@ -144,8 +144,9 @@
 }
 
 // sendInterval returns the least time in seconds between subqueries that this instance sends to a server
-// in slow start. It is the interval at which a warm server answers this instance, divided by the fraction
-// of its capacity that the server has and by the overload multiple. It is 0 for a warm server.
+// in slow start. It is the interval at which a server past its slow start answers this instance, divided
+// by the fraction of its capacity that the server has and by the overload multiple. It is 0 for a server
+// past its slow start.
 func (sc *Scheduler) sendInterval(s *cluster.Server) float64 {
 	if w := sc.slowStartShare(s); w < 1 {
 		return 1 / (w * sc.ServerRate * s.Nominal * sc.Settings.Rules.OverloadMultiple)
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -86,7 +86,8 @@
 // the tail latency of the fan-out on unloaded servers.
 func (sc *Scheduler) setDeadlines(q *cluster.Query) {
 	targetAt := sc.stepTarget(q)
-	deadline, noBudget := tailguard.QueueingDeadline(sc.Now, targetAt, sc.FanoutTail(q, tailPercentile), maxTailFraction)
+	deadline, noBudget := tailguard.QueueingDeadline(
+		sc.Now, targetAt, sc.FanoutTail(q, tailPercentile), maxTailFraction)
 	for _, sub := range q.Current {
 		sub.Deadline, sub.NoBudget = deadline, noBudget
 		if sub.QueueIndex >= 0 {
@@ -150,11 +151,11 @@
 // fillCall sends other subqueries of the query that are queued for the same server, up to the batch size,
 // so that they share one call.
 func (sc *Scheduler) fillCall(q *cluster.Query, s *cluster.Server) {
-	other := s.Unsent(q)
+	other := s.FindUnsent(q)
 	for n := 1; other != nil && sc.Settings.CallCost > 0 && n < sc.Settings.Batch && sc.sendable(s); n++ {
 		s.Unqueue(other)
 		sc.send(other, s)
-		other = s.Unsent(q)
+		other = s.FindUnsent(q)
 	}
 }
 
