--- a/internal/gatherer/aggs/aggs.go
+++ b/internal/gatherer/aggs/aggs.go
@@ -51,13 +51,13 @@
 	Name  string
 	Kind  Kind
 	Field string
-	// Missing is the value, as JSON, that lots without the field count as. If it is empty, they are left out.
+	// Missing is the JSON value assumed for lots without the field. If it is empty, such lots are skipped.
 	Missing string
 	Subs    []*Node
 
-	Size             int  // buckets of a terms, or hits of a top_hits
-	Shard            int  // shard_size: buckets that a terms asks each range for; 0 for the default
-	OrderByKey       bool // a terms is ordered by key, otherwise by count
+	Size             int  // maximum number of buckets (terms) or hits (top_hits)
+	ShardSize        int  // shard_size: number of buckets requested from each range (terms); 0 for the default
+	OrderByKey       bool // buckets (terms) are ordered by key, otherwise by count
 	Descending       bool
 	MinDocCount      int64 // buckets with fewer lots are left out; -1 if the request does not say
 	Keyed            bool
@@ -72,9 +72,9 @@
 	Filters          []NamedFilter
 	OtherBucketKey   string // key of the bucket of lots that no filter matches; empty if it was not asked for
 	Percentiles      []float64
-	From             int    // hits of a top_hits that are skipped
-	Sort             string // of a top_hits, as JSON; empty for the order by score
-	Source           string // _source of a top_hits, as JSON
+	From             int    // number of hits to skip (top_hits)
+	Sort             string // of the hits (top_hits), as JSON; empty for the order by score
+	Source           string // _source of the hits (top_hits), as JSON
 }
 
 // Span is one range of values in a range or date_range aggregation. Its ends are JSON, or empty where it is open.
--- a/internal/gatherer/aggs/aggs_test.go
+++ b/internal/gatherer/aggs/aggs_test.go
@@ -251,8 +251,9 @@
 	}
 }
 
-// An aggregation that cannot be merged gets an error that names it, and a histogram with too many buckets gets an error as well.
-func TestUnsupportedAggregations(t *testing.T) {
+// Parse rejects unsupported and invalid aggregations with an error that says why, and Merge rejects a histogram with more
+// than MaxBuckets buckets.
+func TestInvalidAggregations(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"a":{"a":{"geo_distance":{}}}}`:                                                                               "not supported here: the aggregation [geo_distance]",
 		`{"a":{"a":{"terms":{"field":"x","order":{"_count":"asc"}}}}}`:                                                  "rarest first",
--- a/internal/gatherer/aggs/kinds.go
+++ b/internal/gatherer/aggs/kinds.go
@@ -50,7 +50,7 @@
 func (p *parser) terms(n *Node, v gjson.Result) *query.Error {
 	n.Size, n.Descending = 10, true
 	e := p.members(n, v, true, map[string]memberParser{"size": p.integer(&n.Size, 1, MaxSize), "min_doc_count": p.minDocs(n),
-		"shard_size": p.integer(&n.Shard, 1, MaxBuckets), "order": func(v gjson.Result) *query.Error {
+		"shard_size": p.integer(&n.ShardSize, 1, MaxBuckets), "order": func(v gjson.Result) *query.Error {
 			if v.IsArray() && len(v.Array()) > 0 { // further entries break ties, for which the bucket key is used here
 				v = v.Array()[0]
 			}
--- a/internal/gatherer/aggs/parse.go
+++ b/internal/gatherer/aggs/parse.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// boundedString returns a parser of strings of at most query.MaxField bytes.
+// boundedString returns a parser of strings of at most query.MaxFieldName bytes.
 func (p *parser) boundedString(to *string) memberParser {
 	return func(v gjson.Result) *query.Error {
 		if v.Type != gjson.String || len(v.Str) > query.MaxFieldName {
--- a/internal/gatherer/aggs/request.go
+++ b/internal/gatherer/aggs/request.go
@@ -20,8 +20,8 @@
 // OpenSearch, so that a term that is rarer in one range than overall is seldom cut off there. A client that wants a smaller
 // error can ask for more by shard_size; less than the size is never requested.
 func (n *Node) RangeSize() int {
-	if n.Shard > 0 {
-		return max(n.Shard, n.Size)
+	if n.ShardSize > 0 {
+		return max(n.ShardSize, n.Size)
 	}
 	return min(n.Size+n.Size/2+extraTerms, MaxBuckets)
 }
--- a/internal/gatherer/query/leaves.go
+++ b/internal/gatherer/query/leaves.go
@@ -61,7 +61,7 @@
 	return q, e
 }
 
-// rangeQuery parses a range query.
+// rangeQuery parses a range query, which has a lower bound, an upper bound or both.
 func (p *parser) rangeQuery(v gjson.Result, _ int) (Query, *Error) {
 	q := Range{}
 	field, body, _, e := p.field(v, "")
@@ -80,7 +80,7 @@
 	return q, e
 }
 
-// ids parses an ids query.
+// ids parses an ids query of at most MaxTerms ids of at most 512 bytes each.
 func (p *parser) ids(v gjson.Result, _ int) (Query, *Error) {
 	q := IDs{}
 	e := p.members(v, &q.Boost, map[string]memberParser{"values": func(v gjson.Result) (e *Error) {
--- a/internal/gatherer/query/members.go
+++ b/internal/gatherer/query/members.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// singleMember returns the key and the value of an object that has exactly one member. What describes that member in errors.
+// singleMember returns the key and the value of an object that has exactly one member, which errors call by the text of what.
 func (p *parser) singleMember(v gjson.Result, what string) (key, value gjson.Result, e *Error) {
 	if !v.IsObject() {
 		return key, value, p.errorAt(v, "not an object, want one with %s", what)
@@ -26,8 +26,8 @@
 	return key, value, nil
 }
 
-// ForEachMember calls read for each member of an object of text, in order, up to the first error. A duplicate name is an error. V
-// must come from an iteration over the parsed text: its Index is the position that errors report.
+// ForEachMember calls read for each member of v, an object within text, in order, up to the first error. A duplicate name is
+// an error. V must come from an iteration over the parsed text, as errors report positions by the Index of its members.
 func ForEachMember(text string, v gjson.Result, read func(key, value gjson.Result) *Error) (e *Error) {
 	seen := map[string]bool{}
 	v.ForEach(func(key, value gjson.Result) bool {
--- a/internal/gatherer/query/query.go
+++ b/internal/gatherer/query/query.go
@@ -47,7 +47,7 @@
 	Boost              float64
 }
 
-// Phrase matches lots that have the terms of the text in sequence, at most Slop positions apart. With Prefix, the last term
+// Phrase matches lots that have the terms of the text in order, at most Slop positions apart. With Prefix, the last term
 // is matched as a prefix.
 type Phrase struct {
 	Field  string
@@ -273,8 +273,8 @@
 	return string(append(b, ']'))
 }
 
-// ScoringClauses returns the canonical forms of the queries whose scores add up to a lot's score. It returns nil for a Bool with a
-// boost, whose score is not such a sum.
+// ScoringClauses returns the canonical forms of the queries whose scores add up to a lot's score. It returns nil for a Bool
+// with a boost, whose score is not such a sum.
 func ScoringClauses(q Query) (clauses []string) {
 	b, ok := q.(Bool)
 	if !ok {
@@ -295,8 +295,8 @@
 	return !ok
 }
 
-// TimeDependent reports whether what a query matches depends on the current time, as the bounds of a range do that start
-// with now.
+// TimeDependent reports whether the lots that a query matches depend on the current time, as with a range that has a bound
+// starting with now.
 func TimeDependent(q Query) bool {
 	switch q := q.(type) {
 	case Range:
--- a/internal/gatherer/query/querystring.go
+++ b/internal/gatherer/query/querystring.go
@@ -12,7 +12,7 @@
 // MaxQueryString is the longest query string accepted, in bytes.
 const MaxQueryString = 4 << 10
 
-// The grammar of query strings, from the loosest binding to the tightest: clauses in sequence, OR, AND, signs, then the value
+// The grammar of query strings, from the loosest binding to the tightest: adjacent clauses, OR, AND, signs, then the value
 // of a field. The parser's error messages, which clients receive, contain the names of these types. An example:
 //
 //	make:deere AND year:[2015 TO *] -title:"for parts"^2 (cab OR gps~1)
@@ -69,8 +69,8 @@
 		{Name: "Punct", Pattern: `[():^~!+\-\[\]{}]`},
 	})))
 
-// ParseQueryString parses a query string. Words without a field are searched in defaultField, or in every field if that is empty. With
-// requireAll, words in sequence must all match; else any of them is enough.
+// ParseQueryString parses a query string. Words without a field are searched in defaultField, or in every field if that is
+// empty. With requireAll, adjacent words must all match; else any of them is enough.
 func ParseQueryString(text, defaultField string, requireAll bool) (Query, *Error) {
 	if len(text) > MaxQueryString {
 		return nil, At(text, MaxQueryString, "longer than %d bytes", MaxQueryString)
@@ -99,7 +99,7 @@
 		return nil, At(text, 0, "%v", err)
 	}
 	s := queryStringConverter{text: text, defaultField: defaultField, requireAll: requireAll}
-	q, e := s.row(row, defaultField)
+	q, e := s.sequence(row, defaultField)
 	if e == nil && CountQueries(q) > MaxClauses {
 		e = At(text, 0, "more than %d queries", MaxClauses)
 	}
@@ -124,26 +124,28 @@
 	return b
 }
 
-// row converts clauses in sequence.
-func (s *queryStringConverter) row(r *shortRow, field string) (Query, *Error) {
+// sequence converts adjacent clauses, which requireAll combines by AND, else by OR.
+func (s *queryStringConverter) sequence(r *shortRow, field string) (Query, *Error) {
 	b := Bool{}
 	for _, a := range r.Alts {
 		var q Query
 		var e *Error
-		sign := &shortSigned{}
-		if len(a.Conjs) == 1 && len(a.Conjs[0].Signed) == 1 { // a single clause: its sign says how the row uses it
-			sign = a.Conjs[0].Signed[0]
-			q, e = s.value(sign, field)
+		clause := &shortSigned{}
+		// The sign of a single clause selects MustNot, Must or Should below. Joined clauses have no sign in common:
+		// conjunction handles the sign of each.
+		if len(a.Conjs) == 1 && len(a.Conjs[0].Signed) == 1 {
+			clause = a.Conjs[0].Signed[0]
+			q, e = s.value(clause, field)
 		} else {
-			q, e = s.alt(a, field)
+			q, e = s.disjunction(a, field)
 		}
 		if e != nil {
 			return nil, e
 		}
 		switch {
-		case sign.Not:
+		case clause.Not:
 			b.MustNot = append(b.MustNot, q)
-		case sign.Must || s.requireAll:
+		case clause.Must || s.requireAll:
 			b.Must = append(b.Must, q)
 		default:
 			b.Should = append(b.Should, q)
@@ -153,11 +155,11 @@
 	return q, nil
 }
 
-// alt converts clauses joined by OR.
-func (s *queryStringConverter) alt(a *shortAlt, field string) (Query, *Error) {
+// disjunction converts clauses joined by OR.
+func (s *queryStringConverter) disjunction(a *shortAlt, field string) (Query, *Error) {
 	b := Bool{}
 	for _, c := range a.Conjs {
-		q, e := s.conj(c, field)
+		q, e := s.conjunction(c, field)
 		if e != nil {
 			return nil, e
 		}
@@ -167,8 +169,8 @@
 	return q, nil
 }
 
-// conj converts clauses joined by AND.
-func (s *queryStringConverter) conj(c *shortConj, field string) (Query, *Error) {
+// conjunction converts clauses joined by AND.
+func (s *queryStringConverter) conjunction(c *shortConj, field string) (Query, *Error) {
 	b := Bool{}
 	for _, clause := range c.Signed {
 		q, e := s.value(clause, field)
@@ -202,7 +204,7 @@
 	}
 	switch {
 	case clause.Row != nil:
-		q, e := s.row(clause.Row, field)
+		q, e := s.sequence(clause.Row, field)
 		if e != nil || boost == 0 {
 			return q, e
 		}
