--- a/internal/gatherer/mem/cluster/records.go
+++ b/internal/gatherer/mem/cluster/records.go
@@ -120,8 +120,8 @@
 	return st.Pool.Quantile(st.CDFProduct, tail)
 }
 
-// SecondStepTail returns the same percentile of the latency of the second step's fan-out. The subqueries of a phased query's second step go to servers
-// that answered the first; for the others the distribution of all servers is used.
+// SecondStepTail returns a percentile, in seconds, of the latency of the second step's fan-out. The subqueries of a phased
+// query's second step go to servers that answered the first; for the others the distribution of all servers is used.
 func (st *State) SecondStepTail(q *Query, tail float64) float64 {
 	remaining := max(q.Fetch, 1)
 	st.CDFProduct = st.CDFProduct[:0]
--- a/internal/gatherer/mem/cluster/state.go
+++ b/internal/gatherer/mem/cluster/state.go
@@ -47,7 +47,7 @@
 	PoolTail     float64          // tail percentile of Pool in seconds
 	ServerMedian float64          // median of the servers' smoothed latencies in seconds
 	Baseline     float64          // the median of Pool, but slow to rise, in seconds
-	ServerRate   float64          // subqueries per second answered for this scheduler by a server of nominal capacity 1 past its slow start
+	ServerRate   float64          // subqueries per second that a server of nominal capacity 1, past its slow start, answers
 
 	Stalled             bool          // whether this step comes long after it was due
 	WakeAt, NextSweepAt time.Duration // the last WakeAt, and when the next sweep is due
--- a/internal/gatherer/query/members.go
+++ b/internal/gatherer/query/members.go
@@ -8,7 +8,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// singleMember returns the key and the value of an object that has exactly one member, which errors call by the text of what.
+// singleMember returns the key and the value of an object that has exactly one member. Errors describe the expected member
+// by the text what.
 func (p *parser) singleMember(v gjson.Result, what string) (key, value gjson.Result, e *Error) {
 	if !v.IsObject() {
 		return key, value, p.errorAt(v, "not an object, want one with %s", what)
--- a/internal/shared/peek/peek_test.go
+++ b/internal/shared/peek/peek_test.go
@@ -10,7 +10,7 @@
 
 // Unread bytes are reported and left for the reader. A close or reset by the peer and a close by this side are reported
 // as the end of the connection.
-func TestLook(t *testing.T) {
+func TestStatus(t *testing.T) {
 	for name, x := range map[string]struct {
 		do             func(here, there *net.TCPConn)
 		waiting, ended bool
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,7 @@
 )
 
 // A server in slow start is sent no more than this instance's share of its overload limit: here at most half as many
-// subqueries as a warm one.
+// subqueries as one past its slow start.
 func TestSlowStartRate(t *testing.T) {
 	b := newFixture(t, baseSettings(), 0, 1, 2)
 	b.warmUp(60, 50*ms)
@@ -28,7 +28,7 @@
 		n[s.Server]++
 	}
 	if n[3] == 0 || n[3]*2 > n[1] {
-		t.Errorf("%d subqueries sent to the server in slow start and %d to a warm one", n[3], n[1])
+		t.Errorf("%d subqueries sent to the server in slow start and %d to one past it", n[3], n[1])
 	}
 }
 
@@ -42,7 +42,7 @@
 	sendable := func(after time.Duration) bool {
 		b.now = s.Started + after
 		b.step(decision.Wake{})
-		b.sched.ServerRate = 0.5 / 3 // subqueries per second that a warm server answers this instance
+		b.sched.ServerRate = 0.5 / 3 // subqueries per second that a server past its slow start answers this instance
 		return b.sched.sendable(s)
 	}
 	if sendable(time.Second) || sendable(2*time.Second) {
@@ -53,14 +53,14 @@
 	}
 }
 
-// The rate to a server in slow start depends on what warm servers answer, not on what they are sent. Otherwise, while
+// The rate to a server in slow start depends on what the other servers answer, not on what they are sent. Otherwise, while
 // these reject nearly everything, the burst of retries would go to the server in slow start.
 func TestSlowStartInRejectionStorm(t *testing.T) {
 	b := newFixture(t, baseSettings(), 0, 1, 2)
 	b.warmUp(30, 300*ms) // one subquery per second and server
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 3, Cell: 2, State: decision.Ready, Nominal: 1, Started: b.now}}})
 	n, cold := 0, b.sched.Servers[3]
-	for range 300 { // 3 s, in which each warm server is sent a hundred subqueries per second and answers none
+	for range 300 { // 3 s, in which each other server is sent a hundred subqueries per second and answers none
 		for _, s := range []*cluster.Server{b.sched.Servers[1], b.sched.Servers[2]} {
 			p := &cluster.Subquery{}
 			b.sched.AddAttempt(p, s, false)
@@ -73,17 +73,17 @@
 		}
 	}
 	if n > 3 {
-		t.Errorf("%d subqueries sent to the server in slow start in 3 s, in which a warm one answers 3", n)
+		t.Errorf("%d subqueries sent to the server in slow start in 3 s, in which one past it answers 3", n)
 	}
 }
 
-// A young instance measures the rate of warm servers since its start, and a successor continues with the rate that its
-// predecessor measured. Otherwise a server in slow start would be sent hardly anything during the first seconds, and
-// one that warms up only by serving would never warm up.
+// A young instance measures the rate of servers past their slow start since its own start, and a successor continues with
+// the rate that its predecessor measured. Otherwise a server in slow start would be sent hardly anything during the first
+// seconds, and one that warms up only by serving would never warm up.
 func TestSlowStartRateOfYoungInstance(t *testing.T) {
 	set := baseSettings()
 	set.Width, set.Rules.OverloadMultiple, set.Rules.OverloadSpan = 1, 1, time.Second
-	cold := func(b *fixture) int { // subqueries sent within a second to a server in slow start, beside a warm one
+	cold := func(b *fixture) int { // subqueries sent within a second to a server in slow start, beside one that is past it
 		b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
 		k := len(b.sends)
 		b.runSteadyLoad(time.Second)
@@ -116,7 +116,7 @@
 	b := newFixture(t, baseSettings(), 0, 0)
 	b.warmUp(60, 50*ms)
 	b.step(decision.ServerList{Kind: decision.Delta, Servers: []decision.ServerInfo{{ID: 2, Cell: 0, State: decision.Ready, Nominal: 1, Started: b.now}}})
-	b.run(2 * surveyInterval) // updates the rate of warm servers
+	b.run(2 * surveyInterval) // updates the rate of servers past their slow start
 	sched, warm, cold := b.sched, b.sched.Servers[1], b.sched.Servers[2]
 	b.fillCapacity(warm)
 	if b.fillCapacity(cold); sched.tier(cold, &cluster.Subquery{Parent: &cluster.Query{Spec: &sched.Settings.Classes[0]}}) == 2 {
