--- a/internal/tier/admission/doc.go
+++ b/internal/tier/admission/doc.go
@@ -28,9 +28,9 @@
 // # Deadline and order of release
 //
 // A request gets one queueing deadline on arrival: its arrival time plus the route's latency target minus the 99th percentile
-// of the selected store's unloaded response times (tailguard.Stamp). It is sent at once if the selected store has capacity,
-// and joins that store's queue otherwise. Queues are released earliest deadline first, after any requests that had no
-// positive budget left on arrival. A store that has capacity and an empty queue also takes the request with the earliest
+// of the selected store's unloaded response times (tailguard.QueueingDeadline). It is sent at once if the selected store has
+// capacity, and joins that store's queue otherwise. Queues are released earliest deadline first, after any requests that had
+// no positive budget left on arrival. A store that has capacity and an empty queue also takes the request with the earliest
 // deadline from the heads of the other stores' queues. A queued request is rejected (DeadlineUnreachable) once even a median
 // response would arrive after its timeout.
 //
--- a/internal/tier/admission/harness_test.go
+++ b/internal/tier/admission/harness_test.go
@@ -110,7 +110,8 @@
 		Deadline: now.Add(10 * testLatencyTarget), Idempotent: true}
 }
 
-// acquireNow acquires a grant and fails the test unless it is given at once.
+// acquireNow acquires a grant and fails the test unless it is given at once: the context is cancelled before the call, so
+// that a request that would be queued is rejected.
 func (h *harness) acquireNow(r Request) *Grant {
 	h.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/tier/admission/service.go
+++ b/internal/tier/admission/service.go
@@ -36,14 +36,15 @@
 	missedDeadlines curve.SlidingSum // requests that missed their deadline
 	shedShare       float64          // share of new requests to shed
 	shedShareAt     time.Duration
-	levelShares     [levelCount]float64 // smoothed share of each level in the arrivals
+	levelShares     [levelCount]float64 // smoothed share of the arriving requests by shedding level; see levelCount
 }
 
 func newService(name string) *service {
 	return &service{name: name, byInstance: map[string]*store{}, failedStores: map[uint64]failedStore{}}
 }
 
-// class returns the latency class of requests with this latency target and kind of response, which it creates if needed.
+// class returns the latency class for a latency target and for streaming or other responses. It creates the class if there is
+// none.
 func (svc *service) class(target time.Duration, streaming bool) *latencyClass {
 	for _, c := range svc.classes {
 		if c.target == target && c.streaming == streaming {
--- a/internal/tier/proxy/exchange.go
+++ b/internal/tier/proxy/exchange.go
@@ -134,8 +134,8 @@
 	return !x.idempotent() || x.executions+1 >= x.route.MaxAttempts
 }
 
-// sendAllowed reports whether the invariants that must hold before the request is sent to a store do hold. A violation
-// is a bug in this package.
+// sendAllowed checks the invariants that are required before the request is sent to a store, and reports whether they hold. A
+// violation is a bug in this package.
 func (x *exchange) sendAllowed() bool {
 	sentOnce := invariant.Check(x.executions == 0 || x.idempotent(), invariant.SentOnce, x.executions, 0)
 	attempts := max(1, x.route.MaxAttempts)
@@ -230,9 +230,9 @@
 	return response.StatusCode == http.StatusMisdirectedRequest || response.Header[headerNotExecuted] != nil
 }
 
-// isAcceptable reports whether a response may be forwarded to the client. A success must be signed by the store and
-// must not have a content encoding. The statuses 408, 429 and 503 guarantee to the client that the request was not
-// executed, so they are not forwarded from a store that does not give this guarantee.
+// isAcceptable reports whether a response may be forwarded to the client, given that isNotExecuted is false for it. A success
+// must be signed by the store and must not have a content encoding. The statuses 408, 429 and 503 would tell the client that
+// the request was not executed, which the store does not guarantee here, so they are not forwarded.
 func isAcceptable(response *upstream.Response) bool {
 	switch response.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/tier/proxy/server.go
+++ b/internal/tier/proxy/server.go
@@ -159,7 +159,9 @@
 	}
 }
 
-// serverListener is the listener of one http.Server. Accept fails when limits change, while the shared socket stays open.
+// serverListener passes the shared listener to one http.Server. When the limits change, applyLimits sets a past accept
+// deadline: Accept then returns errLimitsChanged, so that this http.Server accepts no more connections and serve creates the
+// next one.
 type serverListener struct{ server *clientServer }
 
 // Accept waits for the next connection.
@@ -178,8 +180,8 @@
 	return connection, nil
 }
 
-// Close does nothing, because the socket outlives the http.Server.
+// Close does nothing, because the shared listener outlives the http.Server.
 func (l *serverListener) Close() error { return nil }
 
-// Addr returns the address of the socket.
+// Addr returns the address of the shared listener.
 func (l *serverListener) Addr() net.Addr { return l.server.listener.Addr() }
--- a/internal/tier/proxy/turn_store_health.go
+++ b/internal/tier/proxy/turn_store_health.go
@@ -10,12 +10,13 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
-// turnStoreHealth records whether the last call that needed a quorum of turn stores reached one. It prevents turns from
-// being executed while they cannot be saved, which would abort their streams at the end. This matters for a retained turn
-// that makes no such call before it is executed. It is safe for concurrent use.
+// turnStoreHealth records whether the last call that needed a quorum of turn stores reached one. With it, checkTurnStores
+// avoids the execution of a retained turn that could not be saved and whose stream would be aborted at the end for this reason.
+// It is safe for concurrent use.
 type turnStoreHealth struct{ suspect atomic.Bool }
 
-// record updates the health by the outcome of a call. It ignores errors that tell nothing about the turn stores.
+// record updates the health from the result of a call: ErrNotFound and ErrExhausted are replies of a quorum, ErrUncertain means
+// that no quorum was reached, and any other error changes nothing.
 func (h *turnStoreHealth) record(err error) {
 	switch {
 	case err == nil, errors.Is(err, turns.ErrNotFound), errors.Is(err, budget.ErrExhausted):
@@ -32,9 +33,9 @@
 	}
 }
 
-// checkTurnStores reports whether a turn may be executed that needs no call to the turn stores beforehand. If the last call
-// reached no quorum, a retained turn first probes the turn stores by reading the turn itself; if that reaches no quorum
-// either, checkTurnStores responds to the client and returns false.
+// checkTurnStores is called for turns that make no other call to the turn stores before they are executed. It reports whether
+// the turn may be executed; otherwise it has responded to the client. If the last call reached no quorum, a retained turn
+// first probes the turn stores by reading the turn itself, and may be executed only if that succeeds or the turn is not found.
 func (x *exchange) checkTurnStores(ctx context.Context) bool {
 	if !x.turn.retained || !x.proxy.turnStoreHealth.suspect.Load() {
 		return true
--- a/internal/tier/upstream/errors.go
+++ b/internal/tier/upstream/errors.go
@@ -10,14 +10,16 @@
 // Reasons of a SendError.
 var (
 	// ErrDial means that no connection was established.
-	ErrDial = eris.New("dial store")
+	ErrDial = eris.New("cannot connect to the store")
 	// ErrTooManyConnections means that the limit of connections to the store is reached.
 	ErrTooManyConnections = eris.New("too many connections to the store")
 	// ErrConnectionLost means that the connection was closed or reset, or that the response was invalid.
 	ErrConnectionLost = eris.New("connection lost")
-	// ErrDeadlineExceeded means that the request's Deadline, or ReadIdleTimeout within the body, passed.
+	// ErrDeadlineExceeded means that the request's Deadline passed, or that no byte of the body arrived for ReadIdleTimeout;
+	// for the head see ErrReadIdleTimeout.
 	ErrDeadlineExceeded = eris.New("deadline exceeded")
-	// ErrReadIdleTimeout means that the head of the response did not arrive within ReadIdleTimeout, before the Deadline.
+	// ErrReadIdleTimeout means that ReadIdleTimeout passed while waiting for the head of the response, and that the Deadline
+	// had not passed yet.
 	ErrReadIdleTimeout = eris.New("read idle timeout")
 	// ErrMismatched means that the response belongs to another request.
 	ErrMismatched = eris.New("mismatched response")
--- a/internal/tier/upstream/head_reader.go
+++ b/internal/tier/upstream/head_reader.go
@@ -5,7 +5,8 @@
 // maxHeadBytes bounds the head of a response, informational responses included.
 const maxHeadBytes = 64 << 10
 
-// headReader reads from the socket of a connection. It limits the number of bytes while the head of a response is read.
+// headReader reads from the socket of a connection. Between limit and unlimit, while the head of a response is read, it limits
+// the number of bytes.
 type headReader struct {
 	socket    net.Conn
 	limited   bool
@@ -15,7 +16,8 @@
 func (r *headReader) limit(bytes int) { r.limited, r.remaining = true, bytes }
 func (r *headReader) unlimit()        { r.limited = false }
 
-// readNothing reports whether no byte was read since limit was called, that is, none of the last head.
+// readNothing reports whether no byte of the newest response head was read. It requires that the head was limited to
+// maxHeadBytes.
 func (r *headReader) readNothing() bool { return r.remaining == maxHeadBytes }
 
 // Read reads from the socket.
--- a/internal/tier/upstream/request_write.go
+++ b/internal/tier/upstream/request_write.go
@@ -17,7 +17,7 @@
 type requestWrite struct {
 	complete   bool          // the whole request was written; set for background writes only; guarded by connection.timeoutMu
 	background bool          // the body is long, and may exceed the receive buffer of the store
-	done       chan struct{} // closed at the end; the fields below must not be read before
+	done       chan struct{} // closed when the write has ended; written and err must not be read before
 	written    int64         // in bytes
 	err        error
 }
--- a/internal/tier/upstream/spliced_response_test.go
+++ b/internal/tier/upstream/spliced_response_test.go
@@ -24,8 +24,9 @@
 func (s *readySocket) SetReadDeadline(time.Time) error  { return nil }
 func (s *readySocket) SetWriteDeadline(time.Time) error { return nil }
 
-// If any prefix of a late response precedes the next response, the result is rejected: no response is accepted that has the
-// status, a header or the body of the late one.
+// A connection may still deliver a part of a late response, that is, a response to an earlier request, ahead of the response to
+// the current request. Send must then return an error, so that the status, a header or the body of the late response never
+// reaches the caller. Only a complete informational response may precede, and is skipped.
 func TestPrefixOfALateResponseInvalidatesTheNextResponse(t *testing.T) {
 	late := []string{
 		"HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: late\r\nX-Not-Executed: 1\r\nContent-Length: 4\r\n\r\nlate",
@@ -43,15 +44,16 @@
 	for _, before := range late {
 		for cut := range len(before) + 1 {
 			for _, next := range own {
-				assertSplicedRejected(t, before, cut, next)
+				checkSplicedResponse(t, before, cut, next)
 			}
 		}
 	}
 }
 
-// assertSplicedRejected reads the first cut bytes of one response followed by another response, and checks that the result is
-// rejected. It is accepted only if nothing precedes the response, or a complete informational response, which is skipped.
-func assertSplicedRejected(t *testing.T, before string, cut int, next string) {
+// checkSplicedResponse sends a request whose connection delivers the first cut bytes of a late response followed by the
+// response to the request. Send must return the response if cut is 0 or the late response is a complete informational one, and
+// an error otherwise.
+func checkSplicedResponse(t *testing.T, before string, cut int, next string) {
 	t.Helper()
 	transport := NewTransport()
 	transport.dial = func(context.Context, string) (net.Conn, error) {
@@ -60,11 +62,12 @@
 	response, err := transport.Send(context.Background(), Store{Instance: "i"}, 0, post("a", "in"))
 	harmless := cut == 0 || cut == len(before) && strings.HasPrefix(before, "HTTP/1.1 103")
 	if err != nil {
-		assert.Assert(t, !harmless, "%q: %v", next, err)
+		assert.Assert(t, !harmless, "rejected valid response %q: %v", next, err)
 		return
 	}
 	body, err := io.ReadAll(response)
 	response.Finish()
-	assert.Check(t, harmless, "%q ahead of %q: %d %v %q %v", before[:cut], next, response.StatusCode, response.Header, body, err)
+	assert.Check(t, harmless, "accepted %q followed by %q: status %d, header %v, body %q, error %v", before[:cut], next,
+		response.StatusCode, response.Header, body, err)
 	assert.Equal(t, string(body), "own")
 }
--- a/internal/tier/upstream/transport.go
+++ b/internal/tier/upstream/transport.go
@@ -97,8 +97,8 @@
 	return newConnection(t, store, socket), nil
 }
 
-// reserve returns an idle connection for a request. If there is none it returns nil, with a connection counted in the pool that
-// the caller has to dial, or to release if that fails.
+// reserve returns an idle connection for a request. If there is none, it returns nil and counts a new connection in the pool:
+// the caller has to dial it, or to call release if that fails.
 func (t *Transport) reserve(store Store, limit int, request *Request) (*connection, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tier/watch/journal.go
+++ b/internal/tier/watch/journal.go
@@ -13,8 +13,7 @@
 	newestRevision map[string]uint64 // by instance id
 }
 
-// compactionSlack is the number of superseded entries, in addition to one per instance, above which a journal is
-// compacted.
+// A journal is compacted when its superseded entries outnumber the instances by more than compactionSlack.
 const compactionSlack = 64
 
 func newJournal() journal { return journal{newestRevision: make(map[string]uint64)} }
--- a/internal/tier/watch/poll.go
+++ b/internal/tier/watch/poll.go
@@ -10,11 +10,12 @@
 
 // Timing of polls.
 const (
-	// DefaultPollWait is how long a source may hold a poll. It bounds how late a watcher notices that a source is dead.
+	// DefaultPollWait is how long a source without updates may wait for one before it replies to a poll. It bounds how late a
+	// watcher notices that a source is dead.
 	DefaultPollWait = 700 * time.Millisecond
-	// pollGrace is how long the reply to a poll may take in addition to the time for which the source may hold it.
+	// pollGrace is how long the reply to a poll may take in addition to the time for which the source may wait.
 	pollGrace = 400 * time.Millisecond
-	// MaxPollDuration is the time-out of a poll that is held for DefaultPollWait.
+	// MaxPollDuration is the time-out of a poll with a wait of DefaultPollWait.
 	MaxPollDuration = DefaultPollWait + pollGrace
 
 	// catchUpTimeout is how long the primary may lag behind another source before the watcher requests full updates
@@ -25,8 +26,8 @@
 	acceptNotReadyAfter = 1500 * time.Millisecond
 )
 
-// poll sends one poll to a source and merges the reply. The first poll of a source is not held, so that a source that does
-// not respond is detected early.
+// poll sends one poll, a long-polling request, to a source and merges the reply. The first poll of a source has a wait of 0, so
+// that the source replies at once and one that does not respond is detected early.
 func (w *Watcher) poll(ctx context.Context, address string, first bool) error {
 	wait := w.options.PollWait
 	if first {
@@ -50,6 +51,8 @@
 		return ErrNotReady
 	}
 	w.markReadySource()
+	// The control state of the reply was not merged if its body is a delta that does not apply to the known body. A
+	// digests-only reply counts as merged once the State has the updates that it names, which the primary sends.
 	merged := w.options.State.Control().GetVersion() >= reply.Control.GetVersion()
 	if request.DigestsOnly {
 		merged = w.awaitPrimary(ctx, reply)
@@ -58,8 +61,8 @@
 	return nil
 }
 
-// updatePosition moves the position in a source past a merged reply. If the reply could not be merged completely, the
-// position stays, and the next poll requests the updates again with the full body.
+// updatePosition advances the position in a source after a merged reply. If the reply could not be merged completely, the
+// cursor stays, and the next request asks for full updates, with the whole body of the configuration instead of a delta.
 func (w *Watcher) updatePosition(address string, request *tierpb.WatchRequest, reply *tierpb.WatchReply, merged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,8 +85,10 @@
 	return w.options.Caller.Call(ctx, address, rpc.MethodWatch, request, reply)
 }
 
-// newRequest returns a request for the updates after the position in a source. The first request to a source also has a
-// summary, because other sources have sent most of the updates since this source was last polled.
+// newRequest returns a request for the updates after the position in a source. It has a summary (digests of the known
+// instances) if it is the first since the watcher began to poll this source, if there is no cursor yet, or if the first
+// snapshot is incomplete: the source then omits what other sources have already sent. A request that compares the lists of
+// instances has a summary as well.
 func (w *Watcher) newRequest(address string, wait time.Duration, first bool) *tierpb.WatchRequest {
 	request := &tierpb.WatchRequest{
 		ControlVersion: w.options.State.Control().GetVersion(), WaitMs: uint32(wait / time.Millisecond),
--- a/internal/tier/watch/position.go
+++ b/internal/tier/watch/position.go
@@ -14,7 +14,7 @@
 	incarnation   uint64 // of the source; 0 before its first reply
 	cursor        uint64 // revision of the source
 	incomplete    bool   // the first snapshot has not been merged in full yet
-	needsFullBody bool   // the last reply could not be merged: the next request must ask for the full body
+	needsFullBody bool   // the last reply was not merged: the next request asks for full updates and the whole configuration body
 
 	recentCursor       uint64 // cursor at recentAt
 	rewindCursor       uint64 // cursor at least rewindWindow before recentAt
--- a/internal/tier/watch/serve.go
+++ b/internal/tier/watch/serve.go
@@ -8,7 +8,8 @@
 	"pulleygw.example/pulleygw/internal/tier/tierpb"
 )
 
-// maxPollWait limits how long a source holds a poll, even if the watcher requests more.
+// maxPollWait limits how long a source holds a poll, that is, waits for updates before it replies, even if the watcher requests
+// more.
 const maxPollWait = 5 * time.Second
 
 // Source answers long polls. State and ReadinessGate implement it.
--- a/internal/tier/watch/summary.go
+++ b/internal/tier/watch/summary.go
@@ -2,8 +2,8 @@
 
 import "pulleygw.example/pulleygw/internal/tier/tierpb"
 
-// summaryBuckets is the number of digests in a summary. A summary takes 256 bytes in a request; with 3,000 instances, one
-// that differs causes a snapshot of a bucket of about 47.
+// summaryBuckets is the number of digests in a summary. A summary takes 256 bytes in a request. With 3,000 instances,
+// a digest that differs causes the instances of one bucket to be sent, about 47.
 const summaryBuckets = 64
 
 // summary holds a digest of the registered instances for each bucket of instance ids. The digest of a bucket is the sum of
