--- a/internal/tier/changelog/segment.go
+++ b/internal/tier/changelog/segment.go
@@ -15,8 +15,9 @@
 	return sum[:DigestSize]
 }
 
-// newSegment encodes consecutive changes as a segment: the If-Match of the first change, and for each change its digest and
-// the difference between its generation and its If-Match. The generation of a change is the If-Match of the next one.
+// newSegment encodes consecutive changes as a segment: First is the generation on which the first change is based, and each
+// change adds its digest to Digests, and to Steps the difference between its generation and the one on which it is based. Each
+// change is based on the generation of the one before, which its IfMatch names.
 func newSegment(committed []*tierpb.CommittedChange) *tierpb.ChangeSegment {
 	segment := &tierpb.ChangeSegment{First: committed[0].IfMatch}
 	for _, change := range committed {
@@ -40,7 +41,7 @@
 	return len(segment.GetDigests()) == len(segment.GetSteps())*DigestSize
 }
 
-// findSegment returns the reference to the segment that would contain a change with this If-Match, nil if the change is older
+// findSegment returns the reference to the segment that would contain a change with this IfMatch, nil if the change is older
 // than all segments.
 func findSegment(refs []*tierpb.ChangeSegmentRef, ifMatch uint64) *tierpb.ChangeSegmentRef {
 	after := sort.Search(len(refs), func(i int) bool { return refs[i].First > ifMatch })
--- a/internal/tier/placement/fence.go
+++ b/internal/tier/placement/fence.go
@@ -14,7 +14,7 @@
 // Errors of a placement change that is rejected.
 var (
 	// ErrLeaseLost means that the lease under which the change was computed is no longer held, or is not granted by a majority
-	// of the voters in force.
+	// of the voters of the value that is being changed.
 	ErrLeaseLost = eris.New("placement: lease lost")
 	// ErrStaleView means that the view from which the change was computed is older than MaxViewAge.
 	ErrStaleView = eris.New("placement: stale view")
@@ -30,7 +30,7 @@
 	Holder uint64 // identity
 }
 
-// TermOf returns the newest term in a state.
+// TermOf returns the term that a state records.
 func TermOf(state *tierpb.ControlState) Term {
 	return Term{Number: state.GetPlacementTerm(), Holder: state.GetPlacementHolder()}
 }
@@ -54,8 +54,8 @@
 	ViewAge time.Duration
 }
 
-// CheckFence decides whether a placement change may follow a value with this term. It returns nil, ErrFenced, ErrLeaseLost
-// or ErrStaleView.
+// CheckFence checks the credentials of a change to a value that records the term current. It returns nil if the change is
+// permitted, otherwise ErrFenced, ErrLeaseLost or ErrStaleView.
 func CheckFence(current Term, credentials Credentials) error {
 	switch {
 	case current != credentials.Term:
--- a/internal/tier/register/acceptor_storage.go
+++ b/internal/tier/register/acceptor_storage.go
@@ -70,8 +70,8 @@
 	return !prepared || !accepted
 }
 
-// writeMissingFiles writes preparedFile and acceptedFile if they do not exist yet, then records in completeFile that they
-// do. From then on a missing file means that it was lost.
+// writeMissingFiles writes preparedFile and acceptedFile if they do not exist yet, then saves the identity to completeFile to
+// mark that both exist. From then on, preparedFile or acceptedFile was lost if it is missing.
 func (a *Acceptor) writeMissingFiles(complete *storage.Series) error {
 	identity := encodeIdentity(a.identity)
 	if written, found := complete.Newest(); found && bytes.Equal(written, identity) {
@@ -122,8 +122,10 @@
 	return nil
 }
 
-// initialize gives the acceptor a new identity. The identity is saved last, because the other files are ignored without
-// it: an interrupted initialization starts over.
+// initialize clears the stored state and saves an identity. With Bootstrap, unless state was lost, it is the initial identity,
+// which is derived from the address, and the acceptor accepts the initial value; otherwise it is a new unique identity, with no
+// value. The identity is saved last, because the other files are ignored without it: an interrupted initialization starts
+// over.
 func (a *Acceptor) initialize(options AcceptorOptions, identity *storage.Series, lost bool) error {
 	a.hasNewIdentity = true
 	for _, series := range []*storage.Series{identity, a.preparedSeries, a.acceptedSeries} {
--- a/internal/tier/register/cluster_test.go
+++ b/internal/tier/register/cluster_test.go
@@ -109,6 +109,7 @@
 	return true
 }
 
+// stopWhen sets a hook that is called at each failpoint. If it returns true, the member stops there.
 func (m *member) stopWhen(stop func(failpoint.Point) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/tier/register/observed.go
+++ b/internal/tier/register/observed.go
@@ -5,7 +5,7 @@
 )
 
 // newestKnownState returns the newest state that this process knows, whose voters are contacted first. It is safe if that
-// state is outdated, because the replies contain the voters in force.
+// state is outdated, because the replies contain the voters of the accepted values.
 func (p *Proposer) newestKnownState() *tierpb.ControlState {
 	if p.options.KnownState != nil {
 		p.observe(p.options.KnownState())
--- a/internal/tier/register/proposer.go
+++ b/internal/tier/register/proposer.go
@@ -31,7 +31,7 @@
 	defaultCallTimeout  = 500 * time.Millisecond
 	initialBackoff      = 15 * time.Millisecond
 	maxBackoff          = 250 * time.Millisecond
-	maxPreemptedBackoff = time.Second // bounds the backoff that follows the duration of a preempted attempt
+	maxPreemptedBackoff = time.Second // bounds the backoff after a preempted attempt, which is up to the attempt's duration
 	maxBackoffDoublings = 8           // keeps the shift of initialBackoff from overflowing
 )
 
--- a/internal/tier/register/reconfigure.go
+++ b/internal/tier/register/reconfigure.go
@@ -23,12 +23,12 @@
 	})
 }
 
-// Reconfigure applies a change that also replaces the voters: first the old and the new voter set are both in force, then
-// only the new one. The new set must contain a majority of the old one, so that a choice that is based on outdated
-// knowledge cannot bring dead voters back; otherwise the error is ErrUnsafeVoterChange. A reconfiguration that another
-// proposer has left incomplete is completed first, so the change function always gets a single voter set. If it leaves
-// that set unchanged or returns an error, the value does not change. After a failure between the two steps any proposer
-// may call LeaveJoint to complete the reconfiguration.
+// Reconfigure applies a change that also replaces the voters, in two steps: first it commits a joint value with the old and the
+// new voter set, then a value with only the new set. The new set must contain a majority of the old one, so that a change that
+// was computed from an outdated state cannot bring dead voters back; otherwise the error is ErrUnsafeVoterChange. A
+// reconfiguration that another proposer has left incomplete is completed first, so the change function always gets a single
+// voter set. If it leaves that set unchanged or returns an error, the value does not change. After a failure between the two
+// steps any proposer may call LeaveJoint to complete the reconfiguration.
 func Reconfigure(ctx context.Context, proposer *Proposer, change ChangeFunc) (*tierpb.ControlState, error) {
 	if _, err := LeaveJoint(ctx, proposer); err != nil {
 		return nil, err
--- a/internal/tier/register/reconfigure_test.go
+++ b/internal/tier/register/reconfigure_test.go
@@ -63,12 +63,14 @@
 func TestUnsafeChangesOfVotersAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newReliableCluster(t, 3, 6)
-		foreign := &tierpb.VoterSet{Nodes: []*tierpb.Node{c.members[3].node(), c.members[4].node(), c.members[0].node()}}
+		majorityReplaced := &tierpb.VoterSet{Nodes: []*tierpb.Node{c.members[3].node(), c.members[4].node(), c.members[0].node()}}
 		steps := map[string]func(*tierpb.ControlState){
-			"in one step":       func(state *tierpb.ControlState) { state.Voters = []*tierpb.VoterSet{foreign} },
-			"majority replaced": func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign) },
-			"three sets":        func(state *tierpb.ControlState) { state.Voters = append(state.Voters, foreign, foreign) },
-			"no voters":         func(state *tierpb.ControlState) { state.Voters = nil },
+			"without joint configuration":                func(state *tierpb.ControlState) { state.Voters = []*tierpb.VoterSet{majorityReplaced} },
+			"joint configuration with majority replaced": func(state *tierpb.ControlState) { state.Voters = append(state.Voters, majorityReplaced) },
+			"three voter sets": func(state *tierpb.ControlState) {
+				state.Voters = append(state.Voters, majorityReplaced, majorityReplaced)
+			},
+			"no voters": func(state *tierpb.ControlState) { state.Voters = nil },
 		}
 		for name, step := range steps {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -83,13 +85,16 @@
 	})
 }
 
-// TestOldVotersAreDroppedOnlyOnceTheJointValueIsChosen: the value with the old and the new voters reaches only one acceptor.
-// If a proposer dropped the old voters on the basis of that value, two new and two old voters could each choose a
-// different change.
+// TestOldVotersAreDroppedOnlyOnceTheJointValueIsChosen: the joint value, with the old and the new voters, is accepted by only
+// one acceptor and so is not chosen. If LeaveJoint dropped the old voters on the basis of that value, a majority of the new
+// voters (first and newVoter) and a majority of the old ones (second and third) could choose different changes.
 func TestOldVotersAreDroppedOnlyOnceTheJointValueIsChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newReliableCluster(t, 3, 6)
 		first, second, third, newVoter := c.members[0], c.members[1], c.members[2], c.members[3]
+		// acceptsReachOnlyFirst lets the accept requests of a proposer reach only first. It uses the failpoint hook, without
+		// stopping the proposer, to cut the links to second and newVoter while accepts are sent, and the link to third for
+		// good.
 		acceptsReachOnlyFirst := func(proposer *member) {
 			proposer.stopWhen(func(point failpoint.Point) bool {
 				for _, m := range []*member{second, newVoter} {
--- a/internal/tier/replica/call_quorum.go
+++ b/internal/tier/replica/call_quorum.go
@@ -56,7 +56,7 @@
 		acked:     make(identities),
 	}
 	err := call.run(ctx)
-	return Outcome{TopRanked: err == nil && call.changes == 0 && call.tracker.isTopRanked(call.acked)}, err
+	return Outcome{TopRanked: err == nil && call.changes == 0 && call.tracker.topRankedAcked(call.acked)}, err
 }
 
 // response is the result of a call to one member.
@@ -86,7 +86,7 @@
 func (q *quorumCall[R]) run(ctx context.Context) error {
 	for {
 		q.refreshMembership()
-		if q.tracker.complete(q.acked) {
+		if q.tracker.isReached(q.acked) {
 			return nil
 		}
 		done, err := q.attempt(ctx)
@@ -177,7 +177,7 @@
 		if q.tracker.allHaveQuorum(expected) {
 			return
 		}
-		if expected[member.Identity] || q.called[member.Identity] || !q.tracker.isUseful(member, expected) {
+		if expected[member.Identity] || q.called[member.Identity] || !q.tracker.isNeeded(member, expected) {
 			continue
 		}
 		expected[member.Identity] = true
@@ -188,7 +188,7 @@
 // callRemaining calls the candidates that have not been called and could still contribute to a quorum.
 func (q *quorumCall[R]) callRemaining(ctx context.Context) {
 	for _, member := range q.candidates {
-		if !q.called[member.Identity] && !q.acked[member.Identity] && q.tracker.isUseful(member, q.acked) {
+		if !q.called[member.Identity] && !q.acked[member.Identity] && q.tracker.isNeeded(member, q.acked) {
 			q.start(ctx, member)
 		}
 	}
@@ -235,7 +235,7 @@
 		return resultSucceeded
 	}
 	q.acked[got.member.Identity] = true
-	if q.tracker.complete(q.acked) {
+	if q.tracker.isReached(q.acked) {
 		return resultSucceeded
 	}
 	return resultAcked
--- a/internal/tier/replica/quorum.go
+++ b/internal/tier/replica/quorum.go
@@ -39,7 +39,8 @@
 	return count >= t.required(set)
 }
 
-// allHaveQuorum reports whether each set has a quorum among the members that have acknowledged.
+// allHaveQuorum reports whether each set has a quorum among the members that have acknowledged. It is true if there are no
+// sets.
 func (t *quorumTracker) allHaveQuorum(acked identities) bool {
 	for _, set := range t.sets {
 		if !t.hasQuorum(set, acked) {
@@ -49,13 +50,14 @@
 	return true
 }
 
-// complete reports whether there is at least one replica set and each of them has a quorum.
-func (t *quorumTracker) complete(acked identities) bool {
+// isReached reports whether at least one replica set is known and each has a quorum.
+func (t *quorumTracker) isReached(acked identities) bool {
 	return len(t.sets) > 0 && t.allHaveQuorum(acked)
 }
 
-// isUseful reports whether a member is in a set that has no quorum yet.
-func (t *quorumTracker) isUseful(member *tierpb.Node, acked identities) bool {
+// isNeeded reports whether an acknowledgement of the member could still contribute to a quorum: it is in a set that has none
+// yet.
+func (t *quorumTracker) isNeeded(member *tierpb.Node, acked identities) bool {
 	for _, set := range t.sets {
 		if Contains(set, member.Identity) && !t.hasQuorum(set, acked) {
 			return true
@@ -64,9 +66,9 @@
 	return false
 }
 
-// isTopRanked reports whether there is a single set and its highest-ranked members, as many as a quorum needs, have all
-// acknowledged.
-func (t *quorumTracker) isTopRanked(acked identities) bool {
+// topRankedAcked reports whether there is a single set and its first members, as many as a quorum needs, have all acknowledged.
+// A set is sorted by rank, with the highest first.
+func (t *quorumTracker) topRankedAcked(acked identities) bool {
 	if len(t.sets) != 1 {
 		return false
 	}
--- a/internal/tier/replica/quorum_test.go
+++ b/internal/tier/replica/quorum_test.go
@@ -23,22 +23,22 @@
 	nodes := testNodes(6, 3)
 	tracker := &quorumTracker{sets: [][]*tierpb.Node{nodes[:3], nodes[3:]}, tolerance: 1, quorum: WriteQuorum}
 	acked := identities{nodes[0].Identity: true, nodes[1].Identity: true, nodes[3].Identity: true}
-	assert.Assert(t, !tracker.complete(acked))
-	assert.Assert(t, !tracker.isUseful(nodes[2], acked), "its set already has a quorum")
-	assert.Assert(t, tracker.isUseful(nodes[5], acked))
+	assert.Assert(t, !tracker.isReached(acked))
+	assert.Assert(t, !tracker.isNeeded(nodes[2], acked), "its set already has a quorum")
+	assert.Assert(t, tracker.isNeeded(nodes[5], acked))
 	acked[nodes[5].Identity] = true
-	assert.Assert(t, tracker.complete(acked))
-	assert.Assert(t, !tracker.isTopRanked(acked), "there are two sets")
+	assert.Assert(t, tracker.isReached(acked))
+	assert.Assert(t, !tracker.topRankedAcked(acked), "there are two sets")
 }
 
 func TestTrackerWithoutMembershipIsIncomplete(t *testing.T) {
 	tracker := &quorumTracker{tolerance: 1, quorum: WriteQuorum}
-	assert.Assert(t, !tracker.complete(identities{}))
+	assert.Assert(t, !tracker.isReached(identities{}))
 }
 
 func TestQuorumIsTopRankedOnlyWithTheMembersOfTheHighestRank(t *testing.T) {
 	nodes := testNodes(3, 3)
 	tracker := &quorumTracker{sets: [][]*tierpb.Node{nodes}, tolerance: 1, quorum: WriteQuorum}
-	assert.Assert(t, tracker.isTopRanked(identities{nodes[0].Identity: true, nodes[1].Identity: true}))
-	assert.Assert(t, !tracker.isTopRanked(identities{nodes[0].Identity: true, nodes[2].Identity: true}))
+	assert.Assert(t, tracker.topRankedAcked(identities{nodes[0].Identity: true, nodes[1].Identity: true}))
+	assert.Assert(t, !tracker.topRankedAcked(identities{nodes[0].Identity: true, nodes[2].Identity: true}))
 }
