--- a/internal/tier/proxy/faulty_stores_test.go
+++ b/internal/tier/proxy/faulty_stores_test.go
@@ -28,7 +28,7 @@
 	id       string
 	status   int
 	body     string
-	complete bool // the store wrote the request response
+	complete bool // the store wrote the whole response
 }
 
 // storeJournal records what all stores received and sent, and the violations found.
@@ -140,7 +140,7 @@
 	reader     *bufio.Reader
 }
 
-// send sends a request and reads the request response.
+// send sends a request and reads the whole response.
 func (c *faultTestClient) send(path, id string, protocol string) clientResponse {
 	if c.connection == nil {
 		connection, err := net.Dial("tcp4", c.proxy.address)
--- a/internal/tier/register/acceptor.go
+++ b/internal/tier/register/acceptor.go
@@ -39,7 +39,7 @@
 	acceptedSeries *storage.Series
 
 	pending        atomic.Int32  // requests that hold or wait for the semaphore
-	semaphore      chan struct{} // valid one token while the acceptor is free; whoever takes it may write the state and the disk
+	semaphore      chan struct{} // holds one token while the acceptor is free; whoever takes it may write the state and the disk
 	saveIncomplete bool          // a save began and has not succeeded: the disk may hold a value that was not acknowledged
 	state          atomic.Pointer[acceptorState]
 }
--- a/internal/tier/register/conflicting_changes_test.go
+++ b/internal/tier/register/conflicting_changes_test.go
@@ -171,9 +171,9 @@
 		for i, m := range c.members {
 			other, one := m.send(20*time.Second, second), m.send(20*time.Second, first)
 			for _, err := range []error{one, other} {
-				assert.Assert(t, err == nil || errors.Is(err, errConflict), "at %d: %v", i, err)
+				assert.Assert(t, err == nil || errors.Is(err, errConflict), "coordinator %d: unexpected error %v", i, err)
 			}
-			assert.Assert(t, r.identical || (one == nil) != (other == nil), "at %d: %v and %v", i, one, other)
+			assert.Assert(t, r.identical || (one == nil) != (other == nil), "coordinator %d: replies %v and %v to conflicting changes", i, one, other)
 			outcomes[fmt.Sprintf("%v/%v", one, other)] = true
 			if secondResult == nil || errors.Is(secondResult, errConflict) {
 				assert.Equal(t, other, secondResult, "the second operator got a different reply before, attempt %d", attempt)
--- a/internal/tier/upstream/early_response_test.go
+++ b/internal/tier/upstream/early_response_test.go
@@ -144,7 +144,7 @@
 				<-sent.response.connection.write.done
 			}
 			during := socketUserTimeout(t, sent.response.connection)
-			assert.Equal(t, during > 2*userTimeout, early, "%v", during)
+			assert.Equal(t, during > 2*userTimeout, early, "TCP_USER_TIMEOUT during the response is %v", during)
 			_, err := io.ReadAll(sent.response)
 			assert.NilError(t, err)
 			if early {
--- a/internal/tier/watch/message_size_test.go
+++ b/internal/tier/watch/message_size_test.go
@@ -48,7 +48,7 @@
 		assert.Equal(t, len(state.Instances()), instances)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Assert(t, n.replyBytes < fullSize*7/4, "%d bytes for a list of %d", n.replyBytes, fullSize)
+		assert.Assert(t, n.replyBytes < fullSize*7/4, "replies take %d bytes for a list of %d bytes", n.replyBytes, fullSize)
 	})
 }
 
@@ -68,7 +68,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Assert(t, n.replyBytes < 11*len(body), "%d bytes", n.replyBytes)
+		assert.Assert(t, n.replyBytes < 11*len(body), "replies take %d bytes", n.replyBytes)
 	})
 }
 
--- a/internal/tier/watch/reconcile_test.go
+++ b/internal/tier/watch/reconcile_test.go
@@ -105,11 +105,11 @@
 	}
 	equal := source.replyNow(request())
 	assert.Assert(t, equal.Compared && len(equal.DifferingBuckets) == 0)
-	assert.Assert(t, request().SizeVT()+equal.SizeVT() < 320, "%d and %d bytes", request().SizeVT(), equal.SizeVT())
+	assert.Assert(t, request().SizeVT()+equal.SizeVT() < 320, "request takes %d bytes and reply %d bytes", request().SizeVT(), equal.SizeVT())
 	watcher.Upsert(describedInstance(3001, 1, ready))
 	clock.advance(unconfirmedTimeout)
 	different := source.replyNow(request())
-	assert.Assert(t, different.SizeVT() < 2500, "%d bytes", different.SizeVT())
+	assert.Assert(t, different.SizeVT() < 2500, "reply takes %d bytes", different.SizeVT())
 	watcher.Merge(different)
 	assert.Equal(t, watcher.Count(suspect), 1)
 	assert.Equal(t, stateOf(watcher, 3001), suspect)
--- a/internal/tier/watch/watcher_test.go
+++ b/internal/tier/watch/watcher_test.go
@@ -145,6 +145,6 @@
 		for _, calls := range n.calls {
 			total += calls
 		}
-		assert.Assert(t, total <= 200, "%d polls", total)
+		assert.Assert(t, total <= 200, "watcher sent %d polls", total)
 	})
 }
