--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -28,17 +28,17 @@
 	Shards       []Shard
 	Text         []byte // sent to every shard unchanged; the front must not modify it
 	CompleteOnly bool   // the client accepts no partial answer
-	// Search is set for a search, which a search.Plan executes. The transport reports its answers by Found. The core does
-	// not modify it.
+	// Search is set for a search, which a search.Plan executes. The transport reports each lot store's answer
+	// to it by Reporter.Found. The core does not modify it.
 	Search *search.Query
 	// Origin is matched against the routes; nil if no route applies.
 	Origin *limits.Request
-	// Done receives the one final answer. It must be buffered for it: the core does not block on a front.
+	// Done receives exactly one result, the final answer. It needs a buffer of at least one, so that the core never blocks.
 	Done chan Result
 
 	id             uint64          // assigned when it enters the in-flight table
 	arrivalID      uint64          // assigned on arrival
-	limiter        *limits.Limiter // of its route, until it has been released; nil for no route
+	limiter        *limits.Limiter // of its route; nil if no limiter has to be told of the request's end
 	maxAnswerBytes int             // limit of its route on the total size of lot stores' answers; 0 for no limit
 	arrived        time.Duration
 }
@@ -66,10 +66,10 @@
 	Shards     []ShardResult // one per shard, in the order of the request
 	RetryAfter time.Duration
 	Reason     string        // one of the Reason constants of this package or of package limits; empty if answered
-	Second     []ShardResult // of a second step by score: its values make up the answer instead of those in Shards
+	Second     []ShardResult // results of a second step by score, whose values replace those in Shards; nil without one
 	Search     search.Result // result of a search; Complete means that nothing is missing from it
 	Phases     search.Phases // number of phases that a search was executed in
-	Detail     string        // of a query that lot stores cannot answer: their explanation
+	Detail     string        // with ReasonUnanswerable: why the lot stores cannot answer the query
 }
 
 // The reasons why a request was not answered, as clients see them.
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -160,7 +160,7 @@
 	now := c.now()
 	c.steppedAt = now
 	c.expire(now)
-	c.endAllDue(now)
+	c.endAllIfDue(now)
 	c.tickSearches(now)
 	c.admitQueued(now)
 	if c.wakeAt > 0 && now >= c.wakeAt {
--- a/internal/gatherer/gather/final_answer_test.go
+++ b/internal/gatherer/gather/final_answer_test.go
@@ -28,7 +28,7 @@
 		},
 		"shutdown": func(c *Core, _ *Request, _ []*Attempt) {
 			c.endBy = time.Now()
-			c.endAllDue(c.now())
+			c.endAllIfDue(c.now())
 		},
 		"panic": func(c *Core, r *Request, _ []*Attempt) {
 			query, _ := c.inFlight.Query(r.id)
--- a/internal/gatherer/gather/limits.go
+++ b/internal/gatherer/gather/limits.go
@@ -120,7 +120,7 @@
 		r.Done <- Result{Kind: Failed, Reason: reason, Shards: emptyShardResults(r)}
 		return
 	}
-	// Decided at the recorded time of arrival, so that the record agrees with the limits.
+	// The limiter decides by r.arrived, which is also the recorded time of arrival, so that the record agrees with its decision.
 	d := r.limiter.Arrive(r.arrivalID, l.Priority, r.arrived, c.clockTime(r.Deadline))
 	c.recordArrival(r, route.Name, d)
 	switch d.Action {
@@ -147,12 +147,13 @@
 
 // reject rejects a request that its route has not admitted.
 func (c *Core) reject(r *Request, d limits.Decision) {
-	r.limiter = nil // it was never in flight there, so that releaseLimiter must not report it
+	r.limiter = nil // the limiter has not admitted it, so releaseLimiter must not report its end
 	c.recordFinal(r, "refused", d.Reason)
 	r.Done <- Result{Kind: Rejected, RetryAfter: d.RetryAfter, Reason: d.Reason, Shards: emptyShardResults(r)}
 }
 
-// admitQueued admits the queued requests for which there is capacity, and rejects those whose wait is over.
+// admitQueued admits the queued requests for which their routes have capacity, and rejects those that have waited too long or
+// for which a reload has made the queue too short.
 func (c *Core) admitQueued(now time.Duration) {
 	if len(c.admission.queued) == 0 {
 		return
--- a/internal/gatherer/gather/relay.go
+++ b/internal/gatherer/gather/relay.go
@@ -17,7 +17,8 @@
 	case !a.Final && (!q.CompleteOnly || a.Complete):
 		c.startSecondStep(q, a.Complete)
 	case q.CompleteOnly && (!a.Complete || !q.pageComplete()):
-		c.events = append(c.events, decision.ClientDisconnected{Query: a.Query}) // if only the first step ended, ends the query
+		// After the first of two steps the query is still in progress in the scheduler: this ends it there.
+		c.events = append(c.events, decision.ClientDisconnected{Query: a.Query})
 		c.finish(q, Result{Kind: Failed, Reason: ReasonPartial})
 	default:
 		c.finish(q, Result{Kind: Answered, Complete: a.Complete && q.pageComplete()})
@@ -33,6 +34,7 @@
 func (c *Core) relayFailure(f decision.Fail) {
 	if q, ok := c.inFlight.Query(uint64(f.Query)); ok {
 		reason := ReasonGivenUp
+		// A failure within the last three ticks before the deadline is reported as a missed deadline.
 		if c.now() >= c.clockTime(q.Deadline)-3*c.set.Policy.Tick {
 			reason = ReasonDeadline
 		}
@@ -40,8 +42,9 @@
 	}
 }
 
-// endAllDue ends all requests in flight once the time set by EndBy has come.
-func (c *Core) endAllDue(now time.Duration) {
+// endAllIfDue ends all requests in flight if the time set by EndBy has come. Those for which a retry is safe are rejected, the
+// others fail.
+func (c *Core) endAllIfDue(now time.Duration) {
 	if c.endBy.IsZero() || now < c.clockTime(c.endBy) {
 		return
 	}
--- a/internal/gatherer/limits/rate.go
+++ b/internal/gatherer/limits/rate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// gcra is a rate limiter by the generic cell rate algorithm (ITU-T I.371). Its state is the theoretical arrival time of the
-// next request, at which requests at exactly the configured rate would arrive.
+// gcra is a rate limiter by the generic cell rate algorithm (ITU-T I.371). Its state is the theoretical arrival time: when the
+// next request would arrive if requests came at exactly the configured rate.
 type gcra struct{ theoreticalArrival time.Duration }
 
 // allow admits a request and returns 0, or returns how long the client must wait.
@@ -12,7 +12,7 @@
 		return 0
 	}
 	step := time.Duration(float64(time.Second) / r.PerSecond)
-	// At most a full burst from now, so that a clock that went back does not block clients for hours.
+	// Capped at a full burst after now: otherwise a clock that was set back could block clients for hours.
 	due := min(max(g.theoreticalArrival, now), now+step*time.Duration(max(r.Burst, 1)))
 	if early := due - now - step*time.Duration(max(r.Burst, 1)-1); early > 0 {
 		return early
--- a/internal/gatherer/merge/merge_test.go
+++ b/internal/gatherer/merge/merge_test.go
@@ -84,21 +84,21 @@
 			t.Fatalf("best %v, want %v", top.Best(), want[0])
 		}
 		if got := top.Sorted(); !slices.Equal(got, want[:min(len(want), top.size)]) {
-			t.Fatalf("page of %d lots differs from that of sorting, which has %d", len(got), min(len(want), top.size))
+			t.Fatalf("page of %d hits differs from the first %d of all hits sorted", len(got), min(len(want), top.size))
 		}
 	})
 }
 
 // Integers beyond 2^53, which a float64 cannot represent exactly, are compared and encoded exactly.
-func TestIntegers(t *testing.T) {
+func TestLargeIntegersAreExact(t *testing.T) {
 	k := Key{Field: "n"}
 	if a, b := Int(1<<53), Int(1<<53+1); k.Compare(a, b) >= 0 || b.JSON(nil) != "9007199254740993" {
 		t.Errorf("%d and %d compare as %d, and the second is encoded as %s", a.Int, b.Int, k.Compare(a, b), b.JSON(nil))
 	}
 }
 
-// BenchmarkMerge computes the page of the answers of 24 and 200 ranges by a Top, by a loser tree over the answers, and by
-// sorting all hits.
+// BenchmarkMerge merges the answers of 24 and of 200 ranges into one page: with a Top ("page"), with a loser tree ("losers"), and
+// by sorting all hits ("sort").
 func BenchmarkMerge(b *testing.B) {
 	for _, ranges := range []int{24, 200} {
 		for _, page := range []int{10, 1000} {
@@ -137,7 +137,7 @@
 	}
 }
 
-// loserTree merges sorted lists by a tree of loserTree over their heads (Knuth, The Art of Computer Programming, 5.4.1).
+// loserTree merges sorted lists by a tree of losers over their heads (Knuth, The Art of Computer Programming, 5.4.1).
 func loserTree(keys []Key, all [][]Hit, page int) []*Hit {
 	n := len(all)
 	heads, tree := make([]int, n), make([]int, n)
--- a/internal/tier/coordinator/draining_test.go
+++ b/internal/tier/coordinator/draining_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// The same if in addition one disk is lost, which is as many as the cluster tolerates.
+// An acknowledged deregistration must also survive if, in addition, one coordinator loses its disk. A cluster of three tolerates
+// the loss of one.
 func TestAcknowledgedDeregistrationSurvivesKillOfAllAndLostDisk(t *testing.T) {
 	for lost := range 3 {
 		withCluster(t, 3, 1, func(c *cluster) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// coordinatorNames returns the names of the first machines of a cluster.
+// coordinatorNames returns the names of a cluster's first count coordinators.
 func coordinatorNames(count int) []string {
 	names := make([]string, count)
 	for i := range names {
@@ -71,8 +72,8 @@
 	return names
 }
 
-// A coordinator that could not save a terminal state does not count for its acknowledgement. The disks of the others may still
-// form a quorum.
+// A terminal state is acknowledged only if a quorum of coordinators saved it. A coordinator whose disk failed to save it does not
+// count towards the quorum, even if it is the one that received the request.
 func TestTerminalStateIsAcknowledgedOnlyIfAQuorumSavedIt(t *testing.T) {
 	withCluster(t, 3, 1, func(c *cluster) {
 		assert.Equal(t, c.process("core-1").putHeartbeat("ready", 1), http.StatusOK)
--- a/internal/tier/coordinator/partition_workload_test.go
+++ b/internal/tier/coordinator/partition_workload_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to a random coordinator. An isolated coordinator must not acknowledge a drain, but it
-// acknowledges other heartbeats until it notices the loss of quorum contact.
+// sendHeartbeat sends a heartbeat to a random coordinator. Drains are sent by call, which checks that an isolated coordinator does
+// not acknowledge them. Other heartbeats are not checked, because an isolated coordinator acknowledges them until it notices that
+// it has lost contact with the quorum.
 func (r *partitionRun) sendHeartbeat(id, state string, sequence int) (int, string) {
 	path := "/v1/instances/" + id
 	if state == "draining" {
@@ -105,7 +106,7 @@
 		case answer == `{"state":"completed"}`:
 			r.markRetired(name)
 		case answer != `{"state":"running"}` || r.isRetired(name):
-			r.addProblem("state of the retirement of %s: %d %s, completed before: %v", name, status, answer, r.isRetired(name))
+			r.addProblem("unexpected state of the retirement of %s: %d %s, completed before: %v", name, status, answer, r.isRetired(name))
 		}
 	}
 }
--- a/internal/tier/coordinator/placementcontrol/stall.go
+++ b/internal/tier/coordinator/placementcontrol/stall.go
@@ -8,8 +8,8 @@
 	"pulleygw.example/pulleygw/internal/tier/clock"
 )
 
-// maxStall is the longest time without running that does not count as a stall.
-const maxStall = time.Second
+// stallThreshold is the longest time between two checks that does not count as a stall.
+const stallThreshold = time.Second
 
 // stallDetector detects that this process was frozen and did not run for a while. Messages that it did not receive during
 // a stall are no evidence that other nodes failed. It is safe for concurrent use.
@@ -37,7 +37,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	if now.Sub(d.lastCheck) > maxStall {
+	if now.Sub(d.lastCheck) > stallThreshold {
 		d.lastStallEnd = now
 	}
 	d.lastCheck = now
--- a/internal/tier/coordinator/placementcontrol/stall_test.go
+++ b/internal/tier/coordinator/placementcontrol/stall_test.go
@@ -12,9 +12,9 @@
 	d := newStallDetector(func() time.Time { return now })
 	start := now
 	for range 10 {
-		now = now.Add(maxStall)
+		now = now.Add(stallThreshold)
 		assert.Equal(t, d.runningSince(), start)
 	}
-	now = now.Add(maxStall + time.Millisecond)
+	now = now.Add(stallThreshold + time.Millisecond)
 	assert.Equal(t, d.runningSince(), now, "a longer pause is a stall")
 }
--- a/internal/tier/coordinator/register.go
+++ b/internal/tier/coordinator/register.go
@@ -11,7 +11,8 @@
 // controlRegister is the proposer for the control state, extended by methods that change the voters.
 type controlRegister struct{ *register.Proposer }
 
-// newControlRegister returns a proposer. Each value that it finds to be chosen updates the state and the change history.
+// newControlRegister returns a proposer. Each value that it learns was chosen is written to the state and to
+// the change history.
 func newControlRegister(o options, state *watch.State) controlRegister {
 	return controlRegister{register.NewProposer(register.ProposerOptions{
 		Caller: o.caller, Local: o.acceptor, KnownState: state.Control, Failpoints: o.faults,
--- a/internal/tier/coordinator/shutdown_test.go
+++ b/internal/tier/coordinator/shutdown_test.go
@@ -10,9 +10,9 @@
 
 // A standby that is shutting down does not replace a voter that is lost meanwhile, even if the standby itself holds the lease.
 func TestStandbyDoesNotReplaceVoterDuringShutdown(t *testing.T) {
-	for _, leader := range []string{"core-1", "core-4"} {
-		t.Run(leader, func(t *testing.T) {
-			withLeaseHolder(t, leader, 5, 1, func(c *cluster) {
+	for _, leaseHolder := range []string{"core-1", "core-4"} {
+		t.Run(leaseHolder, func(t *testing.T) {
+			withLeaseHolder(t, leaseHolder, 5, 1, func(c *cluster) {
 				c.process("core-4").membership.BeginShutdown()
 				c.advance(1500 * time.Millisecond)
 				c.kill("core-2")
--- a/internal/tier/rpc/dial.go
+++ b/internal/tier/rpc/dial.go
@@ -17,7 +17,8 @@
 var defaultDial DialFunc = dialTCP
 
 // SetDefaultDialer sets the function by which clients created later connect. Tests of whole processes use it to route
-// connections through a relay. It must be called before any role runs.
+// connections through a relay. It must not run at the same
+// time as NewClient, so it is called before any role starts.
 func SetDefaultDialer(dial DialFunc) { defaultDial = dial }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/tier/turnstore/random_schedule_test.go
+++ b/internal/tier/turnstore/random_schedule_test.go
@@ -294,7 +294,7 @@
 	}
 }
 
-// check reads all turns that were acknowledged.
+// check reads the chain of every acknowledged turn and verifies its records' inputs and order.
 func (s *schedule) check() {
 	s.saves.Wait()
 	s.sendControlToAll()
@@ -321,7 +321,7 @@
 			continue
 		}
 		m.store.mu.Lock()
-		text += fmt.Sprintf("\n%s identity %d epoch %d partitioned %v failed %v has the turn %v disk %v", address, m.store.identity,
+		text += fmt.Sprintf("\n%s identity %d epoch %d partitioned %v failed %v has the turn %v write-ahead log error %v", address, m.store.identity,
 			m.store.membership.GetEpoch(), s.partitioned[address], m == s.failed, m.store.state.records[id] != nil, m.store.wal.checkWritable())
 		m.store.mu.Unlock()
 	}
@@ -346,11 +346,11 @@
 	return slices.Clone(s.ids)
 }
 
-// budgetUsage is a program's budget and how much of it a test has reserved.
+// budgetUsage is a program's budget and how much of it the claims of a test take.
 type budgetUsage struct {
 	mu       sync.Mutex
 	budget   uint64
-	reserved uint64 // tokens of granted claims; for settled claims the tokens used
+	reserved uint64 // tokens reserved by granted claims, or used by them once settled
 	claims   int    // number of claims so far
 }
 
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -13,6 +13,8 @@
 	"pulleygw.example/pulleygw/internal/tier/turns"
 )
 
+// The records of newRecord expire after 2 min 6 s: their retention of 1 min, a tenth of it, and expiryGrace. The first record is
+// older than that at the first removal, and is kept because the second one continues it.
 func TestChainIsRetainedAsLongAsItsLastTurn(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
 	m := c.machines["10.0.0.1:1"]
--- a/internal/tier/turnstore/wal.go
+++ b/internal/tier/turnstore/wal.go
@@ -14,9 +14,10 @@
 const (
 	maxPendingBytes = 8 << 20                // size of the batch that waits while another one is synced
 	stallThreshold  = 400 * time.Millisecond // while a sync takes longer than this, new writes fail at once
-	// offsetSyncInterval is the minimum time between syncs of the offsets file. After a power failure, corruption of bytes
-	// that were synced within the last interval cannot be told from a torn write, so a shorter interval detects more. A
-	// sync delays the next batch by some milliseconds, which is at most 2% of a store's time.
+	// offsetSyncInterval is the minimum time between syncs of the offsets file, which tells how much of a segment is synced.
+	// After a power failure, corruption of bytes that were synced within the last interval cannot be told from a torn
+	// write, so a shorter interval detects more corruption. Each sync delays the next batch by some milliseconds: at this
+	// interval, at most 2% of a store's time.
 	offsetSyncInterval = 250 * time.Millisecond
 )
 
@@ -32,7 +33,7 @@
 	err    error // set before done is closed
 }
 
-// writeAheadLog appends batches to segments with group sync: all frames that are appended while a sync is running go into
+// writeAheadLog appends batches to segments with group commit: all frames that are appended while a sync is running go into
 // the next batch. After a failed write it accepts nothing until a compaction has saved everything in memory.
 //
 // append, rotate, compactionDone and the state queries are safe for concurrent use; a single writer goroutine (run) owns
