--- a/internal/gatherer/audit/audit.go
+++ b/internal/gatherer/audit/audit.go
@@ -62,7 +62,7 @@
 type route struct {
 	inFlight int
 	due      float64 // when the next request would be on schedule, in microseconds
-	rate     float64 // that due is computed with; another rate resets it, as in the gate
+	rate     float64 // that due is computed with; another rate resets it, as in limits.Limiter
 	burst    int
 	first    []int64 // times of sending of first attempts
 	retries  []record.Entry
@@ -270,7 +270,7 @@
 }
 
 // checkRetries checks the retries of a route against its budget: in any span at most the free ones and a ratio of the
-// first attempts of that span, which the gate counts in tenths of it.
+// first attempts of that span, which limits.Limiter counts in tenths of it.
 func (a *Audit) checkRetries(name string, r *route) {
 	slices.Sort(r.first)
 	slices.SortFunc(r.retries, func(x, y record.Entry) int { return cmp.Compare(x.Sent, y.Sent) })
--- a/internal/gatherer/gather/api.go
+++ b/internal/gatherer/gather/api.go
@@ -153,13 +153,13 @@
 // WriteDeadline returns the deadline for writing a call completely: the time limit for a server that does not read, or the
 // earliest NotAfter of the attempts if that is sooner.
 func WriteDeadline(now time.Time, limit time.Duration, attempts []*Attempt) time.Time {
-	by := now.Add(limit)
+	deadline := now.Add(limit)
 	for _, a := range attempts {
-		if !a.NotAfter.IsZero() && a.NotAfter.Before(by) {
-			by = a.NotAfter
+		if !a.NotAfter.IsZero() && a.NotAfter.Before(deadline) {
+			deadline = a.NotAfter
 		}
 	}
-	return by
+	return deadline
 }
 
 // Transport carries attempts to servers. The core's goroutine calls its methods: none may block, nor call the Reporter
--- a/internal/gatherer/gather/core.go
+++ b/internal/gatherer/gather/core.go
@@ -76,7 +76,7 @@
 	stepEnded        bool          // the first step has ended, so that later answers to it are ignored
 	pendingAtStepEnd bool          // it was still pending when the first step ended
 	search           *ShardSearch  // of a search, else nil
-	load             *FirstStep    // of a second step by score, else nil
+	firstStep        *FirstStep    // of a second step by score, else nil
 }
 
 // New returns a core. The transport must not report anything before Run is called.
--- a/internal/gatherer/gather/inbox.go
+++ b/internal/gatherer/gather/inbox.go
@@ -11,7 +11,7 @@
 
 // Messages from fronts, the transport and discovery arrive through one channel and become events of the next step.
 
-// The messages of the inbox, in addition to *Request, List, Limits and countsRequest.
+// The messages of the inbox, in addition to *Request, ServerList, Limits and countsRequest.
 type (
 	clientDisconnected struct{ r *Request }
 	outcome            struct {
--- a/internal/gatherer/gather/limits.go
+++ b/internal/gatherer/gather/limits.go
@@ -30,7 +30,7 @@
 // SetLimits applies limits to the requests that arrive from then on. Requests in flight keep their class.
 func (c *Core) SetLimits(l Limits) { c.post(l) }
 
-// AllRoutes is the name under which Gates reports the counts of all routes together.
+// AllRoutes is the name under which LimiterCounts reports the counts of all routes together.
 const AllRoutes = "*"
 
 // LimiterCounts returns the counts of the limiters, by name of the route.
@@ -45,7 +45,7 @@
 	}
 }
 
-// countsRequest is the message of Gates.
+// countsRequest is the message of LimiterCounts.
 type countsRequest struct{ to chan map[string]limits.Counts } // buffered for the reply
 
 func (c *Core) collectCounts() map[string]limits.Counts {
--- a/internal/gatherer/gather/route.go
+++ b/internal/gatherer/gather/route.go
@@ -22,7 +22,7 @@
 	}
 	now := c.steppedAt
 	a := &Attempt{Query: p.q.Name, Class: p.q.Class, Key: p.q.Key, Shard: p.res.Shard, Number: len(p.attempts),
-		Text: p.q.Text, Server: s.Server, Search: p.search, FirstStep: p.load, Deadline: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
+		Text: p.q.Text, Server: s.Server, Search: p.search, FirstStep: p.firstStep, Deadline: c.start.Add(now - epoch + s.Limit), subquery: p, sent: now}
 	k := c.set.Policy.Classes[p.q.Class]
 	if k.Effect == decision.Deduplicated && p.mayHaveRunAt > 0 {
 		// Two ticks before the end of the window, as the attempt takes time to reach the lot store.
--- a/internal/gatherer/gather/second.go
+++ b/internal/gatherer/gather/second.go
@@ -26,7 +26,7 @@
 	prefer       decision.ServerID // server to prefer, 0 for none
 	usedAttempts int               // attempts of the first step that count towards its maximum number of attempts
 	search       *ShardSearch
-	load         *FirstStep
+	firstStep    *FirstStep
 }
 
 // byScore is the second step of a class that has one: it asks the shards whose values had the highest scores, at most size
@@ -34,20 +34,20 @@
 type byScore struct{ size int }
 
 func (s byScore) endFirstStep(q *query, complete bool) (list []secondSubquery) {
-	load := &FirstStep{Complete: complete}
+	firstStep := &FirstStep{Complete: complete}
 	var answered []*subquery
 	for _, p := range q.subqueries {
 		if p.res.OK {
-			answered, load.From = append(answered, p), append(load.From, p.res.Shard)
+			answered, firstStep.From = append(answered, p), append(firstStep.From, p.res.Shard)
 		}
 	}
-	slices.Sort(load.From)
+	slices.Sort(firstStep.From)
 	slices.SortFunc(answered, func(a, b *subquery) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.res.Shard, b.res.Shard))
 	})
 	answered = answered[:min(s.size, len(answered))]
 	for _, p := range answered {
-		list = append(list, secondSubquery{index: p.index, weight: 1 / float64(len(answered)), load: load})
+		list = append(list, secondSubquery{index: p.index, weight: 1 / float64(len(answered)), firstStep: firstStep})
 	}
 	return list
 }
@@ -65,7 +65,7 @@
 
 // wantsScore reports whether the value of a subquery must have a score.
 func (c *Core) wantsScore(p *subquery) bool {
-	return p.q.plan == nil && p.load == nil && c.set.Policy.Classes[p.q.Class].Fetch > 0
+	return p.q.plan == nil && p.firstStep == nil && c.set.Policy.Classes[p.q.Class].Fetch > 0
 }
 
 // startSecondStep ends a query's first step and starts its second.
@@ -83,7 +83,7 @@
 	c.events = append(c.events, decision.Planned{Query: decision.QueryID(q.id), Fetch: len(list)})
 	for _, x := range list {
 		c.lastID++
-		p := &subquery{id: c.lastID, q: q, res: &ShardResult{Shard: q.subqueries[x.index].res.Shard}, index: x.index, search: x.search, load: x.load}
+		p := &subquery{id: c.lastID, q: q, res: &ShardResult{Shard: q.subqueries[x.index].res.Shard}, index: x.index, search: x.search, firstStep: x.firstStep}
 		q.secondSubqueries = append(q.secondSubqueries, p)
 		c.inFlight.AddSubquery(p.id, p)
 		c.events = append(c.events, decision.SubqueryArrived{ID: decision.SubqueryID(p.id), Query: decision.QueryID(q.id),
@@ -99,7 +99,7 @@
 		if !second.OK {
 			first.OK, first.Last, first.Pending = false, second.Last, second.Pending
 		}
-		if p.load != nil {
+		if p.firstStep != nil {
 			r.Second = append(r.Second, second)
 		}
 	}
--- a/internal/gatherer/gather/second_test.go
+++ b/internal/gatherer/gather/second_test.go
@@ -116,11 +116,11 @@
 		t.Errorf("retry %+v after %+v", second, first)
 	}
 	c.Scored(second, "v", 1)
-	load := collect(t, tr, 1)[0]
-	if load.FirstStep == nil {
-		t.Errorf("no second step: %+v", load)
+	fetch := collect(t, tr, 1)[0]
+	if fetch.FirstStep == nil {
+		t.Errorf("no second step: %+v", fetch)
 	}
-	c.Outcome(load, decision.OK, "w") // a second step needs no score
+	c.Outcome(fetch, decision.OK, "w") // a second step needs no score
 	if res := <-r.Done; !res.Complete || res.Values()[0].Value != "w" {
 		t.Errorf("%+v", res)
 	}
@@ -143,11 +143,11 @@
 	c.Submit(r)
 	first := collect(t, tr, 1)[0]
 	c.Scored(first, "v", 3)
-	load := collect(t, tr, 1)[0]
-	if load.FirstStep == nil || !slices.Equal(load.FirstStep.From, []int{first.Shard}) || load.Shard != first.Shard {
-		t.Fatalf("%+v is told %+v", load, load.FirstStep)
+	fetch := collect(t, tr, 1)[0]
+	if fetch.FirstStep == nil || !slices.Equal(fetch.FirstStep.From, []int{first.Shard}) || fetch.Shard != first.Shard {
+		t.Fatalf("%+v is told %+v", fetch, fetch.FirstStep)
 	}
-	c.Outcome(load, decision.OK, "w")
+	c.Outcome(fetch, decision.OK, "w")
 	if res := <-r.Done; len(res.Values()) != 1 || res.Values()[0].Value != "w" || res.Shards[1-first.Shard].OK {
 		t.Errorf("%+v", res)
 	}
--- a/internal/gatherer/limits/check.go
+++ b/internal/gatherer/limits/check.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// AttemptSchedule is the schedule of attempts of a subquery, for routes that configure time-outs and back-offs. In the worst case, every
-// attempt runs to its time-out, and each retry waits for its back-off.
+// AttemptSchedule is the schedule of attempts of a subquery, for routes that configure time-outs and back-offs. In the
+// worst case, every attempt runs to its time-out, and each retry waits for its back-off.
 type AttemptSchedule struct {
 	Attempts int
 	Timeout  time.Duration // of one attempt; 0 if the scheduler sets it
@@ -121,22 +121,22 @@
 // Check returns the rules that the schedule violates in the worst case: the last attempt of a deduplicated class must begin
 // within its window, a class that is not idempotent has one attempt only, and the last attempt must end before the client
 // times out.
-func (p AttemptSchedule) Check(c Class, timeout time.Duration) (list []Violation) {
-	if p.Timeout == 0 && p.Backoff == 0 {
+func (s AttemptSchedule) Check(c Class, timeout time.Duration) (list []Violation) {
+	if s.Timeout == 0 && s.Backoff == 0 {
 		return nil
 	}
 	if timeout == 0 {
 		timeout = c.Timeout
 	}
-	n := p.Attempts
+	n := s.Attempts
 	if n == 0 {
 		n = c.Attempts
 	}
-	if p.Timeout < 0 || p.Backoff < 0 || !(p.Jitter >= 0 && p.Jitter <= 1) {
+	if s.Timeout < 0 || s.Backoff < 0 || !(s.Jitter >= 0 && s.Jitter <= 1) {
 		return []Violation{{"attempt", "wants a time-out and a wait of 0 or more, and a jitter of 0 to 1"}}
 	}
-	wait := p.Backoff + time.Duration(p.Jitter*float64(p.Backoff))
-	last := time.Duration(n-1) * (p.Timeout + wait) // latest start of the last attempt
+	backoff := s.Backoff + time.Duration(s.Jitter*float64(s.Backoff))
+	last := time.Duration(n-1) * (s.Timeout + backoff) // latest start of the last attempt
 	if c.Effect == Deduplicated && n > 1 && last >= c.Window {
 		list = append(list, Violation{"attempt", sprint("the last of ", n, " attempts may begin ", last, " after the first, and repeats of ", c.Name,
 			" are dropped for ", c.Window, " only: wants less than that")})
@@ -144,7 +144,7 @@
 	if c.Effect == NotIdempotent && n > 1 {
 		list = append(list, Violation{"attempts", sprint(c.Name, " must not be repeated: wants 1")})
 	}
-	if end := last + p.Timeout; end > timeout {
+	if end := last + s.Timeout; end > timeout {
 		list = append(list, Violation{"attempt", sprint(n, " attempts may end ", end, " after the first began, and clients of ", c.Name, " give up at ", timeout)})
 	}
 	return list
--- a/internal/gatherer/limits/limits_test.go
+++ b/internal/gatherer/limits/limits_test.go
@@ -59,9 +59,9 @@
 		}
 	}
 	for _, c := range []struct {
-		p     AttemptSchedule
-		class Class
-		want  string
+		schedule AttemptSchedule
+		class    Class
+		want     string
 	}{
 		{AttemptSchedule{}, bid, ""},
 		{AttemptSchedule{Attempts: 3, Timeout: 800 * ms, Backoff: 100 * ms}, search, ""},
@@ -71,9 +71,9 @@
 		{AttemptSchedule{Attempts: 2, Timeout: sec}, Class{Name: "pay", Effect: NotIdempotent, Timeout: 9 * sec, Attempts: 3}, "must not be repeated"},
 		{AttemptSchedule{Timeout: -1}, search, "0 or more"},
 	} {
-		got := c.p.Check(c.class, 0)
+		got := c.schedule.Check(c.class, 0)
 		if c.want == "" && got != nil || c.want != "" && (len(got) == 0 || !strings.Contains(fmt.Sprint(got), c.want)) {
-			t.Errorf("%+v of %s: %v, want %q", c.p, c.class.Name, got, c.want)
+			t.Errorf("%+v of %s: %v, want %q", c.schedule, c.class.Name, got, c.want)
 		}
 	}
 }
--- a/internal/gatherer/merge/merge.go
+++ b/internal/gatherer/merge/merge.go
@@ -275,8 +275,8 @@
 	ID     string
 }
 
-// TieBreakID returns the id after which the page begins among the lots of a range that have exactly these sort values. In ranges
-// after that of the position all such lots follow it, and in ranges before it none do.
+// TieBreakID returns the id after which the page begins among the lots of a range that have exactly these sort values. In
+// ranges after that of the position all such lots follow it, and in ranges before it none do.
 func (a *After) TieBreakID(number int) string {
 	switch {
 	case a.Tied && number == a.Range:
--- a/internal/gatherer/net/frames/codec.go
+++ b/internal/gatherer/net/frames/codec.go
@@ -132,13 +132,13 @@
 }
 
 // firstStepFields are the fields of a second step that describe the first.
-func firstStepFields(l *gather.FirstStep) string {
-	from := make([]string, len(l.From))
-	for i, shard := range l.From {
+func firstStepFields(s *gather.FirstStep) string {
+	from := make([]string, len(s.From))
+	for i, shard := range s.From {
 		from[i] = strconv.Itoa(shard)
 	}
 	complete := 0
-	if l.Complete {
+	if s.Complete {
 		complete = 1
 	}
 	return fmt.Sprintf("from=%s,whole=%d", strings.Join(from, "+"), complete)
--- a/internal/gatherer/net/frames/frames_test.go
+++ b/internal/gatherer/net/frames/frames_test.go
@@ -55,22 +55,22 @@
 // first step, and a duplicate is ignored.
 func TestSecondStep(t *testing.T) {
 	list := attempts(2)
-	first, load := list[0], list[1]
-	load.Shard, load.FirstStep = 0, &gather.FirstStep{From: []int{0, 5, 9}, Complete: true}
-	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
+	first, second := list[0], list[1]
+	second.Shard, second.FirstStep = 0, &gather.FirstStep{From: []int{0, 5, 9}, Complete: true}
+	if l := subqueryHeader(second, 240); l != "q.0.load 0 d=240,from=0+5+9,whole=1 0\n" {
 		t.Errorf("line %q", l)
 	}
-	load.Key, load.FirstStep.Complete = "5c0f", false
-	if l := subqueryHeader(load, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
+	second.Key, second.FirstStep.Complete = "5c0f", false
+	if l := subqueryHeader(second, 240); l != "q.0.load 0 d=240,k=5c0f,from=0+5+9,whole=0 0\n" {
 		t.Errorf("line %q", l)
 	}
 	tr, r := transport("127.0.0.1:1", time.Minute)
 	c := parked(tr, nil)
-	c.inFlight["q.0"], c.inFlight["q.0.load"] = &entry{a: first}, &entry{a: load}
+	c.inFlight["q.0"], c.inFlight["q.0.load"] = &entry{a: first}, &entry{a: second}
 	for _, x := range []struct {
 		id   string
 		want *gather.Attempt
-	}{{"q.0.load", load}, {"q.0.load", nil}, {"q.0", first}} {
+	}{{"q.0.load", second}, {"q.0.load", nil}, {"q.0", first}} {
 		if err := c.receive('E', []byte(x.id+" hit 7 -\nv")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gatherer/search/plan.go
+++ b/internal/gatherer/search/plan.go
@@ -64,9 +64,9 @@
 	skipped
 )
 
-// Plan executes one query. Its host calls Start once, then Scored for each answer and Tick when Due says, until it ends the
-// score phase by Close. Then it calls Listed for each answer to a Fetch, and Result at the end. It is not safe for
-// concurrent use.
+// Plan executes one query. Its host calls Start once, then RecordAnswer for each answer and Tick when Due says, until it
+// ends the score phase by Close. Then it calls RecordListings for each answer to a Fetch, and Result at the end. It is not
+// safe for concurrent use.
 type Plan struct {
 	Query  *Query
 	Phases Phases
@@ -93,7 +93,7 @@
 	closed          bool
 	page            []*merge.Hit
 	fetched         int // lots of the page whose range has answered the fetch
-	changed         int // lots of the page that have changed between the phases
+	changedLots     int // lots of the page that have changed between the phases
 	bytes           int
 	requests        int
 	extra           []any
@@ -177,8 +177,8 @@
 	return s == pages.Same
 }
 
-// RecordAnswer records the i-th range's answer to a request sent at sent, and returns further orders. The answer must have passed
-// Answer.Check.
+// RecordAnswer records the i-th range's answer to a request sent at sent, and returns further orders. The answer must have
+// passed Answer.Check.
 func (p *Plan) RecordAnswer(i int, source uint32, a *Answer, sent, now time.Duration) (o Orders) {
 	if p.state[i] != requested {
 		return o // it has been skipped since
@@ -250,8 +250,8 @@
 	return fetch
 }
 
-// RecordListings records the listings of the i-th range. A lot that is missing from them, or whose sort values have changed, is left
-// out of the page.
+// RecordListings records the listings of the i-th range. A lot that is missing from them, or whose sort values have changed, is
+// left out of the page.
 func (p *Plan) RecordListings(i int, a *Answer) {
 	p.bytes += a.Bytes
 	for _, h := range p.page {
@@ -261,7 +261,7 @@
 		p.fetched++
 		n := slices.IndexFunc(a.Hits, func(l merge.Hit) bool { return l.ID == h.ID })
 		if n < 0 || !unchanged(p.Query.Keys, h, &a.Hits[n]) {
-			p.changed++
+			p.changedLots++
 			continue
 		}
 		h.Listing = a.Hits[n].Listing
--- a/internal/gatherer/search/result.go
+++ b/internal/gatherer/search/result.go
@@ -34,7 +34,7 @@
 
 // Result returns the result so far. It must not be called before Close.
 func (p *Plan) Result() (r Result) {
-	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, ChangedLots: p.changed, Bytes: p.bytes, Requests: p.requests}
+	r = Result{Total: p.total, AtLeast: p.atLeast, Listed: 1, ChangedLots: p.changedLots, Bytes: p.bytes, Requests: p.requests}
 	r.Views = map[int]View{}
 	r.Missing = append(r.Missing, p.Query.Absent...)
 	for _, x := range p.extra {
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -42,8 +42,8 @@
 // DefaultDisk returns the Disk on which roles keep their state: the machine's file system, or the Disk that a test has set.
 func DefaultDisk() Disk { return defaultDisk }
 
-// SetDefaultDisk makes roles keep their state on another Disk. Tests of whole processes use it to discard unsynced data and to
-// inject disk faults. It must be called before any role runs.
+// SetDefaultDisk makes roles keep their state on another Disk. Tests of whole processes use it to discard unsynced data
+// and to inject disk faults. It must be called before any role runs.
 func SetDefaultDisk(disk Disk) { defaultDisk = disk }
 
 // OS implements Disk with the file system of the machine.
