--- a/internal/gatherer/net/opensearch/limits_test.go
+++ b/internal/gatherer/net/opensearch/limits_test.go
@@ -45,7 +45,7 @@
 func surge(tb testing.TB, limited bool) (terminals, dealers float64) {
 	tb.Helper()
 	o := usual
-	o.phases, o.bounds = search.One, 0
+	o.phases, o.maxBounds = search.One, 0
 	o.change = func(s *settings.Settings) { s.OpenCap = 600 }
 	r := newRig(o)
 	defer r.stop()
--- a/internal/gatherer/net/opensearch/phases_faults_test.go
+++ b/internal/gatherer/net/opensearch/phases_faults_test.go
@@ -204,7 +204,7 @@
 		out := len(r.out)
 		r.mu.Unlock()
 		if out != 0 || r.core.Utilization() != 0 {
-			t.Errorf("%d attempts out, load %v", out, r.core.Utilization())
+			t.Errorf("%d attempts in flight, utilization %v", out, r.core.Utilization())
 		}
 	})
 }
--- a/internal/gatherer/net/opensearch/phases_test.go
+++ b/internal/gatherer/net/opensearch/phases_test.go
@@ -16,7 +16,7 @@
 	"pulleygw.example/pulleygw/internal/gatherer/testbed/lots"
 )
 
-var usual = rigOptions{ranges: 24, each: 30, phases: search.Two, refresh: 10 * time.Second, bounds: 100000}
+var usual = rigOptions{ranges: 24, each: 30, phases: search.Two, refresh: 10 * time.Second, maxBounds: 100000}
 
 const tractors = `{"query":{"match":{"title":"tractor"}}}`
 
@@ -163,7 +163,7 @@
 func TestAnswersBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := usual
-		o.bytes = 40 << 10 // 10 KiB for one search
+		o.maxBytes = 40 << 10 // 10 KiB for one search
 		r := newRig(o)
 		defer r.stop()
 		if status, _ := r.search("size=300", `{}`); status == 200 {
--- a/internal/gatherer/net/opensearch/query.go
+++ b/internal/gatherer/net/opensearch/query.go
@@ -56,13 +56,13 @@
 	seen        map[string]bool
 }
 
-// parseBody parses the search body and the parameters that stand for members of it. Ties says that lot stores break ties
-// by id.
-func parseBody(text string, params url.Values, ties bool) (*searchBody, *apiError) {
+// parseBody parses the search body and the parameters that stand for members of it. The flag tiesByID says that lot stores
+// break ties by id.
+func parseBody(text string, params url.Values, tiesByID bool) (*searchBody, *apiError) {
 	if wrong := query.CheckObject(text); wrong != nil {
 		return nil, parseError(wrong)
 	}
-	q := &search.Query{Size: defaultSize, Count: search.CountBestEffort, TiesByID: ties}
+	q := &search.Query{Size: defaultSize, Count: search.CountBestEffort, TiesByID: tiesByID}
 	p := &bodyParser{text: text, body: &searchBody{Query: q, query: query.MatchAll{}}, seen: map[string]bool{}}
 	if e := p.members(); e != nil {
 		return nil, e
--- a/internal/gatherer/net/opensearch/rig_test.go
+++ b/internal/gatherer/net/opensearch/rig_test.go
@@ -55,8 +55,8 @@
 	ranges, each int
 	phases       search.Phases
 	refresh      time.Duration
-	bounds       int
-	bytes        int
+	maxBounds    int
+	maxBytes     int
 	unit         float64 // work is so many times as much; 0 for 1
 	change       func(*settings.Settings)
 	record       func(record.Entry)
@@ -79,7 +79,7 @@
 	if err != nil {
 		panic(err)
 	}
-	core.ConfigureSearches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, MaxBounds: o.bounds, MaxBytes: o.bytes})
+	core.ConfigureSearches(gather.SearchConfig{Phases: o.phases, Ranges: o.ranges, MaxBounds: o.maxBounds, MaxBytes: o.maxBytes})
 	r.core, r.report = core, core
 	if o.record != nil {
 		core.SetRecorder(o.record)
--- a/internal/gatherer/net/opensearch/twophase_bench_test.go
+++ b/internal/gatherer/net/opensearch/twophase_bench_test.go
@@ -134,7 +134,7 @@
 				b.Run(name, func(b *testing.B) {
 					var m measured
 					for range b.N {
-						o := rigOptions{ranges: ranges, each: 60, phases: phases, refresh: 5 * time.Second, bounds: 100000}
+						o := rigOptions{ranges: ranges, each: 60, phases: phases, refresh: 5 * time.Second, maxBounds: 100000}
 						inBubble(b, func() { m = play(o, slow, 4, 10*time.Second, 30*time.Second) })
 					}
 					n := float64(m.queries)
