--- a/internal/gatherer/record/record_test.go
+++ b/internal/gatherer/record/record_test.go
@@ -17,7 +17,7 @@
 	return Entry{Kind: Attempt, At: int64(n), Request: uint64(n), Shard: n % 24, Status: "ok", Sent: int64(n)}
 }
 
-func open(t *testing.T, change func(*Config)) (*Writer, string) {
+func openWriter(t *testing.T, change func(*Config)) (*Writer, string) {
 	t.Helper()
 	c := Config{Dir: t.TempDir(), FileSize: 64 << 10, Files: 3, Ring: 100000, Log: slog.New(slog.DiscardHandler)}
 	if change != nil {
@@ -30,9 +30,9 @@
 	return w, c.Dir
 }
 
-// What was written is read back, over files and restarts; only the newest files stay; a torn entry loses what follows it.
+// Entries are read back across files and restarts, only the newest files are kept, and an incomplete entry is reported.
 func TestReadBack(t *testing.T) {
-	w, dir := open(t, nil)
+	w, dir := openWriter(t, nil)
 	for n := range 3000 {
 		w.Record(entry(n))
 	}
@@ -64,7 +64,7 @@
 	if torn := read(); torn != 0 || last != 3000 || count < 1000 {
 		t.Errorf("%d torn, %d entries, the last %d", torn, count, last)
 	}
-	names, err := files(dir)
+	names, err := listFiles(dir)
 	if err != nil || len(names) != 3 {
 		t.Fatalf("%v %v", names, err)
 	}
@@ -80,11 +80,11 @@
 		t.Errorf("%d torn, %d entries of %d", torn, count, before)
 	}
 	if _, err := Read(t.TempDir(), nil); err == nil {
-		t.Error("an empty folder is read")
+		t.Error("reading an empty directory succeeds")
 	}
 }
 
-// A tail returns each entry once, over files, and a torn one once it is complete.
+// Tail returns each entry once, across files, and an incomplete entry only once it is complete.
 func TestTail(t *testing.T) {
 	dir := t.TempDir()
 	var got []uint64
@@ -118,14 +118,14 @@
 	}
 }
 
-// full is a disk with space for so many bytes.
-type full struct {
+// limitedDisk is a file on a disk with left bytes of free space.
+type limitedDisk struct {
 	mu   sync.Mutex
 	left int
 	b    bytes.Buffer
 }
 
-func (f *full) Write(p []byte) (int, error) {
+func (f *limitedDisk) Write(p []byte) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.left < len(p) {
@@ -134,12 +134,12 @@
 	f.left -= len(p)
 	return f.b.Write(p)
 }
-func (f *full) Close() error { return nil }
+func (f *limitedDisk) Close() error { return nil }
 
-// A full disk and a full queue lose entries and count them; Record never blocks, and the other entries are good.
+// Entries lost to a full disk or a full queue are counted, and Record does not block.
 func TestFullDiskAndQueue(t *testing.T) {
-	disk := &full{left: 200 << 10}
-	w, _ := open(t, func(c *Config) {
+	disk := &limitedDisk{left: 200 << 10}
+	w, _ := openWriter(t, func(c *Config) {
 		c.FileSize = 1 << 20
 		c.Open = func(string) (io.WriteCloser, error) { return disk, nil }
 	})
@@ -151,9 +151,9 @@
 		t.Errorf("%d dropped of %d on a full disk", dropped, total)
 	}
 	hold := make(chan struct{})
-	w, _ = open(t, func(c *Config) {
+	w, _ = openWriter(t, func(c *Config) {
 		c.Ring = 10
-		c.Open = func(string) (io.WriteCloser, error) { <-hold; return &full{left: 1 << 20}, nil }
+		c.Open = func(string) (io.WriteCloser, error) { <-hold; return &limitedDisk{left: 1 << 20}, nil }
 	})
 	for n := range 1000 {
 		w.Record(entry(n))
@@ -161,16 +161,16 @@
 	close(hold)
 	w.Close()
 	if _, dropped := w.Counts(); dropped < 900 {
-		t.Errorf("%d dropped of 1000 with room for 10", dropped)
+		t.Errorf("%d dropped of 1000 with a queue of 10", dropped)
 	}
 	if _, err := Open(Config{Dir: t.TempDir()}); err == nil {
-		t.Error("a record of no files")
+		t.Error("a configuration without files or queue is accepted")
 	}
 }
 
-var seven = entry(7)
+var sampleEntry = entry(7)
 
-func feed(b []byte) error {
+func decodeAll(b []byte) error {
 	n := 0
 	good, read, err := Decode(bytes.NewReader(b), func(Entry) error { n++; return nil })
 	if err != nil || !good || n == 0 || read != int64(len(b)) {
@@ -182,19 +182,19 @@
 // Truncated and corrupt files are reported as torn.
 func TestCorruptFiles(t *testing.T) {
 	var b bytes.Buffer
-	if _, err := new(Encoder).Append(&b, &seven); err != nil {
+	if _, err := new(Encoder).Append(&b, &sampleEntry); err != nil {
 		t.Fatal(err)
 	}
-	proptest.CheckParser(t, true, feed, b.String())
+	proptest.CheckParser(t, true, decodeAll, b.String())
 }
 
 func FuzzDecode(f *testing.F) {
 	var b bytes.Buffer
-	if _, err := new(Encoder).Append(&b, &seven); err != nil {
+	if _, err := new(Encoder).Append(&b, &sampleEntry); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b.Bytes())
-	f.Fuzz(func(_ *testing.T, b []byte) { _ = feed(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _ = decodeAll(b) })
 }
 
 // BenchmarkAppend measures the encoding of an entry.
@@ -209,7 +209,7 @@
 	}
 }
 
-// BenchmarkRecord measures an entry for the caller of Record, with the writer running.
+// BenchmarkRecord measures the cost of Record to its caller, with the writer running.
 func BenchmarkRecord(b *testing.B) {
 	w, err := Open(Config{Dir: b.TempDir(), FileSize: 16 << 20, Files: 2, Ring: 16384})
 	if err != nil {
@@ -225,7 +225,7 @@
 	b.ReportMetric(float64(dropped)/float64(total), "dropped/entry")
 }
 
-// The JSON names of the limits in force are read by operators' scripts and stay, whatever the fields are called.
+// Operators' scripts read the JSON names of InForce, so they must not change when fields are renamed.
 func TestInForceJSONNames(t *testing.T) {
 	got, err := json.Marshal(InForce{Attempts: 1, Timeout: 2, Window: 3, Hedging: true, MaxConcurrency: 4, PerSecond: 5, Burst: 6, Ratio: 7, Free: 8, Span: 9})
 	if err != nil {
