--- a/internal/gatherer/audit/audit.go
+++ b/internal/gatherer/audit/audit.go
@@ -1,8 +1,9 @@
-// Package audit checks by the record that every limit was kept: for each request its attempts, that no two of a subquery
-// overlapped, the deduplication window and the time-out; for each route its concurrency, rate and retry budget, by the
-// limits in force at that moment. It does no I/O.
+// Package audit checks the entries written by package record for violations of limits. For each request it checks the number
+// of attempts, that no more attempts of a subquery than allowed are in flight at once, the deduplication window and the
+// timeout; for each route the concurrency, the request rate and the retry budget. Each check uses the limits that were in
+// force for the request. The package does no I/O.
 //
-// Pass the entries to [Audit.Add] in the order of the record, then call [Audit.Report].
+// Pass the entries to [Audit.Add] in the order in which they were recorded, then call [Audit.Report].
 package audit
 
 import (
@@ -14,15 +15,15 @@
 	"pulleygw.example/pulleygw/internal/gatherer/record"
 )
 
-// Violation is a limit that was not kept, with the entries that show it.
+// Violation describes a limit that was exceeded, with the entries that show it.
 type Violation struct {
 	Rule    string
 	Entries []record.Entry
 }
 
-func (b Violation) String() string {
-	text := b.Rule
-	for _, e := range b.Entries {
+func (v Violation) String() string {
+	text := v.Rule
+	for _, e := range v.Entries {
 		text += fmt.Sprintf("\n    %s %+v", time.UnixMicro(e.At).UTC().Format("15:04:05.000000"), e)
 	}
 	return text
@@ -31,16 +32,15 @@
 // Report is the result of an audit.
 type Report struct {
 	Requests, Attempts, Answered, Rejected, Failed, Disconnected int
-	Open                                                         int    // without a final answer by the record's end
-	Dropped                                                      uint64 // entries missing from the record: what they would show is unknown
+	Open                                                         int    // without a final answer when the process or the record ended
+	Dropped                                                      uint64 // entries missing from the record, which the audit could not check
 	Violations                                                   []Violation
 	More                                                         int // violations beyond maxViolations
 }
 
-// Bounds of the audit.
 const (
-	stepSlack     = 30_000 // microseconds that a final answer may come after the time-out, for clocks and steps
-	maxViolations = 100
+	timeoutSlackUs = 30_000 // tolerance for clock differences and event-loop steps between the timeout and the final answer
+	maxViolations  = 100    // violations kept in a Report
 )
 
 // Audit checks entries. The zero value is not usable; see New.
@@ -52,7 +52,7 @@
 
 type request struct {
 	arrived    record.Entry
-	admittedAt int64 // 0 if it was not
+	admittedAt int64 // 0 if it was not admitted
 	ended      bool
 	attempts   map[subquery][]record.Entry
 }
@@ -60,15 +60,15 @@
 type subquery struct{ shard, step int }
 
 type route struct {
-	inFlight int
-	due      float64 // when the next request would be on schedule, in microseconds
-	rate     float64 // that due is computed with; another rate resets it, as in the gate
-	burst    int
-	first    []int64 // times of sending of first attempts
-	retries  []record.Entry
+	inFlight   int
+	dueUs      float64 // earliest time at which the rate limit allows the next request, without burst
+	rate       float64 // requests per second that dueUs is computed with; a change of rate or burst resets dueUs, as the rate limiter does
+	burst      int
+	firstSends []int64 // send times of first attempts
+	retries    []record.Entry
 }
 
-// New starts an audit.
+// New returns an Audit without entries.
 func New() *Audit {
 	return &Audit{requests: map[uint64]*request{}, routes: map[string]*route{}}
 }
@@ -124,14 +124,14 @@
 	if in := e.In; in != nil && in.PerSecond > 0 && e.Verdict != "refuse" {
 		r := a.route(e.Route)
 		if r.rate != in.PerSecond || r.burst != in.Burst {
-			r.rate, r.burst, r.due = in.PerSecond, in.Burst, 0
+			r.rate, r.burst, r.dueUs = in.PerSecond, in.Burst, 0
 		}
 		step := 1e6 / in.PerSecond
-		r.due = max(r.due, float64(e.At))
-		if early := r.due - float64(e.At) - step*float64(max(in.Burst, 1)-1); early > step*0.01+1000 {
+		r.dueUs = max(r.dueUs, float64(e.At))
+		if early := r.dueUs - float64(e.At) - step*float64(max(in.Burst, 1)-1); early > step*0.01+1000 {
 			a.violation([]record.Entry{e}, "route %s: %.0f us too soon for %v a second with a burst of %d", e.Route, early, in.PerSecond, in.Burst)
 		}
-		r.due += step
+		r.dueUs += step
 	}
 	if e.Verdict == "admit" {
 		a.admit(q, e)
@@ -142,7 +142,7 @@
 	q.admittedAt = e.At
 	r := a.route(q.arrived.Route)
 	r.inFlight++
-	// With entries missing, ends may be: how many are in flight is unknown then.
+	// After dropped entries, which may include final answers, the number in flight is unknown.
 	if in := q.arrived.In; in != nil && in.MaxConcurrency > 0 && r.inFlight > in.MaxConcurrency && a.report.Dropped == 0 {
 		a.violation([]record.Entry{q.arrived, e}, "route %s: %d requests in hand, %d allowed", q.arrived.Route, r.inFlight, in.MaxConcurrency)
 	}
@@ -151,7 +151,7 @@
 func (a *Audit) final(e record.Entry) {
 	q := a.requests[e.Request]
 	if q == nil {
-		return // it arrived before the record starts, or its entry was dropped
+		return // its Arrived entry precedes the record or was dropped
 	}
 	if q.ended {
 		a.violation([]record.Entry{q.arrived, e}, "request %d has two final answers", e.Request)
@@ -171,7 +171,7 @@
 	if q.admittedAt > 0 {
 		a.route(q.arrived.Route).inFlight--
 	}
-	if in := q.arrived.In; in != nil && in.Timeout > 0 && e.At-q.arrived.At > in.Timeout+stepSlack {
+	if in := q.arrived.In; in != nil && in.Timeout > 0 && e.At-q.arrived.At > in.Timeout+timeoutSlackUs {
 		a.violation([]record.Entry{q.arrived, e}, "request %d ended %v after it came, %v allowed", e.Request,
 			time.Duration(e.At-q.arrived.At)*time.Microsecond, time.Duration(in.Timeout)*time.Microsecond)
 	}
@@ -183,7 +183,8 @@
 	return a.report
 }
 
-// finishProcess checks what needs all entries of one process: attempts, as one may end after its request, and retries.
+// finishProcess runs the checks that need all entries of one process: attempts, which may end after their request, and
+// retry budgets.
 func (a *Audit) finishProcess() {
 	ids := make([]uint64, 0, len(a.requests))
 	for id := range a.requests {
@@ -209,7 +210,7 @@
 	clear(a.routes)
 }
 
-// checkAttempts checks the attempts of a request, and collects them for the retry budget of its route.
+// checkAttempts checks the attempts of a request and adds them to its route for checkRetries.
 func (a *Audit) checkAttempts(id uint64, q *request) {
 	in := q.arrived.In
 	shards := map[int]int{}
@@ -222,7 +223,7 @@
 		list := q.attempts[k]
 		slices.SortFunc(list, func(x, y record.Entry) int { return cmp.Compare(x.Number, y.Number) })
 		sent := a.checkSubquery(id, q, k, list)
-		if k.step == record.LoadStep { // its subqueries have attempts of their own, where listings share their range's
+		if k.step == record.LoadStep { // its attempts are limited separately, while those of ListingStep count together with step 0
 			shards[k.shard] = 0
 		}
 		shards[k.shard] += sent
@@ -237,12 +238,12 @@
 	in, first := q.arrived.In, int64(0)
 	for i, e := range list {
 		if e.Sent == 0 {
-			continue // never sent
+			continue // not passed to the transport
 		}
 		sent++
 		r := a.route(q.arrived.Route)
 		if e.Number == 0 {
-			r.first = append(r.first, e.Sent)
+			r.firstSends = append(r.firstSends, e.Sent)
 		} else {
 			x := e
 			x.In = in
@@ -269,10 +270,11 @@
 	return sent
 }
 
-// checkRetries checks the retries of a route against its budget: in any span at most the free ones and a ratio of the
-// first attempts of that span, which the gate counts in tenths of it.
+// checkRetries checks the retries of a route against its budget: within any Span at most Free retries plus Ratio times the
+// first attempts in it. The gatherer counts first attempts in slots of a tenth of the span, so up to one slot more is
+// allowed.
 func (a *Audit) checkRetries(name string, r *route) {
-	slices.Sort(r.first)
+	slices.Sort(r.firstSends)
 	slices.SortFunc(r.retries, func(x, y record.Entry) int { return cmp.Compare(x.Sent, y.Sent) })
 	for i, e := range r.retries {
 		in := e.In
@@ -281,8 +283,8 @@
 		}
 		from := e.Sent - in.Span
 		lo, _ := slices.BinarySearchFunc(r.retries, from, func(x record.Entry, t int64) int { return cmp.Compare(x.Sent, t) })
-		f, _ := slices.BinarySearch(r.first, from-in.Span/10)
-		t, _ := slices.BinarySearch(r.first, e.Sent+1)
+		f, _ := slices.BinarySearch(r.firstSends, from-in.Span/10)
+		t, _ := slices.BinarySearch(r.firstSends, e.Sent+1)
 		if n, allowed := float64(i+1-lo), in.Free+in.Ratio*float64(t-f); n > allowed+1 {
 			a.violation(r.retries[lo : i+1][max(0, i+1-lo-3):], "route %s: %.0f further attempts within %v, %.1f allowed", name, n, time.Duration(in.Span)*time.Microsecond, allowed)
 			return // one violation of a route is enough
