--- a/internal/gatherer/wire/wire.go
+++ b/internal/gatherer/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire is the codec of the simulator's binary protocol: frames and records, with every length checked.
+// Package wire encodes and decodes the simulator's binary protocol. Every length in the input is checked before use.
 package wire
 
 import (
@@ -9,17 +9,18 @@
 	"math"
 )
 
-// MaxFrame bounds the length of a frame in bytes.
+// MaxFrame is the maximum length of a frame's body in bytes.
 const MaxFrame = 256 << 20
 
-// Frame is one batch of events, its body still encoded.
+// Frame is a batch of events whose body has not been decoded.
 type Frame struct {
 	Records int
 	NowUs   uint64
 	Body    []byte
 }
 
-// ReadFrame reads one batch, into buf if it fits. At a clean end of input the error is io.EOF.
+// ReadFrame reads one batch. The body is read into buf, which is grown if needed and returned for reuse. If the input ends
+// before a header, the error is io.EOF.
 func ReadFrame(r io.Reader, buf []byte) (Frame, []byte, error) {
 	var head [16]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -29,12 +30,12 @@
 		return Frame{}, buf, fmt.Errorf("batch header: %d of 16 bytes: %w", n, err)
 	}
 	size := binary.BigEndian.Uint32(head[0:])
-	// The length counts what follows the whole header.
+	// The length excludes the 16 bytes of the header.
 	if size > MaxFrame {
 		return Frame{}, buf, fmt.Errorf("batch header: length %d is over %d", size, MaxFrame)
 	}
 	buf = buf[:0]
-	for len(buf) < int(size) { // grow with what is received, not with what is claimed
+	for len(buf) < int(size) { // allocate as data arrives, so that a false length cannot exhaust memory
 		n := min(int(size)-len(buf), 1<<20)
 		at := len(buf)
 		buf = append(buf, make([]byte, n)...)
@@ -46,11 +47,11 @@
 	return f, buf, nil
 }
 
-// Event codes.
+// Codes of events in a Frame.
 const (
 	codeOutcome            = 16
 	codeFirst              = 17
-	codeSheet              = 18
+	codeServerList         = 18
 	codeContext            = 19
 	codeHealthChecked      = 20
 	codeCreate             = 21
@@ -62,17 +63,17 @@
 	codeExit               = 27
 )
 
-// Context sets the instance of the records after it.
+// Context selects the instance that the following records belong to.
 type Context struct{ Instance uint32 }
 
 // Create creates an instance.
 type Create struct {
 	Seed    uint64
-	Options []byte // the settings
+	Options []byte // the settings, encoded
 }
 
-// Entry is one server of a Sheet.
-type Entry struct {
+// ServerEntry describes one server of a Sheet.
+type ServerEntry struct {
 	Server    uint32
 	Zone      uint8
 	Kind      uint16
@@ -82,19 +83,19 @@
 	StartedUs uint64
 }
 
-// Sheet is a server list, to which Targets refers by its table number.
+// Sheet is a server list; Targets refers to it by its Table number.
 type Sheet struct {
 	Table   uint32
-	Entries []Entry
+	Entries []ServerEntry
 }
 
-// Targets is an update of the server list.
+// Targets announces an update of the server list: the Sheet with the same Table number.
 type Targets struct {
 	Kind          uint8
 	Serial, Table uint32
 }
 
-// Query is a query, with its number of subqueries as Share, or with a Shard from 0 on one of its subqueries.
+// Query is a query, for which Share is the number of subqueries, or, if Shard is 0 or more, one subquery of it.
 type Query struct {
 	ID                   uint64
 	Class                uint8
@@ -105,7 +106,7 @@
 	Flags                uint16
 }
 
-// Outcome is how an attempt ended.
+// Outcome reports how an attempt ended.
 type Outcome struct {
 	ID        uint64
 	Server    uint32
@@ -115,33 +116,33 @@
 	Last      bool
 }
 
-// HealthChecked is the result of a health check.
+// HealthChecked reports the result of a health check.
 type HealthChecked struct {
 	Server    uint32
 	Status    uint16
 	LatencyUs uint32
 }
 
-// ClientDisconnected says that a query's client has disconnected.
+// ClientDisconnected reports that the client of a query has disconnected.
 type ClientDisconnected struct{ ID uint64 }
 
-// Timer is a timer that has expired.
+// Timer reports that a timer has expired.
 type Timer struct{ Token uint64 }
 
 // Exit removes the instance.
 type Exit struct{}
 
-// Other is an event without a use here.
+// Other is an event whose contents are skipped.
 type Other struct{ Code uint8 }
 
-// decoder decodes fields. The first error is kept.
+// decoder decodes fields from b, starting at offset at. After the first error, which is kept in err, it returns zeros.
 type decoder struct {
 	b   []byte
 	at  int
 	err error
 }
 
-// bytes returns the next n bytes.
+// bytes returns the next n bytes, or after an error up to 8 zero bytes, enough for the largest number.
 func (d *decoder) bytes(n int) []byte {
 	if d.err != nil || n > len(d.b)-d.at {
 		if d.err == nil {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// entrySize is the size of an Entry in bytes.
+// entrySize is the encoded size of a ServerEntry in bytes.
 const entrySize = 22
 
 // record decodes one record.
@@ -193,7 +194,7 @@
 		return e
 	case codeFirst:
 		d.bytes(17)
-	case codeSheet:
+	case codeServerList:
 		e := Sheet{Table: d.u32()}
 		n := int(d.u32())
 		if d.err == nil && n > (len(d.b)-d.at)/entrySize {
@@ -201,7 +202,7 @@
 			return nil
 		}
 		for range n {
-			e.Entries = append(e.Entries, Entry{d.u32(), d.u8(), d.u16(), d.u16(), d.u8(), d.f32(), d.u64()})
+			e.Entries = append(e.Entries, ServerEntry{d.u32(), d.u8(), d.u16(), d.u16(), d.u8(), d.f32(), d.u64()})
 		}
 		return e
 	case codeContext:
@@ -236,10 +237,10 @@
 // Reply encodes one reply frame.
 type Reply struct{ b []byte }
 
-// Reset starts a new reply.
+// Reset discards the contents and reserves space for the length of the frame.
 func (r *Reply) Reset() { r.b = append(r.b[:0], 0, 0, 0, 0) }
 
-// Bytes returns the finished frame.
+// Bytes fills in the length and returns the frame. It is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.b, uint32(len(r.b)-4))
 	return r.b
@@ -253,14 +254,14 @@
 	r.b = binary.BigEndian.AppendUint16(r.b, uint16(len(s)))
 	r.b = append(r.b, s...)
 }
-func flag(b bool) uint8 {
+func boolByte(b bool) uint8 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Speaking sets the instance of the actions after it.
+// Speaking selects the instance that the following actions belong to.
 func (r *Reply) Speaking(i uint32) { r.u8(25); r.u32(i) }
 
 // Send starts an attempt.
@@ -272,18 +273,18 @@
 }
 
 // Answer answers a query.
-func (r *Reply) Answer(id uint64, complete bool) { r.u8(22); r.u64(id); r.u8(flag(complete)) }
+func (r *Reply) Answer(id uint64, complete bool) { r.u8(22); r.u64(id); r.u8(boolByte(complete)) }
 
-// Reject ends a query and says when to retry.
+// Reject rejects a query and tells its client when to retry.
 func (r *Reply) Reject(id uint64, retryAfterUs uint32) { r.u8(26); r.u64(id); r.u32(retryAfterUs) }
 
-// Fail ends a query without any guarantee.
+// Fail fails a query, without a guarantee that it was not executed.
 func (r *Reply) Fail(id uint64) { r.u8(18); r.u64(id) }
 
 // Cancel stops waiting for an attempt.
 func (r *Reply) Cancel(id uint64, attempt uint8) { r.u8(21); r.u64(id); r.u8(attempt) }
 
-// HealthCheck health-checks a server.
+// HealthCheck starts a health check of a server.
 func (r *Reply) HealthCheck(server uint32) { r.u8(29); r.u32(server) }
 
 // CloseIdle closes the idle connections to a server.
@@ -298,5 +299,5 @@
 // Timer asks for a timer event.
 func (r *Reply) Timer(atUs, token uint64) { r.u8(16); r.u64(atUs); r.u64(token) }
 
-// Watch subscribes to the list.
-func (r *Reply) Watch(on bool) { r.u8(24); r.u8(flag(on)) }
+// Watch subscribes to the server list, or unsubscribes if on is false.
+func (r *Reply) Watch(on bool) { r.u8(24); r.u8(boolByte(on)) }
--- a/internal/gatherer/wire/wire_test.go
+++ b/internal/gatherer/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The example batch of the wire's description.
+// example is the batch given as an example in the protocol's specification.
 const example = "00000046" + "00000005" + "0000000000805c5a" +
 	"1300000003" + "170007f5b55d3a91c400000091f03b7c55d20a640003a98000002ee043560000000000003e0000000001" +
 	"16000000000000004d" + "1300000005" + "19000231a00e6f2b19"
@@ -54,7 +54,7 @@
 	}
 }
 
-// Each malformed frame is an error that says where.
+// Each malformed frame is rejected with an error that names the part at fault.
 func TestMalformed(t *testing.T) {
 	for name, c := range map[string]struct{ frame, want string }{
 		"cut header":     {"0000", "batch header"},
