--- a/internal/gatherer/audit/audit_test.go
+++ b/internal/gatherer/audit/audit_test.go
@@ -35,20 +35,20 @@
 		entries []record.Entry
 		want    string
 	}{
-		"none":              {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), final(1, 110), arrived(2, 600), attempt(2, 0, 605, 700), final(2, 710)}, ""},
-		"too many attempts": {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), attempt(1, 2, 205, 300), attempt(1, 3, 305, 400), attempt(1, 4, 405, 500), final(1, 510)}, "5 attempts over its steps, 4 allowed"},
-		"overlap":           {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 90, 200), final(1, 210)}, "attempt 1 left before attempt 0 had ended"},
-		"one hedge":         {[]record.Entry{hedged, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 205, 400), final(1, 410)}, ""},
-		"two hedges":        {[]record.Entry{hedged, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 195, 400), final(1, 410)}, "attempt 2 left before attempt 0 had ended"},
-		"after window":      {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 4006, 4100), final(1, 4110)}, "its window is 4s"},
-		"after timeout":     {[]record.Entry{arrived(1, 0), final(1, 3100)}, "3s allowed"},
-		"two final answers": {[]record.Entry{arrived(1, 0), final(1, 10), final(1, 20)}, "two final answers"},
-		"concurrency":       {[]record.Entry{arrived(1, 0), arrived(2, 600), final(1, 700), final(2, 700)}, "2 requests in hand, 1 allowed"},
-		"rate":              {[]record.Entry{arrived(1, 0), final(1, 10), arrived(2, 100), final(2, 110)}, "too soon for 2 a second"},
-		"budget":            {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), final(1, 210), arrived(2, 600), attempt(2, 0, 605, 700), attempt(2, 1, 705, 800), final(2, 810)}, "2 further attempts within 10s"},
-		"not sent":          {[]record.Entry{generous, attempt(1, 0, 5, 100), {Kind: record.Attempt, At: ms(101), Request: 1, Shard: 3, Number: 1, Status: "not sent"}, final(1, 110)}, ""},
-		"restart":           {[]record.Entry{arrived(1, 0), {Kind: record.Started}, arrived(1, 100), final(1, 110)}, ""},
-		"dropped entries":   {[]record.Entry{{Kind: record.Dropped, Count: 3}, arrived(1, 0), arrived(2, 600)}, ""},
+		"none":                  {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), final(1, 110), arrived(2, 600), attempt(2, 0, 605, 700), final(2, 710)}, ""},
+		"too many attempts":     {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), attempt(1, 2, 205, 300), attempt(1, 3, 305, 400), attempt(1, 4, 405, 500), final(1, 510)}, "5 attempts over its steps, 4 allowed"},
+		"overlap":               {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 90, 200), final(1, 210)}, "attempt 1 left before attempt 0 had ended"},
+		"one hedge":             {[]record.Entry{hedged, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 205, 400), final(1, 410)}, ""},
+		"two hedges":            {[]record.Entry{hedged, attempt(1, 0, 5, 300), attempt(1, 1, 90, 200), attempt(1, 2, 195, 400), final(1, 410)}, "attempt 2 left before attempt 0 had ended"},
+		"after window":          {[]record.Entry{generous, attempt(1, 0, 5, 100), attempt(1, 1, 4006, 4100), final(1, 4110)}, "its window is 4s"},
+		"after timeout":         {[]record.Entry{arrived(1, 0), final(1, 3100)}, "3s allowed"},
+		"repeated final answer": {[]record.Entry{arrived(1, 0), final(1, 10), final(1, 20)}, "two final answers"},
+		"concurrency":           {[]record.Entry{arrived(1, 0), arrived(2, 600), final(1, 700), final(2, 700)}, "2 requests in hand, 1 allowed"},
+		"rate":                  {[]record.Entry{arrived(1, 0), final(1, 10), arrived(2, 100), final(2, 110)}, "too soon for 2 a second"},
+		"budget":                {[]record.Entry{arrived(1, 0), attempt(1, 0, 5, 100), attempt(1, 1, 105, 200), final(1, 210), arrived(2, 600), attempt(2, 0, 605, 700), attempt(2, 1, 705, 800), final(2, 810)}, "2 further attempts within 10s"},
+		"not sent":              {[]record.Entry{generous, attempt(1, 0, 5, 100), {Kind: record.Attempt, At: ms(101), Request: 1, Shard: 3, Number: 1, Status: "not sent"}, final(1, 110)}, ""},
+		"restart":               {[]record.Entry{arrived(1, 0), {Kind: record.Started}, arrived(1, 100), final(1, 110)}, ""},
+		"dropped entries":       {[]record.Entry{{Kind: record.Dropped, Count: 3}, arrived(1, 0), arrived(2, 600)}, ""},
 	} {
 		a := New()
 		for _, e := range c.entries {
